--- a/decide/api.go
+++ b/decide/api.go
@@ -3,16 +3,16 @@
 // refused. It does no I/O, reads no clock and starts no goroutine: the caller
 // feeds it events and carries out the actions it returns.
 //
-// This file is the interface; all decisions are in decide.go.
+// This file is the interface: settings, events and actions. The decisions are in decide.go and, by subject, in the
+// other files.
 package decide
 
 import "time"
 
-// Time is a reading of the caller's monotonic clock. Its zero has no meaning.
+// Time is a reading of the caller's monotonic clock. Only differences between two readings have a meaning.
 type Time = time.Duration
 
-// ServerID names a server, RequestID one try of a client's request. Both are
-// opaque.
+// ServerID identifies a server, RequestID one try of a client's request. Both are opaque.
 type (
 	ServerID  uint32
 	RequestID string
@@ -30,13 +30,13 @@
 	Safe
 )
 
-// Scope is the group of servers that share knowledge of keys.
+// Scope is the group of servers that share their memory of keys, and so drop repeats of one another's requests.
 type Scope int
 
 const (
-	// ScopeCell is one cell of servers.
+	// ScopeCell is the servers of one cell.
 	ScopeCell Scope = iota
-	// ScopeZone is one zone.
+	// ScopeZone is the servers of one zone.
 	ScopeZone
 	// ScopeAll is every server.
 	ScopeAll
@@ -45,74 +45,77 @@
 // Class describes one kind of request.
 type Class struct {
 	Name        string
-	Worth       float64       // of one request
-	Aim         time.Duration // an answer within this time has full worth
+	Worth       float64       // value of one request, compared with other classes
+	Aim         time.Duration // latency target: an answer within this time has full worth
 	AimStretch  float64       // the aim grows by this many times the request's work
-	Deadline    time.Duration // the client's total patience, over all its tries
-	LateWorth   float64       // part of the worth for an answer past the aim
+	Deadline    time.Duration // how long the client waits in all, over all its tries
+	LateWorth   float64       // part of the worth that an answer after the aim still has
 	Effect      Effect
-	KeyScope    Scope         // for Keyed: the group that drops repeats
-	DedupWindow time.Duration // for Keyed: how long the group remembers
+	KeyScope    Scope         // for Keyed: the group of servers that drops repeats
+	DedupWindow time.Duration // for Keyed: how long the group remembers a key
 	Streamed    bool          // the answer is a stream
 }
 
 // Tenant is a customer with a guaranteed share.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests each second over all nodes
+	Quota float64 // guaranteed requests per second, over all nodes
 	Share float64
 }
 
-// Settings is what a node is told at its start.
+// Settings is the configuration of a node.
 type Settings struct {
-	Nodes   int    // how many nodes decide for these servers
-	Self    int    // this node's number among them
+	Nodes   int    // number of nodes that decide for these servers
+	Self    int    // this node's number among them, from 0
 	Zone    string // this node's zone
 	Zones   []string
 	Kinds   []string // machine kinds
 	Classes []Class
 	Tenants []Tenant
 
-	MaxAttempts    int           // for one request
-	MayOverlap     bool          // two attempts of a request may be out at once
+	MaxAttempts    int           // attempts of one request, at most
+	MayOverlap     bool          // two attempts of a request may be outstanding at once
 	MayCancel      bool          // CancelAttempt is allowed
 	MayProbe       bool          // Probe is allowed
 	MayMessage     bool          // SendMessage is allowed
-	TellShort      bool          // nodes of a site tell one another that they are short: where other sites hand work over
-	HoldOffs       bool          // clients are told Refuse.HoldOff
-	MaxHoldOff     time.Duration // the longest hold-off that clients follow
-	MarksRepeats   bool          // clients mark their repeats
+	TellShort      bool          // send overload notices to the site's other nodes: set if other sites hand off requests
+	HoldOffs       bool          // clients receive Refuse.HoldOff and wait for that time
+	MaxHoldOff     time.Duration // longest hold-off that clients observe
+	MarksRepeats   bool          // clients mark repeated tries
 	ConnectTimeout time.Duration
-	MinTick        time.Duration // events come no closer together than this
-	AskForList     bool          // list changes come only after Subscribe or FetchList
-	SizeKnown      bool          // Server.Size tells something of the machine's size
-	SizeLive       bool          // Server.Size falls as the server fills
-	OverShareWorth float64       // worth of a request over its tenant's share, as a part
-	WorthByWork    bool          // worth counts by unit of work, not by request
-	ReportVia      ReportVia     // where load reports come from
-	ReportFields   []string      // names of the values in them
-
-	Family         string   // the kind of service
-	Tier           int      // the tier that this node sends to, by its place in Tiers
+	MinTick        time.Duration // shortest time between two events
+	AskForList     bool          // list updates come only after Subscribe or FetchList
+	SizeKnown      bool          // Server.Size depends on the machine's size
+	SizeLive       bool          // Server.Size falls as the server's load rises
+	OverShareWorth float64       // part of its worth that a request over its tenant's share has
+	WorthByWork    bool          // worth counts per unit of work, not per request
+	ReportVia      ReportVia     // how load reports arrive
+	ReportFields   []string      // names of the values in load reports
+
+	Family         string   // kind of service
+	Tier           int      // index in Tiers of the tier that this node sends to
 	Tiers          []string // names of the tiers
-	WarmKeys       bool     // a server that met a key lately needs less work for it
-	PassesDeadline bool     // a server's calls to the next tier carry what is left of the request's time
+	WarmKeys       bool     // a server that has lately served a key needs less work for it
+	PassesDeadline bool     // a server's calls to the next tier carry the time that the request has left
 	StreamsPerConn int      // attempts that one connection carries at once
 	ConnIdle       time.Duration
 	MaxOpen        int           // requests that this node can have open
-	CPUPerSecond   time.Duration // what this node may spend on decisions
-	CPUPerRequest  time.Duration // the same for a request with its outcomes; 0: no limit
+	CPUPerSecond   time.Duration // CPU time per second that this node may spend on decisions
+	CPUPerRequest  time.Duration // the same for one request with its outcomes; 0: no limit
 	Goal           Goal
 	Prices         Prices
 
-	AnswerSlack    time.Duration // a final answer this long past the deadline still counts
-	NotifiedWithin time.Duration // after discovery had a change and could be reached the node counts as notified of it; 0: no such bound
-	AskWithin      time.Duration // without a subscription, ask at least this often
-	DrainGrace     time.Duration // sends to a draining server must have stopped by then
-	ColdFrom       float64       // part of its capacity a server starts with, at least
-	ColdTime       time.Duration // a started server is warm after this time
-	OverloadFactor float64       // a cold server falls over beyond this multiple of its capacity
-	OverloadTime   time.Duration // when that lasts so long
+	AnswerSlack time.Duration // a final answer so long after the deadline still counts
+	// Once discovery has a change and can be reached, the node counts as notified of the change after this time at
+	// the latest. From then on, requests sent against the change are faults. 0: there is no such bound.
+	NotifiedWithin time.Duration
+	AskWithin      time.Duration // without a subscription, longest time from one list request to the next
+	DrainGrace     time.Duration // sends to a draining server must have stopped after this time
+	ColdFrom       float64       // part of its capacity that a server has at its start, at least
+	ColdTime       time.Duration // time from a server's start until it has its full capacity
+	// A cold server collapses if it gets more than OverloadFactor times its capacity for OverloadTime.
+	OverloadFactor float64
+	OverloadTime   time.Duration
 }
 
 // LongestDeadline is the longest Deadline of any class.
@@ -123,10 +126,11 @@
 	return longest
 }
 
-// Goal weighs the parts of the result.
+// Goal holds the weights of the parts that make up the result: of all requests, of the worst time window, of the worst
+// class and of the worst tenant.
 type Goal struct{ Whole, WorstWindow, WorstClass, WorstTenant float64 }
 
-// Prices are points off the result, each for one unit of what it names.
+// Prices are the points that one unit of each named cost takes off the result.
 type Prices struct {
 	Connection, Handshake, CrossZone, Waste, LateFail, Probe, Message, Moves, Origin, ListLines, Fleet float64
 }
@@ -135,32 +139,32 @@
 type ReportVia int
 
 const (
-	// ReportNone means there are none.
+	// ReportNone means that there are no load reports.
 	ReportNone ReportVia = iota
-	// ReportProbe means only probe results carry them.
+	// ReportProbe means that only probe results carry load reports.
 	ReportProbe
-	// ReportAnswers means outcomes carry them too.
+	// ReportAnswers means that probe results and outcomes of attempts carry load reports.
 	ReportAnswers
 )
 
-// Report is a server's own account of its load. It is late and not exact.
+// Report is the load that a server reports of itself. It arrives late and is not exact.
 type Report struct {
-	InFlight, Queue       float64 // requests held; requests waiting
+	InFlight, Queue       float64 // requests at the server; those of them that wait
 	HasInFlight, HasQueue bool
 	Utilisation           float64 // 0 if absent
 	ServiceTime           time.Duration
-	Rate, ErrorRate       float64 // each second
+	Rate, ErrorRate       float64 // requests per second; failed ones per second
 }
 
-// ServerState is what discovery says of a server.
+// ServerState is the state of a server by discovery.
 type ServerState int
 
 const (
 	// Ready servers take requests.
 	Ready ServerState = iota
-	// Draining servers finish what they have.
+	// Draining servers take no new requests and finish those they have.
 	Draining
-	// Gone servers have been removed.
+	// Removed servers are no longer in the list.
 	Gone
 )
 
@@ -171,11 +175,11 @@
 	Kind      string
 	Cell      int
 	State     ServerState
-	Size      float64 // without unit; compare with other servers
-	StartedAt Time    // 0: long ago
+	Size      float64 // relative to other servers, without a unit
+	StartedAt Time    // when its process started; 0: long ago
 }
 
-// Event is something that happened. The types below are all there are.
+// Event is an input of Module.Handle: one of the types below.
 type Event interface{ event() }
 
 // ListKind is the form of a ListUpdate.
@@ -184,114 +188,114 @@
 const (
 	// ListChanges holds only the changed entries.
 	ListChanges ListKind = iota
-	// ListFull holds all; a server not in it is gone.
+	// ListFull holds all entries. A server that is not in it has been removed.
 	ListFull
-	// ListCached is a full list as this node had it last; it can be old.
+	// ListCached is a full list from this node's own storage. It may be old.
 	ListCached
-	// ListFailed has no entries: a call failed or the subscription broke.
+	// ListFailed has no entries: a list request failed or the subscription broke.
 	ListFailed
-	// ListSilent has no entries: the subscription has fallen silent, and membership begins it anew.
+	// ListStalled has no entries: the subscription sends nothing any more, and membership begins it anew.
 	ListSilent
 )
 
-// FailureCause tells why there is a ListFailed.
+// FailureCause is the cause of a ListFailed.
 type FailureCause int
 
 const (
-	// CauseUnknown: it is not known.
+	// CauseUnknown means that the cause is not known.
 	CauseUnknown FailureCause = iota
-	// CauseMoved: the list comes from another source from now on.
+	// CauseMoved means that the list comes from another source from now on.
 	CauseMoved
-	// CauseWentDown: discovery has ended an open watch with a refusal, as it does when it goes down.
+	// CauseWentDown means that discovery has ended an open watch with a refusal, as it does when it shuts down.
 	CauseWentDown
-	// CauseBroken: an open watch has broken.
+	// CauseBroken means that an open watch has broken.
 	CauseBroken
-	// CauseUnreachable: discovery was not reached, has refused a call at once, or has answered nothing.
+	// CauseUnreachable means that discovery was not reached, refused a call at once, or sent no answer.
 	CauseUnreachable
-	// CauseCrowded: discovery has ended a call that waited long for its turn.
+	// CauseOverloaded means that discovery has ended a call after a long wait for the call's turn.
 	CauseCrowded
-	// CauseUseless: discovery has answered, but nothing that can be used.
+	// CauseUseless means that discovery has answered, but with nothing that can be used.
 	CauseUseless
 )
 
-// OutcomeCode tells how an attempt or a probe ended.
+// OutcomeCode is the outcome of an attempt or a probe.
 type OutcomeCode int
 
 const (
-	// OK: served.
+	// OK means that the server has answered.
 	OK OutcomeCode = iota
-	// ServerError: the server failed; it may have run.
+	// ServerError means that the server failed. The request may have run.
 	ServerError
-	// Full: turned away unseen.
+	// Full means that the server refused the request, unread, because of its load.
 	Full
-	// TimedOut: no answer in time; it may have run and may run still.
+	// TimedOut means that no answer came in time. The request may have run, or may still run.
 	TimedOut
-	// ConnectFailed: never sent.
+	// ConnectFailed means that there was no connection. The request was not sent.
 	ConnectFailed
-	// Reset: the connection broke; it may have run.
+	// Reset means that the connection broke. The request may have run.
 	Reset
-	// Cancelled: called off; it may have run.
+	// Cancelled means that the node has cancelled the attempt. The request may have run.
 	Cancelled
-	// Moot: not sent, as the request was over or the node had no room.
+	// Moot means that nothing was sent, as the request was over or the node lacked the resources.
 	Moot
 )
 
 // Events.
 type (
-	// RequestArrived is a new request; the module owes it one final answer.
+	// RequestArrived is a new request. The module must give it one final answer.
 	RequestArrived struct {
 		ID       RequestID
 		Class    string
 		Tenant   string
 		Key      string
-		Patience time.Duration // until the client stops waiting for this try
-		WorkHint time.Duration // expected work, where HasHint
+		Patience time.Duration // how long the client waits for this try
+		WorkHint time.Duration // expected work, if HasHint
 		HasHint  bool
 		Repeat   bool // the client has tried before
 		Write    bool
-		Foreign  bool // another site hands it over: served only from what this one has to spare
-		// Uploading: a long body is still coming. All times count from its end, which BodyEnded tells.
+		Foreign  bool // another site hands it off: it is served only from this site's headroom
+		// A long body is still coming. All times count from its end, which BodyEnded reports.
 		Uploading bool
 	}
-	// ListUpdate is news of the servers.
+	// ListUpdate is an update of the server list, or the failure of one.
 	ListUpdate struct {
 		Kind    ListKind
 		Version uint64
 		Entries []Server
-		Age     time.Duration // of what was known before the list, since discovery last confirmed it; 0: it is not known
+		Age     time.Duration // time since discovery last confirmed the previous list; 0: not known
 		// Of ListFailed:
 		Cause FailureCause
-		Took  time.Duration // from the beginning of a call that was to be answered at once; 0: not known, or an open watch
+		Took  time.Duration // time since the failed call began; 0: not known, or the failure is that of an open watch
 	}
-	// AttemptEnded tells how one attempt went. Each Send gets one.
+	// AttemptEnded is the outcome of an attempt. Each Send gets one.
 	AttemptEnded struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Over    bool // the request has had its final answer
 		Elapsed time.Duration
-		Own     time.Duration // part of Elapsed that passed in the node itself: its run queue, its core
+		Own     time.Duration // part of Elapsed that passed in the node itself: waiting for a CPU, and running
 		Code    OutcomeCode
 		Report  *Report // nil if none came
-		Spent   bool    // of an upload so much has gone out that no other attempt can be made
+		Spent   bool    // so much of an upload has been sent that another attempt can't be made
 	}
-	// BodyEnded says that the body of an upload has been written whole to the attempt's server.
+	// BodyEnded means that the whole body of an upload has been written to the attempt's server.
 	BodyEnded struct {
 		ID       RequestID
 		Attempt  int
-		Patience time.Duration // until the client stops waiting, from now on
+		Patience time.Duration // how long the client waits from now on
 	}
-	// StreamStarted says that a streamed answer has begun.
+	// StreamStarted means that a streamed answer has begun.
 	StreamStarted struct {
 		ID      RequestID
 		Attempt int
 		Server  ServerID
 		Elapsed time.Duration
-		Own     time.Duration // as AttemptEnded's
+		Own     time.Duration // as in AttemptEnded
 	}
-	// RequestAbandoned says that the client is gone; nothing is owed.
+	// RequestAbandoned means that the client has gone. The request needs no answer any more.
 	RequestAbandoned struct{ ID RequestID }
-	// Ending says that the node ends: each open request gets its final answer now.
+	// Shutdown means that the node shuts down: each open request gets its final answer now.
 	Ending struct{}
 	// ProbeEnded is the result of a Probe.
 	ProbeEnded struct {
@@ -300,12 +304,12 @@
 		Elapsed time.Duration
 		Report  *Report
 	}
-	// MessageReceived comes from another node.
+	// MessageReceived is a message from another node.
 	MessageReceived struct {
 		From int
 		Data []byte
 	}
-	// TimerFired answers a SetTimer.
+	// TimerFired means that the time of a SetTimer has passed.
 	TimerFired struct{ Token int64 }
 )
 
@@ -320,66 +324,69 @@
 func (MessageReceived) event()  {}
 func (TimerFired) event()       {}
 
-// Action is something the caller is to do. The types below are all there are.
+// Action is something that the caller must carry out: one of the types below.
 type Action interface{ action() }
 
-// Reason says whose limit a refusal comes from.
+// Reason is the cause of a refusal.
 type Reason int
 
 const (
-	// ByServers: no server may take it: all are crowded, blocking, suspect or cold, or have failed it.
+	// ByServers means that no server may take the request: all are overloaded, blocking, ejected or cold, or have
+	// failed it.
 	ByServers Reason = iota
-	// ByNode: the node itself is short of CPU.
+	// ByNode means that the node itself lacks CPU, or is shutting down.
 	ByNode
-	// ByList: nothing vouches for the list any more, or yet.
+	// ByList means that there is no valid list: it has expired, or none has been confirmed yet.
 	ByList
 )
 
 // Actions.
 type (
-	// Send starts an attempt; a request's attempts count 0, 1, 2 in this order.
+	// Send starts an attempt. The attempts of a request are numbered 0, 1, 2 in the order of their Sends.
 	Send struct {
 		ID      RequestID
 		Server  ServerID
 		Timeout time.Duration // 0: until the client stops waiting
-		// UsableFor is how long the list is good by which the server was chosen: nothing is written after that; 0: for ever.
+		// The server may be used for this time, by the list or another node's report. Nothing may be written to it
+		// after that. 0: there is no limit.
 		UsableFor time.Duration
-		// ColdMost is what all nodes together may send the server within OverloadTime, if it is in slow start; 0: it is not.
+		// The number of requests that all nodes together may send the server within OverloadTime while it is in slow
+		// start; 0: it is not in slow start.
 		ColdMost int
 	}
-	// Refuse is a final answer: a new try does no harm.
+	// Refuse is a final answer which promises that a new try does no harm.
 	Refuse struct {
 		ID      RequestID
-		HoldOff time.Duration // how long the client should wait; 0: no advice
+		HoldOff time.Duration // how long the client should wait before its next try; 0: no advice
 		Reason  Reason
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer without that promise: the request may have run.
 	Fail struct{ ID RequestID }
-	// CancelAttempt stops waiting for an attempt.
+	// CancelAttempt stops waiting for an attempt's answer.
 	CancelAttempt struct {
 		ID      RequestID
 		Attempt int
 	}
-	// SetTimer asks for a TimerFired.
+	// SetTimer requests a TimerFired with the same token after a time.
 	SetTimer struct {
 		After time.Duration
 		Token int64
 	}
-	// Probe checks a server.
+	// Probe requests a server's health check and load report. Its result is a ProbeEnded.
 	Probe struct{ Server ServerID }
-	// SendMessage goes to one node, or to all.
+	// SendMessage sends a message to one other node, or to all.
 	SendMessage struct {
 		To    int
 		ToAll bool
 		Data  []byte
 	}
-	// Subscribe asks discovery for changes from now on, or stops them.
+	// Subscribe opens or closes a watch: a subscription to the list's changes at discovery.
 	Subscribe struct{ On bool }
-	// FetchList asks discovery for the full list once.
+	// FetchList requests the full list from discovery once.
 	FetchList struct{}
 	// CloseIdle closes this node's idle connections to a server.
 	CloseIdle struct{ Server ServerID }
-	// Log is a line for the operators.
+	// Log is a line for the operators' log.
 	Log struct{ Line string }
 )
 
