--- a/decide/coldbudget.go
+++ b/decide/coldbudget.go
@@ -1,6 +1,7 @@
 package decide
 
-// Budgets of cold servers. One falls over under what all nodes send it, and no node sees what the others send.
+// Slow start. A server that has just started is cold: it has only a part of its capacity, and collapses if all nodes
+// together send it more. No node sees what the others send, so each node has a token budget for each cold server.
 
 import (
 	"math"
@@ -8,20 +9,22 @@
 )
 
 const (
-	coldStart = 4.0             // 1/s, of all nodes to a cold server with no warm one to compare
-	coldPeak  = 0.5             // of m.peak: a cold server's part is of so much at least
-	startLag  = 2 * time.Second // until a list names a server that has started
-	coldFew   = 30.0            // requests; below, the bound leaves more to chance
-	coldSaved = 0.25            // of this node's part of the bound: what a budget saves up beyond one request
+	coldStart = 4.0             // requests per second from all nodes to a cold server while no rate of a warm one is known
+	coldPeak  = 0.5             // part of peakRate from which a cold server's rate is derived, at least
+	startLag  = 2 * time.Second // longest time from a server's start until a list has it
+	coldFew   = 30.0            // requests; a smaller limit has a wider margin for chance
+	coldSaved = 0.25            // part of this node's share of the limit that a budget may save up beyond one request
 )
 
-// startCold gives a budget a random beginning: first requests from all nodes at once would be a burst that none sees.
+// startCold begins the slow start of a server whose process started at a time. The budget begins with a random part of
+// a token: else the first requests of all nodes could come at once, a burst that no node sees.
 func (m *Module) startCold(s *server, at Time) {
 	s.cold, s.coldSince, s.tokens, s.tokensAt, s.rate, s.brisk = true, at, m.random(), m.now, 0, 0 // learned anew
 }
 
-// coldFrom is when a server that is new in a list counts as started. Its start is told by the wall clock, which may have been stepped on either
-// side. It can't lie ahead, and hardly before the list that did not have it yet, which is so old: else it counts as now.
+// coldStartTime is the time at which the slow start of a server that is new in a list begins. The list gives its start
+// by the wall clock, which may have been stepped here or there. The start can't lie in the future, and hardly before
+// the previous list, which is age old and did not have the server; in both cases the slow start begins now.
 func (m *Module) coldFrom(started Time, age time.Duration) Time {
 	if started > m.now || age > 0 && started < m.now-age-startLag {
 		return m.now
@@ -29,9 +32,9 @@
 	return started
 }
 
-// paced tells whether a cold server's budget is spent. Nodes that lack the server in their subsets send nothing. What
-// a budget saves up beyond one request and a part of the node's share of the bound lapses: where many nodes earn one
-// request in seconds each, all could send theirs at once when the other servers fail or a quiet time ends.
+// coldBudgetSpent tells whether a server is cold and must get no request now. That is always so if it is outside this
+// node's subset. Tokens beyond one and coldSavedFraction of this node's share of the limit lapse: many nodes that get a
+// token every few seconds could else send all their requests at once when other servers fail or traffic returns.
 func (m *Module) paced(s *server) bool {
 	if s.cold = s.cold && m.warmth(s) < 1; !s.cold {
 		return false
@@ -43,17 +46,18 @@
 	return s.tokens < 1 || !s.near
 }
 
-// meeting is the number of nodes whose subsets contain a server.
+// nodesPerServer is the number of nodes whose subsets contain a server, at the mean.
 func (m *Module) meeting() float64 {
 	return math.Max(1, float64(m.set.Nodes*len(m.near))/math.Max(1, float64(len(m.ring))))
 }
 
-// coldAllowed is the number of requests that the settings allow a cold server within OverloadTime, from all nodes.
+// coldAllowed is the number of requests that a cold server may get from all nodes within OverloadTime, by the settings.
 func (m *Module) coldAllowed(s *server) float64 {
 	return m.set.OverloadFactor * m.set.OverloadTime.Seconds() * m.coldRate(s) * m.meeting()
 }
 
-// coldMost is the most that all nodes may send a cold server within OverloadTime, chance included; 0: it is warm.
+// slowStartLimit is the number of requests that all nodes together may send a cold server within OverloadTime, with a
+// margin of two or three standard deviations for chance; 0 if the server is warm.
 func (m *Module) coldMost(s *server) int {
 	if !s.cold || m.warmth(s) >= 1 {
 		return 0
@@ -65,13 +69,14 @@
 	return int(n + 2*math.Sqrt(n) + 2)
 }
 
-// warmth is how much of ColdTime has passed since a server started, from 0 to 1.
+// warmth is the part of ColdTime that has passed since a server started, from 0 to 1.
 func (m *Module) warmth(s *server) float64 {
 	return math.Min(1, math.Max(0, (m.now-s.coldSince).Seconds()/math.Max(m.set.ColdTime.Seconds(), 1e-9)))
 }
 
-// coldRate is what this node may send a cold server each second: the part that the server can do by now of what each
-// server of the subset would get of this node's answers. All nodes' rates sum up to a part of a server's capacity.
+// coldSendRate is the number of requests per second that this node may send a cold server: the part of its capacity
+// that the server has by now, times the rate that each server of the subset would get with an even load. The rates of
+// all nodes add up to that part of a server's capacity.
 func (m *Module) coldRate(s *server) float64 {
 	part := m.set.ColdFrom + (1-m.set.ColdFrom)*m.warmth(s)
 	return part * math.Max(math.Max(m.evenRate, coldPeak*m.peak), coldStart/float64(m.set.Nodes))
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1006,8 +1006,8 @@
 }
 
 // minUnresponsiveSeconds is the shortest time without answers after which a server may be ejected as
-// unresponsive, 0 if no aim is known to matter yet. Where answers take a millisecond, a few of them missing
-// are only a pause, as long as the pause is short beside the delay that the aims allow.
+// unresponsive, 0 until a class with an aim has been answered. Where answers take a millisecond, a few of
+// them missing are only a pause, as long as the pause is short beside the delay that the aims allow.
 func (m *Module) muteLeast() float64 {
 	if math.IsInf(m.aimed, 1) {
 		return 0
--- a/decide/evidence.go
+++ b/decide/evidence.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Suspects are the listed servers that this module takes for dead, as they leave what they take unanswered or take nothing: they get
-// nothing but trials. In the order of their numbers; it changes nothing.
+// EjectedServers returns the ready servers that get trial requests only, as they have failed or not answered several
+// requests in a row. They are in the order of their ids. It does not change the module.
 func (m *Module) Suspects() (ids []ServerID) {
 	for id, s := range m.known {
 		if s.suspect && s.State == Ready {
--- a/decide/listage.go
+++ b/decide/listage.go
@@ -6,58 +6,60 @@
 )
 
 // How long the list may be used. A process counts as notified of a change at the latest
-// Settings.NotifiedWithin after discovery had it and could be reached: whatever became of its
-// calls, however young it is, and however many ask beside it. So the list is used for so long after
-// the last moment at which discovery is known to have had nothing newer, or not to have been
-// reachable. usableUntil is that bound; no attempt begins after it, and calls are planned back from
-// it.
+// Settings.NotifiedWithin after discovery had the change and could be reached. This holds whether or not
+// its calls were answered, however recently it started, and however many other nodes call. So the list is
+// valid for that time from the last moment at which discovery is known to have had no newer one, or to have
+// been unreachable. usableUntil is the end of that time: no attempt begins after it, and calls are planned
+// so that they are answered before it.
 
 const (
-	// startPatience is how long a process sends nothing that has had no answer from discovery yet, and no
-	// sign that it can't be reached, nor another node's word that it answers. After that it takes discovery
-	// for down and uses the list of its configuration: a process that starts in an outage in which calls
-	// hang has to serve.
+	// startWait is how long a new process sends nothing while there is no answer from discovery, no sign that
+	// discovery is unreachable, and no other node's report that it answers. After that time the process takes
+	// discovery for down and uses the list of its configuration: a process that starts during an outage in
+	// which calls hang must serve.
 	startPatience = 9700 * time.Millisecond
-	// startMost is the longest time that a process may take until it serves, whatever it hears.
+	// maxStartWait is the longest time from a process's start until it serves, whatever it receives.
 	startMost = 29 * time.Second
-	// silentLeft is what is left of the bound when a watch that has fallen silent is noticed, a
-	// second after its wait is over: what it missed counts two seconds after that.
+	// stalledWatchTime is what is left of the list's lifetime when a stalled watch is noticed. That happens one
+	// second after its wait for a message is over; the node counts as notified of missed changes two seconds
+	// after the wait.
 	silentLeft = time.Second
-	// succeedLeft is for how long a process that takes over from another one may use the list that it was
-	// handed: after that, what the other one was told in the meantime binds it, too.
+	// handedListTime is how long a process that takes over from another one may use the list it was handed.
+	// After that, the new process also counts as notified of what the other one has learned in the meantime.
 	succeedLeft = 2 * time.Second
 
-	// hangsLeast is the shortest time that a call waits while discovery is down and lets calls wait. One that
-	// is refused sooner came to a discovery that is up and has too many callers; or, where other nodes would
-	// say so if it were up, to one that is down.
+	// minHang is the shortest time that a call waits while discovery is down and lets calls wait. A call that is
+	// refused sooner reached a discovery that is up and overloaded. Where nodes exchange messages, and none has
+	// reported that discovery is up, it may also be down.
 	hangsLeast = 300 * time.Millisecond
 
 	never   = Time(math.MinInt64 / 4)
 	forever = Time(math.MaxInt64 / 4)
 )
 
-// listAge is what is known of the age of the list.
+// listAge is what is known of the age of the list and of the state of discovery.
 type listAge struct {
-	confirmedAt   Time // discovery had nothing newer then, as far as is known
-	answeredAt    Time // its latest answer to this process
-	unreachableAt Time // it could not be reached then
-	down          bool // it has gone down, and has not answered since
+	confirmedAt   Time // when discovery last had no newer list, as far as is known
+	answeredAt    Time // when discovery last answered this process
+	unreachableAt Time // when discovery was last found to be unreachable
+	down          bool // discovery has gone down, and has not answered since
 	downAt        Time
-	answeringAt   Time // its latest answer to anybody, also one that was of no use
-	silent        bool // the watch that is open has fallen silent, and is begun anew
+	answeringAt   Time // when discovery last answered any node, also with something that can't be used
+	silent        bool // the open watch sends nothing any more, and is begun anew
 }
 
 func newListAge() listAge {
 	return listAge{confirmedAt: never, answeredAt: never, unreachableAt: never, answeringAt: never}
 }
 
-// confirm notes an answer of discovery.
+// confirm records an answer of discovery, by which the list is up to date.
 func (a *listAge) confirm(now Time) {
 	*a = listAge{confirmedAt: now, answeredAt: now, unreachableAt: never, answeringAt: a.answeringAt}
 }
 
-// answersOthers notes that discovery has answered another process at a time. Where it was taken for
-// down it is back, and the bound has begun to run at an unknown moment since.
+// answeredOther records that discovery answered another node at a time. If it was taken for down or
+// unreachable, it is back, and the list's lifetime no longer counts from the outage: when that ended is not
+// known.
 func (a *listAge) answersOthers(at Time) {
 	a.answeringAt = max(a.answeringAt, at)
 	if a.down && at > a.downAt+downMargin || !a.down && at > a.unreachableAt {
@@ -65,13 +67,13 @@
 	}
 }
 
-// fallSilent notes that the open watch is begun anew, and that the list may be used for so much
-// longer.
+// watchStalls records that the open watch is begun anew, and that the list may be used for the time left.
 func (a *listAge) fallSilent(now Time, bound, left time.Duration) {
 	a.silent, a.confirmedAt = true, now+left-bound
 }
 
-// fail notes that a call that began at a time has failed, or that an open watch has broken.
+// fail records that a call that began at a time has failed, or, with watched, that the open watch has broken.
+// stillDown says that a call which waited in vain does not show that a discovery taken for down is back.
 func (a *listAge) fail(cause FailureCause, began Time, stillDown, watched bool) {
 	if watched && !a.silent {
 		a.confirmedAt = began
@@ -80,18 +82,18 @@
 	switch cause {
 	case CauseWentDown:
 		a.down, a.downAt, a.unreachableAt = true, began, began
-	case CauseUnreachable, CauseUnknown: // it does not let calls wait: once it does, it is back
+	case CauseUnreachable, CauseUnknown: // calls fail at once: one that waits later shows that discovery is back
 		a.down, a.unreachableAt = false, max(a.unreachableAt, began)
 	case CauseUseless:
 		a.down, a.answeringAt = false, began
 	case CauseCrowded:
-		if a.down && stillDown { // it lets calls wait until it is back
+		if a.down && stillDown { // a discovery that is down lets calls wait until it is back
 			a.unreachableAt = max(a.unreachableAt, began)
 		}
 	}
 }
 
-// bound is for how long the list is good after discovery had nothing newer; 0: for ever.
+// listLifetime is how long the list may be used after discovery had no newer one; 0: without limit.
 func (m *Module) bound() time.Duration {
 	if !m.set.AskForList || m.set.NotifiedWithin == 0 {
 		return 0
@@ -102,7 +104,8 @@
 	return m.set.NotifiedWithin
 }
 
-// usableUntil is the moment from which on nothing may be sent by the list, unless there is news.
+// usableUntil is the time from which nothing may be sent by the list, unless an answer of discovery comes
+// first.
 func (m *Module) usableUntil() Time {
 	bound, a := m.bound(), &m.listAge
 	vouched := max(a.confirmedAt, a.unreachableAt)
@@ -118,5 +121,5 @@
 	return vouched + bound
 }
 
-// Usable tells whether something may be sent by the list now.
+// ListUsable tells whether requests may be sent by the list now.
 func (m *Module) Usable() bool { return m.now < m.usableUntil() }
--- a/decide/pools.go
+++ b/decide/pools.go
@@ -1,14 +1,14 @@
 package decide
 
-// Data structures for fleets of any size: each change costs what changed, a draw costs the same in a fleet of ten
-// and of ten thousand. Nothing is decided here.
+// Data structures for fleets of any size. A change costs time by the number of servers that change; a random draw costs
+// the same among ten servers and ten thousand. No decision is made here.
 
 import (
 	"cmp"
 	"slices"
 )
 
-// The groups that a server can be in at once, each with a slot of its own.
+// The groupings of servers. A server is in at most one pool of each grouping.
 const (
 	byMode = iota
 	byCell
@@ -16,12 +16,13 @@
 	groupings
 )
 
-// pool is a set of servers that gives any of them by number. Adding and removing cost the same at any size.
+// pool is a set of servers with access by index. Adding and removing take constant time.
 type pool struct {
 	by   int
 	list []*server
 }
 
+// add moves a server to the pool from any other pool of the same grouping.
 func (p *pool) put(s *server) {
 	if s.in[p.by] == p {
 		return
@@ -31,7 +32,7 @@
 	p.list = append(p.list, s)
 }
 
-// leave takes a server out of the pool that it is in by that grouping, if it is in one.
+// removeFromPool removes a server from its pool of a grouping, if it is in one.
 func leave(s *server, by int) {
 	p := s.in[by]
 	if p == nil {
@@ -44,9 +45,10 @@
 	p.list, s.in[by] = p.list[:last], nil
 }
 
-// alarms is a heap of servers by the time at which each is to be looked at. A server is in one such heap at most.
+// timeHeap is a binary heap of servers by the time at which each is due. A server is in at most one heap.
 type alarms struct{ list []*server }
 
+// schedule sets the time at which a server is due, and moves it here from any other heap.
 func (h *alarms) set(s *server, at Time) {
 	if s.alarms != h {
 		unset(s)
@@ -59,6 +61,7 @@
 	h.down(h.up(s.alarmSlot))
 }
 
+// unschedule removes a server from the heap that it is in, if any.
 func unset(s *server) {
 	h := s.alarms
 	if h == nil {
@@ -73,7 +76,7 @@
 	}
 }
 
-// due gives the first server whose time has come, or nil.
+// due returns the server with the earliest time if that is not after now, else nil.
 func (h *alarms) due(now Time) *server {
 	if len(h.list) == 0 || h.list[0].alarmAt > now {
 		return nil
@@ -86,6 +89,7 @@
 	h.list[i].alarmSlot, h.list[j].alarmSlot = i, j
 }
 
+// siftUp moves the server at an index up to its place in the heap and returns its new index.
 func (h *alarms) up(i int) int {
 	for i > 0 && h.list[i].alarmAt < h.list[(i-1)/2].alarmAt {
 		h.swap(i, (i-1)/2)
@@ -94,6 +98,7 @@
 	return i
 }
 
+// siftDown moves the server at an index down to its place in the heap.
 func (h *alarms) down(i int) {
 	for {
 		least := i
@@ -110,14 +115,15 @@
 	}
 }
 
-// ring holds the ready servers by their place, an order that all nodes share.
+// ring holds the ready servers by their ring keys, an order that all nodes share.
 type ring []*server
 
 func byPlace(a, b *server) int { return cmp.Compare(a.place, b.place) }
 
-const fewChanges = 32 // so many are put in one by one; more are cheaper merged in one go
+const fewChanges = 32 // up to this number of changes are made one by one; more are cheaper to merge in one pass
 
-// change takes out those that have left and puts in those that have come, each once. It may keep the old array.
+// update removes the servers that left and inserts those that have come, each only once. The result may use the same
+// array as the old ring.
 func (r ring) change(left, come []*server) ring {
 	if len(left)+len(come) <= fewChanges {
 		for _, s := range left {
--- a/decide/shared.go
+++ b/decide/shared.go
@@ -1,7 +1,7 @@
 package decide
 
-// What the nodes of a large fleet tell one another about the servers' load. A node that is one of many at each server
-// learns too late of a jam, and too late of its end, from its own answers alone.
+// How the nodes of a large fleet share their knowledge of the servers' load. A node that is one of many at each server
+// notices an overload, and its end, too late from its own answers alone.
 
 import (
 	"math"
@@ -9,32 +9,45 @@
 )
 
 const (
-	sharedNodes = 8.0                     // nodes that meet a server, at least, for their own counts to tell nothing
-	sharedTime  = 0.15                    // s; subsetTime where news of a server comes from other nodes too
-	probePart   = 0.01                    // probes for each arrival: they tell how many requests a server works on at once
-	probeFirst  = 1.0                     // probes each second while no server has shown that number
-	probeLeast  = 0.1                     // probes each second of a node to which nobody comes
-	countsEvery = 150 * time.Millisecond  // between two words of what a node has at servers: far less than an answer takes
-	wholeEvery  = 8                       // words, of which one tells all of it and the others what has changed
-	countsLife  = 2 * time.Second         // a node that has said nothing for so long has nothing there
-	probeWait   = 1500 * time.Millisecond // s; a probe that has not ended by then is no reason not to make another
-	slotGain    = 0.05                    // weight of a new reading of how many requests a server works on at once
-	calmQueue   = -0.4                    // requests that wait for each slot: up to so many all are welcome,
-	fullQueue   = 0.1                     // beyond so many only those that are worth most,
-	blockQueue  = 0.9                     // and beyond so many none
-	shedGain    = 0.3                     // drop fraction for each request that waits for a slot beyond the aim,
-	shedReset   = 0.1                     // and for each second of it
+	// Nodes per server from which on their own counts show too little, so that they share their counts.
+	sharedNodes = 8.0
+	// subsetSendInterval, in seconds, where nodes share their counts and so also learn of a server from others.
+	sharedTime = 0.15
+	// Probes for each arrival. They show the number of a server's slots: the requests that it works on at once.
+	probePart = 0.01
+	// Probes per second while no server has shown its slots.
+	probeFirst = 1.0
+	// Probes per second of a node without traffic.
+	probeLeast = 0.1
+	// Mean interval between two reports of a node's counts to the others: far shorter than an answer takes.
+	countsEvery = 150 * time.Millisecond
+	// One of this number of reports gives all of a node's counts, the others only those that have changed.
+	wholeEvery = 8
+	// A node that has reported nothing for this time counts as having no requests at the servers.
+	countsLife = 2 * time.Second
+	// A probe without a result after this time does not prevent another one.
+	probeWait = 1500 * time.Millisecond
+	// Weight of a new measurement in a server's smoothed number of slots.
+	slotGain = 0.05
+	// Queue lengths, in waiting requests per slot; negative ones are free slots. Up to lowQueue a server takes all
+	// requests, beyond highQueue only those that are worth most, beyond blockQueue none.
+	calmQueue  = -0.4
+	fullQueue  = 0.1
+	blockQueue = 0.9
+	// Drop fraction for each waiting request per slot beyond the target, and for each second of that.
+	shedGain  = 0.3
+	shedReset = 0.1
 )
 
-// shared tells whether nodes go by what all of them know of the servers: so many meet each server that a node's own part
-// of its load is small, and they may probe and talk.
+// sharesLoad tells whether the nodes go by the counts of all of them: each server is used by so many that a node's own
+// part of its load is small, and the nodes may probe and exchange messages.
 func (m *Module) shared() bool {
 	return m.set.MayProbe && m.set.MayMessage && m.set.ReportVia != ReportNone && len(m.ring) > 0 &&
 		float64(m.set.Nodes)*math.Min(m.size, float64(len(m.ring))) >= sharedNodes*float64(len(m.ring))
 }
 
-// scout probes a server of the subset, the one of two that shows more of how many requests it works on at once: whose
-// number is not known, and that has more.
+// probeServer probes a server of the subset if a probe is due. Of two random servers it chooses the one that will show
+// more of its slots: one whose slots are not known, else the one with more requests.
 func (m *Module) scout() {
 	if !m.shared() || len(m.near) == 0 {
 		return
@@ -58,7 +71,7 @@
 	m.do(Probe{Server: s.ID})
 }
 
-// probed takes the result of a probe and tells the others.
+// probeEnded learns a server's slots from the result of a probe, and sends them to the other nodes that use the server.
 func (m *Module) probed(e ProbeEnded) {
 	s := m.known[e.Server]
 	if s == nil {
@@ -68,9 +81,9 @@
 	if e.Code != OK || e.Report == nil || !e.Report.HasInFlight || !(e.Report.InFlight >= 0) {
 		return
 	}
-	// Where requests wait, those that don't are as many as it works on at once.
+	// While requests wait, all slots are in use: their number is that of the requests that don't wait.
 	if held, queue := math.Min(e.Report.InFlight, reportCap), e.Report.Queue; e.Report.HasQueue && queue >= 1 && queue < held {
-		first := m.slots == 0 // of any server: all nodes wait for that
+		first := m.slots == 0 // the first number of any server: all nodes need it
 		m.learnSlots(s, held-queue)
 		if word := slotsWord(s.ID, held-queue); m.shared() && (first || m.whole) {
 			m.do(SendMessage{ToAll: true, Data: word})
@@ -85,6 +98,7 @@
 	}
 }
 
+// learnSlots updates the smoothed number of slots of a server and of the mean server.
 func (m *Module) learnSlots(s *server, slots float64) {
 	slots = math.Max(1, slots)
 	if m.slots == 0 {
@@ -96,7 +110,8 @@
 	s.slots += slotGain * (slots - s.slots)
 }
 
-// slotsOf is how many requests a server works on at once; 0 until any server has shown it.
+// slotsOf is the number of requests that a server works on at once: its own, or that of the mean server if its own is
+// not known, or 0 if no server has shown any.
 func (m *Module) slotsOf(s *server) float64 {
 	if s.slots > 0 {
 		return s.slots
@@ -104,14 +119,16 @@
 	return m.slots
 }
 
-// counted tells whether a server is judged by all nodes' counts.
+// judgedByCounts tells whether a server's load is taken from the counts of all nodes.
 func (m *Module) counted(s *server) bool { return m.shared() && m.slotsOf(s) > 0 }
 
-// waiting is the number of requests that wait for each slot of a server by all nodes' counts, below 0 where slots are free.
+// waitingPerSlot is the number of requests that wait for each slot of a server, by the counts of all nodes. It is
+// negative if slots are free.
 func (m *Module) waiting(s *server) float64 { return (s.n+m.othersAt(s))/m.slotsOf(s) - 1 }
 
-// balance renews the drop fraction for where no server is normal: by how far the mean queue is from what is aimed at, and
-// by how long it has been. All nodes see about the same queues, and so shed about the same.
+// updateShed renews the drop fraction that applies while no server is in Normal mode. It is a PI controller: the drop
+// fraction is proportional to how far the mean queue is beyond its target, half of highQueue, plus the integral of that
+// over time. All nodes see about the same queues, and so shed about the same.
 func (m *Module) balance() {
 	sum, count := 0.0, 0.0
 	for _, s := range m.near {
@@ -128,7 +145,7 @@
 	m.shedNow = math.Max(0, math.Min(1, m.shed+shedGain*over))
 }
 
-// speedOf is how fast a server is beside others, where that is known.
+// speedOf is a server's speed relative to the others by its size, or 1 if the size does not show it.
 func (m *Module) speedOf(s *server) float64 {
 	if m.set.SizeKnown && !m.set.SizeLive && s.Size > 0 {
 		return s.Size
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -1,7 +1,7 @@
 package decide
 
-// What a module has learned, as plain data for the process that takes over its node. A module that begins with nothing calls every
-// server normal and the fleet slow, and refuses for seconds what the servers could do.
+// What a module has learned, as plain data for the process that takes over its node. A module that starts with nothing
+// takes every server for normal and the fleet for slow, and for seconds refuses requests that the servers could serve.
 
 import (
 	"fmt"
@@ -9,18 +9,22 @@
 	"time"
 )
 
-// SnapshotVersion is that of the form below. Another is not taken.
+// SnapshotVersion is the version of the format below. Restore takes no other.
 const SnapshotVersion = 1
 
-// Snapshot is what a module has learned. Times are ages: how long before the snapshot something was, or with a minus sign how
-// long after it.
+// Snapshot is what a module has learned. It is written as JSON under the names of its fields, so these stay. Points in
+// time are given as ages: how long before the snapshot they were, negative for later ones.
 type Snapshot struct {
-	Version                                int
-	Answers, Mean, Recent, Least, Peak     float64 // as the module's fields of these names: s, answers each second
-	FleetRate, EvenRate, Arrivals, Share   float64
-	N1, N2, Worth, Slots, Size             float64
-	Learned                                bool
-	ListAge                                time.Duration // since discovery had nothing newer than the list; 0: it is not known
+	Version int
+	// Number of answers; Module.mean, recentMean and leastMean in seconds; peakRate in answers per second.
+	Answers, Mean, Recent, Least, Peak float64
+	// fleetRate and evenRate in answers per second; arrivals per second; this node's part of all requests.
+	FleetRate, EvenRate, Arrivals, Share float64
+	// Arrivals of the period with and without priority; meanWorth; slots of the mean server; subsetSize.
+	N1, N2, Worth, Slots, Size float64
+	Learned                    bool          // the rates of the subset are known
+	ListAge                    time.Duration // time since discovery last had no newer list; 0: not known
+	// Module.startAt; arrivedAt; firstAnswerAt; answeredAt.
 	Started, Arrived, FirstAnswer, Answerd time.Duration
 	Classes                                []ClassSnapshot
 	Servers                                []ServerSnapshot
@@ -28,25 +32,28 @@
 
 // ClassSnapshot is what is known of a class.
 type ClassSnapshot struct {
-	Name                                    string
+	Name string // empty: all classes that the settings don't have
+	// Number of answers; in seconds, latency, fleetLatency (Ambient) and baseLatency; relativeCost.
 	Count, Latency, Ambient, Base, Relative float64
-	At                                      time.Duration
+	At                                      time.Duration // answeredAt
 }
 
 // ServerSnapshot is what is known of a server.
 type ServerSnapshot struct {
-	ID                               ServerID
-	StartedAt                        Time // the process that this is known of
-	Excess, Rate, Last, Room, Slots  float64
+	ID        ServerID
+	StartedAt Time // when the process started of which this is known
+	// excess in seconds; rate in answers per second; lastLatency in seconds; provenLoad in requests; slots.
+	Excess, Rate, Last, Room, Slots float64
+	// listedAt; latencyAt; rateAt; provenLoadAt.
 	Since, LatencyAt, RateAt, RoomAt time.Duration
-	Strikes                          int
-	Suspect, Broken, Cold            bool
-	TrialWait, TrialAt, ColdSince    time.Duration
+	Strikes                          int           // failures since the last success
+	Suspect, Broken, Cold            bool          // ejected; connectFailed; in slow start
+	TrialWait, TrialAt, ColdSince    time.Duration // mean wait between trial requests; next trial; start of slow start
 	Imposed                          Mode
-	ImposedUntil, FullAt, Backoff    time.Duration
+	ImposedUntil, FullAt, Backoff    time.Duration // end of Imposed; last full answer that counted; fullBackoff
 }
 
-// Snapshot tells what the module has learned. It changes nothing.
+// Snapshot returns what the module has learned. It does not change the module.
 func (m *Module) Snapshot(now Time) Snapshot {
 	age := func(t Time) time.Duration { return now - t }
 	s := Snapshot{Version: SnapshotVersion, Answers: m.answers, Mean: m.mean, Recent: m.recent, Least: m.least, Peak: m.peak, FleetRate: m.fleetRate,
@@ -70,7 +77,7 @@
 	return s
 }
 
-// check says what does not make sense.
+// check returns an error for the first value that no module can have.
 func (s *Snapshot) check() error {
 	if s.Version != SnapshotVersion {
 		return fmt.Errorf("snapshot: version %d, want %d", s.Version, SnapshotVersion)
@@ -80,34 +87,35 @@
 	for _, c := range s.Classes {
 		amounts = append(amounts, c.Count, c.Latency, c.Ambient, c.Base, c.Relative)
 		if c.Relative == 0 || c.Count > 0 && c.Ambient == 0 {
-			return fmt.Errorf("snapshot: class %q: costs nothing", c.Name)
+			return fmt.Errorf("snapshot: class %q has a cost or latency of 0", c.Name)
 		}
 	}
 	for _, v := range s.Servers {
 		amounts = append(amounts, v.Rate, v.Last, v.Room, v.Slots, math.Abs(v.Excess))
 		waits = append(waits, v.TrialWait, v.Backoff, v.TrialAt+trialLast*2, v.ImposedUntil+trialLast*2)
 		if v.Imposed < Normal || v.Imposed > Blocking || v.Strikes < 0 {
-			return fmt.Errorf("snapshot: server %d: mode %d, %d strikes", v.ID, v.Imposed, v.Strikes)
+			return fmt.Errorf("snapshot: server %d has mode %d and %d failures", v.ID, v.Imposed, v.Strikes)
 		}
 	}
 	for _, a := range amounts {
-		if !(a >= 0 && a <= 1e12) { // not a number either
-			return fmt.Errorf("snapshot: the amount %v", a)
+		if !(a >= 0 && a <= 1e12) { // NaN fails this test, too
+			return fmt.Errorf("snapshot: amount %v is out of range", a)
 		}
 	}
 	for _, w := range waits {
 		if w < 0 {
-			return fmt.Errorf("snapshot: the wait %v", w)
+			return fmt.Errorf("snapshot: wait %v is out of range", w)
 		}
 	}
 	if s.Learned && (s.Mean <= 0 || s.FleetRate <= 0) {
-		return fmt.Errorf("snapshot: learned with a mean of %v and a rate of %v", s.Mean, s.FleetRate)
+		return fmt.Errorf("snapshot: rates are known, but the mean latency is %v and the rate %v", s.Mean, s.FleetRate)
 	}
 	return nil
 }
 
-// Restore takes over what another process of this node had learned. It is called once, after the module's first list, before any request. A
-// snapshot that does not make sense in all its parts changes nothing. Of servers that are not listed, or have started anew, nothing is taken.
+// Restore takes over what another process of this node has learned. It must be called once, after the module's first
+// list and before any request. If any part of the snapshot is invalid, it returns an error and changes nothing. Servers
+// that are not in the list, or have restarted, are skipped.
 func (m *Module) Restore(now Time, s Snapshot) error {
 	if err := s.check(); err != nil {
 		return err
@@ -137,10 +145,12 @@
 		v.suspect, v.broken, v.trialWait, v.trialAt = k.Suspect, k.Broken, k.TrialWait, at(k.TrialAt)
 		v.imposed, v.imposedUntil, v.fullAt, v.backoff = k.Imposed, at(k.ImposedUntil), at(k.FullAt), k.Backoff
 		if v.cold, v.coldSince = k.Cold, at(k.ColdSince); v.cold {
-			v.tokens, v.tokensAt = 0, now // the other process may have spent them
+			v.tokens, v.tokensAt = 0, now // the other process may have used the tokens
 		}
 	}
-	if s.ListAge > 0 { // what the other process is told from now on binds this one soon, and does not reach it
+	// What the other process learns from now on does not reach this one, which counts as notified of it soon. So the
+	// list may be used for handedListTime at most.
+	if s.ListAge > 0 {
 		m.listAge.confirm(now - max(s.ListAge, m.bound()-succeedLeft))
 	}
 	m.askAt = min(m.askAt, now+time.Duration(m.random()*float64(succeedAsk)))
--- a/decide/transfer.go
+++ b/decide/transfer.go
@@ -1,15 +1,17 @@
 package decide
 
-// Transfers: bodies and answers that take longer to pass than the work takes. Their bytes are not delay, and a server that waits
-// for them is neither slow nor mute. Nor is it crowded by them: n, which the modes go by, holds the requests that a server has whole and
-// has not begun to answer. The attempt is out to its end all the same, and its request open.
+// Transfers: request bodies and answers whose transfer takes longer than the server's work. The time of a transfer is
+// no latency of the server, and a server that waits for a body is not unresponsive. Transfers are no load either: n,
+// from which the modes follow, counts only requests whose body the server has received whole and whose answer has not
+// begun. The attempt stays outstanding until its end all the same, and its request open.
 
-// load counts an attempt among its server's requests, unload no more.
+// load counts an attempt in its server's n.
 func (m *Module) load(a *attempt) {
 	a.loads = true
 	a.server.n++
 }
 
+// unload stops counting an attempt in its server's n.
 func (m *Module) unload(a *attempt) {
 	if a.loads {
 		a.loads = false
@@ -17,14 +19,15 @@
 	}
 }
 
-// await notes that a server has a request whole, and owes an answer.
+// await records that a server has received a whole request, and that its answer is due.
 func (m *Module) await(s *server) {
 	if s.unanswered++; s.unanswered == 1 {
 		s.muteSince = m.now
 	}
 }
 
-// bodyEnded begins the time of an upload: its server has it whole, and its client counts from here.
+// bodyEnded handles the end of an upload's body. All times of the request count from here: its server has the whole
+// request, and its client waits for the answer from now on.
 func (m *Module) bodyEnded(e BodyEnded) {
 	r := m.requests[e.ID]
 	if r == nil || !r.uploading || r.done || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
@@ -38,7 +41,7 @@
 	m.place(a.server)
 }
 
-// streamStarted ends the latency of an attempt: what follows is its transfer.
+// streamStarted handles the beginning of a streamed answer. It ends the latency of the attempt: the rest is transfer.
 func (m *Module) streamStarted(e StreamStarted) {
 	r := m.requests[e.ID]
 	if r == nil || r.started || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
--- a/decide/vouch.go
+++ b/decide/vouch.go
@@ -5,38 +5,37 @@
 	"time"
 )
 
-// Nodes vouch for one another's servers. A node whose list nothing vouches for any more, or soon
-// will not, asks others which of the servers that it would use are ready, and how old that
-// knowledge is. A server that another node vouches for may be used for as long as the list of that
-// node may. It also shows that discovery answers, and is only crowded, where calls that fail after
-// a wait look like an outage. No server is taken in for it, and none that the own list has as
-// draining is used.
+// Readiness queries between nodes. A node whose list has expired, or soon will, asks other nodes which
+// servers of its subset are ready, and how old that knowledge is. A server that another node confirms may
+// be used for as long as the list of that node may. A readiness report also shows that discovery answers
+// and is only overloaded, where calls that fail after a wait look like an outage. A report never adds a
+// server, and a server that this node's own list has as draining is not used.
 
 const (
-	vouchAsk    = 'q' // first byte of a question, and
-	vouchAnswer = 'v' // of its answer
-	vouchIDs    = 60  // servers in one datagram
-	vouchHead   = 2   // bytes of a question before its servers: the mark, its number;
-	vouchAged   = 4   // and of an answer: the same, and the age
-	vouchUnit   = 10 * time.Millisecond
-	vouchPeers  = 2 // nodes that one question goes to
+	vouchAsk    = 'q' // first byte of a readiness query
+	vouchAnswer = 'v' // first byte of a readiness report
+	vouchIDs    = 60  // servers in one datagram, at most
+	vouchHead   = 2   // bytes of a query before its server ids: the mark and the query's number
+	vouchAged   = 4   // bytes of a report before its server ids: the mark, the query's number and the age
+	vouchUnit   = 10 * time.Millisecond // unit of that age
+	vouchPeers  = 2 // nodes to which one query is sent
 
-	vouchEvery     = 250 * time.Millisecond // between two questions, at the mean
+	vouchEvery     = 250 * time.Millisecond // mean interval between two queries
 	vouchEveryDown = time.Second            // the same while discovery seems to be down
-	vouchAhead     = 2 * time.Second        // before the bound a node begins to ask
-	vouchOldest    = 4 * time.Second        // knowledge that is older is not worth an answer
-	vouchSettled   = 7 * time.Second        // a server has been ready, and watched, for so long
-	downMargin     = 50 * time.Millisecond  // an answer so long after discovery went down: it is back
+	vouchAhead     = 2 * time.Second        // queries begin so long before the list expires
+	vouchOldest    = 4 * time.Second        // greatest age of knowledge that a node still reports
+	vouchSettled   = 7 * time.Second        // a reported server has been ready, and watched, for this time
+	// Discovery is back if it has answered some node this long after it went down.
+	downMargin = 50 * time.Millisecond
 )
 
-// usableServer tells whether a server may be used by what is known of it: by the list, or by
-// another node's word.
+// serverUsable tells whether a server may be used now: by the list, or by another node's readiness report.
 func (m *Module) usableServer(s *server) bool {
 	return m.Usable() || s.vouched && m.now < s.vouchedAt+m.bound()
 }
 
-// usableServerFor is the time for which an attempt at a server may wait for its connection; 0: for
-// ever.
+// serverUsableFor is how long a server may still be used, and thus an attempt may wait for its connection;
+// 0: without limit.
 func (m *Module) usableServerFor(s *server) time.Duration {
 	until := m.usableUntil()
 	if until >= forever {
@@ -48,12 +47,13 @@
 	return max(until-m.now, 1)
 }
 
-// UsableServers tells whether there may be a server that something vouches for.
+// HasUsableServers tells whether there may be a server that may be used: by the list, or by a readiness
+// report.
 func (m *Module) UsableServers() bool {
 	return m.Usable() || m.now < m.vouchedUntil
 }
 
-// placeByAge has the pools follow what the list's age allows.
+// placeByListAge updates the pools after a change of what may be used by the age of the list.
 func (m *Module) placeByAge() {
 	if usable := m.Usable(); usable != m.placedUsable || !usable {
 		m.placedUsable = usable
@@ -63,15 +63,15 @@
 	}
 }
 
-// noticeUsable has the pools follow a list that time alone has made usable since the last tick.
+// noticeUsable updates the pools if time alone has made the list usable since the last tick.
 func (m *Module) noticeUsable() {
 	if !m.placedUsable && m.Usable() {
 		m.placeByAge()
 	}
 }
 
-// askPeers asks other nodes for the servers of the subset while the list is about to be too old, or
-// is.
+// queryPeers sends readiness queries for servers of the subset to other nodes while the list is about to
+// expire or has expired.
 func (m *Module) askPeers() {
 	if m.bound() == 0 || !m.set.MayMessage || m.set.Nodes < 2 || m.now < m.vouchAskAt {
 		return
@@ -97,11 +97,12 @@
 	}
 }
 
-// heardVouchAsk answers another node. If this one has had a list lately, and a watch for as long as
-// vouchSettled, it names the servers asked for that are ready and have been for so long: the other node
-// does not count as notified of an earlier drain of theirs before it counts as notified that they are
-// back. An open watch that says nothing may have fallen silent. Else it says at least that discovery
-// answers somebody, if it knows of that.
+// answerReadinessQuery answers another node's readiness query. If discovery has answered this node within
+// maxReadinessAge, and it has had an open watch for minReadyTime, the report names the queried servers that
+// have been ready for minReadyTime. The delay keeps the order of events: the other node must not count as
+// notified that a server is back before it counts as notified of the drain before that. An answer must be
+// recent, as a watch that sends nothing may have stalled. Otherwise the report says only that discovery
+// answers some node, if that is known.
 func (m *Module) heardVouchAsk(from int, data []byte) {
 	a := &m.listAge
 	at := a.answeringAt
@@ -124,8 +125,9 @@
 	m.do(SendMessage{To: from, Data: answer})
 }
 
-// heardVouch takes an answer to the latest question. What it says was so at the age that it gives
-// before the question at the earliest, however long it was on its way.
+// applyReadiness applies a report that answers the latest query. The time for which the report holds is the
+// time of the query less the reported age. This is the earliest possible time, however long the messages
+// took.
 func (m *Module) heardVouch(data []byte) {
 	if m.bound() == 0 || data[1] != m.vouchNumber || m.vouchAskedAt == 0 {
 		return
--- a/decide/words.go
+++ b/decide/words.go
@@ -1,6 +1,7 @@
 package decide
 
-// The datagrams by which nodes of a tier tell one another of the servers. What is made of them is decided elsewhere.
+// The datagrams in which the nodes of a tier report to one another the servers' slots and their own attempts in flight.
+// Other files decide by them.
 
 import (
 	"encoding/binary"
@@ -11,35 +12,38 @@
 )
 
 const (
-	slotsMark  = 'l' // first byte of a datagram with how many requests a server works on at once
-	slotsSize  = 7   // its bytes: the server's id, the number in eighths
-	countMark  = 'n' // first byte of a datagram with what a node has at servers,
-	changeMark = 'c' // and of one with those that have changed;
-	countSize  = 3   // bytes for each: the server's tag, the number
-	countMost  = 84  // servers in one: datagrams hold 256 bytes
+	slotsMark  = 'l' // first byte of a slots report
+	slotsSize  = 7   // its length in bytes: the mark, the server's id, the number of slots in eighths
+	countMark  = 'n' // first byte of a report of all of a node's counts
+	changeMark = 'c' // first byte of a report of the counts that have changed
+	countSize  = 3   // bytes for each server in either: its tag, the number of attempts
+	countMost  = 84  // servers in one datagram: datagrams hold 256 bytes
 )
 
-// told is what another node last said that it has at servers.
+// peerReport is what another node last reported of its attempts in flight.
 type told struct {
-	at     Time
-	longAt Time // when it last spoke of a server that this node meets and that it has in no arc of the usual length
+	at Time // when it last sent a report
+	// When it last named a server of this node's subset that would be in no arc of minSubsetSize at its position: its
+	// subset must be longer than that.
+	longAt Time
 	counts []count
 }
 
+// serverCount is the number of a node's attempts in flight at a server.
 type count struct {
 	server *server
 	n      float64
 }
 
-// slotsWord says how many requests a server works on at once.
+// slotsReport encodes the number of a server's slots.
 func slotsWord(id ServerID, slots float64) []byte {
 	data := append(make([]byte, 0, slotsSize), slotsMark)
 	data = binary.BigEndian.AppendUint32(data, uint32(id))
 	return binary.BigEndian.AppendUint16(data, uint16(math.Min(math.MaxUint16, 8*slots)))
 }
 
-// heard takes a datagram from another node. One that is forged can do no more than a server's own wrong report: no server
-// is taken in or out for it, and it fades.
+// messageReceived handles a datagram from another node. A forged one can do no more harm than a wrong load report of a
+// server: it adds and removes no server, and its effect fades.
 func (m *Module) heard(e MessageReceived) {
 	switch {
 	case e.From == m.set.Self || len(e.Data) == 0:
@@ -60,8 +64,7 @@
 	}
 }
 
-// heardCounts takes what another node has at servers, in place of what it said before: of all servers, or of those that
-// it names.
+// applyCounts replaces the counts of another node by those that it reports: of all servers, or of those that it names.
 func (m *Module) heardCounts(from int, data []byte, all bool) {
 	if m.others == nil {
 		m.others = make([]told, m.set.Nodes)
@@ -89,7 +92,7 @@
 	}
 }
 
-// drop forgets what a node said.
+// forgetCounts removes the counts that a node has reported.
 func (m *Module) drop(o *told) {
 	for _, c := range o.counts {
 		c.server.others -= c.n
@@ -99,15 +102,16 @@
 	o.counts = o.counts[:0]
 }
 
-// item is what this node has at a server, as it is told.
+// countItem is this node's number of attempts at a server, as it is reported.
 type item struct {
-	place int // of the server in the ring
+	place int // the server's index in the ring
 	tag   uint16
 	n     uint8
 }
 
-// tell says what has changed of what this node has at servers, and now and then all of it, as words are lost. It forgets
-// what nodes that have fallen silent said.
+// sendCounts reports the counts of this node's attempts that have changed to the other nodes, and every
+// fullCountsEvery reports all of them, as datagrams may be lost. It forgets the counts of nodes that have reported
+// nothing for countsLifetime.
 func (m *Module) tell() {
 	if !m.shared() || m.now < m.tellAt {
 		return
@@ -115,7 +119,8 @@
 	m.tellAt = m.now + m.jitter(countsEvery)
 	all := m.words%wholeEvery == 0
 	m.words++
-	long := len(m.near) > int(subsetLeast) && !m.whole // the others take its arc for a shorter one: it names all of it
+	// The other nodes assume an arc of minSubsetSize. If this node's is longer, the full report names all its servers.
+	long := len(m.near) > int(subsetLeast) && !m.whole
 	m.items = m.items[:0]
 	for i, s := range m.ring {
 		if all && (s.n > 0 || long && s.near) || s.n != s.toldN {
@@ -137,10 +142,10 @@
 	}
 }
 
-// tellItems sends those of the items that pass, in as many datagrams as they need. Of all of them the first one says so; it goes
-// out with nothing in it where nothing is left of what was told before.
+// sendItems sends the items that pass, in as many datagrams as they need. Of a full report only the first datagram is
+// marked as such, as the next ones add to it. An empty full report is sent only if the receiver has earlier counts.
 func (m *Module) tellItems(told *bool, all bool, pass func(item) bool, to SendMessage) {
-	mark, some := byte(changeMark), false
+	mark, some := byte(changeMark), false // some: an item has passed
 	if all {
 		mark = countMark
 	}
@@ -150,7 +155,7 @@
 		}
 		if some = true; len(to.Data) > countSize*countMost {
 			m.do(to)
-			mark, to.Data = changeMark, nil // which adds to it
+			mark, to.Data = changeMark, nil // a report of changes adds to the full one
 		}
 		if to.Data == nil {
 			to.Data = append(make([]byte, 0, 1+countSize*4), mark)
@@ -166,9 +171,11 @@
 	*told = some || *told && !all
 }
 
-// eachPeer gives the nodes that meet servers which this one meets, and which servers they meet: by their arcs, where those are
-// of the usual length; and those that have spoken of such a server lately, whatever arcs they have. Nobody else has a use for
-// what this node says of its servers, and a word from each node to all costs the fleet the square of its size.
+// eachPeer calls f with the nodes whose subsets have servers in common with this node's, and with a function that tells
+// whether such a subset contains the server at an index of the ring. These are the nodes whose arcs, if of
+// minSubsetSize, overlap this node's; and those that have lately reported of a server outside such an arc, with all
+// servers, as the length of their arcs is not known. No other node needs this node's reports, and if each node sent
+// reports to all, the number of messages would grow with the square of the number of nodes.
 func (m *Module) eachPeer(f func(j int, meets func(place int) bool)) {
 	ring, usual := len(m.ring), int(subsetLeast)
 	if now := [2]int{ring, len(m.near)}; now != m.audienceOf {
@@ -188,7 +195,8 @@
 	}
 }
 
-// tagged is the server that a node means by a tag. Where two share it, it is the one that the node's arc comes to first.
+// serverByTag is the server that a node means by a tag. If several servers have the tag, it is the first one after the
+// beginning of that node's arc.
 func (m *Module) tagged(tag uint16, from int) (best *server) {
 	same, least := m.tags[tag], len(m.ring)
 	if len(same) == 1 {
@@ -202,13 +210,13 @@
 	return best
 }
 
-// placeOf is where in the ring a server stands.
+// ringIndex is the index of a server in the ring.
 func (m *Module) placeOf(s *server) int {
 	i, _ := slices.BinarySearchFunc(m.ring, s, byPlace)
 	return i
 }
 
-// untag takes a server's tag away.
+// removeTag removes a server from those of its tag.
 func (m *Module) untag(s *server) {
 	if rest := slices.DeleteFunc(m.tags[s.tag()], func(t *server) bool { return t == s }); len(rest) > 0 {
 		m.tags[s.tag()] = rest
@@ -217,8 +225,8 @@
 	}
 }
 
-// othersAt is what the other nodes have at a server: as they say, or as this node's own part of all lets it reckon while it hears
-// nobody.
+// othersAt is the number of the other nodes' attempts at a server: as they report, or, while reports are missing,
+// estimated from this node's own attempts and its share of all.
 func (m *Module) othersAt(s *server) float64 {
 	if m.deaf {
 		return m.reckoned
@@ -226,7 +234,7 @@
 	return s.others
 }
 
-// reckon goes on with that reckoning.
+// estimateOthers updates that estimate.
 func (m *Module) reckon() {
 	if !m.shared() || len(m.near) == 0 {
 		return
@@ -240,5 +248,5 @@
 	m.deaf, m.reckoned = ok && m.reckoning.Deaf(m.now), all/float64(len(m.near))
 }
 
-// tag is a server's short name among nodes.
+// tag is the short id by which nodes refer to a server in their reports. Several servers may have the same.
 func (s *server) tag() uint16 { return uint16(s.place >> 32) }
