--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -9,7 +9,7 @@
 	"starlingvalve/decide"
 )
 
-// rig feeds one module with a fleet of servers whose delays the test sets.
+// nodeHarness runs one module in virtual time, with clients, and with servers whose delays and outcomes the test sets.
 type rig struct {
 	t        *testing.T
 	m        *decide.Module
@@ -17,24 +17,26 @@
 	delay    func(s decide.ServerID) (time.Duration, decide.OutcomeCode)
 	due      []rigEvent
 	sent     map[decide.ServerID]int
-	last     map[decide.RequestID]decide.Action
-	legs     map[decide.RequestID]int
+	last     map[decide.RequestID]decide.Action // the refusal or failure of each request that has one
+	legs     map[decide.RequestID]int           // attempts so far
 	over     map[decide.RequestID]bool
-	retries  int           // of a refused client, after its hold-off
-	patience time.Duration // of a first try
-	work     func(decide.RequestID) time.Duration
-	waits    []time.Duration // that refused clients were told
-	inTime   map[string]int
+	retries  int                                  // of a refused client, each after its hold-off
+	patience time.Duration                        // of a first try
+	work     func(decide.RequestID) time.Duration // added to the server's delay
+	waits    []time.Duration                      // the hold-offs of all refusals
+	inTime   map[string]int                       // requests served within 600 ms of their first try, by class
 	came     map[decide.RequestID]time.Duration
 	refused, failed,
-	asks, next, accused int
+	asks, next, accused int // list requests; the number of the latest request; log lines
 }
 
+// harnessEvent is an event that the module gets at a later time.
 type rigEvent struct {
 	at time.Duration
 	e  decide.Event
 }
 
+// harnessSettings are those of the only node before its servers, with two classes of safe requests and one of unsafe ones.
 func rigSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
 		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
@@ -45,6 +47,8 @@
 			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
 }
 
+// newNodeHarness starts a module with a list of so many servers, each of which answers within 50 ms until the test says
+// otherwise.
 func newRig(t *testing.T, s decide.Settings, servers int) *rig {
 	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.ServerID]int{}, over: map[decide.RequestID]bool{},
 		last: map[decide.RequestID]decide.Action{}, legs: map[decide.RequestID]int{}, patience: 2 * time.Second,
@@ -59,6 +63,8 @@
 	return r
 }
 
+// handle passes an event to the module and schedules what follows from its actions: outcomes, timers, repeats of refused
+// clients and, as discovery is down, the failure of each list request after a second.
 func (r *rig) feed(e decide.Event) {
 	for _, a := range r.m.Handle(r.now, e) {
 		switch a := a.(type) {
@@ -98,7 +104,7 @@
 	}
 }
 
-// run plays some time with so many arrivals a second of a class.
+// run simulates a period of time with so many arrivals per second of a class.
 func (r *rig) run(length time.Duration, rate float64, class string) {
 	arrived := 0.0
 	for end := r.now + length; r.now < end; r.now += 5 * time.Millisecond {
@@ -132,7 +138,7 @@
 	}
 }
 
-// total is the number of sends to all servers.
+// totalSent is the number of attempts sent to all servers.
 func (r *rig) total() (sent int) {
 	for _, n := range r.sent {
 		sent += n
@@ -142,8 +148,9 @@
 
 func (r *rig) reset() { r.sent, r.refused, r.failed = map[decide.ServerID]int{}, 0, 0 }
 
-// A silent server is left out and its requests are answered elsewhere, also while the list is down; it then comes
-// back paced, as it may be cold.
+// Guards against sending on to a server that has stopped answering, and against a burst when it comes back. The server is
+// ejected and its requests are answered elsewhere, also while discovery is down and the list does not change. Once it
+// answers again it gets slow start, as it may have restarted cold.
 func TestSilentServerWhileListIsDown(t *testing.T) {
 	s := rigSettings()
 	s.AskForList = true
@@ -159,10 +166,10 @@
 	r.reset()
 	r.run(6*time.Second, 100, "cheap")
 	if r.sent[3] > 25 || r.failed > 0 || r.refused > 5 {
-		t.Errorf("silent server got %d, %d failed, %d refused", r.sent[3], r.failed, r.refused)
+		t.Errorf("unresponsive server got %d, %d failed, %d refused", r.sent[3], r.failed, r.refused)
 	}
 	if r.asks < 3 {
-		t.Errorf("the list was asked for %d times only", r.asks)
+		t.Errorf("only %d list requests", r.asks)
 	}
 	r.delay = quick
 	r.reset()
@@ -172,11 +179,12 @@
 	r.reset()
 	r.run(5*time.Second, 100, "cheap")
 	if early > 50 || r.sent[3] < 60 {
-		t.Errorf("back from silence: %d in the first 3 s, %d in 5 s once warm", early, r.sent[3])
+		t.Errorf("server that answers again: %d sends in the first 3 s, %d in 5 s once warm", early, r.sent[3])
 	}
 }
 
-// An unsafe request at a silent server is failed at its deadline, never repeated and never refused.
+// An unsafe request at an unresponsive server fails at its deadline. It is never sent again, and never refused, as a
+// refusal invites the client to repeat it.
 func TestUnsafeTimeOutFails(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
 	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
@@ -187,7 +195,8 @@
 	}
 }
 
-// Each effect after outcomes that prove nothing and after one that proves it never ran.
+// Whether a further attempt is made, for a safe and an unsafe class: after outcomes that leave open whether the request
+// ran, and after outcomes that prove that it did not.
 func TestFurtherAttemptsByEffect(t *testing.T) {
 	for _, c := range []struct {
 		class string
@@ -215,7 +224,7 @@
 	}
 }
 
-// A server that fails fast must not attract work.
+// Guards against a server that fails fast attracting requests, as its latency and its in-flight count are low.
 func TestFastFailerAttractsNothing(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
@@ -230,7 +239,7 @@
 	}
 }
 
-// When all slow down at once nobody is ejected: every server is kept as busy as it was, in requests in flight.
+// When all servers slow down at once none is ejected, and each keeps as many requests in flight as before.
 func TestAllSlowAtOnceEjectsNobody(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.run(5*time.Second, 80, "cheap")
@@ -238,16 +247,16 @@
 	r.reset()
 	r.run(5*time.Second, 80, "cheap")
 	if r.accused > 0 {
-		t.Errorf("%d servers were made suspects", r.accused)
+		t.Errorf("%d servers were ejected as outliers", r.accused)
 	}
 	for id := decide.ServerID(1); id <= 4; id++ {
 		if r.sent[id] < 25 { // one in flight, as before, is 33 in 5 s
-			t.Errorf("server %d got %d only", id, r.sent[id])
+			t.Errorf("server %d got only %d", id, r.sent[id])
 		}
 	}
 }
 
-// Quiet traffic is not refused, also with many servers and few requests.
+// Light traffic is not refused, not even where there are many servers and few requests to learn from.
 func TestQuietTrafficIsServed(t *testing.T) {
 	s := rigSettings()
 	s.Nodes = 6
@@ -256,11 +265,12 @@
 	r.reset()
 	r.run(20*time.Second, 30, "cheap")
 	if r.refused > 3 {
-		t.Errorf("%d of 600 refused on a quiet day", r.refused)
+		t.Errorf("%d of 600 refused in light traffic", r.refused)
 	}
 }
 
-// Overload sheds the cheap class first, and a server list that is empty or drains wholly refuses at once.
+// Overload sheds the class of low worth first. The class of high worth is refused at most a sixth as
+// often, at a third of the arrivals.
 func TestOverloadShedsByWorth(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
 	busy := map[decide.ServerID]time.Duration{}
@@ -283,6 +293,8 @@
 	}
 }
 
+// With an empty list, or one whose servers all drain, a request is refused at once. A request without time left, a class
+// that the settings lack, settings without classes, and outcomes of unknown requests do no harm.
 func TestNoUsableServerOrOddSettings(t *testing.T) {
 	drained := []decide.Server{{ID: 1, State: decide.Draining}}
 	for _, list := range [][]decide.Server{nil, drained} {
@@ -310,7 +322,7 @@
 	}
 }
 
-// A full answer blocks its server for the validity only.
+// A server that answers that it is full is blocked for about a second (oc-validity), and then gets requests again.
 func TestFullAnswerLapses(t *testing.T) {
 	r := newRig(t, rigSettings(), 1)
 	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
@@ -328,7 +340,8 @@
 	}
 }
 
-// Full answers in a row back off: many nodes that each come back after one validity would keep a jam alive.
+// Full answers in a row lengthen the block: many nodes that each send again after one oc-validity would keep an overloaded
+// server overloaded.
 func TestFullAnswersBackOff(t *testing.T) {
 	r := newRig(t, rigSettings(), 1)
 	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
@@ -337,7 +350,7 @@
 		t.Errorf("%d sends in 20 s to a server that stays full", r.sent[1])
 	}
 	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.OK }
-	r.run(25*time.Second, 20, "cheap") // the longest block with its jitter
+	r.run(25*time.Second, 20, "cheap") // the longest block, with jitter
 	r.reset()
 	r.run(time.Second, 20, "cheap")
 	if r.sent[1] < 15 {
@@ -345,8 +358,9 @@
 	}
 }
 
-// A zone is lost together with the nodes there: its servers fall silent, this node gets twice the traffic, the list tells
-// late, and the servers come back as new processes. What is left is not crowded, and those that return are paced.
+// Guards against requests going into a lost zone, and against a burst at its servers when they return. The zone's servers
+// and nodes fail together: its servers stop answering, this node gets twice the traffic, and the list says so only seconds
+// later. Then the servers come back as new processes, and get slow start. The remaining servers go on serving throughout.
 func TestZoneLostWithItsNodesAndBackCold(t *testing.T) {
 	s := rigSettings()
 	s.Nodes = 2
@@ -384,7 +398,7 @@
 	r.run(2*time.Second, 120, "cheap")
 	for id := range r.sent {
 		if lost(id) {
-			t.Errorf("sent to %d, which is gone", id)
+			t.Errorf("sent to %d, which has been removed", id)
 		}
 	}
 	r.delay = up
@@ -392,7 +406,7 @@
 	r.reset()
 	r.run(time.Second, 120, "cheap")
 	for id, n := range r.sent {
-		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 { // warm ones do 30/s for this node; two nodes
+		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 { // a warm one serves 30/s for this node; there are two nodes
 			t.Errorf("cold server %d got %d in its first second", id, n)
 		}
 	}
@@ -404,9 +418,10 @@
 	}
 }
 
-// One class suddenly costs eleven times as much on a quiet fleet: its servers are not to blame, and most of the other class
-// goes on. Guards against thresholds from what a quiet fleet happened to have in flight (without the least window 60 of 300
-// were served in time). What is still refused here is the price of not knowing that servers could do more.
+// Guards against thresholds that come from what a lightly loaded fleet happened to have in flight. One class suddenly takes
+// eleven times as long: no server is ejected for it, and most requests of the other class are still served. Without a least
+// number of requests allowed at each server (leastWindow), 60 of 300 were served in time. Some requests are still refused,
+// as the node can't know that the servers could take more.
 func TestOneClassSuddenlyDear(t *testing.T) {
 	r := newRig(t, rigSettings(), 6)
 	mixed := func(length time.Duration) {
@@ -426,22 +441,22 @@
 	r.inTime = map[string]int{}
 	mixed(10 * time.Second)
 	if r.accused > 0 {
-		t.Errorf("%d servers made suspects by heavy requests", r.accused)
+		t.Errorf("%d servers ejected because of expensive requests", r.accused)
 	}
 	if r.inTime["cheap"] < 190 {
-		t.Errorf("%d of 300 of the class that costs what it did were served in time, %d refused", r.inTime["cheap"], r.refused)
+		t.Errorf("%d of 300 of the class of unchanged cost were served in time, %d refused", r.inTime["cheap"], r.refused)
 	}
 	least, most := r.sent[1], r.sent[1]
 	for _, n := range r.sent {
 		least, most = min(least, n), max(most, n)
 	}
 	if len(r.sent) < 6 || most > 2*least {
-		t.Errorf("uneven load on like servers: %v", r.sent)
+		t.Errorf("uneven load on equal servers: %v", r.sent)
 	}
 }
 
-// Overload whose refused clients come back, twice each: the dear class keeps its service, the servers' queues stay short,
-// and clients are not told all the same wait.
+// Overload in which each refused client retries twice: the class of high worth is still served, the servers' queues stay
+// short, and hold-offs differ, so that refused clients don't come back all at once.
 func TestOverloadWithClientRetries(t *testing.T) {
 	r := newRig(t, rigSettings(), 4)
 	r.retries, r.patience = 2, 1200*time.Millisecond
@@ -462,12 +477,12 @@
 	}
 	mixed(10*time.Second, 60)
 	r.inTime, longest, r.waits = map[string]int{}, 0, nil
-	mixed(10*time.Second, 600) // 20 and 300 a second; the servers do 200
+	mixed(10*time.Second, 600) // 20 and 300 per second; the servers can do 200
 	if r.inTime["dear"] < 170 {
-		t.Errorf("%d of 200 dear requests in time", r.inTime["dear"])
+		t.Errorf("%d of 200 requests of the class of high worth in time", r.inTime["dear"])
 	}
 	if r.inTime["cheap"] < 1000 {
-		t.Errorf("%d cheap requests in time, of some 1800 that the servers could do", r.inTime["cheap"])
+		t.Errorf("%d requests of the class of low worth in time, of some 1800 that the servers could do", r.inTime["cheap"])
 	}
 	if longest > 300*time.Millisecond {
 		t.Errorf("a server's queue of %v", longest)
@@ -477,11 +492,12 @@
 		seen[w] = true
 	}
 	if len(seen) < len(r.waits)/4 {
-		t.Errorf("%d refusals with %d different waits", len(r.waits), len(seen))
+		t.Errorf("%d refusals with %d different hold-offs", len(r.waits), len(seen))
 	}
 }
 
-// Guards against the burst that none of many nodes sees: each one's first requests to a server that has just started.
+// Guards against a burst that no single node can see: the first requests of many nodes, all at once, to a server that has
+// just started.
 func TestManyNodesTogetherSpareAColdServer(t *testing.T) {
 	const nodes = 60
 	s := rigSettings()
@@ -498,11 +514,11 @@
 		r.feed(decide.ListUpdate{Kind: decide.ListCached, Entries: list})
 		r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
 			if id == 3 {
-				return 10 * time.Millisecond, decide.OK // the one that everybody likes best
+				return 10 * time.Millisecond, decide.OK // the fastest server, which every node prefers
 			}
 			return 50 * time.Millisecond, decide.OK
 		}
-		r.run(10*time.Second, 4, "cheap") // of all nodes, 24 a second at each server
+		r.run(10*time.Second, 4, "cheap") // from all nodes together, 24 per second at each server
 		list[2].StartedAt = r.now
 		r.feed(decide.ListUpdate{Kind: decide.ListChanges, Entries: list[2:3]})
 		r.reset()
@@ -514,7 +530,7 @@
 	}
 }
 
-// Log lines are few even where a server fails and recovers all the time.
+// Guards against a flood of log lines: a server that fails and recovers all the time is logged at most once in 5 s.
 func TestLogIsLimited(t *testing.T) {
 	r := newRig(t, rigSettings(), 3)
 	r.run(3*time.Second, 100, "cheap")
@@ -556,11 +572,11 @@
 	}
 }
 
-// Guards against forgetting how fast an uncrowded fleet answers: an overload of a minute must not make the queues that
-// it causes look normal, or they grow until servers turn slow.
+// Guards against forgetting how fast a lightly loaded fleet answers. If the queues of a minute's overload came to be taken
+// for the normal latency, they would be allowed to grow until the servers slow down.
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
 	s := rigSettings()
-	s.Classes[1].Aim = 10 * time.Second // an aim far off: only the uncrowded latency bounds the queue
+	s.Classes[1].Aim = 10 * time.Second // such a long target allows long queues: only the unloaded latency bounds them
 	r := newRig(t, s, 4)
 	free := map[decide.ServerID]time.Duration{}
 	var waits, answers time.Duration
--- a/decide/coldscenario_test.go
+++ b/decide/coldscenario_test.go
@@ -1,6 +1,6 @@
 package decide
 
-// What can be drawn for a run of a fleet before cold servers.
+// The random scenarios in which a fleet of nodes sends to servers that start cold.
 
 import (
 	"fmt"
@@ -8,42 +8,42 @@
 	"math/rand/v2"
 )
 
-// messagePath says what becomes of the datagrams between nodes.
+// messagePath says what happens to the datagrams between nodes.
 type messagePath int
 
 const (
 	messagesArrive messagePath = iota
-	messagesLossy              // three in ten are lost
-	messagesOff                // the settings forbid them
+	messagesLossy              // coldMessageLoss of them are lost
+	messagesOff                // Settings.MayMessage is false: there are none
 )
 
 func (p messagePath) String() string { return [...]string{"arrive", "lossy", "off"}[p] }
 
-// trafficSplit says how requests are dealt out to the nodes.
+// trafficSplit says how the requests are distributed over the nodes.
 type trafficSplit int
 
 const (
 	trafficEven    trafficSplit = iota
-	trafficUneven               // some nodes get several times the mean, and others than before once the servers start
-	trafficWanders              // most of it goes to a fifth of the nodes, every two seconds to another
+	trafficUneven               // some nodes get several times the mean; drawn anew until the servers start
+	trafficWanders              // most requests go to a fifth of the nodes, every two seconds to another fifth
 )
 
 func (s trafficSplit) String() string { return [...]string{"even", "uneven", "wanders"}[s] }
 
-// coldScenario is one run. All of it follows from the seed.
+// coldScenario describes one run. All of it follows from the seed.
 type coldScenario struct {
 	seed        uint64
-	size, fleet int // nodes; servers
+	size, fleet int // numbers of nodes and of servers
 	messages    messagePath
 	traffic     trafficSplit
-	burst       bool    // half as much again while they warm up
-	lull        bool    // a tenth for a while before that
-	lost        bool    // all warm servers vanish at the end of that
-	restarts    bool    // half of the nodes are restarted meanwhile
-	rejoin      bool    // servers that were lost come back under their old ids; else new ones come
-	cold        int     // servers that start
-	capacity    float64 // mean requests that a warm server can do each second
-	load        float64 // of all warm servers' capacity
+	burst       bool    // 1.5 times the requests during the first 80 % of the warm-up (after idlePeriod, if both are set)
+	lull        bool    // a tenth of the requests during the first half of the warm-up
+	lost        bool    // all warm servers become unreachable at half of the warm-up
+	restarts    bool    // half of the nodes are restarted during the warm-up
+	rejoin      bool    // the cold servers are unreachable ones that come back under their old ids; else they are new
+	cold        int     // number of servers that start cold
+	capacity    float64 // mean requests per second that a warm server can serve
+	load        float64 // arrivals as a part of all warm servers' capacity
 }
 
 func (c coldScenario) String() string {
@@ -52,10 +52,11 @@
 		c.messages, c.traffic, c.burst, c.lull, c.lost, c.restarts, c.rejoin)
 }
 
-// coldSizes are the numbers of nodes.
+// coldNodeCounts are the fleet sizes, in nodes, that are run.
 var coldSizes = []int{1, 5, 20, 30, 300}
 
-// scenarioOf draws a run. The sizes take turns, so that any few consecutive seeds cover them.
+// drawScenario draws the scenario of a seed. Consecutive seeds go through the fleet sizes in turn, so that any five of them
+// cover all sizes.
 func scenarioOf(seed uint64) coldScenario {
 	r := rand.New(rand.NewPCG(seed, 39))
 	c := coldScenario{seed: seed, fleet: 12, size: coldSizes[seed%uint64(len(coldSizes))],
@@ -66,8 +67,8 @@
 	return c
 }
 
-// quietThenLost is a run in which hardly anybody asks until all warm servers are lost: what budgets have saved up by
-// then is all that is left.
+// quietThenLost draws a scenario with few requests until all warm servers are lost. From then on every request needs the
+// budget of a cold server, and the budgets have had an idle period in which to accumulate.
 func quietThenLost(seed uint64) coldScenario {
 	c, r := scenarioOf(seed), rand.New(rand.NewPCG(seed, 41))
 	c.lull, c.lost, c.cold, c.size = true, true, 3, []int{5, 20, 30}[seed%3]
--- a/decide/coldworld_test.go
+++ b/decide/coldworld_test.go
@@ -1,7 +1,8 @@
 package decide
 
-// A fleet of real modules before the same servers, in virtual time, some of which start cold. It records what each cold
-// server is sent, by whom, and what the settings allow it.
+// A simulation, in virtual time, of a fleet of nodes that run the real module and share the same servers. Some of the
+// servers start cold. The simulation records which attempts each cold server gets, and which of them came from nodes that
+// had been notified of its start; coldverdict_test.go compares that with what the settings allow.
 
 import (
 	"container/heap"
@@ -13,58 +14,63 @@
 )
 
 const (
-	coldWarmUp   = 12 * time.Second // before the servers start
-	coldShift    = 2 * time.Second  // between two shifts of the traffic before that
-	coldLoss     = 0.3              // of the datagrams on a lossy path
-	coldNotice   = 2.5              // s; nodes are told of a start within this time
-	coldLost     = 2 * time.Second  // how long a server that comes back was away
-	coldCores    = 6                // of a server
-	coldPatience = 2 * time.Second
-	coldTries    = 5 // of a client whose request is refused
+	coldWarmUp   = 12 * time.Second // of traffic before the cold servers start
+	coldShift    = 2 * time.Second  // between two draws of the nodes' shares of the traffic
+	coldLoss     = 0.3              // part of the datagrams that a lossy path drops
+	coldNotice   = 2.5              // s; a node is notified of a start at most this long, and 50 ms, after it
+	coldLost     = 2 * time.Second  // for which a server that rejoins was unreachable
+	coldCores    = 6                // requests that a server works on at once
+	coldPatience = 2 * time.Second  // until a client gives up, over all its tries
+	coldTries    = 5                // by a client whose request is refused
 )
 
-// coldClasses gives each class's share of the requests and its work, in mean requests: 0.625 x 0.6 + 0.375 x 5/3 = 1.
+// coldClasses gives each class's share of the requests, and its work as a multiple of the mean request's:
+// 0.625 x 0.6 + 0.375 x 5/3 = 1.
 var coldClasses = []struct {
 	name        string
 	share, work float64
 }{{"cheap", 0.625, 0.6}, {"dear", 0.375, 5.0 / 3}}
 
-// coldSend is one attempt that a cold server got.
+// coldSend is one attempt that a cold server was sent.
 type coldSend struct {
 	at   Time
-	work float64 // in mean requests
-	told bool    // its node had been told of the start
+	work float64 // as a multiple of the mean request's
+	told bool    // its node had been notified of the server's start
 }
 
+// coldServer is a server with a queue in front of coldServerCores cores.
 type coldServer struct {
 	entry   Server
-	away    bool
-	cores   []Time // when each is free
-	held    []Time // ends of what it holds
+	away    bool   // connections to it fail
+	cores   []Time // when each core is free
+	held    []Time // when each request that it holds will be done
 	sends   []coldSend
 	tracked bool // it starts cold during the run
 }
 
+// coldNode is a node of the fleet.
 type coldNode struct {
 	m       *Module
-	life    int // counts restarts: events of an older process are dropped
-	up      bool
-	weight  float64
-	told    map[ServerID]bool // of the start
+	life    int               // counts the node's processes: events of an earlier process are dropped
+	up      bool              // its process runs
+	weight  float64           // its part of all requests, beside the other nodes' weights
+	told    map[ServerID]bool // servers whose cold start it has been notified of
 	pending map[RequestID]*coldRequest
 }
 
+// coldRequest is a request of a client, over all its tries.
 type coldRequest struct {
 	class, attempts, tries int
 	deadline               Time
 }
 
+// coldFleet is the simulation of one scenario.
 type coldFleet struct {
 	coldScenario
 	set     Settings
 	now     Time
-	start   Time // of the cold servers
-	end     Time
+	start   Time // when the cold servers start
+	end     Time // of the run, ColdTime later
 	queue   worldQueue
 	seq     int
 	rand    *rand.Rand
@@ -74,6 +80,7 @@
 	next    int
 }
 
+// newColdFleet builds the fleet of a scenario. It draws the settings of slow start from the scenario's seed.
 func newColdFleet(c coldScenario) *coldFleet {
 	f := &coldFleet{coldScenario: c, now: time.Hour, servers: map[ServerID]*coldServer{}}
 	f.rand = rand.New(rand.NewPCG(c.seed, 40))
@@ -96,13 +103,14 @@
 	return f
 }
 
+// addServer adds a server that is ready. It was started at the given time; 0: long ago.
 func (f *coldFleet) addServer(id ServerID, started Time) {
 	entry := Server{ID: id, Zone: "a", Kind: "k", Cell: int(id) % 4, State: Ready, Size: 1, StartedAt: started}
 	f.servers[id] = &coldServer{entry: entry, cores: make([]Time, coldCores)}
 	f.ids = append(f.ids, id)
 }
 
-// weigh draws which part of the requests each node gets.
+// drawWeights draws which part of all requests each node gets.
 func (f *coldFleet) weigh() {
 	busy := f.rand.IntN(len(f.nodes))
 	for i, n := range f.nodes {
@@ -118,12 +126,13 @@
 	}
 }
 
+// schedule has a function called at a time, or now if that time has passed.
 func (f *coldFleet) at(t Time, do func()) {
 	f.seq++
 	heap.Push(&f.queue, worldEvent{max(t, f.now), f.seq, do})
 }
 
-// boot starts a node's process with what discovery has now.
+// startProcess starts a new process of a node with the list as discovery has it now.
 func (f *coldFleet) boot(i int) {
 	n, s := f.nodes[i], f.set
 	s.Self = i
@@ -139,7 +148,7 @@
 	f.feed(i, ListUpdate{Kind: ListCached, Entries: list})
 }
 
-// later hands a node an event at a time, unless its process has ended by then.
+// scheduleEvent passes a node an event at the given time, unless the process that runs now has ended by then.
 func (f *coldFleet) later(i int, t Time, e Event) {
 	life := f.nodes[i].life
 	f.at(t, func() {
@@ -149,6 +158,7 @@
 	})
 }
 
+// handle passes an event to a node's module and executes the actions that it returns.
 func (f *coldFleet) feed(i int, e Event) {
 	n := f.nodes[i]
 	if ended, ok := e.(AttemptEnded); ok {
@@ -185,7 +195,7 @@
 	}
 }
 
-// part is how much of its capacity a server has.
+// capacityPart is the part of its warm capacity that a server has at a time, from Settings.ColdFrom to 1.
 func (f *coldFleet) part(v *coldServer, t Time) float64 {
 	if v.entry.StartedAt == 0 {
 		return 1
@@ -194,6 +204,8 @@
 	return f.set.ColdFrom + (1-f.set.ColdFrom)*warm
 }
 
+// sendAttempt has a server take an attempt of node i, or refuse it, and schedules its outcome. A server whose queue holds
+// ten requests for each core answers that it is full.
 func (f *coldFleet) send(i int, a Send) {
 	n, v := f.nodes[i], f.servers[a.Server]
 	r := n.pending[a.ID]
@@ -232,6 +244,7 @@
 	f.later(i, done, ended)
 }
 
+// probe schedules the result of a probe by node i.
 func (f *coldFleet) probe(i int, id ServerID) {
 	v, e := f.servers[id], ProbeEnded{Server: id, Elapsed: 2 * time.Millisecond}
 	v.held = slices.DeleteFunc(v.held, func(t Time) bool { return t <= f.now })
@@ -244,7 +257,7 @@
 	f.later(i, f.now+e.Elapsed, e)
 }
 
-// deliver hands the messages of a node to those that they are for, or loses them.
+// deliver passes a node's messages to their recipients. On a lossy path some of them are lost.
 func (f *coldFleet) deliver(from int, messages []SendMessage) {
 	for _, a := range messages {
 		first, last := a.To, a.To
@@ -260,7 +273,8 @@
 	}
 }
 
-// refused brings a client back, after what it was told or a time of its own.
+// retryRefused has the client of a refused request try again, after the hold-off that it was given or 10 to 110 ms,
+// whichever is longer.
 func (f *coldFleet) refused(r *coldRequest, wait time.Duration) {
 	if r == nil || r.tries >= coldTries {
 		return
@@ -273,7 +287,7 @@
 	}
 }
 
-// ask brings a request to one of the nodes that are up.
+// sendRequest has a client's request arrive at one of the nodes that are up, drawn by their weights.
 func (f *coldFleet) ask(r *coldRequest) {
 	sum := 0.0
 	for _, n := range f.nodes {
@@ -296,7 +310,7 @@
 	}
 }
 
-// arrive brings requests at random times, up to the end.
+// arrive has a new request arrive now, and schedules the next one after a random interval, up to the end of the run.
 func (f *coldFleet) arrive() {
 	rate := f.load * f.capacity * float64(f.fleet)
 	switch into := f.now - f.start; {
@@ -316,12 +330,12 @@
 	}
 }
 
-// notify tells every node of a change, each at a time of its own.
+// notify passes the changed entry of a server to every node, to each after 50 ms and a random part of within seconds.
 func (f *coldFleet) notify(v *coldServer, within float64) {
 	for i, n := range f.nodes {
 		life, entry := n.life, v.entry
 		f.at(f.now+time.Duration((0.05+within*f.rand.Float64())*float64(time.Second)), func() {
-			if n.life == life && n.up { // one that was restarted has it from its list
+			if n.life == life && n.up { // a process that started later has the entry from its first list
 				n.told[entry.ID] = v.tracked
 				f.feed(i, ListUpdate{Kind: ListChanges, Entries: []Server{entry}})
 			}
@@ -329,7 +343,8 @@
 	}
 }
 
-// coldStarts lets servers start: a lost one comes back, or a new one takes the place of one that leaves.
+// scheduleColdStarts schedules the starts of the cold servers. Each is a server that was unreachable and rejoins under its
+// old id, or a new server that replaces one that drains.
 func (f *coldFleet) coldStarts() {
 	for k := range f.cold {
 		id := ServerID(k + 1)
@@ -352,14 +367,15 @@
 	}
 }
 
-// loseWarm lets the warm servers vanish: only cold ones are left.
+// loseWarm makes all warm servers unreachable, so that only cold ones are left.
 func (f *coldFleet) loseWarm() {
 	for k := f.cold + 1; k <= f.fleet; k++ {
 		f.servers[ServerID(k)].away = true
 	}
 }
 
-// restartHalf ends half of the nodes while servers warm up; each is back within a second.
+// restartHalf schedules restarts of half of the nodes, drawn at random, while the servers warm up. Each node is back within
+// a second. The node of a fleet of one is replaced without a pause.
 func (f *coldFleet) restartHalf() {
 	for i := range f.nodes {
 		if f.rand.IntN(2) == 0 || len(f.nodes) == 1 && f.rand.IntN(2) == 0 {
@@ -371,6 +387,7 @@
 	}
 }
 
+// run simulates the whole scenario.
 func (f *coldFleet) run() {
 	f.coldStarts()
 	for t := f.now; t < f.end; t += coldShift {
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -1,22 +1,21 @@
 package decide
 
-// What happened: requests went to servers that drained, up to 0.64 s after the process counted as notified, a few times
-// in a fleet of 300 processes.
+// These tests guard against requests by an expired list: a process counts as notified of a change 6 s after discovery had
+// the change and could be reached, whatever became of the process's list requests, and must not go on sending by an older
+// list.
 //
-// Sequence: a reload moved discovery to another address, which ended the process's watch. Its first call there was
-// spread over 3.9 s, waited 2 s for its turn in vain, as many processes had been reloaded, and the next one was put off
-// again: the first answer came 8.6 s after the reload. A server began to drain 0.7 s after the reload. A process
-// counts as notified 6 s after discovery had a change and could be reached, whatever became of its calls; this one went
-// on by the list that it had had before.
+// How it came about, in a fleet of 300 processes: a reload moved discovery to another address, which ended a process's
+// watch. The first list request there was spread over 3.9 s. It then waited 2 s in discovery's queue in vain, as many
+// processes had been reloaded, and the next one was delayed again: the first answer came 8.6 s after the reload. A server
+// had begun to drain 0.7 s after the reload, and requests went to it up to 0.64 s after the process counted as notified.
+// (In discovery's log: answers at 9.0 s with version 5 and at 18.7 s with version 15, the reload at 10.1 s, the change at
+// 10.84 s; the process counted as notified at 16.84 s.)
 //
-// Cause: nothing bounded the time for which a list is used when no watch keeps it; and the waits before a call, in
-// discovery's queue and after a failure were chosen in three places that did not know of one another.
+// The cause: nothing bounded the use of a list that no watch keeps up to date, and the waits before a request, in
+// discovery's queue and after a failure were chosen in three places, independently of one another.
 //
-// What settled it: the logs of discovery ("answered: 9.0 v5, 18.7 v15") around the reload at 10.1 and the change at
-// 10.84; notified was 16.84, which is the change and 6 s.
-//
-// The test plays modules before a model of discovery, in virtual time, through random sequences of the same kinds of
-// events, and looks at what the modules send.
+// The tests run modules against a model of discovery, in virtual time, through random sequences of such events, and check
+// every request that the modules send.
 
 import (
 	"fmt"
@@ -26,67 +25,72 @@
 )
 
 const (
-	listBound    = 6 * time.Second // after discovery had a change and could be reached a process counts as notified
-	listGrace    = 550 * time.Millisecond
-	listStep     = 25 * time.Millisecond
-	listAsk      = 100 * time.Millisecond // between two requests at a process
+	listBound    = 6 * time.Second        // a process counts as notified so long after discovery had a change and was reachable
+	listGrace    = 550 * time.Millisecond // for which requests may still go to a draining server after that
+	listStep     = 25 * time.Millisecond  // of virtual time
+	listAsk      = 100 * time.Millisecond // between two clients' requests at a process
 	mostWork     = 400 * time.Millisecond // of discovery for one call, at its usual speed
-	takenForDown = 9 * time.Second        // a process that has had no answer for so long takes discovery for down
+	takenForDown = 9 * time.Second        // a process that has had no answer for so long may take discovery for down
 )
 
-// listWorld is discovery and the processes that ask it.
+// listWorld is a model of discovery, and the nodes whose processes request the list from it. Discovery works through its
+// calls in turn.
 type listWorld struct {
 	now       time.Duration
 	random    *rand.Rand
 	nodes     []listNode
-	perCall   time.Duration
-	slower    float64
-	roomy     bool // calls never wait long for their turn
-	wasteful  bool // it works on calls that have waited too long, too
-	freeAt    time.Duration
+	perCall   time.Duration // discovery's work for one call, at its usual speed
+	slower    float64       // factor on that work
+	roomy     bool          // discovery has capacity enough that its queue stays short
+	wasteful  bool          // it also works on calls that have already timed out in its queue
+	freeAt    time.Duration // when it has worked through its queue
 	down      bool
-	cutTill   time.Duration // answers break off until then
-	upAt      time.Duration // the end of the present outage
-	backAt    time.Duration // that of the latest one; 0: none yet
+	cutTill   time.Duration // until then answers break off
+	upAt      time.Duration // end of the present outage
+	backAt    time.Duration // end of the latest outage that is over; 0: there has been none
 	peers     bool          // nodes may send one another messages, some of which are lost
 	messages  []listMessage
-	refuses   bool            // it refuses calls at once while it is down
-	hangs     bool            // calls wait for their turn in vain while it is down
-	drainedAt []time.Duration // by server; 0: it is ready
-	ends      []listCallEnd
+	refuses   bool            // while it is down it refuses calls at once
+	hangs     bool            // while it is down calls wait in its queue until they time out
+	drainedAt []time.Duration // when each server began to drain; 0: it is ready
+	ends      []listCallEnd   // calls under way
 
-	sent, refused, late int
-	firstLate           string
+	sent, refused, late int    // requests of clients; late: those sent by an expired list
+	firstLate           string // describes the first of these
 }
 
+// listNode is a node and the process that it runs.
 type listNode struct {
 	module     *Module
-	life       int // of its calls: what belongs to an earlier one is void
-	startedAt  time.Duration
-	answered   bool // this process has had an answer
-	calling    bool
-	watching   bool
-	silentTill time.Duration // calls of this node get no answer until then
-	reachable  time.Duration // since then
-	list       []Server
-	notified   []time.Duration // by server, by an answer; 0: not
-	asked      int
+	life       int           // of its connections to discovery: ends of calls of an earlier generation are dropped
+	startedAt  time.Duration // of this process
+	answered   bool          // this process has had an answer from discovery
+	calling    bool          // a list request is under way
+	watching   bool          // a watch is open
+	silentTill time.Duration // until then its calls get no answer
+	reachable  time.Duration // since then discovery has been reachable from this node
+	list       []Server      // the last list that discovery sent
+	notified   []time.Duration // when an answer notified it that a server drains, by server; 0: none has
+	asked      int           // requests of clients so far
 }
 
+// discoveryCall is a list request at discovery, with the outcome that it will have.
 type listCallEnd struct {
 	began time.Duration
 	at    time.Duration
 	node  int
 	life  int
-	cause FailureCause
-	ok    bool
+	cause FailureCause // if it is not answered
+	ok    bool         // it is answered
 }
 
+// listMessage is a message from one node to another.
 type listMessage struct {
 	from, to int
 	data     []byte
 }
 
+// newListWorld starts a fleet of nodes. A round is the time in which discovery can answer one call of each.
 func newListWorld(nodes int, round time.Duration, peers bool, seed int64) *listWorld {
 	w := &listWorld{now: time.Second, random: rand.New(rand.NewSource(seed)), nodes: make([]listNode, nodes), perCall: min(round/time.Duration(nodes), mostWork), slower: 1}
 	w.wasteful, w.peers, w.roomy = seed%2 == 0, peers, round <= time.Second
@@ -98,7 +102,7 @@
 	return w
 }
 
-// list is the list as it is now.
+// currentList is the list as discovery has it now.
 func (w *listWorld) list() []Server {
 	list := make([]Server, len(w.drainedAt))
 	for i, at := range w.drainedAt {
@@ -110,7 +114,7 @@
 	return list
 }
 
-// start begins a process of a node with the list that the one before had.
+// startProcess starts a new process of a node, with the list that the one before had.
 func (w *listWorld) start(i int) {
 	n := &w.nodes[i]
 	s := fleetSettings(i % 3)
@@ -118,7 +122,7 @@
 	n.module, n.startedAt, n.answered = New(s, w.random.Int63()), w.now, false
 	n.calling, n.watching = false, false
 	n.life++
-	for k, server := range n.list { // what an earlier process was told binds this one by its list
+	for k, server := range n.list { // what the earlier process was notified of is in this one's list
 		if n.notified[k] = 0; server.State != Ready {
 			n.notified[k] = w.now
 		}
@@ -126,6 +130,7 @@
 	w.handle(i, ListUpdate{Kind: ListCached, Entries: n.list})
 }
 
+// handle passes an event to a node's module and executes the actions that it returns.
 func (w *listWorld) handle(i int, e Event) {
 	n := &w.nodes[i]
 	var begin bool
@@ -146,25 +151,27 @@
 	}
 }
 
-// say carries a question or an answer about servers to another node, most of the time.
+// sendMessage delivers a readiness query or report to another node in the next step. One in eight is lost.
 func (w *listWorld) say(from int, m SendMessage) {
 	if !m.ToAll && m.To != from && (m.Data[0] == vouchAsk || m.Data[0] == vouchAnswer) && w.random.Intn(8) > 0 {
 		w.messages = append(w.messages, listMessage{from, m.To, m.Data})
 	}
 }
 
-// sentTo judges a request that goes out.
+// checkSend checks that a request is not sent to a server of which the node counts as notified that it drains. A process
+// that has had no answer for assumedDownAfter may use the list of its configuration.
 func (w *listWorld) sentTo(i int, a Send) {
 	n := &w.nodes[i]
 	w.sent++
 	if at, bound := w.boundAt(n, int(a.Server)-1); bound && w.now > at+listGrace && (n.answered || w.now < n.startedAt+takenForDown) {
 		if w.late++; w.firstLate == "" {
-			w.firstLate = fmt.Sprintf("node %d, started at %v, sends to server %d at %v, %v after it counts as notified", i, n.startedAt, a.Server, w.now, w.now-at)
+			w.firstLate = fmt.Sprintf("node %d, started at %v, sends to server %d at %v, %v after it counted as notified", i, n.startedAt, a.Server, w.now, w.now-at)
 		}
 	}
 }
 
-// boundAt is since when a node counts as notified that a server drains.
+// notifiedSince is the time since when a node counts as notified that a server drains, and whether there is one: that of
+// the answer which said so, else notifyBound after the server began to drain and discovery was reachable.
 func (w *listWorld) boundAt(n *listNode, server int) (time.Duration, bool) {
 	at := w.drainedAt[server]
 	if at == 0 {
@@ -179,7 +186,7 @@
 	return max(at, w.backAt, n.reachable) + listBound, true
 }
 
-// call begins a call of a node.
+// beginCall begins a node's list request and determines its outcome as things are now.
 func (w *listWorld) call(i int) {
 	n := &w.nodes[i]
 	n.calling = true
@@ -203,7 +210,7 @@
 	w.ends = append(w.ends, end)
 }
 
-// turn gives when a call that begins now ends, and whether it has its turn in time.
+// enqueueCall adds a call to discovery's queue. It returns when the call ends, and whether that is with an answer.
 func (w *listWorld) turn() (time.Duration, bool) {
 	work := time.Duration(float64(w.perCall) * w.slower)
 	answer := max(w.now, w.freeAt) + work
@@ -220,7 +227,7 @@
 	return answer, true
 }
 
-// ended takes what a call has brought.
+// endCall ends a node's call with its outcome, unless an outage or a lost connection has overtaken it.
 func (w *listWorld) ended(c listCallEnd) {
 	n := &w.nodes[c.node]
 	if n.life != c.life {
@@ -241,7 +248,7 @@
 	w.tell(c.node)
 }
 
-// tell gives a node the list as it is now.
+// deliverList sends a node the list as discovery has it now.
 func (w *listWorld) tell(i int) {
 	n := &w.nodes[i]
 	n.list, n.answered = w.list(), true
@@ -253,7 +260,7 @@
 	w.handle(i, ListUpdate{Kind: ListFull, Entries: n.list})
 }
 
-// breakWatch ends a node's watch, or its call.
+// breakWatch ends a node's watch, or its call, with a failure.
 func (w *listWorld) breakWatch(i int, cause FailureCause) {
 	n := &w.nodes[i]
 	if !n.watching && !n.calling {
@@ -264,7 +271,8 @@
 	w.handle(i, ListUpdate{Kind: ListFailed, Cause: cause})
 }
 
-// change has an eighth of the servers drain, for good, so that each change is judged to the end. At least half stay.
+// drainSome has up to an eighth of the servers begin to drain, and sends the news to all nodes with a watch. No server
+// becomes ready again, so that each drain is checked to the end of the run. At least half of the servers stay ready.
 func (w *listWorld) change() {
 	drained := 0
 	for _, at := range w.drainedAt {
@@ -288,7 +296,7 @@
 	}
 }
 
-// event has one of the kinds of events happen, to one node or a part of them.
+// causeEvent has an event of a kind happen: to discovery, or to a random part of the nodes.
 func (w *listWorld) event(kind string) {
 	some := func(f func(i int)) {
 		part := []float64{0.05, 0.3, 1}[w.random.Intn(3)]
@@ -317,7 +325,7 @@
 		if !w.down && (w.peers || w.roomy) {
 			w.goDown()
 		}
-	case "silent": // until the wait of a watch is over nobody counts it
+	case "silent": // only where no watch is open: a silent watch is noticed only when its wait is over
 		some(func(i int) {
 			n := &w.nodes[i]
 			if !n.watching {
@@ -328,7 +336,7 @@
 	}
 }
 
-// goDown ends all watches and calls.
+// goDown begins an outage of discovery of one to nine seconds, which ends all watches and calls.
 func (w *listWorld) goDown() {
 	w.down, w.hangs, w.refuses = true, w.random.Intn(3) == 0, w.random.Intn(2) == 0
 	w.upAt = w.now + time.Second + time.Duration(w.random.Intn(8))*time.Second
@@ -337,7 +345,7 @@
 	}
 }
 
-// play runs a random sequence of events.
+// run simulates a period of time with a random sequence of events.
 func (w *listWorld) play(length time.Duration) {
 	kinds := []string{"restart", "reload", "reload", "broken", "slow", "back to speed", "change", "change", "silent", "cut", "down"}
 	end := w.now + length
@@ -351,6 +359,7 @@
 	}
 }
 
+// step simulates what happens in one step: ends of outages and calls, messages, and each node's tick and client requests.
 func (w *listWorld) step() {
 	if w.down && w.now >= w.upAt {
 		w.down, w.backAt = false, w.now
@@ -377,7 +386,7 @@
 	}
 }
 
-// request has a client ask a process, and a server answer at once.
+// sendRequest has a client's request arrive at a node. The server that gets it answers at once.
 func (w *listWorld) request(i int) {
 	n := &w.nodes[i]
 	n.asked++
@@ -397,13 +406,15 @@
 	}
 }
 
+// runListWorlds simulates worlds of a kind with several seeds. None may send by an expired list, and at least half of all
+// requests must be sent to a server.
 func playLists(t *testing.T, nodes int, round time.Duration, peers bool) {
 	sent, refused := 0, 0
 	for seed := range int64(min(20, 300/nodes+1)) {
 		w := newListWorld(nodes, round, peers, 100*int64(nodes)+seed)
 		w.play(25 * time.Second)
 		if w.late > 0 {
-			t.Errorf("seed %d: %d requests by a list that is too old, the first: %s", seed, w.late, w.firstLate)
+			t.Errorf("seed %d: %d requests by an expired list, the first: %s", seed, w.late, w.firstLate)
 		}
 		sent, refused = sent+w.sent, refused+w.refused
 	}
@@ -413,16 +424,17 @@
 	t.Logf("%d requests sent, %d refused", sent, refused)
 }
 
-// No process sends by a list that nothing vouches for any more, however young it is, whatever became of its calls and
-// however many ask beside it; and in all this it goes on serving most of the time. One case is left out: an outage
-// and then a crowd at discovery, where nodes can't ask one another. Calls wait and are refused in both, and a process
-// alone can't tell that the outage is over: it takes discovery for down for as long as they do.
+// No process sends by an expired list: not one that has just started, whatever became of its list requests, and however
+// many processes send such requests beside it. And most client requests are served all the same. One case is left out: an
+// outage of discovery followed by congestion, where nodes can't send one another messages. Calls time out or are refused
+// in both, so that a process by itself can't see that the outage is over, and takes discovery for down until the
+// congestion ends.
 func TestNothingIsSentByAListThatIsTooOld(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{1, 5, 30, 300, 900} {
 		for _, round := range []time.Duration{time.Second / 2, 3 * time.Second, 4 * time.Second} {
 			if nodes == 900 && round < 4*time.Second {
-				continue // the largest fleet plays the hardest case only: it takes as long as all others together
+				continue // the largest fleet runs only the hardest case: that takes as long as all others together
 			}
 			for _, peers := range []bool{false, true} {
 				t.Run(fmt.Sprint(nodes, " nodes, ", round, " for a call of each, peers ", peers), func(t *testing.T) {
@@ -434,8 +446,9 @@
 	}
 }
 
-// A process takes over from another one, which is told of a drain a moment later and ends. The calls of the new one wait for their
-// turn in vain. What the old one was told binds the node: the list that was handed over is good for 2 s.
+// Guards against a successor that uses the list it was handed for too long. A process takes over from another one, which is
+// notified of a drain a moment later and ends. That notification counts for the whole node, but the successor's own list
+// requests time out in discovery's queue. So the list that was handed over is valid for 2 s only.
 func TestSuccessorDoesNotOutliveWhatItWasHanded(t *testing.T) {
 	t.Parallel()
 	settings := fleetSettings(0)
@@ -453,7 +466,7 @@
 	}
 	after.Handle(now, ListUpdate{Kind: ListCached, Entries: list})
 	if after.Usable() {
-		t.Error("the list of the configuration is used before anything vouches for it")
+		t.Error("the list of the configuration is used before anything confirms it")
 	}
 	if err := after.Restore(now, before.Snapshot(now)); err != nil {
 		t.Fatal(err)
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -11,6 +11,7 @@
 
 const testRate = 60 // arrivals a second
 
+// runWorld simulates a world and returns it with the violations that its checker has found.
 func play(seed int64, length time.Duration, mutate func(*world, []decide.Action) []decide.Action) *world {
 	w := newWorld(seed)
 	w.capacity, w.mutate = testRate/3, mutate
@@ -19,16 +20,17 @@
 	return w
 }
 
-// TestRulesUnderRandomEvents drives the module through arbitrary legal orders of events and settings.
+// Whatever legal order events come in, under whatever settings, the module's actions break no rule.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
 		w := play(seed, 15*time.Second, nil)
 		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %d faults, the first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
 		}
 	}
 }
 
+// FuzzRules is TestRulesUnderRandomEvents with seeds from the fuzzer.
 func FuzzRules(f *testing.F) {
 	for seed := int64(1000); seed < 1005; seed++ {
 		f.Add(seed)
@@ -40,7 +42,7 @@
 	})
 }
 
-// TestSameEventsSameActions plays recorded events to a second module.
+// Two worlds with the same seed: the same events, in the same order, give the same actions. The module is deterministic.
 func TestSameEventsSameActions(t *testing.T) {
 	w := newWorld(7)
 	w.run(10*time.Second, testRate, false)
@@ -56,7 +58,8 @@
 	}
 }
 
-// TestCheckerCatches breaks the module's answers in each way that the rules forbid.
+// The checker of world_test.go finds each kind of violation: the module's actions are altered so that they break one rule
+// at a time, and the checker must report that rule.
 func TestCheckerCatches(t *testing.T) {
 	each := func(change func(*world, decide.Action) []decide.Action) func(*world, []decide.Action) []decide.Action {
 		return func(w *world, in []decide.Action) (out []decide.Action) {
@@ -176,7 +179,7 @@
 			found = strings.Contains(fmt.Sprint(w.broken), c.want)
 		}
 		if !found {
-			t.Errorf("a module broken so that %q was not caught", c.want)
+			t.Errorf("the checker did not report %q of a module that was altered to cause it", c.want)
 		}
 	}
 }
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -1,7 +1,7 @@
 package decide_test
 
-// A small world that drives the module through legal but unkind events, and an independent checker of the
-// rules. Nothing here uses the module's own code beyond its interface.
+// A simulated environment that drives one module through legal but adverse events, and an independent checker of the
+// rules that the module's actions must follow. It uses nothing of the module but its public interface.
 
 import (
 	"fmt"
@@ -12,6 +12,7 @@
 	"starlingvalve/decide"
 )
 
+// sentAttempt is one attempt that the module has sent.
 type sentAttempt struct {
 	server decide.ServerID
 	at     time.Duration
@@ -19,20 +20,23 @@
 	code   decide.OutcomeCode
 }
 
+// liveRequest is a request as the checker tracks it, from its arrival on.
 type liveRequest struct {
 	class    decide.Class
 	deadline time.Duration
 	attempts []sentAttempt
-	final    bool
-	stream   bool
+	final    bool // it has its final answer, or its client has left
+	stream   bool // a streamed answer has begun
 }
 
+// listedServer is a server together with what the list has said of it.
 type listed struct {
 	decide.Server
-	drainTold time.Duration // when the node was told that it drains or is gone; 0: it is ready
-	startTold bool
+	drainTold time.Duration // when the node was notified that it drains or is removed; 0: it is ready
+	startTold bool          // the node has been notified of the time of its latest start
 }
 
+// scheduledEvent is an event that reaches the module at a later time.
 type pending struct {
 	at    time.Duration
 	order int
@@ -40,6 +44,7 @@
 	id    decide.RequestID
 }
 
+// world is the environment of one node: its clients, its servers and discovery. Time passes in fixed steps.
 type world struct {
 	set      decide.Settings
 	r        *rand.Rand
@@ -50,9 +55,9 @@
 	servers  map[decide.ServerID]*listed
 	ids      []decide.ServerID
 	sends    map[decide.ServerID][]time.Duration
-	capacity float64 // requests a second that this node's share of a warm server can do
+	capacity float64 // requests per second: this node's share of what a warm server can serve
 	module   *decide.Module
-	mutate   func(w *world, a []decide.Action) []decide.Action
+	mutate   func(w *world, a []decide.Action) []decide.Action // alters actions, to test the checker; may be nil
 	events   []decide.Event
 	times    []time.Duration
 	actions  []string
@@ -60,16 +65,19 @@
 	next     int
 }
 
+// reportViolation records that the module has broken a rule.
 func (w *world) fault(format string, args ...any) {
 	w.broken = append(w.broken, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
+// schedule queues an event after a delay, which is at least Settings.MinTick.
 func (w *world) later(d time.Duration, p pending) {
 	w.order++
 	p.at, p.order = w.now+max(d, w.set.MinTick), w.order
 	w.queue = append(w.queue, p)
 }
 
+// handle passes an event to the module, and checks and executes the actions that it returns.
 func (w *world) handle(e decide.Event) {
 	w.events, w.times = append(w.events, e), append(w.times, w.now)
 	actions := w.module.Handle(w.now, e)
@@ -82,15 +90,19 @@
 	}
 }
 
-// sameGroup is the checker's own reading of the scopes.
+// sameScope tells whether two servers share their knowledge of keys. The checker has its own implementation of that
+// rule, so that it does not depend on the module's.
 func sameGroup(s decide.Scope, a, b *listed) bool {
 	return s == decide.ScopeAll || s == decide.ScopeZone && a.Zone == b.Zone || s == decide.ScopeCell && a.Cell == b.Cell
 }
 
+// neverRan tells whether an outcome proves that the server did not execute the request.
 func neverRan(c decide.OutcomeCode) bool {
 	return c == decide.Full || c == decide.ConnectFailed || c == decide.Moot
 }
 
+// checkSend checks an attempt against every rule on sending: the request's state and deadline, the state of the server,
+// repeats by effect, and the budget of a server in slow start.
 func (w *world) checkSend(q *liveRequest, a decide.Send) {
 	s := w.servers[a.Server]
 	if s == nil {
@@ -138,6 +150,7 @@
 	}
 }
 
+// execute checks an action and schedules the events that follow from it.
 func (w *world) carryOut(a decide.Action) {
 	switch a := a.(type) {
 	case decide.Send:
@@ -197,6 +210,7 @@
 	}
 }
 
+// recordFinalAnswer marks a request as answered, and reports an answer that is the second one.
 func (w *world) final(id decide.RequestID) *liveRequest {
 	q := w.requests[id]
 	if q == nil {
@@ -210,7 +224,7 @@
 	return q
 }
 
-// outcome plans how an attempt ends.
+// scheduleOutcome draws how an attempt ends, and when, and schedules its events.
 func (w *world) outcome(a decide.Send, q *liveRequest, n int) {
 	limit := q.deadline - w.now
 	if a.Timeout != 0 {
@@ -220,7 +234,7 @@
 		decide.Full, decide.TimedOut, decide.ConnectFailed, decide.Reset, decide.Moot}
 	code, took := codes[w.r.Intn(len(codes))], time.Duration(1+w.r.Intn(400))*time.Millisecond
 	if uint32(a.Server)%5 == uint32(w.now.Seconds()/7)%5 && w.r.Intn(2) == 0 {
-		code = decide.TimedOut // some servers are silent for a while
+		code = decide.TimedOut // some servers are unresponsive for a while
 	}
 	if code == decide.TimedOut || took > limit {
 		code, took = decide.TimedOut, limit
@@ -236,7 +250,8 @@
 		Code: code, Report: report}})
 }
 
-// deliver hands an event over, as the wire would: one outcome for each attempt, none for what the node forgot.
+// deliver passes a scheduled event to the module as a network would: one outcome for each attempt, and none for a request
+// that the node no longer knows.
 func (w *world) deliver(p pending) {
 	switch e := p.event.(type) {
 	case decide.AttemptEnded:
@@ -268,7 +283,7 @@
 	w.handle(p.event)
 }
 
-// arrivals and changes of the list.
+// arrive brings a request of a random class.
 func (w *world) arrive() {
 	w.next++
 	id := decide.RequestID(fmt.Sprintf("%036d", w.next))
@@ -288,13 +303,14 @@
 	w.handle(e)
 }
 
+// newServer makes a server with a new id and a random zone and cell.
 func (w *world) newServer(started time.Duration) decide.Server {
 	w.next++
 	return decide.Server{ID: decide.ServerID(w.next*2654435761 + 1), Zone: fmt.Sprint("z", w.r.Intn(2)),
 		Cell: w.r.Intn(3), Size: 1, StartedAt: started}
 }
 
-// tell records what a list says and passes it on.
+// applyList records what a list says of its servers, for the checker, and passes the list to the module.
 func (w *world) tell(kind decide.ListKind, entries []decide.Server) {
 	in := map[decide.ServerID]bool{}
 	for _, n := range entries {
@@ -323,6 +339,8 @@
 	w.handle(decide.ListUpdate{Kind: kind, Entries: entries})
 }
 
+// changeList makes one random change: a server drains, is removed, restarts or is added; or the whole list comes again, or
+// discovery fails.
 func (w *world) changeList() {
 	s := w.servers[w.ids[w.r.Intn(len(w.ids))]].Server
 	switch w.r.Intn(6) {
@@ -352,6 +370,7 @@
 	w.tell(decide.ListChanges, []decide.Server{s})
 }
 
+// start starts the node's process anew: a new module, which begins with the cached list and no requests.
 func (w *world) start() {
 	w.module = decide.New(w.set, w.r.Int63())
 	w.requests, w.queue = map[decide.RequestID]*liveRequest{}, nil
@@ -368,7 +387,7 @@
 	w.tell(decide.ListCached, all)
 }
 
-// run plays a stretch of time; restarts says whether the node may be restarted in between.
+// run simulates a period of time with so many arrivals per second. The node may be restarted during it if restarts is set.
 func (w *world) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := w.now + length; w.now < end; w.now += step {
@@ -400,6 +419,7 @@
 	}
 }
 
+// newWorld draws settings and classes at random, within what the interface permits, and starts the node.
 func newWorld(seed int64) *world {
 	r := rand.New(rand.NewSource(seed))
 	w := &world{r: r, now: time.Hour, servers: map[decide.ServerID]*listed{}, sends: map[decide.ServerID][]time.Duration{}}
