--- a/decide/asking_test.go
+++ b/decide/asking_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// allCalls is the time in which discovery can take one call from every node.
+// callRound is the time in which discovery can answer one call from every node.
 type allCalls time.Duration
 
+// perCall is discovery's work for one call.
 func (a allCalls) each(nodes int) time.Duration { return time.Duration(a) / time.Duration(nodes) }
 
-// outage plays a fleet whose watches all end at the moment in which discovery goes down, with a change at the
-// moment in which it can be reached again. It gives how long each node took to follow the change; one that has
-// not within a time is given that time.
+// runOutage simulates a fleet whose watches all end when discovery goes down, and a change of the list at the moment at
+// which discovery is reachable again. It returns how long each node took from then on to apply the change, in ascending
+// order. It waits for atMost; a node that has not applied the change by then counts with the time waited.
 func outage(nodes int, within time.Duration, d *queuedDiscovery, down, most time.Duration, seed int64) []time.Duration {
 	f := newAskingFleet(nodes, within, seed)
 	f.now, f.discovery, f.changeAt = time.Second, d, time.Hour
@@ -42,9 +43,10 @@
 	return took
 }
 
-// A change is followed by every node within 6 s of the moment from which discovery had it and could be reached,
-// whatever the calls before that have come to, and however long the settings let a node go without asking: with
-// waits that doubled up to 7.5 s, and were spread over 5 s or, where AskWithin allowed it, 12 s, it took 10 s and more.
+// Guards against long waits between list requests. Every node must apply a change within 6 s of the moment at which
+// discovery has it and is reachable, whatever became of its earlier requests, and however long the settings let a node go
+// without a request. With backoffs that doubled up to 7.5 s, and requests spread over 5 s, or over 12 s where
+// MaxListRequestInterval allowed it, that took 10 s and more.
 func TestChangeIsFollowedInTime(t *testing.T) {
 	t.Parallel()
 	const most = 15 * time.Second
@@ -75,7 +77,7 @@
 					d := &queuedDiscovery{chargesAll: c.chargesAll, perCall: c.all.each(c.nodes), overbook: 3, fault: fault.discoveryFault}
 					took := outage(c.nodes, c.within, d, fault.down, most, seed)
 					if last := took[c.nodes-1]; last > followWithin {
-						t.Errorf("seed %d, %s for %v: %v until all nodes follow a change, %v at most", seed, fault.discoveryFault, fault.down, last, followWithin)
+						t.Errorf("seed %d, %s for %v: %v until all nodes have applied a change, %v at most", seed, fault.discoveryFault, fault.down, last, followWithin)
 					}
 					worst, calls = max(worst, took[c.nodes-1]), max(calls, d.calls/c.nodes)
 				}
@@ -85,8 +87,8 @@
 	}
 }
 
-// Seven in ten of 300 processes are killed at once and start again, with discovery down into their start or short of
-// capacity. Nine in ten have a list to serve by within 10 s, also where their configuration holds none.
+// Seven in ten of 300 processes are killed at once and start again, while discovery is down at first or has too little
+// capacity. Nine in ten of them must have a list within 10 s, also where their configuration holds none.
 func TestRestartedAreReadyInTime(t *testing.T) {
 	t.Parallel()
 	restarted(t, []restartCase{
@@ -98,7 +100,7 @@
 	})
 }
 
-// The same where discovery takes on three times what it can answer in time.
+// The same where discovery queues three times as many calls as it can answer in time.
 func TestRestartedAreReadyThoughOverbooked(t *testing.T) {
 	t.Parallel()
 	restarted(t, []restartCase{
@@ -106,15 +108,17 @@
 	})
 }
 
+// restartCase is a fleet most of whose processes are restarted at once.
 type restartCase struct {
 	name     string
-	known    bool
+	known    bool // a process starts with the list of its configuration
 	all      allCalls
-	overbook float64
-	down     time.Duration // from the start of the processes on; those without a list can serve once it is over
-	settle   time.Duration // for the fleet's own start before that
+	overbook float64       // as queuedDiscovery's
+	down     time.Duration // outage from the restart on; processes without a list can serve only after it
+	settle   time.Duration // from the first start of the fleet to the restart
 }
 
+// checkRestarts runs each case and checks that nine in ten of the restarted processes have a list in time.
 func restarted(t *testing.T, cases []restartCase) {
 	const nodes, killed, readyWithin = 300, 210, 10 * time.Second
 	for _, c := range cases {
@@ -152,8 +156,9 @@
 	}
 }
 
-// A discovery that is short of capacity for one call from each node, and takes in more than it can answer in time, serves
-// them all the same after a while: nodes whose calls wait in vain ask less and less often.
+// Guards against a discovery that stays overloaded for ever. It needs 8 s for one call from each node, and works on calls
+// that have timed out in its queue. All nodes get the list all the same after a while, as those whose calls time out make
+// fewer and fewer of them.
 func TestCrowdedDiscoveryServesAll(t *testing.T) {
 	t.Parallel()
 	const most = time.Minute
@@ -163,12 +168,12 @@
 		if last := took[len(took)-1]; last > most*2/3 {
 			t.Errorf("seed %d: all are served after %v", seed, last)
 		}
-		t.Logf("half after %v, nine in ten after %v, all after %v; %d calls, %d in vain", took[149], took[269], took[299], d.calls, d.late)
+		t.Logf("half after %v, nine in ten after %v, all after %v; %d calls, %d of them timed out in the queue", took[149], took[269], took[299], d.calls, d.late)
 	}
 }
 
-// A watch that had fallen silent was begun anew in vain: a call was given up after 3 s. The next one comes by askMost after
-// that one began, as discovery may have been back just after it.
+// A watch has fallen silent, and the call that was to renew it has timed out after 3 s. The wait before the next call
+// counts from the beginning of that call, not from its end, as discovery may have been back just after the call began.
 func TestSilentRenewalCountsFromItsBeginning(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(100) {
@@ -189,7 +194,7 @@
 		for !asks() && f.now < began+time.Minute {
 		}
 		if took := f.now - began; took > askMost+askMargin {
-			t.Fatalf("seed %d: asked again %v after the call had begun, %v at most", seed, took, askMost)
+			t.Fatalf("seed %d: next list request %v after the call had begun, %v at most", seed, took, askMost)
 		}
 	}
 }
--- a/decide/askingfleet_test.go
+++ b/decide/askingfleet_test.go
@@ -1,6 +1,7 @@
 package decide
 
-// Many modules before one discovery in virtual time: what membership and the loop do in between is played here.
+// A simulation, in virtual time, of many modules that get their list from one discovery service. It also does the part of
+// the code between them: what the membership and core packages do with a call and its outcome.
 
 import (
 	"container/heap"
@@ -9,8 +10,8 @@
 )
 
 const (
-	discoveryTimeout = 2 * time.Second         // a call that has waited so long in discovery's queue ends with 503
-	silentCallLimit  = 3001 * time.Millisecond // after which membership gives up a call that has no answer
+	discoveryTimeout = 2 * time.Second         // discovery ends a call that has waited so long in its queue with status 503
+	silentCallLimit  = 3001 * time.Millisecond // after which the node gives up a call that has no answer
 	quickFailure     = time.Millisecond        // until a refusal or a reset is noticed
 )
 
@@ -25,22 +26,24 @@
 	faultMixed   discoveryFault = "any of these"
 )
 
-// queuedDiscovery is one service for all nodes that works through calls in turn. The next call of a watch, which follows an answer at once, goes
-// on with it and takes no turn: on the operators' bench the first answers of six nodes come at the same moments whether each goes on at once or not.
+// queuedDiscovery is one service for all nodes that works through calls in turn. A watch is a sequence of calls, and the
+// next one, which follows an answer at once, takes no turn in the queue: on the operators' benchmark the first answers of
+// six nodes come at the same moments whether or not each node continues its watch at once.
 type queuedDiscovery struct {
-	chargesAll       bool          // a stricter service: such calls take a turn all the same
-	perCall          time.Duration // of its work
-	overbook         float64       // it turns a call away whose answer would take more than so many time-outs
+	chargesAll       bool          // a stricter service: a watch's further calls take a turn as well
+	perCall          time.Duration // its work for one call
+	overbook         float64       // it refuses calls that would be answered only after this multiple of discoveryTimeout
 	fault            discoveryFault
 	downFrom, backAt time.Duration
-	freeAt           time.Duration
+	freeAt           time.Duration // when it has worked through its queue
 	calls, refused   int
-	late             int // calls that it worked on although they had waited too long
+	late             int // calls that it worked on although they had timed out
 }
 
+// down tells whether there is an outage.
 func (d *queuedDiscovery) down(now time.Duration) bool { return now >= d.downFrom && now < d.backAt }
 
-// call gives when a call that begins now ends, and whether it has an answer.
+// call returns when a call that begins now ends, and how.
 func (d *queuedDiscovery) call(now time.Duration, r *rand.Rand) (end time.Duration, how callResult) {
 	d.calls++
 	if d.down(now) {
@@ -71,33 +74,36 @@
 	return answer, callOK
 }
 
-// askingNode is a node as discovery meets it.
+// subscribingNode is a node's process, and what discovery and the tests know of it.
 type askingNode struct {
 	module   *Module
-	calling  bool
-	began    time.Duration
-	watching bool
-	followed time.Duration // when it knew of the change; 0: not yet
+	calling  bool          // a list request is under way
+	began    time.Duration // when its latest call began
+	watching bool          // a watch is open
+	followed time.Duration // when it had applied the change; 0: not yet
 	serves   time.Duration // when it had a list; 0: not yet
-	life     int           // of its processes; what an earlier one has called is void
+	life     int           // of its connections to discovery: ends of calls of an earlier generation are dropped
 }
 
+// callResult is how a call to discovery ends.
 type callResult int
 
 const (
 	callOK callResult = iota
 	callFailed
-	callCrowded // it has waited too long in the queue
+	callCrowded // it timed out in discovery's queue
 )
 
+// callEnd is the scheduled end of a call.
 type callEnd struct {
 	at   time.Duration
 	node int
 	life int
-	kept bool // the call that keeps a watch
+	kept bool // it is a further call of a watch
 	how  callResult
 }
 
+// callEnds is a heap by the time of the end.
 type callEnds []callEnd
 
 func (c callEnds) Len() int           { return len(c) }
@@ -111,20 +117,22 @@
 	return x
 }
 
-// askingFleet is many modules before one discovery, in virtual time.
+// subscribingFleet is a fleet of nodes that get their list from one discovery service.
 type askingFleet struct {
 	nodes     []askingNode
 	discovery *queuedDiscovery
 	changeAt  time.Duration // when server 1 begins to drain
-	known     bool          // a process that starts has a list
+	known     bool          // a process starts with a list
 	within    time.Duration // Settings.AskWithin
 	ends      callEnds
 	now       time.Duration
 	random    *rand.Rand
 }
 
+// changedServer is the entry of server 1 from changeAt on.
 var changedServer = Server{ID: 1, Zone: "a", Kind: "k", State: Draining, Size: 1}
 
+// readyServers is a list of eight servers, all of them ready.
 func readyServers() (list []Server) {
 	for i := range 8 {
 		list = append(list, Server{ID: ServerID(i + 1), Zone: "a", Kind: "k", State: Ready, Size: 1})
@@ -136,7 +144,7 @@
 	return &askingFleet{nodes: make([]askingNode, nodes), within: within, known: true, random: rand.New(rand.NewSource(seed))}
 }
 
-// start begins a node's process.
+// start starts a new process of a node.
 func (f *askingFleet) start(i int) {
 	s := fleetSettings(i)
 	s.Nodes, s.AskForList, s.AskWithin, s.MayMessage, s.MayProbe = len(f.nodes), true, f.within, false, false
@@ -149,6 +157,7 @@
 	f.handle(i, cached)
 }
 
+// handle passes an event to a node's module and begins the call that it asks for, if any.
 func (f *askingFleet) handle(i int, e Event) {
 	n := &f.nodes[i]
 	for _, a := range n.module.Handle(f.now, e) {
@@ -158,17 +167,18 @@
 	}
 }
 
+// beginCall begins a node's list request, or the further call that keeps its watch.
 func (f *askingFleet) begin(i int, kept bool) {
 	n := &f.nodes[i]
 	n.calling, n.began = !kept, f.now
 	if kept && !f.discovery.chargesAll && !f.discovery.down(f.now) {
-		return // it waits for news; broken ends it
+		return // it waits for changes until breakWatch ends it
 	}
 	end, how := f.discovery.call(f.now, f.random)
 	heap.Push(&f.ends, callEnd{at: end, node: i, life: n.life, kept: kept, how: how})
 }
 
-// ended takes what a call has brought, as core.Loop does.
+// endCall passes the outcome of a call to the module, as core.Loop does.
 func (f *askingFleet) ended(c callEnd) {
 	n := &f.nodes[c.node]
 	if n.life != c.life || n.module == nil {
@@ -186,7 +196,7 @@
 	}
 }
 
-// listed gives the list as it is now.
+// currentList is the list as discovery has it now.
 func (f *askingFleet) listed() []Server {
 	list := readyServers()
 	if f.now >= f.changeAt {
@@ -195,7 +205,7 @@
 	return list
 }
 
-// broken ends a node's watch, or its call for one.
+// breakWatch ends a node's watch, or its list request, with a failure.
 func (f *askingFleet) broken(i int, crowded bool) {
 	f.nodes[i].watching, f.nodes[i].calling = false, false
 	f.nodes[i].life++
@@ -206,6 +216,7 @@
 	f.handle(i, ListUpdate{Kind: ListFailed, Cause: cause})
 }
 
+// recordProgress records when a node first had a list, and when it had applied the change.
 func (f *askingFleet) note(i int) {
 	n := &f.nodes[i]
 	if n.serves == 0 {
@@ -216,7 +227,7 @@
 	}
 }
 
-// run plays until a time. Each node's tick comes at its own phase.
+// run simulates up to a time. The nodes' ticks are spread over the tick's period.
 func (f *askingFleet) run(until time.Duration) {
 	const step, tickSteps = 10 * time.Millisecond, 10
 	for ; f.now < until; f.now += step {
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -420,7 +420,7 @@
 
 // Guards against thresholds that come from what a lightly loaded fleet happened to have in flight. One class suddenly takes
 // eleven times as long: no server is ejected for it, and most requests of the other class are still served. Without a least
-// number of requests allowed at each server (leastWindow), 60 of 300 were served in time. Some requests are still refused,
+// number of requests allowed at each server (minWindow), 60 of 300 were served in time. Some requests are still refused,
 // as the node can't know that the servers could take more.
 func TestOneClassSuddenlyDear(t *testing.T) {
 	r := newRig(t, rigSettings(), 6)
--- a/decide/closedloop_test.go
+++ b/decide/closedloop_test.go
@@ -9,15 +9,18 @@
 	"time"
 )
 
-// A world in virtual time round one node: connections that ask again once they have their answer, or arrivals that wait
-// for nobody; servers with cores; and the node's own core, whose queue is delay that no server causes.
+// A simulation, in virtual time, of one node with its clients and servers. Clients are either connections that send their
+// next request once they have an answer (a closed loop), or arrivals at a given rate (an open loop). Servers have a number
+// of cores. The node has one core of its own, whose queue adds delay that no server causes.
 
+// timedEvent is a function that is to run at a time. Those of the same time run in the order in which they were scheduled.
 type worldEvent struct {
 	at  Time
 	seq int
 	do  func()
 }
 
+// timedQueue is a heap of events by time.
 type worldQueue []worldEvent
 
 func (q worldQueue) Len() int { return len(q) }
@@ -33,27 +36,30 @@
 	return e
 }
 
+// tally counts the requests of a class.
 type tally struct{ asked, served, inAim, refused, byNode int }
 
+// nodeSimulation is a node with its clients and servers.
 type virtual struct {
 	m      *Module
 	now    Time
 	queue  worldQueue
 	seq    int
 	rand   *rand.Rand
-	cost   time.Duration // of the node's core for each request's way in, and again for its answer
-	free   Time          // when that core is free
+	cost   time.Duration // that the node's core spends on an arriving request, and again on its answer
+	free   Time          // when the node's core is free
 	work   func(s ServerID, class string) time.Duration
-	cores  int // of a server; 0: any number
-	busy   map[ServerID][]Time
-	counts map[string]*tally
-	worst  time.Duration // longest answer
-	next   int
-	done   map[RequestID]func(served bool)
-	sent   map[RequestID]int
-	lines  []string
+	cores  int                             // of each server; 0: any number
+	busy   map[ServerID][]Time             // when each core of a server is free
+	counts map[string]*tally               // by class
+	worst  time.Duration                   // longest time from a request's arrival to its answer
+	next   int                             // number of the latest request
+	done   map[RequestID]func(served bool) // called once when the request ends
+	sent   map[RequestID]int               // attempts so far
+	lines  []string                        // what the module has logged
 }
 
+// newNodeSimulation starts a node with a list of so many servers.
 func newVirtual(s Settings, servers int) *virtual {
 	v := &virtual{m: New(s, 7), now: time.Hour, rand: rand.New(rand.NewPCG(3, 4)), busy: map[ServerID][]Time{}, done: map[RequestID]func(bool){},
 		sent: map[RequestID]int{}}
@@ -62,8 +68,10 @@
 	return v
 }
 
+// resetCounts begins the counting anew.
 func (v *virtual) count() { v.counts, v.worst = map[string]*tally{}, 0 }
 
+// tallyOf is the tally of a class.
 func (v *virtual) of(class string) *tally {
 	if v.counts[class] == nil {
 		v.counts[class] = &tally{}
@@ -71,18 +79,19 @@
 	return v.counts[class]
 }
 
+// schedule has a function called at a time, or now if that time has passed.
 func (v *virtual) at(t Time, do func()) {
 	v.seq++
 	heap.Push(&v.queue, worldEvent{max(t, v.now), v.seq, do})
 }
 
-// core takes the node's core for one step and gives the time at which that is done.
+// useCore queues one step of work for the node's core, and returns when it will be done.
 func (v *virtual) core() Time {
 	v.free = max(v.free, v.now) + v.cost
 	return v.free
 }
 
-// serve gives the time at which a server is done with a request that comes now.
+// finishTime adds a request that arrives now to a server's work, and returns when it will be done.
 func (v *virtual) serve(s ServerID, class string) Time {
 	work := v.work(s, class)
 	if v.cores == 0 {
@@ -103,6 +112,7 @@
 	return b[i]
 }
 
+// handle passes an event to the module and executes the actions that it returns.
 func (v *virtual) feed(e Event) {
 	for _, a := range slices.Clone(v.m.Handle(v.now, e)) {
 		switch a := a.(type) {
@@ -145,6 +155,7 @@
 	}
 }
 
+// endRequest ends a request that has not been served.
 func (v *virtual) end(id RequestID) {
 	if finish := v.done[id]; finish != nil {
 		delete(v.done, id)
@@ -152,12 +163,14 @@
 	}
 }
 
+// classOfID splits the id of a request into its class and number.
 func classOfID(id RequestID) (class string, n int, err error) {
 	_, err = fmt.Sscanf(string(id), "%s %d", &class, &n)
 	return
 }
 
-// ask brings a request of a class, now; then is called when it has ended.
+// sendRequest has a request of a class arrive now, and calls then when it has ended. The request counts as within its aim
+// if it is served in at most the given time.
 func (v *virtual) ask(class string, aim time.Duration, then func(served bool)) {
 	v.next++
 	id, began := RequestID(fmt.Sprint(class, " ", v.next)), v.now
@@ -180,7 +193,8 @@
 	})
 }
 
-// connect has so many connections ask again and again, beginning spread over ramp. One that is refused waits a little.
+// openConnections opens so many connections, spread over ramp, each of which sends one request after the other. A
+// connection whose request was not served waits 20 ms before the next one.
 func (v *virtual) connect(n int, ramp time.Duration, class func() string) {
 	for i := range n {
 		var again func(bool)
@@ -195,13 +209,14 @@
 	}
 }
 
-// open brings so many requests a second, whatever becomes of them, for a time.
+// sendAtRate has requests arrive at random times for a period, so many per second on average, whatever becomes of them.
 func (v *virtual) open(rate float64, length time.Duration, class func() string) {
 	for t := v.now; t < v.now+length; t += time.Duration(v.rand.ExpFloat64() / rate * float64(time.Second)) {
 		v.at(t, func() { v.ask(class(), 600*time.Millisecond, nil) })
 	}
 }
 
+// run simulates a period of time.
 func (v *virtual) run(length time.Duration) {
 	for end := v.now + length; len(v.queue) > 0 && v.queue[0].at <= end; {
 		e := heap.Pop(&v.queue).(worldEvent)
@@ -210,14 +225,17 @@
 	}
 }
 
+// singleNodeSettings are those of a fleet of one node.
 func oneNode() Settings {
 	s := sparseSettings(1)
 	s.HoldOffs, s.MaxHoldOff, s.ConnectTimeout = true, time.Second, 100*time.Millisecond
 	return s
 }
 
+// constantClass draws the same class every time.
 func always(class string) func() string { return func() string { return class } }
 
+// refusals is the number of refused requests of all classes.
 func (v *virtual) refusals() (n int) {
 	for _, t := range v.counts {
 		n += t.refused
@@ -225,11 +243,12 @@
 	return n
 }
 
-const coreCost = 30 * time.Microsecond
+const coreCost = 30 * time.Microsecond // of the node's core, for an arriving request or an answer
 
-// Servers go from 0.2 to 40 ms and back within 100 ms, and once for seconds: a cache has gone cold. The aims are 600 ms.
-// With H held to a multiple of the uncrowded latency, nine in ten were refused; with silence counted in multiples of a
-// latency of 0.2 ms, all servers were taken for silent.
+// Guards against refusals when servers become slower but still meet every aim. Their latency rises from 0.2 to 40 ms,
+// several times for 100 ms and once for 3 s, as when a cache has gone cold; the aims are 600 ms. With H limited to a
+// multiple of the unloaded latency, nine in ten requests were refused; and with the time without an answer counted in
+// multiples of a latency of 0.2 ms, all servers were taken for unresponsive.
 func TestStepShedsNothing(t *testing.T) {
 	for _, conns := range []int{256, 1024} {
 		v := newVirtual(oneNode(), 8)
@@ -258,12 +277,12 @@
 		v.count()
 		v.run(500 * time.Millisecond)
 		if limit := 4 * time.Duration(conns) * coreCost; v.worst > limit {
-			t.Errorf("%d connections: an answer took %v after the change, %v is the node's own queue", conns, v.worst, limit/2)
+			t.Errorf("%d connections: an answer took %v after the change, %v of that is the node's own queue", conns, v.worst, limit/2)
 		}
 	}
 }
 
-// A class of 0.2 ms and one of 200 ms on the same servers.
+// Guards against refusals where classes of very different cost, 0.2 and 200 ms, share servers.
 func TestMixShedsNothing(t *testing.T) {
 	for _, conns := range []int{64, 256} {
 		v := newVirtual(oneNode(), 8)
@@ -272,7 +291,7 @@
 			if class == "dear" {
 				return 200 * time.Millisecond
 			}
-			// Pauses of a millisecond are no slow server, though that is five times what this class costs.
+			// Pauses of a millisecond don't make a server slow, though that is five times what this class costs.
 			return 200*time.Microsecond + time.Duration(v.rand.ExpFloat64()*float64(time.Millisecond))
 		}
 		v.connect(conns, 500*time.Millisecond, func() string {
@@ -290,7 +309,8 @@
 	}
 }
 
-// A rise from 8 to 256 connections at servers of 50 ms: their rate of answers says nothing of what they can do.
+// Guards against refusals when load rises, here from 8 to 256 connections at servers that take 50 ms: the rate at which
+// they answered 8 connections says nothing of their capacity.
 func TestRiseShedsNothing(t *testing.T) {
 	v := newVirtual(oneNode(), 8)
 	v.cost = coreCost
@@ -305,8 +325,9 @@
 	}
 }
 
-// 1,024 connections at once, after 64, at servers whose uncrowded latency is as long as what counts as calm: nothing makes
-// room there, and the rate smoothed over seconds is that of the 64. Answers come well within what the aims allow.
+// The same, from 256 to 1,024 connections, at servers whose unloaded latency is about as long as what counts as lightly
+// loaded. There no answer raises the limit on requests in flight, and the rate smoothed over seconds is still that of the
+// 256. All answers come well within the aims.
 func TestRiseAtSlowServersShedsNothing(t *testing.T) {
 	for _, work := range []time.Duration{5 * time.Millisecond, 50 * time.Millisecond, 65 * time.Millisecond} {
 		v := newVirtual(oneNode(), 8)
@@ -325,7 +346,7 @@
 	}
 }
 
-// One server of eight becomes 50 times slower; then all become twice as slow.
+// Guards against refusals when servers slow down: one of eight becomes 50 times slower, or all become twice as slow.
 func TestSlowServersShedNothing(t *testing.T) {
 	for name, factor := range map[string]func(ServerID) time.Duration{
 		"one": func(s ServerID) time.Duration {
@@ -356,8 +377,8 @@
 	}
 }
 
-// A real overload of fast servers, 1.5 and 3 times what they can do: the dear class is kept, the servers are kept busy,
-// and what is served is served in time.
+// An overload of fast servers, by 1.5 and by 3 times their capacity: the class of high worth is still served, the servers
+// stay busy, and what is served is served in time.
 func TestOverloadOfFastServers(t *testing.T) {
 	for _, times := range []float64{1.5, 3} {
 		v := newVirtual(oneNode(), 8)
@@ -378,10 +399,10 @@
 		v.run(5 * time.Second)
 		dear, cheap := *v.of("dear"), *v.of("cheap")
 		if got := dear.inAim * 100 / dear.asked; got < 95 {
-			t.Errorf("%v times: %d%% of the dear in time: %+v", times, got, dear)
+			t.Errorf("%v times: %d%% of the class of high worth in time: %+v", times, got, dear)
 		}
 		if got := (dear.inAim + cheap.inAim) * 100 / (5 * capacity); got < 85 {
-			t.Errorf("%v times: %d%% of what the servers can do: dear %+v, cheap %+v", times, got, dear, cheap)
+			t.Errorf("%v times: %d%% of what the servers can do: high worth %+v, low worth %+v", times, got, dear, cheap)
 		}
 		if late := dear.served + cheap.served - dear.inAim - cheap.inAim; late > dear.served/20 {
 			t.Errorf("%v times: %d answers too late", times, late)
@@ -389,8 +410,8 @@
 	}
 }
 
-// A node that is short of CPU blames no server, sheds the cheap class for its own sake and no more than it must, says so,
-// and stops when it has its core back.
+// A node that lacks CPU ejects no server. It sheds requests of low worth as its own refusals (ByNode), no more than it
+// must, logs that in a few lines, and stops when it has its core back.
 func TestStarvedNodeShedsAsItself(t *testing.T) {
 	v := newVirtual(oneNode(), 8)
 	v.cost = 100 * time.Microsecond // 5,000 requests a second are all that the core does
@@ -403,7 +424,7 @@
 	}
 	v.open(2000, 2*time.Second, class)
 	v.run(2 * time.Second)
-	v.cost = 400 * time.Microsecond // a second process: 1,250 are left
+	v.cost = 400 * time.Microsecond // a second process takes most of the core: 1,250 requests a second are left
 	v.open(2000, 4*time.Second, class)
 	v.run(4 * time.Second)
 	byNode, servers := 0, 0
@@ -411,11 +432,11 @@
 		byNode, servers = byNode+c.byNode, servers+c.refused-c.byNode
 	}
 	if byNode == 0 || servers > byNode/10 {
-		t.Errorf("%d refused for the node's sake, %d for the servers'", byNode, servers)
+		t.Errorf("%d refused as the node lacks CPU, %d because of its servers", byNode, servers)
 	}
 	for _, s := range v.m.known {
 		if s.suspect {
-			t.Errorf("server %d is a suspect", s.ID)
+			t.Errorf("server %d is ejected as an outlier", s.ID)
 		}
 	}
 	if len(v.lines) == 0 || len(v.lines) > 20 {
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -9,16 +9,17 @@
 )
 
 const (
-	// coldSeedsVariable is the environment variable that says how many seeds to run.
+	// coldSeedsEnv is the environment variable with the number of seeds to run.
 	coldSeedsVariable = "COLD_SEEDS"
-	// coldSeeds is their number where it is not set, and coldLargeSeeds the number of those with 300 nodes among them,
-	// whose runs take the longest.
+	// defaultColdSeeds is the number of seeds where the variable is not set. Of those with 300 nodes, whose runs take the
+	// longest, only the first defaultColdLargeSeeds are run then.
 	coldSeeds, coldLargeSeeds = 50, 1
-	// coldUsedLeast is the part of their capacity that cold servers get in work, at least: the mean of a size's runs.
+	// coldMinUsedPart is the least part of the cold servers' capacity that must be used, as a mean over the runs of one
+	// fleet size.
 	coldUsedLeast = 0.4
 )
 
-// seedsWanted gives the number of seeds that the environment asks for, 0 if it says nothing.
+// requestedSeeds is the number of seeds that the environment variable asks for; 0 if it is not set.
 func seedsWanted(t *testing.T) int {
 	t.Helper()
 	text := os.Getenv(coldSeedsVariable)
@@ -32,14 +33,15 @@
 	return n
 }
 
-// coldTotal sums up the runs of one number of nodes.
+// coldTotal sums up the runs of one fleet size.
 type coldTotal struct {
-	runs, over  int
+	runs, over  int // all runs; those in which a server got more than its bound
 	worst, used float64
 }
 
-// What all nodes together send a cold server stays, in every window, within what the settings allow it then and chance:
-// N + 2 x root of N + 2 requests of mean work. Nor does it go unused. No node sees what the others send.
+// Guards against overloading servers in slow start, where no node sees what the others send. In every window of
+// Settings.OverloadTime, all nodes together send a cold server at most N + 2 x root of N + 2 requests of mean work, where N is
+// what the settings allow it then and the rest is for chance. Nor do cold servers stay unused.
 func TestColdServersAreSparedByTheSumOfAllNodes(t *testing.T) {
 	seeds, large := seedsWanted(t), math.MaxInt
 	if seeds == 0 {
@@ -58,7 +60,8 @@
 	checkColdRuns(t, runs)
 }
 
-// Before budgets lapsed, nodes spent at once what they had saved up: each of these seeds was over the bound then.
+// Guards against budgets of cold servers that accumulate without limit: nodes spent all at once what they had saved in an
+// idle period, and with each of these seeds a cold server got more than its bound.
 func TestBudgetsOfColdServersAreNotSavedUp(t *testing.T) {
 	var runs []coldScenario
 	for seed := range seedsWanted(t) {
@@ -72,10 +75,10 @@
 	checkColdRuns(t, runs)
 }
 
-// savedUpSeeds are seeds of quietThenLost.
+// accumulationSeeds are seeds of quietThenLost.
 var savedUpSeeds = []uint64{10, 90, 208, 266, 279, 281}
 
-// checkColdRuns makes runs and judges them.
+// checkColdRuns runs scenarios and checks what the cold servers got: in each window, and as a mean per fleet size.
 func checkColdRuns(t *testing.T, runs []coldScenario) {
 	t.Helper()
 	verdicts := make([]coldVerdict, len(runs))
--- a/decide/coldverdict_test.go
+++ b/decide/coldverdict_test.go
@@ -1,29 +1,30 @@
 package decide
 
-// What a run of a fleet before cold servers came to.
+// The result of a run of coldworld_test.go.
 
 import (
 	"math"
 	"time"
 )
 
-// coldExcess is a window in which a server got more than its bound.
+// coldExcess is a window of time in which a server got more work than its bound, both in mean requests.
 type coldExcess struct {
 	server       ServerID
 	from         time.Duration // after the server's start
 	count, bound float64
 }
 
-// coldVerdict is what a run came to.
+// coldVerdict is the result of a run.
 type coldVerdict struct {
-	excess  []coldExcess // the worst window of each server that got too much
-	worst   float64      // count / bound, of all windows of all cold servers
-	used    float64      // of what the cold servers could have done, the part that was sent to them
-	windows int
+	excess  []coldExcess // the worst window of each server that got too much work
+	worst   float64      // largest count / bound of all windows of all cold servers
+	used    float64      // work sent to the cold servers, as a part of what they could have done
+	windows int          // that were checked
 }
 
-// judge looks at every window that ends with a send. N is what the settings allow in it: the multiple of what the
-// server can do then. A window counts where over two thirds of the work came from nodes that had been told of the start.
+// judge checks every window of Settings.OverloadTime that ends with an attempt. Its bound is N + 2 x root of N + 2 requests,
+// where N is Settings.OverloadFactor times what the server can do in that window. A window counts only if over two thirds
+// of its work came from nodes that had been notified of the server's start.
 func (f *coldFleet) judge() (v coldVerdict) {
 	sent, able := 0.0, 0.0
 	for _, id := range f.ids {
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	listBound    = 6 * time.Second        // a process counts as notified so long after discovery had a change and was reachable
+	listBound    = 6 * time.Second        // from a change, with discovery reachable, until a process counts as notified
 	listGrace    = 550 * time.Millisecond // for which requests may still go to a draining server after that
 	listStep     = 25 * time.Millisecond  // of virtual time
 	listAsk      = 100 * time.Millisecond // between two clients' requests at a process
