--- a/decide/audience_test.go
+++ b/decide/audience_test.go
@@ -79,7 +79,7 @@
 	m := fleetOf(300, 200)[0]
 	a, b := m.ring[0], m.ring[100]
 	m.untag(b)
-	b.place = b.place&^(0xffff<<32) | uint64(a.tag())<<32 // the upper bits, which set its place, stay
+	b.place = b.place&^(0xffff<<32) | uint64(a.tag())<<32 // the upper bits, and so its place in the ring, stay
 	m.tags[a.tag()] = append(m.tags[a.tag()], b)
 	from := func(place int) int {
 		for j := range 300 {
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -40,8 +40,8 @@
 }
 
 // Guards against overloading servers in slow start, where no node sees what the others send. In every window of
-// Settings.OverloadTime, all nodes together send a cold server at most N + 2 x root of N + 2 requests of mean work, where N is
-// what the settings allow it then and the rest is for chance. Nor do cold servers stay unused.
+// Settings.OverloadTime, all nodes together send a cold server at most N + 2 x root of N + 2 requests of mean work, where N
+// is what the settings allow it then and the rest is for chance. Nor do cold servers stay unused.
 func TestColdServersAreSparedByTheSumOfAllNodes(t *testing.T) {
 	seeds, large := seedsWanted(t), math.MaxInt
 	if seeds == 0 {
--- a/decide/coldverdict_test.go
+++ b/decide/coldverdict_test.go
@@ -19,11 +19,11 @@
 	excess  []coldExcess // the worst window of each server that got too much work
 	worst   float64      // largest count / bound of all windows of all cold servers
 	used    float64      // work sent to the cold servers, as a part of what they could have done
-	windows int          // that were checked
+	windows int          // all windows, also those that don't count
 }
 
-// judge checks every window of Settings.OverloadTime that ends with an attempt. Its bound is N + 2 x root of N + 2 requests,
-// where N is Settings.OverloadFactor times what the server can do in that window. A window counts only if over two thirds
+// judge checks every window of Settings.OverloadTime that ends with an attempt. The window's bound is N + 2 x root of N + 2
+// requests, where N is Settings.OverloadFactor times what the server can do in it. A window counts only if over two thirds
 // of its work came from nodes that had been notified of the server's start.
 func (f *coldFleet) judge() (v coldVerdict) {
 	sent, able := 0.0, 0.0
--- a/decide/endings_test.go
+++ b/decide/endings_test.go
@@ -8,12 +8,12 @@
 	"pgregory.net/rapid"
 )
 
-// crossing is one request, as whoever feeds the module knows it.
+// trackedRequest is a request as the module's caller knows it. Its slices have an entry for each attempt.
 type crossing struct {
 	class    Class
-	finals   int
-	over     bool // answered, or its client has left
-	left     bool
+	finals   int  // final answers so far
+	over     bool // it has its final answer, or its client has left
+	left     bool // its client has left
 	ended    []bool
 	codes    []OutcomeCode
 	servers  []Server
@@ -22,7 +22,7 @@
 	deadline Time
 }
 
-// open is the attempts that are out.
+// openAttempts are the numbers of the attempts that have not ended.
 func (c *crossing) open() (out []int) {
 	for i, ended := range c.ended {
 		if !ended {
@@ -32,14 +32,15 @@
 	return out
 }
 
-// mayHaveRun tells whether attempt i may have run, or may yet.
+// mayHaveRun tells whether a server may have executed attempt i, or may still do so.
 func (c *crossing) mayHaveRun(i int) bool {
 	return !c.ended[i] || c.codes[i] != Full && c.codes[i] != ConnectFailed && c.codes[i] != Moot
 }
 
-// Whatever crosses whatever, in virtual time, under settings of all kinds: each request gets one final answer, or none once its client has left; nothing is sent for one that is
-// over; an unsafe one that may have run goes out no more, a keyed one only to those that drop its repeat; a refusal is given only where to try again does no harm; and once all
-// is in nothing of it is left.
+// Whatever order the ends of requests and attempts come in, in virtual time and under random settings: each request gets
+// one final answer, or none once its client has left. Nothing is sent for a request that is over. An unsafe request that
+// may have run is not sent again, and a keyed one only to servers that drop repeats of it. A request is refused only where
+// a repeat does no harm. Once all attempts have ended the module holds nothing of the requests.
 func TestEndingsCross(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -68,15 +69,15 @@
 					s := listed[a.Server]
 					switch {
 					case r.over:
-						t.Fatalf("%s is over, and goes to %d", a.ID, a.Server)
+						t.Fatalf("%s is over, and is sent to %d", a.ID, a.Server)
 					case s.State != Ready:
-						t.Fatalf("%s goes to %d, which is not ready", a.ID, a.Server)
+						t.Fatalf("%s is sent to %d, which is not ready", a.ID, a.Server)
 					case now >= r.deadline:
-						t.Fatalf("%s goes out after its time", a.ID)
+						t.Fatalf("%s is sent after its deadline", a.ID)
 					case len(r.sent) >= max(1, set.MaxAttempts):
-						t.Fatalf("%s: attempt %d of %d", a.ID, len(r.sent)+1, set.MaxAttempts)
+						t.Fatalf("%s: attempt %d, %d allowed", a.ID, len(r.sent)+1, set.MaxAttempts)
 					case len(r.open()) > 0 && !set.MayOverlap:
-						t.Fatalf("%s: a second copy", a.ID)
+						t.Fatalf("%s: two attempts at once", a.ID)
 					}
 					for i := range r.sent {
 						if !r.mayHaveRun(i) || r.class.Effect == Safe {
@@ -85,7 +86,7 @@
 						was := r.servers[i]
 						if r.class.Effect == Unsafe || now >= r.sent[i]+r.class.DedupWindow || r.class.KeyScope == ScopeCell && was.Cell != s.Cell ||
 							r.class.KeyScope == ScopeZone && was.Zone != s.Zone {
-							t.Fatalf("%s, %v, may have run at %v, and goes to %v", a.ID, r.class, was, s)
+							t.Fatalf("%s, %v, may have run at %v, and is sent to %v", a.ID, r.class, was, s)
 						}
 					}
 					r.sent, r.servers, r.ended, r.codes = append(r.sent, now), append(r.servers, s), append(r.ended, false), append(r.codes, OK)
@@ -110,7 +111,7 @@
 				}
 			}
 		}
-		// end tells of an attempt's end, once.
+		// endAttempt ends an attempt that is open.
 		end := func(id RequestID, i int, code OutcomeCode) {
 			r := requests[id]
 			if code == OK && !r.over && !r.streams {
@@ -121,7 +122,7 @@
 		}
 		for n := range rapid.IntRange(5, 120).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
-			var live []RequestID // with attempts out
+			var live []RequestID // requests with open attempts
 			for _, id := range order {
 				if len(requests[id].open()) > 0 {
 					live = append(live, id)
@@ -137,11 +138,11 @@
 			case kind <= 5 && len(live) > 0:
 				id := rapid.SampledFrom(live).Draw(t, "request")
 				end(id, rapid.SampledFrom(requests[id].open()).Draw(t, "attempt"), OutcomeCode(rapid.IntRange(int(OK), int(Moot)).Draw(t, "code")))
-			case kind == 6 && len(order) > 0: // the client leaves, perhaps once its answer is there
+			case kind == 6 && len(order) > 0: // the client leaves, perhaps after its answer
 				id := rapid.SampledFrom(order).Draw(t, "request")
 				requests[id].over, requests[id].left = true, true
 				handle(RequestAbandoned{ID: id})
-			case kind == 7 && len(live) > 0: // an answer begins to pass
+			case kind == 7 && len(live) > 0: // a streamed answer begins
 				id := rapid.SampledFrom(live).Draw(t, "request")
 				if r := requests[id]; !r.over {
 					i := r.open()[0]
@@ -152,7 +153,7 @@
 				s := Server{ID: ServerID(rapid.IntRange(1, 6).Draw(t, "server")), Zone: rapid.SampledFrom(set.Zones).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
 					State: ServerState(rapid.IntRange(0, 2).Draw(t, "state"))}
 				if was, ok := listed[s.ID]; ok {
-					s.Zone, s.Cell = was.Zone, was.Cell // it stays where it is
+					s.Zone, s.Cell = was.Zone, was.Cell // a server does not move
 				}
 				listed[s.ID] = s
 				handle(ListUpdate{Kind: ListChanges, Version: uint64(n), Entries: []Server{s}})
@@ -170,7 +171,7 @@
 				}
 			}
 		}
-		// All is let come in, and time go by.
+		// All open attempts end, and enough time passes for every deadline.
 		for _, id := range order {
 			for _, i := range append([]int(nil), requests[id].open()...) {
 				end(id, i, Reset)
@@ -191,7 +192,7 @@
 			}
 		}
 		if len(m.requests) > 0 || len(m.open) > 0 {
-			t.Fatalf("%d requests and %d entries are left", len(m.requests), len(m.open))
+			t.Fatalf("%d requests and %d open entries are left", len(m.requests), len(m.open))
 		}
 	})
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"starlingvalve/decide"
 )
 
-// A node asks the module where a request goes, with no wire in between.
+// A node passes a request to the module and gets the attempt to send, without any I/O.
 func Example() {
 	m := decide.New(decide.Settings{
 		Nodes: 1, MaxAttempts: 3, ColdFrom: 0.5, ColdTime: 5 * time.Second,
--- a/decide/foreign_test.go
+++ b/decide/foreign_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What another site hands over is served from what is spare only: at a load that leaves room it is served, at one that
-// fills the servers it is refused, whatever its worth, and the hall's own requests fare as without it.
+// Requests that another site hands over get spare capacity only. At a load that leaves headroom they are served. In an
+// overload they are refused, whatever their worth, and the site's own requests are served as well as without them.
 func TestForeignNeverDisplacesOwn(t *testing.T) {
 	play := func(own, foreign float64) (ownInAim, ownAsked, foreignServed, foreignAsked int, room float64) {
 		v := newVirtual(oneNode(), 8)
@@ -33,19 +33,20 @@
 		return ownInAim, ownAsked, foreignServed, foreignAsked, v.m.Headroom(v.now)
 	}
 	if _, _, served, asked, room := play(0.4, 0.2); served < asked*95/100 || room < 1 {
-		t.Errorf("with room to spare %d of %d served, headroom %.1f", served, asked, room)
+		t.Errorf("with capacity to spare %d of %d served, headroom %.1f", served, asked, room)
 	}
 	alone, asked, _, _, _ := play(1.3, 0)
 	beside, askedBeside, served, _, room := play(1.3, 0.4)
 	if got, want := float64(beside)/float64(askedBeside), float64(alone)/float64(asked); got < want-0.03 {
-		t.Errorf("own served %.3f in time, %.3f without guests (%d guests served)", got, want, served)
+		t.Errorf("own served %.3f in time, %.3f without requests from elsewhere (%d of those served)", got, want, served)
 	}
 	if room > 30 {
 		t.Errorf("headroom %.1f in an overload", room)
 	}
 }
 
-// guests brings foreign requests, which are no part of the world's own counts.
+// sendForeign has requests from another site arrive at random times for a period, and counts them apart from the site's
+// own: those that arrive, and those that are served.
 func (v *virtual) guests(rate float64, length time.Duration, class string, served, asked *int) {
 	n := 0
 	for t := v.now; t < v.now+length; t += time.Duration(v.rand.ExpFloat64() / rate * float64(time.Second)) {
@@ -63,8 +64,9 @@
 	}
 }
 
-// A node that nobody asks hears that another of its site refuses the site's own requests, and takes nothing from elsewhere
-// until that is over. Words are few, and there are none where no other site hands work over.
+// Guards against requests from other sites at a node that refuses nobody, while another node of its site must refuse the
+// site's own requests. The overloaded node notifies the others, and they take nothing from other sites until a second after
+// the last notice. Notices are rare, and there are none where no other site hands work over.
 func TestShortNodesTellTheOthers(t *testing.T) {
 	settings := func(self int, tell bool) Settings {
 		s := oneNode()
@@ -72,7 +74,7 @@
 		return s
 	}
 	say := func(tell bool) (words []SendMessage) {
-		m := New(settings(0, tell), 7) // it knows no server, and refuses all
+		m := New(settings(0, tell), 7) // it knows no server, and refuses every request
 		for i := range 500 {
 			for _, a := range m.Handle(time.Hour+Time(i)*time.Millisecond, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: time.Second}) {
 				if w, ok := a.(SendMessage); ok {
@@ -84,10 +86,10 @@
 	}
 	words := say(true)
 	if len(words) != 2 || !words[0].ToAll {
-		t.Fatalf("%d words in half a second of refusals: %+v", len(words), words)
+		t.Fatalf("%d notices in half a second of refusals: %+v", len(words), words)
 	}
 	if n := len(say(false)); n > 0 {
-		t.Errorf("%d words where nobody is to be told", n)
+		t.Errorf("%d notices where no other site hands work over", n)
 	}
 
 	v := newVirtual(settings(1, true), 8)
@@ -104,19 +106,19 @@
 		return ok
 	}
 	if v.m.Headroom(v.now) == 0 || !taken() {
-		t.Fatal("nothing taken with room to spare")
+		t.Fatal("nothing taken with capacity to spare")
 	}
 	v.feed(MessageReceived{From: 0, Data: []byte("something else")})
-	v.feed(MessageReceived{From: 1, Data: words[0].Data}) // its own, perhaps by way of the address of all
+	v.feed(MessageReceived{From: 1, Data: words[0].Data}) // its own notice, as when it is sent to a broadcast address
 	if !taken() {
-		t.Error("a datagram that says nothing keeps work out")
+		t.Error("a datagram without meaning keeps work from other sites out")
 	}
 	v.feed(MessageReceived{From: 0, Data: words[0].Data})
 	if v.m.Headroom(v.now) > 0 || taken() {
-		t.Error("foreign work taken while another node of the site is short")
+		t.Error("work from another site taken while a node of this site is overloaded")
 	}
 	v.run(time.Second)
 	if v.m.Headroom(v.now) == 0 || !taken() {
-		t.Error("nothing taken a second after the last word")
+		t.Error("nothing taken a second after the last notice")
 	}
 }
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -7,8 +7,10 @@
 	"time"
 )
 
-// Many nodes that see little: each test here guards against what only many nodes do together.
+// Fleets of many nodes with little traffic each. Each test here guards against an effect that only many nodes together
+// have.
 
+// lowTrafficSettings are those of one of so many nodes, which send one another no messages and make no probes.
 func sparseSettings(nodes int) Settings {
 	return Settings{Nodes: nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, ColdFrom: 0.2,
 		ColdTime: 20 * time.Second, OverloadFactor: 3, OverloadTime: 2 * time.Second,
@@ -17,6 +19,7 @@
 			{Name: "cheap", Worth: 1, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe}}}
 }
 
+// cachedServerList is a list of so many servers, as a node has it from before its start.
 func sparseList(servers int) ListUpdate {
 	l := ListUpdate{Kind: ListCached}
 	for i := range servers {
@@ -25,8 +28,8 @@
 	return l
 }
 
-// drive plays seconds of traffic at one node, four requests a second, each answered after took. It returns how many of
-// each class were sent and the last time.
+// runTraffic simulates some seconds of traffic at one node, four requests per second, each answered after the given latency
+// and with the given report. It returns how many requests of each class were sent to a server, and the time at the end.
 func drive(m *Module, from Time, seconds int, took time.Duration, report *Report) (map[string]int, Time) {
 	sent, id := map[string]int{}, 0
 	now := from
@@ -57,8 +60,8 @@
 	return sent, now
 }
 
-// A node with few requests keeps to few servers, and all nodes together use all servers alike: else connection tables
-// fill, or some servers are crowded.
+// A node with few requests uses few servers, and all nodes together use all servers about equally often. Otherwise the
+// servers' connection tables fill, or some servers are overloaded.
 func TestSubsetsCoverServersEvenly(t *testing.T) {
 	const nodes, servers = 600, 180
 	use := map[ServerID]int{}
@@ -82,7 +85,7 @@
 	}
 }
 
-// A busy node uses every server.
+// A node with many requests uses every server.
 func TestBusyNodeUsesAll(t *testing.T) {
 	m := New(sparseSettings(2), 1)
 	m.Handle(time.Hour, sparseList(20))
@@ -96,30 +99,32 @@
 	}
 }
 
-// In a quiet many-node fleet nothing is shed; in a crowded one the cheap class is, then part of the dear one, although
-// this node's own count is nearly always 0; and what it knows lapses, so that it does not refuse for ever.
+// A node of a large fleet, whose own count of requests in flight at a server is nearly always 0, sheds by delay. In light
+// load nothing is shed; in an overload the class of low worth is, and in a heavier one also part of the class of high
+// worth. What the node has learned of the overload lapses, so that it does not refuse requests for ever.
 func TestSparseNodeShedsByDelayAndRecovers(t *testing.T) {
 	m := New(sparseSettings(600), 3)
 	m.Handle(time.Hour, sparseList(180))
 	quiet, now := drive(m, time.Hour, 20, 60*time.Millisecond, nil)
 	if quiet["dear"] < 39 || quiet["cheap"] < 39 {
-		t.Errorf("quiet: %v sent of 40 each", quiet)
+		t.Errorf("light load: %v sent of 40 each", quiet)
 	}
 	crowded, now := drive(m, now, 10, 240*time.Millisecond, nil)
 	if crowded["cheap"] > 15 || crowded["dear"] < 6 || m.q2 == 0 {
-		t.Errorf("crowded: %v sent of 20 each, q2 %v", crowded, m.q2)
+		t.Errorf("overload: %v sent of 20 each, q2 %v", crowded, m.q2)
 	}
 	jammed, now := drive(m, now, 10, 700*time.Millisecond, nil)
 	if jammed["cheap"] > 10 || jammed["dear"] > 15 || m.q1 == 0 {
-		t.Errorf("jammed: %v sent of 20 each, q1 %v", jammed, m.q1)
+		t.Errorf("heavier overload: %v sent of 20 each, q1 %v", jammed, m.q1)
 	}
 	_, now = drive(m, now, 15, 60*time.Millisecond, nil)
 	if after, _ := drive(m, now, 10, 60*time.Millisecond, nil); after["cheap"] < 18 || after["dear"] < 18 {
-		t.Errorf("calm again: %v sent of 20 each", after)
+		t.Errorf("light load again: %v sent of 20 each", after)
 	}
 }
 
-// What servers report counts all nodes' requests, and brings all three modes about at a node that has none there.
+// A server's report counts all nodes' requests. It can put the server into any of the three modes at a node that has no
+// requests in flight there.
 func TestSparseNodeTakesModesFromReports(t *testing.T) {
 	for _, c := range []struct {
 		inFlight float64
@@ -137,7 +142,8 @@
 	}
 }
 
-// Two failed connects are no dead process: the connection table may be full. Three in a row make a suspect.
+// A server is ejected after three failed connects in a row, as after other failures. Two may just mean that its connection
+// table is full.
 func TestFailedConnectsAreStrikesLikeOthers(t *testing.T) {
 	m := New(sparseSettings(600), 1)
 	m.Handle(time.Hour, sparseList(1))
@@ -147,12 +153,12 @@
 		m.Handle(now, RequestArrived{ID: id, Class: "dear", Patience: time.Second})
 		m.Handle(now+100*time.Millisecond, AttemptEnded{ID: id, Server: 1, Code: ConnectFailed, Elapsed: 100 * time.Millisecond})
 		if got, want := m.near[0].suspect, i == 2; got != want {
-			t.Errorf("after %d failed connects: suspect %v", i+1, got)
+			t.Errorf("after %d failed connects: ejected %v", i+1, got)
 		}
 	}
 }
 
-// Absurd reports change little, and not for long.
+// Reports with impossible numbers change little, and not for long.
 func TestAbsurdReportsAreBounded(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), -5, 1e300} {
 		m := New(sparseSettings(600), 3)
--- a/decide/memory_test.go
+++ b/decide/memory_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// What has gone is forgotten, and a class that no settings name is not remembered: both come without end.
+// Guards against memory that grows without limit, as new server ids and unknown class names keep coming: removed servers
+// and requests that are over are forgotten, and a class that the settings lack is not stored.
 func TestForgets(t *testing.T) {
 	m := New(Settings{Nodes: 1, MaxAttempts: 2, Classes: []Class{{Name: "c", Effect: Safe, Aim: time.Second}}}, 1)
 	now := Time(0)
@@ -18,7 +19,7 @@
 		for _, a := range acts {
 			if s, ok := a.(Send); ok {
 				if m.known[s.Server] == nil {
-					t.Fatal("forgotten with an attempt out")
+					t.Fatal("server forgotten while an attempt at it is open")
 				}
 				m.Handle(now, AttemptEnded{ID: id, Server: s.Server, Over: true, Code: OK})
 			}
--- a/decide/mode_test.go
+++ b/decide/mode_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// The thresholds of the modes with their hysteresis, at the exact edges that the paper gives.
 func TestNextModeEdges(t *testing.T) {
 	const low, high, block = 3, 5, 9
 	for _, c := range []struct {
@@ -24,6 +25,7 @@
 	}
 }
 
+// An overall drop probability q falls on other requests first (q2), and on priority requests (q1) only for what remains.
 func TestShedSplit(t *testing.T) {
 	for _, c := range []struct{ q, n1, n2, q1, q2 float64 }{
 		{0.3, 50, 50, 0, 0.6},  // others suffice
--- a/decide/scale_test.go
+++ b/decide/scale_test.go
@@ -9,9 +9,10 @@
 	"time"
 )
 
-// Large fleets: what a decision or a change of the list costs must not grow with the fleet, and the structures that
-// see to it must agree with what a scan would find.
+// Large fleets: the cost of a decision or of a change of the list must not grow with the number of servers, and the data
+// structures that serve this must agree with a scan over all servers.
 
+// largeFleetSettings are lowTrafficSettings for one node, with a keyed and an unsafe class beside the two safe ones.
 func bigSettings() Settings {
 	s := sparseSettings(1)
 	s.Classes = append(s.Classes,
@@ -20,6 +21,7 @@
 	return s
 }
 
+// fullServerList is a list of so many servers in 3 zones and 100 cells.
 func bigList(servers int) ListUpdate {
 	l := ListUpdate{Kind: ListFull}
 	for i := range servers {
@@ -28,7 +30,8 @@
 	return l
 }
 
-// consistent compares every structure with what the servers' own fields say.
+// checkConsistency compares the module's ring, pools and heaps with the fields of the servers, and returns the first
+// difference.
 func (m *Module) consistent() error {
 	ready := 0
 	for id, s := range m.known {
@@ -47,13 +50,13 @@
 				return fmt.Errorf("server %d is not in its groups", id)
 			}
 		} else if s.in[byMode] != nil || s.in[byCell] != nil || s.in[byZone] != nil || s.alarms != nil || s.near {
-			return fmt.Errorf("server %d has left and is still in a pool", id)
+			return fmt.Errorf("server %d is no longer ready and still in a pool, a heap or the subset", id)
 		}
 		if held := s.in[byMode] != nil || s.alarms != nil; s.near != held {
 			return fmt.Errorf("server %d: in the subset %v, in a pool or a heap %v", id, s.near, held)
 		}
 		if s.suspect && s.near && s.alarms != &m.trials {
-			return fmt.Errorf("suspect %d waits for no trial", id)
+			return fmt.Errorf("ejected server %d waits for no trial", id)
 		}
 		for by, p := range s.in {
 			if p != nil && p.list[s.slot[by]] != s {
@@ -76,7 +79,7 @@
 	}
 	for cell, p := range m.cells {
 		if len(p.list) == 0 {
-			return fmt.Errorf("cell %d is kept empty", cell)
+			return fmt.Errorf("the empty pool of cell %d has not been removed", cell)
 		}
 	}
 	if !m.stale && len(m.near) != min(len(m.ring), int(m.size)) {
@@ -85,8 +88,8 @@
 	return nil
 }
 
-// Random changes of the list, outcomes and times: the structures stay what a scan would find, and nothing that has left
-// is sent anything.
+// After random changes of the list, outcomes and times, the data structures agree with a scan over all servers, and no
+// request goes to a server that the list does not have as ready.
 func TestPoolsAgreeWithAScan(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -160,8 +163,8 @@
 	}
 }
 
-// A third of a list of 10,000 leaves and returns every 500 ms: nothing goes to those that have left, what was learned of
-// the others stays, and nothing is kept of those that left for good.
+// A third of the servers of a list of 10,000 are removed and come back, every 500 ms in turn. The data structures stay
+// consistent, nothing is kept of removed servers, and what was learned of the other servers stays.
 func TestFlappingList(t *testing.T) {
 	const servers = 10_000
 	m := New(bigSettings(), 1)
@@ -190,11 +193,11 @@
 		}
 	}
 	if m.known[1].strikes != 2 {
-		t.Error("what was learned of a server that stayed is gone")
+		t.Error("what was learned of a server that stayed has been forgotten")
 	}
 }
 
-// A whole list that comes again unchanged disturbs nothing.
+// A full list that comes again unchanged changes nothing, and the subset is not chosen anew.
 func TestUnchangedListDisturbsNothing(t *testing.T) {
 	m := New(bigSettings(), 1)
 	l := bigList(1000)
@@ -207,7 +210,8 @@
 	}
 }
 
-// The rounding of H is drawn at each node by itself: one that all nodes shared would let them rush together.
+// H is rounded up or down at random, at each node by itself. If all nodes rounded alike, they would send to the same server
+// at the same moment.
 func TestRoundingDiffersBetweenNodes(t *testing.T) {
 	same, sum := 0, 0.0
 	a, b := New(bigSettings(), 1), New(bigSettings(), 2)
@@ -220,11 +224,11 @@
 		}
 	}
 	if same > 20 || sum < 80 || sum > 120 {
-		t.Errorf("%d of 200 alike at two nodes, sum %v", same, sum)
+		t.Errorf("%d of 200 the same at two nodes, sum %v", same, sum)
 	}
 }
 
-// A failure of a whole fleet is not a line a server.
+// Guards against one log line for each server when a whole fleet fails at once.
 func TestLogOfAFleetIsLimited(t *testing.T) {
 	m := New(bigSettings(), 1)
 	m.Handle(time.Hour, bigList(5000))
@@ -240,7 +244,7 @@
 	}
 }
 
-// Clients and settings may name thousands of classes and tenants; the module keeps those of the settings only.
+// Clients and settings may name thousands of classes and tenants. The module stores only those of the settings.
 func TestManyClassesAndTenants(t *testing.T) {
 	s := bigSettings()
 	for i := range 1000 {
@@ -271,7 +275,7 @@
 	}
 }
 
-// decisions plays n requests with their outcomes and the ticks that belong to them.
+// runDecisions simulates n requests with their outcomes, 100 microseconds apart, with a tick at every 250th.
 func decisions(m *Module, n int, now *Time) {
 	for i := range n {
 		id := RequestID("r")
@@ -287,6 +291,7 @@
 	}
 }
 
+// warmedUpModule is a module that has served several requests at each of its servers.
 func warm(servers int) (*Module, Time) {
 	m, now := New(bigSettings(), 1), time.Hour
 	m.Handle(now, bigList(servers))
@@ -294,7 +299,8 @@
 	return m, now
 }
 
-// A decision with its outcome and its share of ticks allocates little and no more in a large fleet.
+// A decision, with its outcome and its share of the ticks, allocates little, and not more in a large fleet than in a small
+// one.
 func TestDecisionAllocates(t *testing.T) {
 	for _, servers := range []int{12, 1000, 10_000} {
 		m, now := warm(servers)
--- a/decide/shared_test.go
+++ b/decide/shared_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fleetSettings are those of one of 80 nodes that may probe and talk.
+// fleetSettings are those of one of 80 nodes that may probe servers and send one another messages.
 func fleetSettings(self int) Settings {
 	return Settings{Nodes: 80, Self: self, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, MaxAttempts: 4, MayOverlap: true,
 		MayCancel: true, MayProbe: true, MayMessage: true, ReportVia: ReportProbe, ReportFields: []string{"inflight", "queue"},
@@ -17,7 +17,7 @@
 			{Name: "cheap", Worth: 1, Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Effect: Safe}}}
 }
 
-// nodeOf is one of many nodes, with a list of servers.
+// newFleetNode makes the module of one of so many nodes, with a list of so many servers.
 func nodeOf(nodes, self, servers int) *Module {
 	s := fleetSettings(self)
 	s.Nodes = nodes
@@ -30,16 +30,17 @@
 	return m
 }
 
+// newSharingNode makes the module of one of 80 nodes, and checks that such nodes go by one another's load reports.
 func fleetNode(t *testing.T, self, servers int) *Module {
 	t.Helper()
 	m := nodeOf(80, self, servers)
 	if !m.shared() {
-		t.Fatal("80 nodes do not share what they know")
+		t.Fatal("80 nodes do not use one another's load reports")
 	}
 	return m
 }
 
-// told gives all datagrams among some actions.
+// messageData returns the datagrams among some actions.
 func toldBy(actions []Action) (data [][]byte) {
 	for _, a := range actions {
 		if s, ok := a.(SendMessage); ok {
@@ -49,8 +50,8 @@
 	return data
 }
 
-// A node that has nothing at a server itself keeps off it once the others have said that it is full, comes back when they
-// say that it is not, and takes the words of one that has died for no longer than countsLife.
+// A node without requests of its own at a server stops sending to it once the other nodes' load reports show that it is
+// full, and begins again when they show that it is not. Reports of a node that has sent none for countsLife don't count.
 func TestOthersCountsFillServer(t *testing.T) {
 	m := fleetNode(t, 0, 8)
 	now := time.Second
@@ -93,11 +94,11 @@
 	now += countsLife + time.Second
 	m.Handle(now, TimerFired{})
 	if !served() {
-		t.Error("refused for what a node said that has been silent since")
+		t.Error("refused because of an old report of a node that has sent none since")
 	}
 }
 
-// Datagrams from nowhere, cut short or wrong change nothing and do no harm.
+// Datagrams that are truncated or malformed, or whose sender is unknown or the node itself, change nothing.
 func TestWrongWords(t *testing.T) {
 	m := fleetNode(t, 0, 8)
 	tag := m.known[1].tag()
@@ -108,12 +109,12 @@
 	} {
 		m.Handle(2*time.Second, e)
 		if m.known[1].others != 0 || m.slots != 0 {
-			t.Errorf("%+v changed what is known", e)
+			t.Errorf("%+v changed what the module knows", e)
 		}
 	}
 }
 
-// A node says what it has in flight, within a second, and says once that it has nothing any more.
+// A node reports its requests in flight within a second, and reports once that it has none any more.
 func TestNodeTellsWhatItHas(t *testing.T) {
 	a, b := fleetNode(t, 0, 8), fleetNode(t, 1, 8)
 	now := 2 * time.Second
@@ -135,20 +136,20 @@
 	}
 	pass()
 	if got := b.known[sent.Server].others; got != 1 {
-		t.Fatalf("the other node believes in %v requests; want 1", got)
+		t.Fatalf("the other node counts %v requests; want 1", got)
 	}
 	a.Handle(now, AttemptEnded{ID: "r", Server: sent.Server, Over: true, Elapsed: time.Second, Code: OK})
 	pass()
 	if got := b.known[sent.Server].others; got != 0 {
-		t.Errorf("the other node believes in %v requests; want 0", got)
+		t.Errorf("the other node counts %v requests; want 0", got)
 	}
 	if words := pass(); words > 0 {
-		t.Errorf("%d words of a node that has nothing", words)
+		t.Errorf("%d messages of a node without requests", words)
 	}
 }
 
-// Nine words in ten tell only what has changed. Whichever of them are lost, the others know within two seconds what a
-// node has.
+// Of eight load reports, one is complete and the others hold only what has changed. Whichever of the eight is lost each
+// time, the other nodes know within two seconds what a node has in flight.
 func TestLostWordsAreMended(t *testing.T) {
 	for lost := range 8 {
 		a, b := fleetNode(t, 0, 8), fleetNode(t, 1, 8)
@@ -179,17 +180,18 @@
 		}
 		for id, s := range b.known {
 			if s.others != a.known[id].n {
-				t.Errorf("every eighth word lost, from the %dth: server %d has %v, the other node believes %v", lost, id, a.known[id].n, s.others)
+				t.Errorf("every eighth message lost, from the %dth: server %d has %v, the other node counts %v", lost, id, a.known[id].n, s.others)
 			}
 		}
 		if words < 20 || bytes > 30*words {
-			t.Errorf("%d words of %d bytes in 5 s", words, bytes)
+			t.Errorf("%d messages of %d bytes in 5 s", words, bytes)
 		}
 	}
 }
 
-// The nodes of a large fleet begin to ask for the list over seconds, and those whose call failed ask again over seconds: all
-// of them ask one service, and calls that come at once wait so long behind one another that most fail. Three nodes ask at once.
+// Guards against list requests of a whole fleet at the same moment: they all go to one service, where most would time out
+// in its queue. The nodes of a large fleet spread their first requests over seconds, and those whose request has failed
+// spread the next ones, too. Three nodes send theirs within the first second.
 func TestAsksAreSpread(t *testing.T) {
 	most := func(nodes int, fail bool) (perSecond int) {
 		asks := map[int]int{}
@@ -213,12 +215,12 @@
 		return perSecond
 	}
 	if n := most(80, false); n > 40 {
-		t.Errorf("%d of 80 nodes ask within a second", n)
+		t.Errorf("%d of 80 nodes request the list within a second", n)
 	}
 	if n := most(80, true); n > 45 {
-		t.Errorf("%d calls a second of 80 nodes whose calls fail", n)
+		t.Errorf("%d list requests per second of 80 nodes whose requests fail", n)
 	}
 	if n := most(3, false); n != 3 {
-		t.Errorf("%d of 3 nodes ask in the first second", n)
+		t.Errorf("%d of 3 nodes request the list in the first second", n)
 	}
 }
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// trained is a module with four servers that has answered for ten seconds, 100 ms each; the last one is a suspect.
+// trainedModule is a module with four servers after ten seconds of traffic with a latency of 100 ms. The last server has
+// failed all its requests and is ejected.
 func trained(t *testing.T) (*Module, Time) {
 	t.Helper()
 	m := New(snapshotSettings(), 1)
@@ -47,7 +48,8 @@
 	return l
 }
 
-// The successor's thresholds, latencies and suspicions are the predecessor's; of a server that started anew nothing is taken.
+// A successor that restores the predecessor's snapshot has its thresholds and latencies, and its ejected servers. Of a
+// server that has restarted in between nothing is restored.
 func TestSnapshot(t *testing.T) {
 	old, now := trained(t)
 	raw, err := json.Marshal(old.Snapshot(now))
@@ -72,21 +74,21 @@
 	for id := ServerID(2); id <= 4; id++ {
 		a, b := old.known[id], m.known[id]
 		if want, got := old.high(a), m.high(b); math.Abs(got-want) > 0.05*want || got <= fresh.high(fresh.known[id]) {
-			t.Errorf("server %d: H %v, was %v, %v with nothing known", id, got, want, fresh.high(fresh.known[id]))
+			t.Errorf("server %d: H %v, was %v, %v without a snapshot", id, got, want, fresh.high(fresh.known[id]))
 		}
 		if a.suspect != b.suspect || math.Abs(old.latencyOf(a)-m.latencyOf(b)) > 0.01 {
-			t.Errorf("server %d: suspect %v, latency %v; was %v, %v", id, b.suspect, m.latencyOf(b), a.suspect, old.latencyOf(a))
+			t.Errorf("server %d: ejected %v, latency %v; was %v, %v", id, b.suspect, m.latencyOf(b), a.suspect, old.latencyOf(a))
 		}
 	}
 	if !m.known[4].suspect {
-		t.Error("the failing server is no suspect")
+		t.Error("the failing server is not ejected")
 	}
 	if v := m.known[1]; v.rate != 0 || !v.cold {
-		t.Errorf("the server that started anew: rate %v, cold %v", v.rate, v.cold)
+		t.Errorf("the server that has restarted: rate %v, cold %v", v.rate, v.cold)
 	}
 }
 
-// What does not make sense in any of its parts is not taken, and changes nothing.
+// A snapshot with an impossible value in any of its parts is rejected, and changes nothing.
 func TestBadSnapshot(t *testing.T) {
 	old, now := trained(t)
 	for name, spoil := range map[string]func(*Snapshot){
@@ -104,13 +106,14 @@
 		m := New(snapshotSettings(), 2)
 		m.Handle(now, snapshotList())
 		if err := m.Restore(now, s); err == nil || m.learned || m.answers != 0 || m.known[2].rate != 0 {
-			t.Errorf("%s: %v, taken: %v", name, err, m.learned)
+			t.Errorf("%s: %v, restored: %v", name, err, m.learned)
 		}
 	}
 }
 
-// A process that takes over asks soon, however many nodes there are: what discovery tells binds it 2 s after it serves, and a first call that is spread over
-// all nodes came up to 3.9 s after its start.
+// Guards against a late first list request of a process that takes over from another one, in a fleet of any size. What
+// discovery announces counts for it from 2 s after it begins to serve. When its first request was spread over the time in
+// which those of a whole fleet are spread, it came up to 3.9 s after the start.
 func TestSuccessorAsksSoon(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(50) {
@@ -130,7 +133,7 @@
 			}
 		}
 		if took := f.now - began; took > succeedAsk+tickEvery {
-			t.Fatalf("seed %d: asked after %v, %v at most", seed, took, succeedAsk)
+			t.Fatalf("seed %d: first list request after %v, %v at most", seed, took, succeedAsk)
 		}
 	}
 }
--- a/decide/suspects_test.go
+++ b/decide/suspects_test.go
@@ -8,7 +8,7 @@
 )
 
 // tightSettings have aims of two to four times what a request takes on an idle server, keys that a cell remembers for less
-// than a second, and servers that take long to be warm.
+// than a second, and a slow start of 24 s.
 func tightSettings() decide.Settings {
 	s := rigSettings()
 	s.MaxAttempts, s.MayOverlap = 6, true
@@ -20,6 +20,7 @@
 	return s
 }
 
+// tightHarness is a node with so many servers under tightSettings, after 5 s of moderate load.
 func tightRig(t *testing.T, servers int) *rig {
 	r := newRig(t, tightSettings(), servers)
 	r.patience = 360 * time.Millisecond
@@ -28,18 +29,20 @@
 	return r
 }
 
+// answerAfter has every server answer after the given time.
 func answerAfter(d time.Duration) func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
 	return func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return d, decide.OK }
 }
 
-// During one stall the whole fleet is taken for silent. Once it answers again, so does the node. With trials that were
-// given a third of the aim, which is less than a request takes, none was ever answered, and all was refused for good.
+// Guards against refusing everything for ever after a stall in which all servers were ejected. Once they answer again the
+// node must serve again. When trial requests timed out after a third of the aim, which is less than a request takes here,
+// none was ever answered.
 func TestWholeFleetOfSuspectsReturns(t *testing.T) {
 	r := tightRig(t, 8)
 	r.delay = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
 	r.run(4*time.Second, 200, "booking")
 	if r.accused < 8 {
-		t.Fatalf("%d of 8 servers are suspects", r.accused)
+		t.Fatalf("%d of 8 servers are ejected", r.accused)
 	}
 	r.delay = answerAfter(75 * time.Millisecond)
 	r.run(4*time.Second, 200, "booking")
@@ -50,7 +53,7 @@
 	}
 }
 
-// A server that answered all the time, if only with failures, has not been started anew: it is as warm as before.
+// A server that answered all the time, if only with errors, has not restarted: it gets no slow start when it recovers.
 func TestFailerReturnsWarm(t *testing.T) {
 	r := tightRig(t, 4)
 	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
@@ -61,15 +64,15 @@
 	}
 	r.run(6*time.Second, 60, "booking")
 	r.delay = answerAfter(75 * time.Millisecond)
-	r.run(8*time.Second, 60, "booking") // by then its turn has come
+	r.run(8*time.Second, 60, "booking") // by then it has had a trial request
 	r.reset()
 	r.run(5*time.Second, 60, "booking")
 	if r.sent[2] < 50 {
-		t.Errorf("%d of 300 sends went to the server that fails no more; want about 75", r.sent[2])
+		t.Errorf("%d of 300 sends went to the server that has recovered; want about 75", r.sent[2])
 	}
 }
 
-// One whose connections came down has perhaps been started anew, and is taken as cold.
+// A server that took no connections may have restarted, and gets slow start when it recovers.
 func TestBrokenServerReturnsCold(t *testing.T) {
 	r := tightRig(t, 4)
 	r.delay = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
@@ -88,8 +91,8 @@
 	}
 }
 
-// Where every server is cold, or taken as such, what each can do by now is a part of what it did before, not of what the
-// others do now.
+// Guards against hardly using a fleet whose servers have all restarted. The budget of a cold server is a part of what warm
+// servers did before: none is warm now, and what the cold ones do is no measure.
 func TestFleetThatStartsAnewIsUsed(t *testing.T) {
 	r := tightRig(t, 8)
 	var anew []decide.Server
@@ -105,8 +108,9 @@
 	}
 }
 
-// A node that has just started uses a few servers, and each of those answers it often; then all of them, and each answers
-// it seldom. What the few were answered at their most is no measure of what each of all may hold.
+// Guards against limits that stay too high when the subset grows. A node that has just started uses a few servers, and gets
+// many answers from each. Later it uses all servers, and gets few from each. The peak rate of the few is then no measure of
+// the requests that a server may hold.
 func TestLimitsFollowTheSubset(t *testing.T) {
 	s := tightSettings()
 	s.Nodes = 11
@@ -116,14 +120,14 @@
 	r.run(6*time.Second, 150, "booking")
 	r.delay = answerAfter(time.Hour)
 	r.reset()
-	r.run(150*time.Millisecond, 3000, "booking") // before anything can tell that no answer comes
+	r.run(150*time.Millisecond, 3000, "booking") // too short to see that no answer comes
 	if sent := r.total(); sent < 10 || sent > 100 {
-		t.Errorf("%d requests went to 50 servers that hold 11 for this node when uncrowded", sent)
+		t.Errorf("%d requests went to 50 servers that hold 11 of this node at light load", sent)
 	}
 }
 
-// Servers that break off half of what they take, for a while, are tried again soon once they do so no more, and are not
-// taken for new processes: they took connections all the time.
+// Half of the servers reset most of their requests for a while. Once they have recovered they are used again soon, and
+// without slow start: they took connections all the time, so that they have not restarted.
 func TestResettersReturnSoon(t *testing.T) {
 	r := tightRig(t, 8)
 	n := 0
@@ -139,12 +143,12 @@
 	r.reset()
 	r.run(5*time.Second, 120, "booking")
 	if sent := r.sent[1] + r.sent[2] + r.sent[3] + r.sent[4]; sent < 200 {
-		t.Errorf("%d of 600 sends went to the half of the servers that breaks off no more", sent)
+		t.Errorf("%d of 600 sends went to the half of the servers that has recovered", sent)
 	}
 }
 
-// Eight requests that are turned away at one moment are one piece of news: the server is back in use soon after, and not after
-// a wait that has doubled eight times.
+// Some eight requests that a full server rejects at the same moment count as one full answer. The server is used again soon
+// after, and not after a block that has doubled eight times.
 func TestBurstOfFullAnswersIsOne(t *testing.T) {
 	r := tightRig(t, 4)
 	full := r.now + 100*time.Millisecond
@@ -156,7 +160,7 @@
 	}
 	r.run(100*time.Millisecond, 400, "booking")
 	if r.sent[2] < 4 {
-		t.Fatalf("%d were out at the server", r.sent[2])
+		t.Fatalf("%d requests in flight at the server", r.sent[2])
 	}
 	r.run(2*time.Second, 80, "booking")
 	r.reset()
@@ -166,8 +170,8 @@
 	}
 }
 
-// Where a request takes 30 ms, a place that was taken is free again long before a second is over: a server that turns one in
-// four away is used for the rest.
+// A full answer blocks a server for no longer than a few times what a request takes, here 30 ms, as a place in its queue is
+// free again by then. So a server that rejects one request in four still gets requests.
 func TestFullAnswersCountByTheTimeOfRequests(t *testing.T) {
 	r := tightRig(t, 4)
 	r.delay = answerAfter(30 * time.Millisecond)
--- a/decide/transfer_test.go
+++ b/decide/transfer_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A body and an answer that take seconds to pass count neither as latency nor as silence, nor among the server's requests.
+// The seconds in which a request's body or an answer is transferred count neither as latency nor as a time without an
+// answer, and the request does not count as in flight at its server meanwhile.
 func TestTransfers(t *testing.T) {
 	m := New(snapshotSettings(), 1)
 	now := Time(time.Hour)
@@ -26,36 +27,36 @@
 			t.Fatalf("%s: %+v", id, out)
 		}
 	}
-	for _, id := range []RequestID{"a", "b", "c", "d"} { // more than make a silent server suspect
+	for _, id := range []RequestID{"a", "b", "c", "d"} { // more than it takes to eject an unresponsive server
 		send(id)
 	}
-	step(5 * time.Second) // the bodies come
+	step(5 * time.Second) // the bodies are transferred
 	if s.n != 0 || s.suspect || m.requests["a"] == nil {
-		t.Fatalf("while bodies come: n %v, suspect %v", s.n, s.suspect)
+		t.Fatalf("during the bodies' transfer: n %v, ejected %v", s.n, s.suspect)
 	}
 	for _, id := range []RequestID{"a", "b", "c"} {
 		m.Handle(now, BodyEnded{ID: id, Patience: time.Second})
 	}
 	if s.n != 3 || s.unanswered != 3 {
-		t.Errorf("with the bodies there: n %v, unanswered %d", s.n, s.unanswered)
+		t.Errorf("after the bodies' transfer: n %v, unanswered %d", s.n, s.unanswered)
 	}
 	step(100 * time.Millisecond)
 	for _, id := range []RequestID{"a", "b", "c"} {
 		m.Handle(now, StreamStarted{ID: id, Server: 1, Elapsed: 100 * time.Millisecond})
 	}
-	step(10 * time.Second) // the answers pass
+	step(10 * time.Second) // the answers are transferred
 	if s.n != 0 || s.suspect || m.mean > 0.11 {
-		t.Errorf("while answers pass: n %v, suspect %v, mean %v", s.n, s.suspect, m.mean)
+		t.Errorf("during the answers' transfer: n %v, ejected %v, mean %v", s.n, s.suspect, m.mean)
 	}
 	for _, id := range []RequestID{"a", "b", "c"} {
 		m.Handle(now, AttemptEnded{ID: id, Server: 1, Over: true, Elapsed: 10 * time.Second, Code: OK})
 	}
-	// One whose body is spent has no other attempt, and as it never ran it may be refused.
+	// A request whose body has been consumed gets no further attempt. As it never ran it may be refused.
 	out := m.Handle(now, AttemptEnded{ID: "d", Server: 1, Elapsed: time.Second, Code: ConnectFailed, Spent: true})
 	if len(out) != 1 {
-		t.Fatalf("spent: %+v", out)
+		t.Fatalf("body consumed: %+v", out)
 	}
 	if _, ok := out[0].(Refuse); !ok || len(m.requests) != 0 || s.n != 0 || m.mean > 0.11 {
-		t.Errorf("spent: %+v, %d open, n %v, mean %v", out, len(m.requests), s.n, m.mean)
+		t.Errorf("body consumed: %+v, %d open, n %v, mean %v", out, len(m.requests), s.n, m.mean)
 	}
 }
--- a/decide/wallclock_test.go
+++ b/decide/wallclock_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A server's start is told by a wall clock that may have been stepped by an hour, either way, before this process
-// began or since. One that the list before did not have yet is in slow start all the same, and for its own time only.
+// Guards against servers without slow start, or with one that does not end, when a wall clock is wrong. The list gives a
+// server's start by a wall clock, which may have been stepped by an hour in either direction before this process began or
+// since. A start that the previous list did not have yet begins slow start all the same, which ends after ColdTime.
 func TestSlowStartThoughTheWallClockWasStepped(t *testing.T) {
 	t.Parallel()
 	const second, hour = time.Second, time.Hour
