--- a/decide/asking_test.go
+++ b/decide/asking_test.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// A watch has fallen silent, and the call that was to renew it has timed out after 3 s. The wait before the next call
+// A watch has stalled, and the call that was to renew it has timed out after 3 s. The wait before the next call
 // counts from the beginning of that call, not from its end, as discovery may have been back just after the call began.
 func TestSilentRenewalCountsFromItsBeginning(t *testing.T) {
 	t.Parallel()
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -36,7 +36,8 @@
 	e  decide.Event
 }
 
-// harnessSettings are those of the only node before its servers, with two classes of safe requests and one of unsafe ones.
+// harnessSettings are those of a fleet of one node. Its classes are "dear", safe requests of high worth, "cheap", safe ones of
+// low worth, and "once", unsafe ones of low worth.
 func rigSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
 		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
@@ -47,8 +48,8 @@
 			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
 }
 
-// newNodeHarness starts a module with a list of so many servers, each of which answers within 50 ms until the test says
-// otherwise.
+// newNodeHarness starts a module with a list of so many servers. Each of them answers after 50 ms, unless the test sets
+// another delay.
 func newRig(t *testing.T, s decide.Settings, servers int) *rig {
 	r := &rig{t: t, m: decide.New(s, 5), now: time.Hour, sent: map[decide.ServerID]int{}, over: map[decide.RequestID]bool{},
 		last: map[decide.RequestID]decide.Action{}, legs: map[decide.RequestID]int{}, patience: 2 * time.Second,
--- a/decide/closedloop_test.go
+++ b/decide/closedloop_test.go
@@ -304,7 +304,7 @@
 		v.count()
 		v.run(6 * time.Second)
 		if n := v.refusals(); n > 0 || v.of("dear").inAim < 1000 || v.of("cheap").inAim < 5000 {
-			t.Errorf("%d connections: %d refused, dear %+v, cheap %+v", conns, n, *v.of("dear"), *v.of("cheap"))
+			t.Errorf("%d connections: %d refused, expensive %+v, cheap %+v", conns, n, *v.of("dear"), *v.of("cheap"))
 		}
 	}
 }
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -271,7 +271,7 @@
 	w.handle(i, ListUpdate{Kind: ListFailed, Cause: cause})
 }
 
-// drainSome has up to an eighth of the servers begin to drain, and sends the news to all nodes with a watch. No server
+// drainSome has up to an eighth of the servers begin to drain, and sends the change to all nodes with a watch. No server
 // becomes ready again, so that each drain is checked to the end of the run. At least half of the servers stay ready.
 func (w *listWorld) change() {
 	drained := 0
@@ -325,7 +325,7 @@
 		if !w.down && (w.peers || w.roomy) {
 			w.goDown()
 		}
-	case "silent": // only where no watch is open: a silent watch is noticed only when its wait is over
+	case "silent": // only where no watch is open: that one has stalled is noticed only after a wait
 		some(func(i int) {
 			n := &w.nodes[i]
 			if !n.watching {
--- a/decide/shared_test.go
+++ b/decide/shared_test.go
@@ -51,7 +51,7 @@
 }
 
 // A node without requests of its own at a server stops sending to it once the other nodes' load reports show that it is
-// full, and begins again when they show that it is not. Reports of a node that has sent none for countsLife don't count.
+// full, and begins again when they show that it is not. Reports of a node that has sent none for countsLifetime lapse.
 func TestOthersCountsFillServer(t *testing.T) {
 	m := fleetNode(t, 0, 8)
 	now := time.Second
