--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -36,8 +36,8 @@
 	e  decide.Event
 }
 
-// harnessSettings are those of a fleet of one node. Its classes are "dear", safe requests of high worth, "cheap", safe ones of
-// low worth, and "once", unsafe ones of low worth.
+// harnessSettings are those of a fleet of one node. Its classes are "dear", safe requests of high worth, "cheap", safe ones
+// of low worth, and "once", unsafe ones of low worth.
 func rigSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, AskWithin: 10 * time.Second,
 		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
