--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -10,10 +10,12 @@
 	"starlingvalve/internal/serverlist"
 )
 
-// transitionsNamed is how many servers the line about one list names; a fleet that is replaced at once brings thousands.
+// maxNamedServers is the number of servers that the log line about one list names. A list that replaces a whole fleet
+// changes thousands.
 const transitionsNamed = 6
 
-// subscribe begins a watch, or begins it anew so that there is an answer, unless the answer is still to come.
+// subscribe starts or stops watching service discovery for list changes. A watch that is open already is replaced by a
+// new one, because the module waits for an answer to each Subscribe; a watch whose first answer is outstanding is kept.
 func (l *Loop) subscribe(on bool) {
 	if on && l.endWatch != nil && !l.watchOpen {
 		return
@@ -30,14 +32,16 @@
 	})
 }
 
-// listen keeps a watch where lists are pushed and so nobody asks for one.
+// followPushedLists follows the server list for as long as the loop runs. It is used in place of subscribe where
+// lists are pushed to the node, so that the module requests none.
 func (l *Loop) listen() {
 	ctx, _ := l.watching()
 	d, since := l.members, l.view.Revision()
 	l.work.Go(func() { d.Follow(ctx, since, func(n List) { l.handOn(ctx, n) }) })
 }
 
-// watching gives what a new watch needs: a context, and a way into the loop for as long as it is not ended.
+// newWatchContext returns the context of a new watch, and a function that runs its argument under the loop's lock
+// unless the watch has been ended by then.
 func (l *Loop) watching() (context.Context, func(func())) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	l.endWatch, l.watchOpen = cancel, false
@@ -50,8 +54,9 @@
 	}
 }
 
-// handOn gives the loop what a watch brings. What has come before the watch was ended counts as notified all the same:
-// servers that it says drain or are gone get nothing any more, whatever source the list has by now.
+// deliverWatchedList passes a list that a watch has received to the loop. If the watch has been ended in the meantime,
+// the node still counts as notified of that list: servers that are draining or removed by it get no more requests, even
+// if the list comes from another source by now.
 func (l *Loop) handOn(ctx context.Context, n List) {
 	l.post(func() {
 		if ctx.Err() == nil {
@@ -73,9 +78,10 @@
 	l.guard.Watched(l.view.Watched())
 }
 
-// Move has membership come from another source, the whole list first: its versions need not go on from those
-// that the old one gave. A watch at the old one may hang, and would be taken for one that is kept. To the module it has
-// broken: all nodes may move at the same moment, and the module spreads their calls.
+// SetMembership replaces the source of the server list and closes the old one. The whole list is requested from the new
+// source, because its versions need not continue those of the old one. The watch at the old source is ended here: it may
+// hang, and would count as open. To the module this is a failed list request: all nodes may change the source at the
+// same moment, and the module spreads their requests over time.
 func (l *Loop) Move(to Membership) {
 	l.post(func() {
 		l.unwatch()
@@ -90,19 +96,19 @@
 	})
 }
 
-// fetched takes a list that was asked for beside the watch, from d.
+// handleFetchedList handles the result of a FetchList that was sent to membership, beside any watch.
 func (l *Loop) fetched(d Membership, n List, err error) {
 	switch {
 	case d != l.members:
 		n, err = List{}, errors.New("discovery has moved")
 	case err == nil && l.endWatch != nil && l.view.Revision() != nil && n.Version < *l.view.Revision():
-		return // the watch that is kept has told newer news
+		return // the open watch has brought a newer list
 	}
 	n.Source = serverlist.SourceCall
 	l.told(n, err)
 }
 
-// told takes the answer to a call that the module made.
+// handleListResult handles the result of a list request of the module: a list, or the error of a failed call.
 func (l *Loop) told(n List, err error) {
 	if err != nil {
 		l.log.Info("discovery", "err", err)
@@ -117,7 +123,8 @@
 	l.news(n)
 }
 
-// answered takes an answer of the watch. The module is told of the first one in any case: it waits for it.
+// handleWatchAnswer handles one answer of the open watch. The module gets the first answer even if it changes nothing,
+// because it waits for that answer; a later one without changes confirms the list.
 func (l *Loop) answered(n List) {
 	if n.Silent {
 		l.handle(decide.ListUpdate{Kind: decide.ListSilent})
@@ -125,7 +132,7 @@
 	}
 	first := !l.watchOpen
 	if l.watchOpen = true; first {
-		l.figures.Called(int(decide.CauseUnknown)) // that is, answered
+		l.figures.Called(int(decide.CauseUnknown)) // counts as answered
 	}
 	if revision := l.view.Revision(); !first && revision != nil && n.Empty(*revision) {
 		l.confirm(n.Source)
@@ -137,7 +144,7 @@
 	l.news(n)
 }
 
-// confirm notes that discovery has nothing newer.
+// confirmList records that discovery has no newer list, and publishes entries of an older list that are trusted by now.
 func (l *Loop) confirm(source serverlist.Source) {
 	if u := l.view.Confirm(source, time.Now()); len(u.List.Entries) > 0 {
 		l.enforce(u, decide.ListChanges)
@@ -145,7 +152,7 @@
 	l.guard.Watched(l.view.Watched())
 }
 
-// news takes a list that discovery has told.
+// handleList applies a list from discovery, as a whole list or as changes.
 func (l *Loop) news(n List) {
 	kind := decide.ListChanges
 	if n.Full {
@@ -154,13 +161,14 @@
 	l.follow(n, kind)
 }
 
-// follow takes a list in.
+// applyList applies a list to the view and publishes what it changes.
 func (l *Loop) follow(n List, kind decide.ListKind) {
 	l.enforce(l.view.Apply(n, time.Now()), kind)
 	l.guard.Watched(l.view.Watched())
 }
 
-// enforce puts a list, or a part of it, in force: connections first, so that nothing goes where the list says no.
+// publishUpdate passes an update of the list to the transport and then to the module. The transport is first, so that
+// no request is sent to a server that the list excludes.
 func (l *Loop) enforce(u serverlist.Update, kind decide.ListKind) {
 	e := decide.ListUpdate{Kind: kind, Version: u.List.Version, Age: ageOf(u), Entries: make([]decide.Server, 0, len(u.List.Entries))}
 	for _, entry := range u.List.Entries {
@@ -172,10 +180,10 @@
 	l.logTransitions(u)
 }
 
-// promptly is how old news on an open watch is at most: an answer follows a change at once.
+// maxPushDelay is the greatest assumed age of a change that an open watch reports: discovery answers at once.
 const promptly = time.Millisecond
 
-// ageOf is how long ago what a list brings may have happened; 0: that is not known.
+// changeAge is the longest time ago that the changes in an update may have happened; 0: not known.
 func ageOf(u serverlist.Update) time.Duration {
 	onWatch := u.List.Source == serverlist.SourceWatch || u.List.Source == serverlist.SourcePush
 	if onWatch && u.Age > 0 && u.List.StaleSince.IsZero() {
@@ -184,8 +192,8 @@
 	return max(0, u.Age)
 }
 
-// logTransitions says in one line what a list has changed, where it came from, and how old what was believed before is.
-// Each server has a line of its own at the debug level.
+// logTransitions logs in one line what an update has changed, its source, and the age of the list that it replaces.
+// At the debug level each changed server gets a line of its own.
 func (l *Loop) logTransitions(u serverlist.Update) {
 	l.figures.Applied(int(u.List.Source), len(u.Transitions))
 	_, ready := l.view.Size()
@@ -211,7 +219,7 @@
 
 var stateNames = map[decide.ServerState]string{decide.Ready: "ready", decide.Draining: "draining", decide.Gone: "gone"}
 
-// publishList sets the figures of the list.
+// setListFigures sets the metrics of the list: its revision, its age, and whether it is watched and valid.
 func (l *Loop) publishList() {
 	var revision uint64
 	if r := l.view.Revision(); r != nil {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	// overdue is how long after a request's deadline the node answers by itself if the module has not: nothing
-	// may wait for ever, whatever the module does.
+	// answerGrace is how long after a request's deadline the loop answers it without the module. It bounds the wait
+	// of every request, whatever the module does.
 	overdue = 20 * time.Millisecond
-	// windowMargin is kept from the end of the time in which backends remember a key.
+	// dedupWindowMargin is how long before backends forget an idempotency key the last retry with that key is written.
 	windowMargin = 100 * time.Millisecond
 )
 
-// Loop owns the decision module: it turns whatever happens into the module's events, one at a time, and carries out the
-// actions that the module returns. Nothing in it waits for the network. Whoever has an event takes the lock and passes it
-// in; a goroutine of its own, to which all events went, cost two goroutine switches more for each request.
+// Loop owns the decision module: it turns everything that happens into events of the module, one at a time, and carries
+// out the actions that the module returns. Nothing waits for the network under its lock. The goroutine that has an event
+// takes the lock and handles the event itself: one goroutine for all events cost two more goroutine switches per request.
 type Loop struct {
 	module    *decide.Module
 	settings  decide.Settings
@@ -35,51 +35,52 @@
 	transport Transport
 	members   Membership
 	messenger Messenger
-	remote    Remote // nil: nothing crosses
+	remote    Remote // nil: no request is handed off to another site
 	figures   *stats.Figures
-	learned   *decide.Snapshot // of the process before this one; nil: none
+	learned   *decide.Snapshot // from the predecessor process; nil: none
 	log       *slog.Logger
 	debug     bool         // each decision on a request is logged
-	guard     *guard.Guard // nil: nothing is counted
+	guard     *guard.Guard // nil: attempts are checked, but not counted
 	lag       *lagMeter    // nil: not measured
 
-	ctx   context.Context // of all that the loop sets going
-	begun chan struct{}   // closed once the list of the start is taken in
-	work  sync.WaitGroup
-	able  atomic.Bool // some server is ready, by a list that was usable once
+	ctx   context.Context // of all goroutines and calls that the loop starts
+	begun chan struct{}   // closed once the initial list has been applied
+	work  sync.WaitGroup  // the goroutines that the loop starts
+	able  atomic.Bool     // a server is ready, and the list has been usable at least once
 	began time.Time
-	base  decide.Time // the clock's reading at began
+	base  decide.Time // the module's time at startedAt
 
-	mu        sync.Mutex // over all that follows, and the module
-	ended     bool
-	ending    bool        // what was open has been answered, and nothing more is sent
-	endBy     *time.Timer // for that; nil: not told
-	alarm     *time.Timer // for the first of timers
+	mu        sync.Mutex // guards all fields below, and the module
+	ended     bool       // the loop handles nothing more
+	ending    bool       // open requests have been answered, and no attempt is started any more
+	endBy     *time.Timer // answers all open requests when it fires; nil: not set
+	alarm     *time.Timer // fires when the first of timers is due
 	requests  map[decide.RequestID]*Request
 	timers    timerHeap
-	queue     []decide.Event
-	handling  bool
+	queue     []decide.Event // for the module, while it handles another event
+	handling  bool           // handle is running further up the stack
 	view      *serverlist.View
-	endWatch  context.CancelFunc
-	watchOpen bool // the watch has had its first answer
-	wasUsable bool // the list was, once
+	endWatch  context.CancelFunc // nil: no watch is open
+	watchOpen bool               // the watch has had its first answer
+	wasUsable bool               // the list has been usable at least once
 }
 
-// Options are what a loop is made of. All but Log are needed; a nil Messenger carries nothing.
+// Options are the settings and ports of a Loop. Settings, Transport, Membership and Log are required. Without a Messenger
+// no messages to other nodes are sent.
 type Options struct {
 	Settings  decide.Settings
 	Seed      int64
 	Transport Transport
 	Members   Membership
 	Messenger Messenger
-	Remote    Remote           // nil: what this hall refuses is refused
+	Remote    Remote           // nil: no request is handed off to another site
 	Figures   *stats.Figures   // nil: nothing is counted
-	Learned   *decide.Snapshot // what the module begins with; nil: nothing
-	Guard     *guard.Guard     // nil: nothing is counted
+	Learned   *decide.Snapshot // the initial state of the module, from the predecessor process; nil: none
+	Guard     *guard.Guard     // nil: attempts are checked, but not counted
 	Log       *slog.Logger
 }
 
-// New makes the loop of a node; Run sets it going. All that it sets going ends with ctx.
+// New returns the loop of a node, which Run starts. All goroutines and calls that the loop starts end with ctx.
 func New(ctx context.Context, o Options) (*Loop, error) {
 	lag, err := newLagMeter()
 	if err != nil {
@@ -99,32 +100,35 @@
 		figures: o.Figures, learned: o.Learned, guard: o.Guard, view: serverlist.NewView(), debug: o.Log.Enabled(ctx, slog.LevelDebug)}, nil
 }
 
-// Headroom is the number of requests more that the servers would take while all stay calm: see decide.Module.Headroom.
+// Headroom is the number of further requests that the servers could take while all of them stay lightly loaded: see
+// decide.Module.Headroom.
 func (l *Loop) Headroom() (n float64) {
 	l.post(func() { n = l.module.Headroom(l.now()) })
 	return n
 }
 
-// Listed is the list as this node has it now. It is not whole if it was never told, or has moved and is not told yet.
+// ServerList returns the server list as this node has it now. It is empty, and Full is false, as long as no list has
+// been applied since the start or since SetMembership.
 func (l *Loop) Listed() (list List) {
 	l.post(func() { list, _ = l.view.List() })
 	return list
 }
 
-// Learned is what the module has learned, for the process that takes over. ok is false once the loop has ended.
+// Learned returns a snapshot of what the module has learned, for a successor process. ok is false once the loop has ended.
 func (l *Loop) Learned() (s decide.Snapshot, ok bool) {
 	ok = l.post(func() { s = l.module.Snapshot(l.now()) })
 	return s, ok
 }
 
-// Able tells whether some server is ready.
+// CanServe reports whether some server is ready, and the list has been usable at least once since the start.
 func (l *Loop) Able() bool { return l.able.Load() }
 
-// now is the module's clock: it goes on evenly from the time of day at the start, so that the times at which
-// backends started can be told on it.
+// now is the module's clock: the wall clock at the start plus the monotonic time since. So it never jumps, and the
+// start times of backends, which are given in wall-clock time, can be compared with it.
 func (l *Loop) now() decide.Time { return l.base + time.Since(l.began) }
 
-// post runs f under the lock. It tells whether it did: once the loop has ended it does not. f may not post.
+// post runs f under the lock, after the initial list has been applied, and reports whether it did. Once the loop has
+// ended it does not. f must not call post.
 func (l *Loop) post(f func()) bool {
 	select {
 	case <-l.begun:
@@ -140,14 +144,14 @@
 	return true
 }
 
-// Run begins with the list that the node last had, and tells the module of its timers. It ends with the context, once
-// all that the loop has set going has ended.
+// Run starts the loop with the given list, which is the last one that the node knew, and fires the module's timers. It
+// returns after the context has ended and all goroutines that the loop started have returned.
 func (l *Loop) Run(known List) {
 	var metering sync.WaitGroup
 	metering.Go(l.lag.run)
 	defer metering.Wait()
 	defer l.lag.close()
-	defer func() { l.work.Wait(); l.members.Close() }() // else a connection that came up late would be kept for good
+	defer func() { l.work.Wait(); l.members.Close() }() // in this order: a call may open a connection until it returns
 	defer l.alarm.Stop()
 	defer l.EndBy(time.Time{})
 	l.mu.Lock()
@@ -158,7 +162,7 @@
 	l.follow(known, decide.ListCached)
 	if l.learned != nil {
 		if err := l.module.Restore(l.now(), *l.learned); err != nil {
-			l.log.Warn("what the predecessor had learned is not taken", "err", err)
+			l.log.Warn("the snapshot of the predecessor cannot be restored", "err", err)
 		}
 	}
 	if !l.settings.AskForList {
@@ -179,7 +183,7 @@
 	}
 }
 
-// ring tells the module of the timers whose time has come, and sets the alarm for the next.
+// fireTimers passes the timers that are due to the module, sets the timer for the next one, and updates the metrics.
 func (l *Loop) ring() {
 	l.lag.ping()
 	for now := time.Now(); len(l.timers) > 0 && !l.timers[0].at.After(now); {
@@ -189,20 +193,23 @@
 	l.publish()
 }
 
-// publish sets the figures of the servers: those that drain are avoided, and those that the module avoids.
+// setFigures sets the metrics of the servers and of the list. Draining servers, and those that the module avoids, count
+// as unhealthy.
 func (l *Loop) publish() {
 	listed, ready := l.view.Size()
 	l.figures.Cluster(listed, listed-ready+l.module.Avoided())
 	l.publishList()
 }
 
+// resetWakeTimer sets the timer of Run to the first of the module's timers.
 func (l *Loop) setAlarm() {
 	if len(l.timers) > 0 {
 		l.alarm.Reset(time.Until(l.timers[0].at))
 	}
 }
 
-// handle gives the module an event and does what it asks for. What that brings about at once comes after it.
+// handle passes an event to the module and carries out the actions that it returns. An event that arises while another
+// is handled is queued, and handled after it.
 func (l *Loop) handle(e decide.Event) {
 	l.queue = append(l.queue, e)
 	if l.handling {
@@ -220,8 +227,8 @@
 	l.noteAble()
 }
 
-// noteAble notes whether this process can serve. From its start on it can't before something vouches for its list; a list
-// that is too old later on has it refuse what comes, and stay in service: its peers may be in the same state.
+// updateCanServe updates the result of CanServe. A process that has just started can't serve before its list is usable.
+// If the list gets too old later, the node refuses requests but stays in service: its peers may be in the same state.
 func (l *Loop) noteAble() {
 	if !l.wasUsable && l.module.UsableServers() {
 		l.wasUsable = true
@@ -231,6 +238,7 @@
 	l.able.Store(ready > 0 && l.wasUsable)
 }
 
+// execute carries out one action of the module.
 func (l *Loop) do(a decide.Action) {
 	switch a := a.(type) {
 	case decide.Send:
@@ -276,8 +284,8 @@
 	}
 }
 
-// arrive takes a request from the front end. An id that is still open is not taken twice: the module would not
-// answer it, and its effect could happen twice.
+// arrive passes a request from the front to the module. A request whose id is still open is answered with 409: the
+// module would not answer it, and its effect could happen twice.
 func (l *Loop) arrive(r *Request) {
 	if l.requests[r.Arrived.ID] != nil {
 		r.answer <- Answer{Status: http.StatusConflict}
@@ -293,8 +301,9 @@
 	r.arriving = false
 }
 
-// cross hands a request that the module has refused to another site, if it may go there. Its id stays open for as long:
-// the same id coming again would be a second copy.
+// handOff hands a request that the module has refused off to another site, if Remote accepts it, and reports whether it
+// does. The client gets refusal if the hand-off ends without effect. The request's id stays open until then, because a
+// second request with the same id would be a second copy.
 func (l *Loop) cross(id decide.RequestID, refusal Answer) bool {
 	r := l.requests[id]
 	if l.remote == nil || l.ending || r == nil || r.over || r.abroad != nil || r.Upload != nil {
@@ -318,7 +327,7 @@
 	l.work.Go(func() {
 		defer cancel()
 		if r.Left != nil && r.Left(LookAge) {
-			cancel() // so that nothing is handed over
+			cancel() // so that nothing is sent to the other site
 		}
 		a, how := c.Cross(ctx)
 		switch {
@@ -339,7 +348,7 @@
 	return true
 }
 
-// abandon ends a request whose client is gone.
+// abandon ends a request whose client has gone.
 func (l *Loop) abandon(r *Request) {
 	if l.requests[r.Arrived.ID] == r && !r.over {
 		if r.abroad != nil {
@@ -350,8 +359,9 @@
 	}
 }
 
-// EndBy has what is open at a time answered then: the node may be killed soon after. What is out is called off, whatever the settings
-// say: its connection would break with the process. A zero time takes that back.
+// EndBy sets the time at which all requests that are open then are answered, as the node may be killed soon after. Their
+// attempts are cancelled then even where the settings don't allow that: the connections would break with the process
+// anyway. A zero time takes an earlier call back.
 func (l *Loop) EndBy(end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -364,6 +374,8 @@
 	}
 }
 
+// endAll has the module answer all open requests, and cancels their hand-offs and attempts. An attempt whose answer is
+// being streamed to the client goes on.
 func (l *Loop) endAll() {
 	if l.ending {
 		return
@@ -382,6 +394,7 @@
 	}
 }
 
+// finish gives a request its final answer, unless it has one.
 func (l *Loop) finish(id decide.RequestID, a Answer) {
 	if r := l.requests[id]; r != nil && !r.over {
 		r.answer <- a
@@ -389,7 +402,7 @@
 	}
 }
 
-// close marks a request as over: nothing more is sent for it. It is forgotten once its attempts are in.
+// closeRequest marks a request as over: nothing more is sent for it. It is removed once its last attempt has ended.
 func (l *Loop) close(r *Request) {
 	r.over = true
 	r.end()
@@ -398,11 +411,12 @@
 	}
 }
 
-// Heard takes a datagram from another node.
+// ReceiveMessage passes a datagram from another node to the module.
 func (l *Loop) Heard(from int, data []byte) {
 	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
 }
 
+// probe checks a server in a goroutine of its own: by its load report, or by its health check where there are none.
 func (l *Loop) probe(id decide.ServerID) {
 	h := l.transport.Find(id)
 	path := "/stats"
@@ -421,7 +435,7 @@
 	})
 }
 
-// runningTimer is a SetTimer that is running.
+// runningTimer is a decide.SetTimer that has not fired yet.
 type runningTimer struct {
 	at    time.Time
 	token int64
--- a/internal/core/ports.go
+++ b/internal/core/ports.go
@@ -1,5 +1,6 @@
-// Package core is the loop that owns the decision module, and the ports through which it meets the world: fronts bring
-// clients' requests, transports carry attempts to servers, membership tells which servers there are. It knows none of them.
+// Package core holds the event loop that owns the decision module, and the interfaces to the rest of the node: fronts
+// accept clients' requests, transports carry attempts to servers, and membership delivers the server list. The package
+// depends on no implementation of them.
 package core
 
 import (
@@ -15,24 +16,25 @@
 	"starlingvalve/internal/serverlist"
 )
 
-// Front serves clients by one protocol. It hands each request that is well formed to Loop.Do, and writes the one
-// answer that it gets.
+// Front serves clients in one protocol. It passes each well-formed request to Loop.Do, and writes the one answer that
+// Do returns.
 type Front interface {
-	// Serve takes requests until Close, or until a Drain is complete. What it returns before either is an error.
+	// Serve accepts requests until Close is called or a Drain is complete. Returning earlier is always with an error.
 	Serve() error
-	// Drain takes no new clients after a moment, answers what there is by end, and returns once that is done. Requests
-	// that come on connections that clients have are served for as long as an answer can come by end.
+	// Drain shuts down gracefully: it stops accepting connections after a moment, answers open requests by end, and
+	// returns once that is done. New requests on open connections are served while an answer by end is still possible.
 	Drain(end time.Time)
-	// Close ends Serve at once, and all connections with it.
+	// Close ends Serve and closes all connections at once.
 	Close()
 }
 
-// Transport carries attempts and probes to servers. It never sends a request twice by itself.
+// Transport sends attempts and probes to servers. It never resends a request on its own.
 type Transport interface {
-	// Update follows the list, before the module does: nothing goes where the list says no.
+	// Update applies a server list or changes to it. It is called before the module gets the same update, so that
+	// nothing is sent to servers that the list excludes.
 	Update(List)
-	// Find gives the server of that id as it is listed now, or nil. It stays that process: after a restart or a
-	// move it answers decide.ConnectFailed.
+	// Find returns the listed server of that id, or nil. The result stands for the server process that is listed now:
+	// once the server has restarted or moved to another address, its attempts end with decide.ConnectFailed.
 	Find(decide.ServerID) Server
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(decide.ServerID)
@@ -40,70 +42,72 @@
 
 // Server is one listed server of a Transport.
 type Server interface {
-	// Do makes one attempt and blocks until it has ended, by x.Deadline at the latest. An end of ctx calls it off.
+	// Do makes one attempt and blocks until it has ended, by x.Deadline at the latest. The end of ctx cancels it.
 	Do(ctx context.Context, x *Exchange) Result
-	// Probe asks the server how it is, at a path of the protocol.
+	// Probe requests the server's health check or load report, which is at path.
 	Probe(ctx context.Context, path string) Result
 }
 
-// Membership tells which servers there are.
+// Membership is the source of the server list: a client of service discovery.
 type Membership interface {
-	// Fetch gives the whole list once.
+	// Fetch returns the whole list.
 	Fetch(ctx context.Context) (List, error)
-	// Watch hands on what is newer than a version (all, if nil), with answers that hold nothing, until a call fails or ctx
-	// ends. A list that is Silent says that the watch has fallen silent and is begun anew. The error is a CallError.
+	// Watch passes changes since a version to news, or the whole list if since is nil, and also answers without
+	// changes. It returns when a call fails or ctx ends; the error is a CallError. A list that is Silent says that
+	// the watch has become unresponsive and is restarted.
 	Watch(ctx context.Context, since *uint64, news func(List)) error
-	// Follow is a Watch that is begun again whenever it fails, until ctx ends.
+	// Follow is a Watch that is restarted whenever it fails, until ctx ends.
 	Follow(ctx context.Context, since *uint64, news func(List))
-	// Close lets go of what is kept between calls.
+	// Close releases the connections that are kept between calls.
 	Close()
 }
 
-// CallError is how a call to discovery failed, or a watch broke.
+// CallError is the error of a call to discovery that failed, or of a watch that broke.
 type CallError struct {
 	Cause decide.FailureCause
-	Took  time.Duration // from the beginning of a call that was to be answered at once; 0: it was a watch
+	Took  time.Duration // duration of a call that was to be answered at once; 0: it was a watch
 	Err   error
 }
 
-// Error is that of the call; if discovery was crowded, with the call's length.
+// Error returns the error of the call, with the call's duration if discovery was overloaded.
 func (e *CallError) Error() string {
 	if e.Cause == decide.CauseCrowded {
-		return fmt.Sprintf("discovery is crowded: %v after %v", e.Err, e.Took)
+		return fmt.Sprintf("discovery is overloaded: %v after %v", e.Err, e.Took)
 	}
 	return e.Err.Error()
 }
 
-// Unwrap gives the call's own error.
+// Unwrap returns the error of the call itself.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// Remote hands requests that this hall refuses to other sites.
+// Remote hands requests that the servers of this site refuse off to other sites.
 type Remote interface {
-	// Offer is asked, under the loop's lock, for a request that the module has just refused; ran tells whether some
-	// attempt of it may have run. It gives nil if the request stays. It must not block.
+	// Offer decides whether a request that the module has just refused is handed off to another site, and returns the
+	// hand-off, or nil. ran reports whether an earlier attempt of the request may have run. Offer is called under the
+	// loop's lock and must not block.
 	Offer(r *Request, effect decide.Effect, ran bool) Crossing
 }
 
-// Crossing is a hand-off that has been decided on.
+// HandOff is one request that is to be handed off to another site.
 type Crossing interface {
-	// Cross makes it and blocks until it has ended, by the request's deadline at the latest. An end of ctx means that
-	// the client has gone.
+	// Run sends the request and blocks until the hand-off has ended, by the request's deadline at the latest. The end
+	// of ctx means that the client has gone.
 	Cross(ctx context.Context) (Answer, Crossed)
 }
 
-// Crossed is how a hand-off ended.
+// HandOffResult tells how a hand-off ended.
 type Crossed int
 
 const (
-	// CrossedServed: the answer is the other site's.
+	// HandOffServed: the other site has served the request; the answer is its answer.
 	CrossedServed Crossed = iota
-	// CrossedNever: it has not run there, and will not.
+	// HandOffNotRun: the request has not run at the other site, and will not.
 	CrossedNever
-	// CrossedDoubt: it may have run, or may yet.
+	// HandOffUncertain: the request may have run at the other site, or may still run.
 	CrossedDoubt
 )
 
-// Messenger carries datagrams to other nodes of the tier, perhaps. It never blocks.
+// Messenger sends datagrams to other nodes of the tier, which may get lost. It never blocks.
 type Messenger interface {
 	Send(to int, toAll bool, data []byte)
 }
@@ -113,106 +117,107 @@
 // Send drops the datagram.
 func (noMessenger) Send(int, bool, []byte) {}
 
-// List is what membership tells: all servers, or those that changed.
+// List is a server list from Membership: all servers, or those that have changed.
 type List = serverlist.List
 
 // Entry is a server of a List.
 type Entry = serverlist.Entry
 
-// Exchange is one request as it goes to a server.
+// Exchange is one attempt: a request as it is sent to one server, and the limits until when it may be.
 type Exchange struct {
 	Method   string
 	URL      *url.URL
 	Header   http.Header
 	Body     []byte
-	Deadline time.Time // the node waits no longer
-	Whole    time.Time // an answer of 64 KiB at most that is passed on as it comes has come whole by then; zero: Deadline
-	WriteBy  time.Time // if set, nothing is written from then on
-	ListBy   time.Time // if set, no attempt begins from then on: nothing vouches for the list any more by which it was decided on
+	Deadline time.Time // the attempt ends by then
+	Whole    time.Time // deadline of the request: a streamed answer of at most 64 KiB is complete by then; zero: Deadline
+	WriteBy  time.Time // if set, nothing is written from then on, as servers forget the idempotency key
+	ListBy   time.Time // if set, the list by which the server was chosen is valid until then; the attempt starts earlier or never
 
-	Probe      bool          // a health check, of no request
+	Probe      bool          // a health check, which belongs to no request
 	Effect     decide.Effect // of the request's class
-	MayHaveRun bool          // an earlier attempt of the request
-	ColdMost   int           // while the server is in slow start: what all nodes may send it in one window; 0: it is warm
-	Told       time.Duration // the time that the server has been told, once the head is made
+	MayHaveRun bool          // an earlier attempt of the request may have run
+	ColdMost   int           // while the server is in slow start: requests that all nodes may send it per window; 0: it is warm
+	Told       time.Duration // the X-Time-Left that was sent to the server; set when the head is written
 
-	// Wanted, if set, ends with the request. From then on nothing is sent for it that has not begun to be: that calls off nothing, and is
-	// no matter of the settings.
+	// RequestContext, if set, ends with the request. From then on no writing is started for it. Unlike a cancellation, which the
+	// settings have to allow, this stops nothing that has been started.
 	Wanted  context.Context
-	Left    func(age time.Duration) bool // if set, tells whether the request's client has left, by a look no older than age
-	Written func()                       // if set, told once the last byte has been written
-	Upload  *Upload                      // what comes after Body; nil: nothing
+	Left    func(age time.Duration) bool // if set, reports whether the client has left, by a check no older than age
+	Written func()                       // if set, called once the last byte has been written
+	Upload  *Upload                      // the part of the body after Body; nil: Body is all
 }
 
-// Upload is what of a client's body a front has not read yet. Attempts of its request run one after another, in the goroutine
-// of the front that serves it.
+// Upload is the part of a long request body that the front has not read yet. The attempts of such a request run one after
+// another, in the goroutine of the front that serves it.
 type Upload struct {
-	io.Reader               // its reads end in time
-	Length    int64         // of the whole body, what has been read included; -1: not known before its end
-	Patience  time.Duration // of the client, from the body's last byte on
-	Spent     bool          // some of it has been read: no other attempt can be made
-	Fault     func() int    // the status of an answer where a read has failed
+	io.Reader               // the part that has not been read; each Read has a time limit
+	Length    int64         // of the whole body, including what has been read; -1: not known before its end
+	Patience  time.Duration // how long the client waits for an answer after the last byte of its body
+	Spent     bool          // some of the upload has been read, so that no other attempt can be made
+	Fault     func() int    // after a failed Read: the status to answer the client with
 }
 
-// Rest is what of an answer has not been read from its server yet.
+// Rest is the part of an answer's body that has not been read from its server yet.
 type Rest interface {
-	// Copy hands what comes to write, in pieces that are good until it returns, the last one once the answer's end is known to be its
-	// own. Unless it returns nil the answer is not whole, and whoever gets it has to be shown so.
+	// Copy passes the body to write as it arrives, in pieces that are valid until write returns. The last piece is passed
+	// only once the body is known to be complete. On an error the answer is incomplete, and the client has to notice that.
 	Copy(write func([]byte) error) error
-	// Close lets go of the server, once, and tells how the attempt ended.
+	// Close releases the connection to the server and returns the outcome of the attempt. It is called once.
 	Close() decide.OutcomeCode
 }
 
-// Result is how an exchange ended.
+// Result is the outcome of an Exchange.
 type Result struct {
 	Code   decide.OutcomeCode
-	At     time.Time // the exchange was over
+	At     time.Time // when the exchange ended
 	Report *decide.Report
 	Header http.Header
-	Body   []byte // or its beginning, where there is a Rest
-	Rest   Rest   // nil: Body is all
-	Length int64  // of the whole body, where there is a Rest; -1: not known before its end
-	Client int    // the status of an answer that puts the fault with the client; 0: none
+	Body   []byte // the whole body, or its beginning if Rest is set
+	Rest   Rest   // nil: Body is the whole body
+	Length int64  // of the whole body, if Rest is set; -1: not known before its end
+	Client int    // the status of the server's answer if it blames the client (4xx); 0: it does not
 	Err    error
 }
 
-var errUnlisted = errors.New("the server is not listed any more")
+var errUnlisted = errors.New("the server is no longer listed")
 
 // Answer is a request's final answer.
 type Answer struct {
 	Status  int
 	Header  http.Header
-	Body    []byte // or its beginning, where there is a Rest, which is the front's to close
-	Rest    Rest
-	Length  int64
-	HoldOff time.Duration // when the client may come back; 0: not told
+	Body    []byte // the whole body, or its beginning if Rest is set
+	Rest    Rest   // the remainder of the body, which the front has to close; nil: Body is the whole body
+	Length  int64  // of the whole body, if Rest is set; -1: not known before its end
+	HoldOff time.Duration // how long the client should wait before it retries; 0: no advice
 	Reason  decide.Reason // of a refusal
-	Work    time.Duration // how long the attempt that served it took; 0: none of ours did
+	Work    time.Duration // how long the attempt that served the request took; 0: no server of this site served it
 }
 
-// Request is a client's request as a front has read it, checked.
+// Request is a client's request that a front has read and checked.
 type Request struct {
-	Arrived  decide.RequestArrived // but for Patience
-	Deadline time.Time             // the client has its answer by then
+	Arrived  decide.RequestArrived // the event for the module; the loop sets Patience and Uploading
+	Deadline time.Time             // the client has its answer by then; with an Upload, first for the upload's beginning
 	Method   string
 	URL      *url.URL
-	Header   http.Header // end to end
-	Body     []byte
-	Upload   *Upload // what comes after Body; nil: nothing. Deadline is then for its beginning
-	// Left, if set, tells whether the client has left, by a look no older than age, also where that does not show by itself: while its body is still
-	// coming, or behind more than the front reads ahead. If it has, Do's context ends too. Attempts call it from their own goroutines.
+	Header   http.Header // the end-to-end fields
+	Body     []byte      // the whole body, or its beginning if Upload is set
+	Upload   *Upload     // nil: Body is the whole body
+	// ClientGone, if set, reports whether the client has left, by a check no older than age. It also finds that out where the front
+	// doesn't notice by itself: while the body is still arriving, or behind more bytes than the front reads ahead. If the client has
+	// left, the context of Do ends too. Attempts call it from their own goroutines.
 	Left func(age time.Duration) bool
 
-	// The rest belongs to the loop.
-	answer   chan Answer // holds one: the final answer
-	arriving bool        // in the front's own goroutine, which can make the first attempt itself
-	attempt  func()      // that attempt
-	runs     chan func() // attempts with an upload
-	over     bool
-	wanted   context.Context // ends once it is over
-	end      func()
-	out      int
+	// The remaining fields belong to the loop.
+	answer   chan Answer // buffered: takes the final answer, the only one
+	arriving bool        // arrive is running, so that the front's own goroutine can make the first attempt
+	attempt  func()      // the first attempt, if the front's own goroutine makes it
+	runs     chan func() // attempts with an upload, which the front's own goroutine makes
+	over     bool        // it has its final answer, or needs none
+	wanted   context.Context // ends once the request is over
+	end      func()          // ends ctx
+	out      int             // attempts and hand-offs that have not ended
 	attempts []*attempt
-	window   time.Duration      // for keyed ones: how long servers remember the key
-	abroad   context.CancelFunc // while it is at another site
+	window   time.Duration      // keyed requests: how long servers remember the key
+	abroad   context.CancelFunc // ends the hand-off to another site; nil: there was none
 }
