--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -9,16 +9,19 @@
 	"starlingvalve/internal/guard"
 )
 
+// attempt is the state of one attempt of a Request.
 type attempt struct {
-	sent     time.Time
-	begun    time.Time // its goroutine ran
+	sent     time.Time // when the module decided on it; with an upload: when the request's body was written whole
+	begun    time.Time // when its goroutine started, or as sentAt with an upload; zero: not yet
 	cancel   context.CancelFunc
-	neverRan bool // and has ended
+	neverRan bool // it has ended, and its server did not run the request
 	server   decide.ServerID
-	streams  bool // its answer is being passed on: the front ends it
+	streams  bool // its answer is being streamed to the client: it ends when the front closes the answer
 	ended    bool
 }
 
+// send starts an attempt, unless the guard refuses it. The attempt runs in the goroutine of the request's front where
+// possible, else in one of its own.
 func (l *Loop) send(a decide.Send) {
 	r := l.requests[a.ID]
 	if r == nil {
@@ -69,10 +72,10 @@
 		l.post(func() { l.over(a, n, res) })
 	}
 	if r.runs != nil {
-		r.runs <- run // it has room for each
+		r.runs <- run // never blocks: the buffer holds MaxAttempts
 		return
 	}
-	// Where an attempt can't be called off, the front may not be held by it: its client may go.
+	// If attempts can't be cancelled, the front must not wait in one: its client may leave meanwhile.
 	if r.arriving && r.attempt == nil && l.settings.MayCancel {
 		r.attempt = run
 		return
@@ -80,7 +83,8 @@
 	l.work.Go(run)
 }
 
-// over tells the module of an attempt's end; the first answer goes to the client.
+// attemptEnded handles the result of an attempt: it passes the outcome to the module, and the first answer to the
+// client.
 func (l *Loop) over(a decide.Send, n int, res Result) {
 	r := l.requests[a.ID]
 	t := r.attempts[n]
@@ -89,7 +93,7 @@
 		return
 	}
 	t.cancel()
-	if res.Rest != nil { // the request has its answer
+	if res.Rest != nil { // the request has another answer already
 		res.Code = res.Rest.Close()
 	}
 	t.ended = true
@@ -100,7 +104,7 @@
 	case res.Code == decide.OK:
 		r.answer <- Answer{Status: http.StatusOK, Header: res.Header, Body: res.Body, Work: time.Since(t.sent)}
 		r.over = true
-	case res.Client > 0: // the backend can't use the request: no other could, and it is not to blame
+	case res.Client > 0: // the backend rejects the request as invalid: others would too, and it is not the backend's failure
 		r.answer <- Answer{Status: res.Client}
 		r.over = true
 	}
@@ -116,7 +120,8 @@
 		Code: res.Code, Report: res.Report, Spent: r.Upload != nil && r.Upload.Spent})
 }
 
-// uploaded notes that a body has been written whole: the request's time begins.
+// bodyWritten handles the end of an upload: the body has been written to the server whole, and the client's patience
+// counts from now on.
 func (l *Loop) uploaded(r *Request, t *attempt, n int) {
 	l.figures.Sent()
 	l.post(func() {
@@ -127,11 +132,11 @@
 	})
 }
 
-// stream gives the client the beginning of an answer. The attempt is out until the rest has passed.
+// startStream gives the client the beginning of a streamed answer. The attempt ends when the front closes the rest.
 func (l *Loop) stream(r *Request, t *attempt, a decide.Send, n int, res Result) {
 	elapsed := time.Since(t.sent)
 	t.streams = true
-	l.close(r) // but for this attempt, which is out until its answer has passed
+	l.close(r) // this attempt stays outstanding until the answer has been streamed
 	r.answer <- Answer{Status: http.StatusOK, Header: res.Header, Body: res.Body, Length: res.Length, Work: elapsed,
 		Rest: &passing{Rest: res.Rest, end: func(code decide.OutcomeCode) {
 			t.cancel()
@@ -146,21 +151,22 @@
 	l.handle(decide.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: elapsed, Own: t.own(res.At, l.lag.value(), elapsed)})
 }
 
-// passing is a Rest whose end the loop is told.
+// streamedBody is a Rest that reports its end to the loop.
 type passing struct {
 	Rest
 	end func(decide.OutcomeCode)
 }
 
-// Close ends the answer's body and reports the outcome to the loop.
+// Close closes the Rest and reports the attempt's outcome to the loop.
 func (p *passing) Close() decide.OutcomeCode {
 	code := p.Rest.Close()
 	p.end(code)
 	return code
 }
 
-// own is the part of an attempt's time that passed in this node: before it began, until its answer was noticed, and
-// until the loop was free.
+// ownTime is the part of an attempt's elapsed time that was spent in this node and not at the server: until its
+// goroutine started, until the process noticed the answer (lag), and from its end at the time at until now, as it
+// waited for the loop's lock.
 func (t *attempt) own(at time.Time, lag, elapsed time.Duration) time.Duration {
 	if t.begun.IsZero() || at.IsZero() {
 		return 0
@@ -168,7 +174,7 @@
 	return min(t.begun.Sub(t.sent)+lag+time.Since(at), elapsed)
 }
 
-// mayHaveRun tells whether an attempt that a request has had may have run, or may yet.
+// mayHaveRun reports whether an earlier attempt of the request may have run at its server, or may still run.
 func (r *Request) mayHaveRun() bool {
 	for _, t := range r.attempts {
 		if !t.neverRan {
--- a/internal/core/do.go
+++ b/internal/core/do.go
@@ -8,12 +8,12 @@
 	"starlingvalve/decide"
 )
 
-// Do takes a request from a front and blocks until it has its final answer, which is the only one, and comes by
-// overdue after the request's deadline whatever happens. ctx is the client: if it ends first the request is given up
-// and ok is false; there is nobody to answer. An answer's Rest, if it has one, is the caller's to close.
+// Do serves a request of a front and blocks until the request has its final answer. It returns by answerGrace after the
+// request's deadline at the latest, whatever happens. ctx ends when the client leaves: if that is before the answer,
+// the request is abandoned and ok is false. The caller has to close the Rest of the answer, if it has one.
 func (l *Loop) Do(ctx context.Context, r *Request) (a Answer, ok bool) {
 	if ctx.Err() != nil {
-		return Answer{}, false // its client had left before it was taken up
+		return Answer{}, false // the client had left before the request got here
 	}
 	r.answer, r.arriving = make(chan Answer, 1), true
 	if r.Upload != nil {
@@ -51,7 +51,7 @@
 		late.Stop()
 		l.post(func() { l.abandon(r) })
 		select {
-		case last := <-r.answer: // it came in this moment; none comes from now on
+		case last := <-r.answer: // an answer that came just before abandon; after abandon there is none
 			if ok {
 				a = last
 			} else if last.Rest != nil {
@@ -64,14 +64,16 @@
 	}
 }
 
-// run makes an attempt in the front's goroutine. It ends by the request's deadline, or when it is called off.
+// runAttempt makes an attempt in the front's goroutine, and abandons the request if ctx ends meanwhile. It returns when
+// the attempt has ended: by the request's deadline, or when it is cancelled.
 func (l *Loop) run(ctx context.Context, r *Request, attempt func()) {
 	stop := context.AfterFunc(ctx, func() { l.post(func() { l.abandon(r) }) })
 	defer stop()
 	attempt()
 }
 
-// skip runs the attempts that nobody waits for any more: each has been called off and ends at once, and the module is told.
+// drainUploadAttempts runs the attempts of an abandoned request that are still queued. All of them have been cancelled,
+// so each ends at once and reports that to the module.
 func (l *Loop) skip(r *Request) {
 	for {
 		select {
@@ -83,7 +85,7 @@
 	}
 }
 
-// deadline changes where a request's time begins with its body's end.
+// deadline returns the request's deadline. With an Upload it takes the lock, because bodyWritten moves the deadline.
 func (l *Loop) deadline(r *Request) (at time.Time) {
 	if r.Upload == nil {
 		return r.Deadline
--- a/internal/core/endings_test.go
+++ b/internal/core/endings_test.go
@@ -12,13 +12,13 @@
 	"starlingvalve/decide"
 )
 
-// An answer that comes as the request's time-out does is the client's: it is final already, and the module has been told so. 504 was given in its place, of a request that had
-// been served.
+// An answer that arrives in the same moment as the request's timeout goes to the client: it is final, and the module
+// has been notified of it. The fault: 504 was returned in place of it, for a request that had been served.
 func TestAnswerAndTimeOut(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
 	s := loopSettings()
-	s.MayCancel = false // else the attempt would be in Do's own goroutine
+	s.MayCancel = false // else the attempt would run in Do's own goroutine
 	l := running(t, s, f)
 	answered := make(chan Answer, 1)
 	const wait = 100 * time.Millisecond
@@ -26,7 +26,7 @@
 	go func() { a, _ := l.Do(t.Context(), r); answered <- a }()
 	f.expect(t, "do /order")
 	l.post(func() {
-		for time.Until(r.Deadline) > -3*overdue { // under the lock: Do finds its time over, and waits for it
+		for time.Until(r.Deadline) > -3*overdue { // under the lock, so that Do's timeout fires and then waits for the lock
 			time.Sleep(overdue)
 		}
 		l.finish("q", Answer{Status: http.StatusOK, Body: []byte("x")})
@@ -40,8 +40,8 @@
 	}
 }
 
-// Of a list asked for beside the watch, one that is older than what the watch has told changes nothing: a server that drains would be ready in it. Nor does one of a
-// discovery that has been left.
+// A fetched list is ignored if it is older than what the open watch has brought, as a draining server would be ready in
+// it, or if it comes from a source that has been replaced since.
 func TestOlderFetched(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
@@ -63,11 +63,12 @@
 	}
 	l.post(func() { l.fetched(f, List{Version: 10, Full: true, Entries: oneServer}, nil) })
 	if !l.Able() || *l.view.Revision() != 10 {
-		t.Errorf("a newer one is not taken: version %d", *l.view.Revision())
+		t.Errorf("a newer list is not applied: version %d is in force", *l.view.Revision())
 	}
 }
 
-// The loop's end is the membership's too, once its calls have ended: what comes up late then is not kept.
+// Run closes the membership after the calls to it have ended. Otherwise a connection that a call opens late would stay
+// open.
 func TestEndClosesMembership(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
@@ -89,12 +90,13 @@
 		}
 	}
 	if last != "close membership" || len(f.calls) > 0 {
-		t.Errorf("ended with %q, and %d calls behind it", last, len(f.calls))
+		t.Errorf("the last call was %q, with %d calls after it; want the membership closed last", last, len(f.calls))
 	}
 }
 
-// All nodes of a fleet may be told at the same moment that discovery has moved. Their calls are spread: of 300 at once, a discovery
-// that takes 4 s for a call of each node left the last one without a list for 23 s.
+// All nodes of a fleet may be notified in the same moment that discovery has moved. Their list requests have to be
+// spread over time: when 300 nodes sent theirs at once to a discovery that took 4 s for a call of each node, the last
+// node had no list for 23 s.
 func TestMovesAreSpread(t *testing.T) {
 	t.Parallel()
 	const loops, most = 20, 6 * time.Second
@@ -129,6 +131,6 @@
 	asking.Wait()
 	slices.Sort(took)
 	if took[loops-1] > most || took[loops/2] < time.Second {
-		t.Errorf("asked after %v, want them spread, and the last within %v", took, most)
+		t.Errorf("lists requested after %v, want them spread, and the last within %v", took, most)
 	}
 }
--- a/internal/core/exchange.go
+++ b/internal/core/exchange.go
@@ -9,8 +9,8 @@
 	"starlingvalve/internal/guard"
 )
 
-// WriteHTTP puts a request into the form that it has on a connection. All its parts have been read by net/http, which
-// lets no line break through.
+// WriteHTTP appends the request in HTTP/1.1 form to a buffer, without the upload. The parts need no escaping: net/http
+// has read them, and accepts no line breaks in them.
 func (x *Exchange) WriteHTTP(to *bytes.Buffer) {
 	uri := x.URL.RequestURI()
 	to.Grow(1<<10 + len(x.Body))
@@ -56,18 +56,20 @@
 	to.Write(x.Body)
 }
 
-// Facts are what an exchange tells the guard of its attempt. age is how old a look at the client may be.
+// GuardAttempt returns what the guard needs to know of this attempt at a time. maxAge is how old a check of the
+// client's presence may be.
 func (x *Exchange) Facts(now time.Time, age time.Duration) guard.Attempt {
 	return guard.Attempt{Now: now, Probe: x.Probe, Told: x.Told, Deadline: x.Deadline, Patience: x.Whole, Departed: x.Left != nil && x.Left(age),
 		Effect: x.Effect, MayHaveRun: x.MayHaveRun, WriteBy: x.WriteBy, ListBy: x.ListBy}
 }
 
-// LookAge is how old a look at a client may be as an attempt begins for it. Nothing may begin later than 0.1 s after a client has left, and most
-// attempts begin sooner than LookAge after their request has come, and so without another look.
+// MaxClientCheckAge is how old a check of the client's presence may be when an attempt for it starts. No attempt may
+// start later than 0.1 s after its client has left. Most attempts start sooner than this after their request has
+// arrived, and so need no further check, which is a system call.
 const LookAge = 20 * time.Millisecond
 
-// Unwanted tells whether the request of an exchange is over, or its client has left, by a look no older than age: what has not been written whole is not
-// written any more.
+// RequestOver reports whether the request of an exchange is over, or its client has left by a check no older than
+// maxAge. If so, what has not been written whole is not written any more.
 func (x *Exchange) Unwanted(age time.Duration) bool {
 	return x.Wanted != nil && x.Wanted.Err() != nil || x.Left != nil && x.Left(age)
 }
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -5,21 +5,22 @@
 	"starlingvalve/internal/serverlist"
 )
 
-// Held is what is cordoned whatever membership says: servers, and all those of zones.
+// Cordon is the set of servers, and of zones with all their servers, that are drained whatever the list says.
 type Held = serverlist.Cordon
 
-// Hold drains these servers in place of those that were held before: nothing new goes to them from here on. It changes nothing for
-// servers that stay held or stay free.
+// SetCordon replaces the set of cordoned servers. No new requests are sent to them from now on. Servers whose cordon
+// does not change are not affected.
 func (l *Loop) Hold(h Held) {
 	l.post(func() {
-		if u := l.view.SetCordon(h); len(u.Transitions) > 0 { // as the list of a start: it answers none of the module's calls
+		if u := l.view.SetCordon(h); len(u.Transitions) > 0 { // ListCached, because this answers no list request of the module
 			l.enforce(u, decide.ListCached)
 		}
 	})
 }
 
-// Left is the number of attempts that are under way at these servers, and at those that are not listed any more, where a zone is
-// among them. ok is false once the loop has ended.
+// OpenAttemptsAt is the number of attempts that have not ended at the servers of a cordon. If the cordon has zones,
+// attempts at servers that are no longer listed count too, as their zone is not known. ok is false once the loop has
+// ended.
 func (l *Loop) Left(h Held) (n int, ok bool) {
 	ok = l.post(func() {
 		for _, r := range l.requests {
@@ -34,13 +35,14 @@
 	return n, ok
 }
 
-// Open is the number of clients' requests that have not ended. ok is false once the loop has ended.
+// OpenRequests is the number of clients' requests that have not ended. ok is false once the loop has ended.
 func (l *Loop) Open() (n int, ok bool) {
 	ok = l.post(func() { n = len(l.requests) })
 	return n, ok
 }
 
-// Suspects are the names of the servers that the module takes for dead.
+// EjectedServers returns the names of the ready servers that the module has ejected because they don't answer or accept
+// nothing. They get no traffic but trial requests.
 func (l *Loop) Suspects() (names []string) {
 	l.post(func() {
 		for _, id := range l.module.Suspects() {
--- a/internal/core/lag.go
+++ b/internal/core/lag.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// lagMeter measures how long this process takes to notice that something has come: its run queue, and the time in which
-// its core belongs to others. It sends itself a byte through a pipe, and the byte is noticed the way a server's answer is.
-// Where a goroutine waits in the runtime's own queue only, that time could be had from runtime/metrics; what waits in the
-// kernel until the poller gets its turn could not, and on a busy core it is most of it.
+// lagMeter measures how long this process takes to notice input: the time in the run queue, and the time in which other
+// processes have its core. It sends itself a byte through a pipe, which is noticed in the same way as a server's
+// answer. The metrics of package runtime/metrics show only the wait in the runtime's own queue. The wait in the kernel
+// until the poller runs, which is most of the lag on a busy core, is not among them.
 type lagMeter struct {
 	r, w *os.File
-	sent atomic.Int64 // when the byte on its way was sent, by clock; 0: none is
-	lag  atomic.Int64 // ns, smoothed
-	from time.Time
+	sent atomic.Int64 // when the byte in the pipe was sent, by clock; 0: the pipe is empty
+	lag  atomic.Int64 // smoothed, in ns
+	from time.Time    // the zero of clock
 }
 
 const (
-	lagGain = 0.3  // weight of a new reading: some ten a second must show a starved core within half of one
-	lagMost = 10e9 // ns
+	lagGain = 0.3  // weight of a new reading: with some ten readings per second a starved core shows within half a second
+	lagMost = 10e9 // bound of one reading, in ns
 )
 
 func newLagMeter() (*lagMeter, error) {
@@ -30,17 +30,17 @@
 	return &lagMeter{r: r, w: w, from: time.Now()}, nil
 }
 
-// clock is never 0.
+// clock is the time since epoch in ns, plus 1, as 0 stands for an empty pipe.
 func (m *lagMeter) clock() int64 { return int64(time.Since(m.from)) + 1 }
 
-// ping begins a reading, unless one is under way. It never blocks: the pipe holds one byte at most.
+// ping starts a reading, unless one is in progress. It never blocks, because the pipe holds at most one byte.
 func (m *lagMeter) ping() {
 	if m != nil && m.sent.CompareAndSwap(0, m.clock()) {
 		m.w.Write([]byte{1})
 	}
 }
 
-// run takes the readings until close.
+// run receives the bytes and updates the lag, until close is called.
 func (m *lagMeter) run() {
 	var b [1]byte
 	for {
@@ -54,7 +54,7 @@
 	}
 }
 
-// value is the present lag. A reading that is late already counts as far as it has got.
+// current is the present lag. A reading in progress counts with the time that it has taken so far, if that shows more.
 func (m *lagMeter) value() time.Duration {
 	if m == nil {
 		return 0
@@ -66,6 +66,7 @@
 	return time.Duration(lag)
 }
 
+// close ends run.
 func (m *lagMeter) close() {
 	m.w.Close()
 	m.r.Close()
--- a/internal/core/lag_test.go
+++ b/internal/core/lag_test.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// The meter tells of time in which the process did not get to look, and forgets it once it does.
+// The meter shows the time in which the process could not read, also while a reading is still late, and the lag falls
+// again once readings are prompt.
 func TestLagMeter(t *testing.T) {
 	m, err := newLagMeter()
 	if err != nil {
 		t.Fatal(err)
 	}
 	m.ping()
-	m.ping() // one is under way
+	m.ping() // without effect: a reading is in progress
 	const late = 50 * time.Millisecond
-	time.Sleep(late) // nobody reads yet
+	time.Sleep(late) // run has not started
 	if v := m.value(); v < time.Duration(lagGain*float64(late)) {
 		t.Errorf("%v while a reading is late by %v", v, late)
 	}
@@ -35,22 +36,22 @@
 		}
 	}
 	if v := m.value(); v > high/4 {
-		t.Errorf("%v: it does not forget", v)
+		t.Errorf("the lag is still %v after prompt readings", v)
 	}
 	m.close()
 	<-done
 	var none *lagMeter
 	if none.ping(); none.value() != 0 {
-		t.Error("no meter")
+		t.Error("a nil meter shows a lag")
 	}
 }
 
-// An attempt's own part is what passed in the node, and never more than all of it.
+// An attempt's own time is what was spent in this node, and never more than the elapsed time.
 func TestOwnPart(t *testing.T) {
 	now := time.Now()
 	a := &attempt{sent: now.Add(-100 * time.Millisecond)}
 	if a.own(now, time.Second, time.Second) != 0 {
-		t.Error("an attempt that did not begin")
+		t.Error("an attempt that did not start has an own time")
 	}
 	a.begun = now.Add(-90 * time.Millisecond)
 	if got := a.own(time.Now(), 5*time.Millisecond, 100*time.Millisecond); got < 15*time.Millisecond || got > 60*time.Millisecond {
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -79,9 +79,9 @@
 }
 
 // SetMembership replaces the source of the server list and closes the old one. The whole list is requested from the new
-// source, because its versions need not continue those of the old one. The watch at the old source is ended here: it may
-// hang, and would count as open. To the module this is a failed list request: all nodes may change the source at the
-// same moment, and the module spreads their requests over time.
+// source, because its versions need not continue those of the old one. The watch at the old source is ended here: it
+// may hang, and would count as open. To the module this is a failed list request: all nodes may change the source at
+// the same moment, and the module spreads their requests over time.
 func (l *Loop) Move(to Membership) {
 	l.post(func() {
 		l.unwatch()
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -26,8 +26,9 @@
 )
 
 // Loop owns the decision module: it turns everything that happens into events of the module, one at a time, and carries
-// out the actions that the module returns. Nothing waits for the network under its lock. The goroutine that has an event
-// takes the lock and handles the event itself: one goroutine for all events cost two more goroutine switches per request.
+// out the actions that the module returns. Nothing waits for the network under its lock. The goroutine that has an
+// event takes the lock and handles the event itself: one goroutine for all events cost two more goroutine switches per
+// request.
 type Loop struct {
 	module    *decide.Module
 	settings  decide.Settings
@@ -65,8 +66,8 @@
 	wasUsable bool               // the list has been usable at least once
 }
 
-// Options are the settings and ports of a Loop. Settings, Transport, Membership and Log are required. Without a Messenger
-// no messages to other nodes are sent.
+// Options are the settings and ports of a Loop. Settings, Transport, Membership and Log are required. Without a
+// Messenger no messages to other nodes are sent.
 type Options struct {
 	Settings  decide.Settings
 	Seed      int64
@@ -114,7 +115,8 @@
 	return list
 }
 
-// Learned returns a snapshot of what the module has learned, for a successor process. ok is false once the loop has ended.
+// Learned returns a snapshot of what the module has learned, for a successor process. ok is false once the loop has
+// ended.
 func (l *Loop) Learned() (s decide.Snapshot, ok bool) {
 	ok = l.post(func() { s = l.module.Snapshot(l.now()) })
 	return s, ok
@@ -359,9 +361,9 @@
 	}
 }
 
-// EndBy sets the time at which all requests that are open then are answered, as the node may be killed soon after. Their
-// attempts are cancelled then even where the settings don't allow that: the connections would break with the process
-// anyway. A zero time takes an earlier call back.
+// EndBy sets the time at which all requests that are open then are answered, as the node may be killed soon after.
+// Their attempts are cancelled then even where the settings don't allow that: the connections would break with the
+// process anyway. A zero time takes an earlier call back.
 func (l *Loop) EndBy(end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/core/ports.go
+++ b/internal/core/ports.go
@@ -140,16 +140,16 @@
 	ColdMost   int           // while the server is in slow start: requests that all nodes may send it per window; 0: it is warm
 	Told       time.Duration // the X-Time-Left that was sent to the server; set when the head is written
 
-	// RequestContext, if set, ends with the request. From then on no writing is started for it. Unlike a cancellation, which the
-	// settings have to allow, this stops nothing that has been started.
+	// RequestContext, if set, ends with the request. From then on no writing is started for it. Unlike a cancellation,
+	// which the settings have to allow, this stops nothing that has been started.
 	Wanted  context.Context
 	Left    func(age time.Duration) bool // if set, reports whether the client has left, by a check no older than age
 	Written func()                       // if set, called once the last byte has been written
 	Upload  *Upload                      // the part of the body after Body; nil: Body is all
 }
 
-// Upload is the part of a long request body that the front has not read yet. The attempts of such a request run one after
-// another, in the goroutine of the front that serves it.
+// Upload is the part of a long request body that the front has not read yet. The attempts of such a request run one
+// after another, in the goroutine of the front that serves it.
 type Upload struct {
 	io.Reader               // the part that has not been read; each Read has a time limit
 	Length    int64         // of the whole body, including what has been read; -1: not known before its end
@@ -160,8 +160,9 @@
 
 // Rest is the part of an answer's body that has not been read from its server yet.
 type Rest interface {
-	// Copy passes the body to write as it arrives, in pieces that are valid until write returns. The last piece is passed
-	// only once the body is known to be complete. On an error the answer is incomplete, and the client has to notice that.
+	// Copy passes the body to write as it arrives, in pieces that are valid until write returns. The last piece is
+	// passed only once the body is known to be complete. On an error the answer is incomplete, and the client has to
+	// notice that.
 	Copy(write func([]byte) error) error
 	// Close releases the connection to the server and returns the outcome of the attempt. It is called once.
 	Close() decide.OutcomeCode
@@ -203,9 +204,9 @@
 	Header   http.Header // the end-to-end fields
 	Body     []byte      // the whole body, or its beginning if Upload is set
 	Upload   *Upload     // nil: Body is the whole body
-	// ClientGone, if set, reports whether the client has left, by a check no older than age. It also finds that out where the front
-	// doesn't notice by itself: while the body is still arriving, or behind more bytes than the front reads ahead. If the client has
-	// left, the context of Do ends too. Attempts call it from their own goroutines.
+	// ClientGone, if set, reports whether the client has left, by a check no older than age. It also finds that out
+	// where the front doesn't notice by itself: while the body is still arriving, or behind more bytes than the front
+	// reads ahead. If the client has left, the context of Do ends too. Attempts call it from their own goroutines.
 	Left func(age time.Duration) bool
 
 	// The remaining fields belong to the loop.
--- a/internal/core/ports_test.go
+++ b/internal/core/ports_test.go
@@ -16,11 +16,11 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// fakes are all ports at once; each call on them is told.
+// fakePorts is a fake of all ports at once, which reports each call on calls.
 type fakes struct {
 	calls chan string
-	reply chan Result // of Do; without one it lasts until it is called off
-	lists chan List   // of Watch and Follow
+	reply chan Result // results of Do, which blocks until there is one or it is cancelled
+	lists chan List   // lists for Watch and Follow
 }
 
 func newFakes() *fakes {
@@ -82,7 +82,7 @@
 	f.calls <- fmt.Sprintf("send %d %v %s", to, toAll, data)
 }
 
-// expect waits for a call, past others.
+// expect waits for a call and skips others.
 func (f *fakes) expect(t *testing.T, want string) {
 	t.Helper()
 	end := time.After(patient)
@@ -93,7 +93,7 @@
 				return
 			}
 		case <-end:
-			t.Fatalf("%q does not come", want)
+			t.Fatalf("the call %q does not come", want)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		URL: &url.URL{Path: "/" + class, Host: "h"}}
 }
 
-// Every action works, also those that the module does not use today.
+// The loop carries out every action, including those that the module does not use today.
 func TestActions(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
@@ -133,7 +133,7 @@
 	act := func(a decide.Action) { l.post(func() { l.do(a) }) }
 	act(decide.Probe{Server: 1})
 	f.expect(t, "probe /stats")
-	act(decide.Probe{Server: 9}) // nobody
+	act(decide.Probe{Server: 9}) // not listed
 	act(decide.CloseIdle{Server: 1})
 	f.expect(t, "close 1")
 	act(decide.FetchList{})
@@ -161,7 +161,7 @@
 	if a := <-answered; a.Status != http.StatusBadGateway {
 		t.Errorf("status %d: a cancelled attempt may have run", a.Status)
 	}
-	act(decide.Send{ID: "q", Server: 1}) // over: answered with Moot, and nothing is sent
+	act(decide.Send{ID: "q", Server: 1}) // the request is over: the attempt ends as Moot, and nothing is sent
 	act(decide.Refuse{ID: "q"})
 	act(decide.Fail{ID: "nobody"})
 	fired := make(chan struct{})
@@ -177,8 +177,8 @@
 	}
 }
 
-// A client that goes calls off its attempt, and nobody is answered. One that waits is answered by its deadline even if
-// its server says nothing, and an id may be used again once its request is over.
+// If a client leaves, its attempt is cancelled and there is no answer. A client that stays is answered by its deadline
+// even if the server is unresponsive. An id may be used again once its request is over.
 func TestDoEnds(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
@@ -201,7 +201,7 @@
 	}
 	began := time.Now()
 	if a, ok := l.Do(t.Context(), ask("order", "r", 500*time.Millisecond)); !ok || a.Status < 500 || a.Status == 503 || time.Since(began) > patient/2 {
-		t.Errorf("after %v: %+v, %v; an unsafe request that may have run has failed", time.Since(began), a, ok)
+		t.Errorf("after %v: %+v, %v; want a failure, as the unsafe request may have run", time.Since(began), a, ok)
 	}
 }
 
@@ -210,13 +210,13 @@
 	return held
 }
 
-// Another source of membership is asked for everything, whatever version the old one had reached, and the old one's watch
-// is heard no more.
+// The whole list is requested from a new source, whatever version the old source had reached, and the old source's
+// watch is ended.
 func TestMove(t *testing.T) {
 	t.Parallel()
 	from, to := newFakes(), newFakes()
 	l := running(t, loopSettings(), from)
-	from.expect(t, "watch from 1") // the module asks by itself
+	from.expect(t, "watch from 1") // the module requests the list by itself
 	l.Move(to)
 	from.expect(t, "close membership")
 	to.expect(t, "watch from nothing")
@@ -227,9 +227,9 @@
 	}
 }
 
-// abroad is a Remote on which each hand-off ends as the test says, or with its client.
+// fakeRemote is a Remote whose hand-offs end with the result that the test sends, or when the client leaves.
 type abroad struct {
-	offers chan bool // ran
+	offers chan bool // the ran of each Offer
 	end    chan Crossed
 	gone   chan struct{}
 }
@@ -245,8 +245,9 @@
 	}
 }
 
-// What the module refuses is offered; how the hand-off ends is the client's one answer: a refusal only if nothing may have run
-// or the class is safe. A client that goes calls it off, and the id is open for as long.
+// A request that the module refuses is offered to the Remote, and the result of the hand-off decides the client's only
+// answer: a refusal only if the request cannot have run or its class is safe. If the client leaves, the hand-off is
+// cancelled. The request's id stays open until the hand-off has ended.
 func TestCrossing(t *testing.T) {
 	t.Parallel()
 	f, far := newFakes(), &abroad{offers: make(chan bool, 9), end: make(chan Crossed, 9), gone: make(chan struct{})}
@@ -256,7 +257,7 @@
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { defer close(done); l.Run(List{Version: 1, Full: true}) }() // no servers: all is refused
+	go func() { defer close(done); l.Run(List{Version: 1, Full: true}) }() // no servers, so that all requests are refused
 	t.Cleanup(func() { cancel(); <-done })
 	for i, c := range []struct {
 		class  string
@@ -270,21 +271,21 @@
 			t.Errorf("%s, %v: %+v, %v", c.class, c.how, a, ok)
 		}
 		if ran := <-far.offers; ran {
-			t.Error("it is said to have run")
+			t.Error("the offer says that the request may have run")
 		}
 		if l.holds(decide.RequestID(id)) {
-			t.Error("the request is kept")
+			t.Error("the request is still open")
 		}
 	}
 	if a, _ := l.Do(t.Context(), ask("unheard-of", "x", patient)); a.Status != 503 || len(far.offers) > 0 {
-		t.Errorf("a class that nobody knows: %+v", a)
+		t.Errorf("an unknown class: %+v", a)
 	}
 	client, leave := context.WithCancel(t.Context())
 	answered := make(chan bool, 1)
 	go func() { _, ok := l.Do(client, ask("order", "q", patient)); answered <- ok }()
 	<-far.offers
 	if a, _ := l.Do(t.Context(), ask("order", "q", patient)); a.Status != http.StatusConflict {
-		t.Errorf("the same id while it is abroad: %+v", a)
+		t.Errorf("the same id during the hand-off: %+v", a)
 	}
 	leave()
 	<-far.gone
