--- a/internal/core/ports.go
+++ b/internal/core/ports.go
@@ -132,12 +132,12 @@
 	Deadline time.Time // the attempt ends by then
 	Whole    time.Time // deadline of the request: a streamed answer of at most 64 KiB is complete by then; zero: Deadline
 	WriteBy  time.Time // if set, nothing is written from then on, as servers forget the idempotency key
-	ListBy   time.Time // if set, the list by which the server was chosen is valid until then; the attempt starts earlier or never
+	ListBy   time.Time // if set, no attempt starts from then on: the list by which the server was chosen is not valid any more
 
 	Probe      bool          // a health check, which belongs to no request
 	Effect     decide.Effect // of the request's class
 	MayHaveRun bool          // an earlier attempt of the request may have run
-	ColdMost   int           // while the server is in slow start: requests that all nodes may send it per window; 0: it is warm
+	ColdMost   int           // requests that all nodes together may send per window to a server in slow start; 0: it is warm
 	Told       time.Duration // the X-Time-Left that was sent to the server; set when the head is written
 
 	// RequestContext, if set, ends with the request. From then on no writing is started for it. Unlike a cancellation,
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,7 +1,6 @@
-// Package guard is the one place that each effect of a process passes at the last moment before it takes place: an
-// attempt at a server, the first one or a further one, and the end of a client's request. It refuses what would break
-// a rule, and counts by rule what got past it. It is pure but for its counters: times come in as arguments, and it
-// knows no connection.
+// Package guard checks each attempt at a server right before it is sent, and again right after, and each client's request
+// when it ends. It refuses attempts that would break a rule, and counts refusals and violations by rule. It does no
+// I/O: times are arguments, and its only state are the counters.
 package guard
 
 import (
@@ -11,62 +10,62 @@
 	"starlingvalve/decide"
 )
 
-// Rule is one of the promises that the guard holds.
+// Rule is one of the rules that the guard enforces.
 type Rule int
 
-// The rules. None stands for none of them.
+// The rules. None means that no rule is broken.
 const (
 	None      Rule = iota
-	Lost           // a request that was taken gets its final answer
-	Duplicate      // nothing unsafe runs twice, and no key after its window
-	Drain          // nothing goes to a server that drains or is gone
-	Failback       // no server in slow start gets more than all processes together may send it
-	Deadline       // nothing is sent after the client's time, and no server is told more than is left
-	Departed       // nothing is sent for a client that has left, or a request that is over
+	Lost           // a request that was read whole gets its final answer
+	Duplicate      // an unsafe request runs at most once, and no idempotency key is sent after its deduplication window
+	Drain          // nothing is sent to a server that is draining or removed
+	Failback       // a server in slow start gets no more than all processes together may send it
+	Deadline       // nothing is sent after the client's deadline, and no server gets a longer time than the client has left
+	Departed       // nothing is sent for a client that has left, or for a request that is over
 	rules
 )
 
 var names = [rules]string{"none", "lost", "duplicate", "drain", "failback", "deadline", "departed"}
 
-// String is the rule's name in logs and figures.
+// String is the rule's name in logs and metrics.
 func (r Rule) String() string { return names[r] }
 
-// Error is the rule as the reason why an attempt was refused.
+// Error makes a rule an error, which says why an attempt was refused.
 func (r Rule) Error() string { return "refused by the guard: " + r.String() }
 
-// Each gives all rules but None.
+// Rules returns all rules except None.
 func Each() []Rule { return []Rule{Lost, Duplicate, Drain, Failback, Deadline, Departed} }
 
 const (
-	// DepartedWithin is how long after a client has left an attempt for it may still begin.
+	// DepartedWithin is how long after its client has left an attempt may still start.
 	DepartedWithin = 100 * time.Millisecond
-	// DeadlineSlack is by how much the time that a server is told may exceed what is left to the client.
+	// DeadlineSlack is by how much the time limit that is sent to a server may exceed the time that the client has left.
 	DeadlineSlack = 150 * time.Millisecond
 )
 
-// Attempt is what is known of an attempt at one moment: right before its first byte, or right after its last one.
+// Attempt describes an attempt at one moment: right before its first byte is written, or right after the last one.
 type Attempt struct {
 	Now      time.Time
 	Probe    bool          // a health check, which belongs to no request
-	Told     time.Duration // the time that the server is told, counted from Now; 0: it is not known yet
-	Deadline time.Time     // the server is to answer by then
+	Told     time.Duration // the time limit that is sent to the server (X-Time-Left), from Now; 0: not known yet
+	Deadline time.Time     // the server has to answer by then
 	Patience time.Time     // the client's own deadline
 
-	Over     bool // the request has its final answer, or is called off
-	Departed bool // its client has left, by a look that is no older than the caller wants
+	Over     bool // the request has its final answer, or has been cancelled
+	Departed bool // the client has left, by a check that is as recent as the caller requires
 
 	Effect     decide.Effect
-	MayHaveRun bool      // an earlier attempt of the request
-	WriteBy    time.Time // by then all has to be written, as servers forget the key; zero: at any time
+	MayHaveRun bool      // an earlier attempt of the request may have run
+	WriteBy    time.Time // the attempt has to be written by then, as servers forget the idempotency key; zero: no limit
 
-	ListBy   time.Time // until then the list is good by which the attempt was decided on; zero: for ever
-	OffSince time.Time // since when the server drains or is gone; zero: it is ready
+	ListBy   time.Time // the list by which the server was chosen is valid until then; zero: without limit
+	OffSince time.Time // since when the server is draining or removed; zero: it is ready
 
-	ColdSent int // attempts at the server in the present window of its slow start, this one included; 0: it is warm
-	ColdMost int // what all processes together may send it in one
+	ColdSent int // attempts in the present window of the server's slow start, including this one; 0: it is warm
+	ColdMost int // attempts that all processes together may send the server per window; 0: it is warm
 }
 
-// Check gives the rule that an attempt would break if it began now, or None.
+// Check returns the rule that an attempt would break if it started now, or None.
 func Check(a Attempt) Rule {
 	switch {
 	case a.Over || a.Departed:
@@ -83,7 +82,7 @@
 	return None
 }
 
-// repeats tells whether an effect could happen twice.
+// duplicatesEffect reports whether the attempt could have its effect a second time.
 func (a *Attempt) repeats() bool {
 	if a.Probe {
 		return false
@@ -91,25 +90,27 @@
 	return a.MayHaveRun && a.Effect == decide.Unsafe || !a.WriteBy.IsZero() && !a.Now.Before(a.WriteBy)
 }
 
-// Guard counts what was refused and what got past it. All its methods can be called from several goroutines. A nil
-// Guard checks and counts nothing.
+// Guard checks attempts and counts refusals and violations. Its methods are safe for concurrent use. A nil Guard checks
+// attempts, too, but counts nothing.
 type Guard struct {
-	grace    time.Duration // that servers which drain are given
+	grace    time.Duration // how long after a server starts to drain attempts may still be sent to it
 	refused  [rules]atomic.Int64
 	violated [rules]atomic.Int64
 	stale    atomic.Int64 // attempts sent while no watch kept the list fresh
 
-	made      time.Time    // the zero of its clock
-	unwatched atomic.Int64 // since when no watch does, in ns on that clock; 0: one does
+	made      time.Time    // the zero of the guard's clock
+	unwatched atomic.Int64 // when the last watch ended, in ns since epoch; 0: a watch keeps the list fresh, or none ever has
 	report    func(r Rule, a Attempt)
 }
 
-// New makes a guard. report, if it is not nil, is told of each violation; it must not block.
+// New returns a guard. drainGrace is how long after a server starts to drain attempts may still be sent to it. report, if
+// not nil, is called with each violation; it must not block.
 func New(grace time.Duration, report func(r Rule, a Attempt)) *Guard {
 	return &Guard{grace: grace, report: report, made: time.Now()}
 }
 
-// May decides on an attempt at the last moment before its first byte, and counts a refusal.
+// Admit checks an attempt right before its first byte is written. It returns None, or the rule for which the attempt is
+// refused, and counts the refusal.
 func (g *Guard) May(a Attempt) Rule {
 	r := Check(a)
 	if r != None && g != nil {
@@ -118,8 +119,8 @@
 	return r
 }
 
-// Sent judges an attempt that has been written, by what is known now, and counts the rules that it broke all the same.
-// began is when its first byte was written.
+// RecordSent checks an attempt that has been written, by what is known now, and counts the rules that it has broken
+// although it was admitted. startedAt is when its first byte was written.
 func (g *Guard) Sent(a Attempt, began time.Time) {
 	if g == nil {
 		return
@@ -144,7 +145,8 @@
 	}
 }
 
-// late tells whether an attempt was written after its client's time, or tells the server too much of it.
+// exceedsDeadline reports whether an attempt was written after its client's deadline, or sent the server a longer time
+// limit than the client had left, with DeadlineSlack allowed in both cases.
 func (a *Attempt) late() bool {
 	if a.Probe || a.Patience.IsZero() {
 		return false
@@ -153,22 +155,23 @@
 	return left < -DeadlineSlack || a.Told > max(0, left)+DeadlineSlack
 }
 
-// SentBefore judges attempts that were sent to a server before it was known to drain or be gone: the process may have
-// counted as notified since a time, as its watch was resumed too late. last is the latest of them.
+// RecordSentBefore checks attempts at a server that were sent before the process knew that the server is draining or
+// removed. The process may have counted as notified of that earlier, since the time notified, because its watch was
+// resumed too late. lastSent is the time of the latest of these attempts.
 func (g *Guard) SentBefore(last, notified time.Time) {
 	if g != nil && !notified.IsZero() && last.Sub(notified) > g.grace {
 		g.Violated(Drain, Attempt{Now: last, OffSince: notified})
 	}
 }
 
-// Ended judges the end of a request that was read whole.
+// RecordRequestEnd checks the end of a request that was read whole: it counts as lost if it was not answered.
 func (g *Guard) Ended(answered bool) {
 	if g != nil && !answered {
 		g.Violated(Lost, Attempt{})
 	}
 }
 
-// Violated counts a violation.
+// RecordViolation counts and reports a violation.
 func (g *Guard) Violated(r Rule, a Attempt) {
 	if g == nil {
 		return
@@ -179,7 +182,8 @@
 	}
 }
 
-// Watched tells the guard whether a watch keeps the list fresh, or since when none does.
+// SetWatched sets whether a watch keeps the list fresh, and if not, since when. The zero time means since the start:
+// attempts are then not counted as stale.
 func (g *Guard) Watched(watched bool, since time.Time) {
 	if g == nil {
 		return
@@ -191,7 +195,7 @@
 	g.unwatched.Store(int64(at))
 }
 
-// Counts are how many attempts a rule refused, and how often it was broken all the same.
+// Counts returns how many attempts were refused for a rule, and how often the rule was broken.
 func (g *Guard) Counts(r Rule) (refused, violated int64) {
 	if g == nil {
 		return 0, 0
@@ -199,7 +203,7 @@
 	return g.refused[r].Load(), g.violated[r].Load()
 }
 
-// Violations is their number over all rules.
+// Violations is the number of violations of all rules.
 func (g *Guard) Violations() (n int64) {
 	for _, r := range Each() {
 		_, violated := g.Counts(r)
@@ -208,7 +212,7 @@
 	return n
 }
 
-// Stale is the number of attempts that were sent while no watch kept the list fresh.
+// StaleSends is the number of attempts that were sent while no watch kept the list fresh.
 func (g *Guard) Stale() int64 {
 	if g == nil {
 		return 0
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -19,7 +19,8 @@
 	return Attempt{Now: now, Told: time.Second, Deadline: now.Add(time.Second), Patience: now.Add(time.Second), Effect: decide.Unsafe}
 }
 
-// planted is, for each rule of attempts, a fault that breaks it: what Check has to refuse, and what Sent has to count.
+// plantedFaults holds for each rule of attempts a fault that breaks it: before is the one that Admit has to refuse, after
+// the one that RecordSent has to count.
 var planted = map[Rule]struct{ before, after func(*Attempt) }{
 	Duplicate: {
 		func(a *Attempt) { a.MayHaveRun = true },
@@ -43,12 +44,13 @@
 	},
 }
 
-// Each rule has a fault that the guard refuses before, and counts after; nothing else is refused or counted for it.
+// For each rule the guard refuses its planted fault before an attempt and counts it after one, and refuses or counts
+// nothing under the other rules.
 func TestEachRuleCatchesItsFault(t *testing.T) {
 	t.Parallel()
 	for _, r := range Each() {
 		if r == Lost {
-			continue // of requests, below
+			continue // a rule of requests: TestLostIsCounted
 		}
 		t.Run(r.String(), func(t *testing.T) {
 			t.Parallel()
@@ -78,7 +80,7 @@
 	}
 }
 
-// A request that ends without an answer is lost.
+// A request that ends without an answer counts as lost.
 func TestLostIsCounted(t *testing.T) {
 	t.Parallel()
 	g := New(grace, nil)
@@ -89,7 +91,7 @@
 	}
 }
 
-// What may not be refused: the bounds of each rule.
+// Attempts just within the bounds of each rule are neither refused nor counted.
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(*Attempt){
@@ -112,18 +114,18 @@
 	a := good()
 	a.Effect, a.MayHaveRun, a.WriteBy = decide.Keyed, true, now
 	if r := Check(a); r != Duplicate {
-		t.Errorf("a key after its window: %v", r)
+		t.Errorf("an idempotency key after its window: %v", r)
 	}
 	a = good()
 	a.OffSince = now.Add(-grace)
 	g := New(grace, nil)
 	if g.Sent(a, now); g.Violations() != 0 {
-		t.Error("within the grace, as the server began to drain after the check: counted")
+		t.Error("an attempt within the drain grace, sent as the server began to drain after the check, is counted")
 	}
 }
 
-// The incident: a watch that was resumed too late brings a drain. What was sent after the grace is counted then, and
-// attempts that are sent meanwhile count as sent by a list that nothing keeps fresh.
+// A watch that is resumed too late brings the drain of a server (this has happened). Attempts that were sent after the
+// drain grace are counted then, and attempts without a watch count as sent by a stale list.
 func TestSentBeforeItWasKnown(t *testing.T) {
 	t.Parallel()
 	g := New(grace, nil)
@@ -146,14 +148,14 @@
 	}
 }
 
-// A nil guard decides all the same, and counts nothing.
+// A nil guard checks attempts, too, and counts nothing.
 func TestNilGuard(t *testing.T) {
 	t.Parallel()
 	var g *Guard
 	a := good()
 	a.Departed = true
 	if g.May(a) != Departed || g.Violations() != 0 || g.Stale() != 0 {
-		t.Error("a nil guard does not decide")
+		t.Error("a nil guard does not refuse, or counts")
 	}
 	g.Sent(a, now)
 	g.SentBefore(now, now.Add(-time.Hour))
@@ -161,7 +163,7 @@
 	g.Watched(false, now)
 }
 
-// What Check lets pass breaks no rule if it is sent at that very moment.
+// An attempt that is admitted breaks no rule if it is sent in the same moment.
 func TestAdmittedBreaksNothing(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -188,7 +190,7 @@
 	})
 }
 
-// BenchmarkAttempt is what the guard costs for one attempt: the check before, and the count after.
+// BenchmarkAttempt measures the guard's cost per attempt: the check before it, and the one after.
 func BenchmarkAttempt(b *testing.B) {
 	g := New(grace, nil)
 	a := good()
@@ -200,12 +202,13 @@
 	}
 }
 
-// An attempt that has waited for its connection until nothing vouches for the list any more by which it was decided on is not written.
+// An attempt that has waited for its connection is not written once the list by which its server was chosen is no longer
+// valid.
 func TestExpiredListIsRefused(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
 	for _, c := range []struct {
-		good time.Duration // for so long the list is good from now on; 0: for ever
+		good time.Duration // how long the list is still valid; 0: without limit
 		want Rule
 	}{{0, None}, {time.Millisecond, None}, {-time.Millisecond, Drain}} {
 		a := Attempt{Now: now, Deadline: now.Add(time.Second)}
@@ -213,7 +216,7 @@
 			a.ListBy = now.Add(c.good)
 		}
 		if got := Check(a); got != c.want {
-			t.Errorf("good for %v: %v, want %v", c.good, got, c.want)
+			t.Errorf("list valid for %v: %v, want %v", c.good, got, c.want)
 		}
 	}
 }
--- a/internal/serverlist/list.go
+++ b/internal/serverlist/list.go
@@ -1,5 +1,5 @@
-// Package serverlist holds what a process knows of the servers that there are: the list in force, its revision, who
-// told it, and how old that knowledge is. It is pure: times come in as arguments.
+// Package serverlist keeps the server list of a process: the list in force, its revision, its source, and the time since
+// it was last confirmed. It does no I/O and reads no clock: times are arguments.
 package serverlist
 
 import (
@@ -8,21 +8,21 @@
 	"starlingvalve/decide"
 )
 
-// Source tells how this process came to know a list.
+// Source is where a list came from.
 type Source int
 
 // The sources of lists.
 const (
 	SourceNone        Source = iota
-	SourceCache              // the configuration: the list as the node had it last
-	SourcePredecessor        // the process before this one, which handed it over
-	SourceCall               // the answer to a call that waits for no news
-	SourceWatch              // the answer to a later call of a watch
-	SourcePush               // the agent that lists are pushed to
-	SourceCordon             // the list in force, with other servers cordoned
+	SourceCache              // the node's cache file: the last list that the node had
+	SourcePredecessor        // the predecessor process, which handed its list over
+	SourceCall               // the answer to a call that does not wait for changes
+	SourceWatch              // an answer of an open watch
+	SourcePush               // the agent to which lists are pushed
+	SourceCordon             // the list in force, after a change of the cordoned servers
 )
 
-// String is the source's name in logs and figures.
+// String is the source's name in logs and metrics.
 func (s Source) String() string {
 	return [...]string{"none", "cache", "predecessor", "call", "watch", "push", "cordon"}[s]
 }
@@ -30,37 +30,37 @@
 // Entry is a server of a List.
 type Entry struct {
 	decide.Server
-	Name string `json:",omitempty"` // as service discovery has it
+	Name string `json:",omitempty"` // in service discovery
 	Addr string // IP:port
 }
 
-// List is what service discovery tells: all servers, or those that changed.
+// List is a server list from service discovery, or changes to it.
 type List struct {
-	Version uint64
-	Full    bool
+	Version uint64 // the revision of the list in discovery
+	Full    bool   // Entries holds all servers, not just those that have changed
 	Entries []Entry
 
 	Source Source `json:"-"`
-	// Silent is of no list: the watch has fallen silent, and is begun anew.
+	// Silent marks a List that holds no list: the watch has become unresponsive and is restarted.
 	Silent bool `json:"-"`
-	// StaleSince is set if the watch that brings this list was resumed too late: from then on the process may have
-	// counted as notified of what the list says.
+	// StaleSince is set if the watch that brought this list was resumed too late: since that time the process may have
+	// counted as notified of the changes in this list.
 	StaleSince time.Time `json:"-"`
 }
 
-// Empty tells whether a list changes nothing in the one of a revision.
+// Empty reports whether a list changes nothing if the list in force has this revision.
 func (l *List) Empty(revision uint64) bool {
 	return !l.Full && len(l.Entries) == 0 && l.Version == revision
 }
 
-// Cordon is what is drained whatever service discovery says: servers, and all those of zones.
+// Cordon is the set of servers that are drained whatever the list says: single servers, and all servers of some zones.
 type Cordon struct {
 	Servers map[decide.ServerID]bool
 	Zones   map[string]bool
 }
 
-// Has tells whether an entry is cordoned.
+// Has reports whether an entry is cordoned.
 func (c Cordon) Has(e Entry) bool { return c.Servers[e.ID] || c.Zones[e.Zone] }
 
-// none tells whether nothing is cordoned.
+// empty reports whether no server is cordoned.
 func (c Cordon) none() bool { return len(c.Servers)+len(c.Zones) == 0 }
--- a/internal/serverlist/view.go
+++ b/internal/serverlist/view.go
@@ -7,65 +7,66 @@
 )
 
 const (
-	// ContinueWithin is the time from an answer of a watch to its next call. A later one begins a new watch, and what
-	// changed within this time counts as notified although nothing has brought it.
+	// MaxWatchGap is the longest time from an answer of a watch to the next call that continues it. A later call starts a
+	// new watch; changes within this time after the answer count as notified although no answer has brought them.
 	ContinueWithin = 200 * time.Millisecond
-	// OlderTrusted is how long a list with a lower revision than the one in force has to stand before it brings back
-	// servers that were draining or gone: a replica of discovery may lag, or the revisions may have begun anew.
+	// OlderListTrustedAfter is how long a list with a lower revision than the one in force has to stand before it makes
+	// draining or removed servers ready again: it may come from a replica of discovery that lags behind, or the revisions
+	// may have started again from the beginning.
 	OlderTrusted = 10 * time.Second
 
-	offKept = time.Minute // for which a server that is gone is remembered
-	offMost = 8192        // servers that are remembered so
+	offKept = time.Minute // how long a removed server is remembered
+	offMost = 8192        // removed servers are forgotten at once while more unavailable servers than this are remembered
 )
 
-// View is the list of servers as one process has it. It is not safe for concurrent use.
+// View is the server list as one process has it. It is not safe for concurrent use.
 type View struct {
-	entries  map[decide.ServerID]Entry // as told, but for those that are gone
+	entries  map[decide.ServerID]Entry // the listed servers, without the effect of the cordon
 	off      map[decide.ServerID]offServer
 	cordon   Cordon
-	ready    int // entries that are in force as ready
-	known    bool
+	ready    int  // entries whose state in force is Ready
+	known    bool // a list has been applied since the start or the last change of the source
 	revision uint64
 	source   Source
 
-	appliedAt   time.Time // the latest change
-	confirmedAt time.Time // the latest answer of discovery: there was nothing newer then
-	watched     bool
-	unwatchedAt time.Time // since when it is not watched
+	appliedAt   time.Time // when the list last changed
+	confirmedAt time.Time // of the latest answer of discovery: there was nothing newer then
+	watched     bool      // a watch keeps the list fresh
+	unwatchedAt time.Time // when the last watch ended
 }
 
-// offServer is a server that drains or is gone.
+// unavailableServer is a server that is draining or has been removed.
 type offServer struct {
-	revision uint64 // that said so
-	started  decide.Time
+	revision uint64      // the highest revision by which it is unavailable
+	started  decide.Time // when its process started
 	since    time.Time
 	gone     bool
-	bringsAt time.Time // an older list says that it is ready, and is believed from then on; zero: none does
-	ready    Entry     // as that list has it
+	bringsAt time.Time // a list with a lower revision has it as ready, and is trusted from then on; zero: none has
+	ready    Entry     // its entry in that list
 }
 
-// Transition is a change of one server's state.
+// Transition is the change of one server's state.
 type Transition struct {
 	Server   Entry
 	From, To decide.ServerState
 	Revision uint64
 	Source   Source
-	Age      time.Duration // of what was believed until then; negative: it was never confirmed
+	Age      time.Duration // of the list that had the state From; negative: it was never confirmed
 }
 
-// Update is what a list changes: the entries to put in force, and the transitions.
+// Update is the effect of a list on a View: the entries to put in force, and the servers' changes of state.
 type Update struct {
 	List        List
 	Transitions []Transition
-	Age         time.Duration // of what was known before, as Age gives it
+	Age         time.Duration // of the list before this update, see View.Age
 }
 
-// NewView makes a view that knows no list.
+// NewView returns a view without a list.
 func NewView() *View {
 	return &View{entries: map[decide.ServerID]Entry{}, off: map[decide.ServerID]offServer{}}
 }
 
-// Apply takes a list. What it gives has to be put in force, the transport first.
+// Apply takes in a list or changes. The caller has to pass the update to the transport first and then to the module.
 func (v *View) Apply(l List, now time.Time) Update {
 	age := v.Age(now)
 	before := v.states(l)
@@ -93,8 +94,8 @@
 	return u
 }
 
-// Withdraw takes from a list, whose source is not followed any more, that servers drain or are gone, and nothing else. What it
-// gives holds the whole list in force.
+// Withdraw applies a list of a source that is no longer followed: only servers that are draining or removed by it change,
+// and the revision and the source of the list in force stay. The update holds the whole list in force.
 func (v *View) Withdraw(l List, now time.Time) Update {
 	off := List{Version: l.Version, Source: SourceNone}
 	for _, e := range l.Entries {
@@ -107,7 +108,7 @@
 	u := v.Apply(off, now)
 	v.known, v.revision, v.source, v.appliedAt = known, revision, source, applied
 	if !known {
-		clear(v.off) // revisions begin anew
+		clear(v.off) // the revisions of the next source can't be compared with these
 	}
 	u.List = List{Version: revision, Full: true, Source: SourceCordon}
 	for _, e := range v.entries {
@@ -116,7 +117,7 @@
 	return u
 }
 
-// states are the servers that a list may change, with their states in force.
+// affected returns the servers that a list may change, with their states in force before it.
 func (v *View) states(l List) []Entry {
 	list := make([]Entry, 0, len(l.Entries))
 	named := map[decide.ServerID]bool{}
@@ -137,7 +138,7 @@
 	return list
 }
 
-// state is a server's state in force.
+// state is a server's state in force; Gone if it is not listed.
 func (v *View) state(id decide.ServerID) decide.ServerState {
 	e, listed := v.entries[id]
 	if !listed {
@@ -146,7 +147,7 @@
 	return v.Effective(e).State
 }
 
-// take enters one entry.
+// setEntry enters one entry of a list into the view.
 func (v *View) take(e Entry, revision uint64, now time.Time) {
 	if was, ok := v.entries[e.ID]; ok && v.Effective(was).State == decide.Ready {
 		v.ready--
@@ -170,8 +171,9 @@
 	v.off[e.ID] = o
 }
 
-// holdBack keeps a server draining that a list has as ready, if a later revision said that it is not. One that has
-// started since is another process. If no newer list comes, the older one is believed after OlderTrusted.
+// keepUnavailable returns an entry as it is to be set: draining instead of ready if a list with a higher revision had the
+// server as draining or removed. A server that has started since then is another process and stays ready. If no list with
+// a higher revision comes, the entry is trusted after OlderListTrustedAfter.
 func (v *View) holdBack(e Entry, revision uint64, now time.Time) Entry {
 	o, off := v.off[e.ID]
 	if !off || e.State != decide.Ready || revision >= o.revision || e.StartedAt > o.started {
@@ -186,7 +188,8 @@
 	return e
 }
 
-// believed gives the servers of older lists that are believed by now, but for those that a list names itself.
+// trustedByNow makes the servers ready whose entries keepUnavailable has kept back for long enough, and returns them.
+// Servers that have become ready or removed meanwhile are left out.
 func (v *View) believed(now time.Time, l *List) (entries []Entry) {
 	for id, o := range v.off {
 		if o.bringsAt.IsZero() || now.Before(o.bringsAt) {
@@ -203,8 +206,8 @@
 	return entries
 }
 
-// noteGone remembers the servers that a whole list does not name any more, and forgets those that have been gone for
-// long.
+// rememberRemoved remembers the servers that a whole list no longer contains, and forgets those that were removed long
+// ago.
 func (v *View) noteGone(list []Transition, now time.Time) {
 	for _, t := range list {
 		if _, off := v.off[t.Server.ID]; t.To == decide.Gone && !off {
@@ -218,7 +221,7 @@
 	}
 }
 
-// confirm notes that what is in force is what discovery has now.
+// confirm records that the list in force is the newest one, if the source is discovery itself.
 func (v *View) confirm(source Source, now time.Time) {
 	switch source {
 	case SourceWatch, SourcePush, SourceCall:
@@ -226,7 +229,8 @@
 	}
 }
 
-// Confirm takes an answer without news. What it gives has to be put in force, if it has entries.
+// Confirm takes in an answer of discovery without changes. If the update has entries, the caller has to put them in force:
+// they are of an older list that is trusted by now.
 func (v *View) Confirm(source Source, now time.Time) Update {
 	v.confirm(source, now)
 	l := List{Version: v.revision, Source: source}
@@ -238,22 +242,23 @@
 	return u
 }
 
-// Unwatch notes that no call of a watch is out any more.
+// Unwatch records that no watch is open any more.
 func (v *View) Unwatch(now time.Time) {
 	if v.watched {
 		v.watched, v.unwatchedAt = false, now
 	}
 }
 
-// Moved notes that the list comes from another source from now on: revisions begin anew there, and all of it has to be
-// asked for.
+// SourceChanged records that the list comes from another source from now on. Its revisions can't be compared with those
+// of the old one, so the whole list has to be requested. The entries stay in force until then.
 func (v *View) Moved(now time.Time) {
 	v.Unwatch(now)
 	v.known, v.revision = false, 0
 	clear(v.off)
 }
 
-// SetCordon changes what is cordoned. Its update holds the whole list, or no entries if nothing changes.
+// SetCordon replaces the set of cordoned servers. The update holds the whole list in force; it has no transitions if no
+// state changes.
 func (v *View) SetCordon(c Cordon) Update {
 	was := v.cordon
 	v.cordon = c
@@ -276,7 +281,7 @@
 	return u
 }
 
-// Effective is an entry as it is in force: a cordoned server drains.
+// Effective returns an entry with its state in force: a cordoned server is draining.
 func (v *View) Effective(e Entry) Entry {
 	if e.State == decide.Ready && !v.cordon.none() && v.cordon.Has(e) {
 		e.State = decide.Draining
@@ -284,8 +289,8 @@
 	return e
 }
 
-// List is the whole list as it was told, without cordons. ok is false if none was, or the source has moved and told
-// none yet.
+// List returns the whole list as discovery has it, without the effect of the cordon. ok is false if there has been none
+// since the start or since SourceChanged.
 func (v *View) List() (l List, ok bool) {
 	if !v.known {
 		return List{}, false
@@ -297,13 +302,14 @@
 	return l, true
 }
 
-// Entry gives a listed server, as it was told.
+// Entry returns a listed server, without the effect of the cordon.
 func (v *View) Entry(id decide.ServerID) (Entry, bool) {
 	e, ok := v.entries[id]
 	return e, ok
 }
 
-// Revision is that of the list in force; nil if there is none, or the source has moved and told none yet.
+// Revision returns the revision of the list in force; nil if there has been no list since the start or since
+// SourceChanged.
 func (v *View) Revision() *uint64 {
 	if !v.known {
 		return nil
@@ -312,13 +318,13 @@
 	return &revision
 }
 
-// Source is that of the list in force.
+// Source returns the source of the list in force.
 func (v *View) Source() Source { return v.source }
 
-// Size is the number of listed servers, and how many of them are in force as ready.
+// Size returns the number of listed servers, and how many of them are ready with the cordon taken into account.
 func (v *View) Size() (listed, ready int) { return len(v.entries), v.ready }
 
-// Age is the time since discovery was last known to have nothing newer; negative: it never was.
+// Age returns the time since discovery last confirmed the list; negative: it never has.
 func (v *View) Age(now time.Time) time.Duration {
 	if v.confirmedAt.IsZero() {
 		return -1
@@ -326,5 +332,5 @@
 	return max(0, now.Sub(v.confirmedAt))
 }
 
-// Watched tells whether a watch keeps the list fresh, or since when none does. The zero time stands for the start.
+// Watched reports whether a watch keeps the list fresh, and if not, since when. The zero time means since the start.
 func (v *View) Watched() (watched bool, since time.Time) { return v.watched, v.unwatchedAt }
--- a/internal/serverlist/view_test.go
+++ b/internal/serverlist/view_test.go
@@ -30,13 +30,13 @@
 	}
 }
 
-// Age and source are those of the latest answer, whether it held news or not.
+// Age and source are those of the latest answer of discovery, with changes or without.
 func TestAge(t *testing.T) {
 	t.Parallel()
 	v := NewView()
 	v.Apply(List{Full: true, Entries: []Entry{entry(1, decide.Ready, 0)}, Source: SourceCache}, began)
 	if age := v.Age(began.Add(time.Hour)); age >= 0 {
-		t.Errorf("a cached list was never confirmed: age %v", age)
+		t.Errorf("a cached list, which was never confirmed, has the age %v", age)
 	}
 	v.Apply(changes(2), began.Add(time.Second))
 	v.Confirm(SourceWatch, began.Add(3*time.Second))
@@ -52,11 +52,11 @@
 	}
 	v.Moved(began.Add(6 * time.Second))
 	if v.Revision() != nil {
-		t.Error("a revision of the source before is kept")
+		t.Error("the revision of the previous source is kept")
 	}
 }
 
-// Transitions name what changed, from what to what, with the age of what was believed.
+// Transitions name the servers whose state has changed, the old and the new state, and the age of the list before.
 func TestTransitions(t *testing.T) {
 	t.Parallel()
 	v := NewView()
@@ -78,8 +78,8 @@
 	}
 }
 
-// A list that is older than the one that had a server drain or go does not bring it back, unless it has started since,
-// or the older revisions stand for OlderTrusted.
+// A list with a lower revision than the one by which a server became draining or removed does not make it ready again,
+// unless the server has started since, or the lower revisions stand for OlderListTrustedAfter.
 func TestOlderListBringsNothingBack(t *testing.T) {
 	t.Parallel()
 	for name, off := range map[string]List{
@@ -92,16 +92,16 @@
 		v.Apply(off, began)
 		v.Apply(whole(7, entry(1, decide.Ready, 5), entry(2, decide.Ready, 0)), began.Add(time.Second))
 		if v.state(1) == decide.Ready {
-			t.Errorf("%s: brought back", name)
+			t.Errorf("%s: ready again by an older list", name)
 		}
 		expect(t, v, 2, decide.Ready)
 		v.Confirm(SourceWatch, began.Add(OlderTrusted))
 		if v.state(1) == decide.Ready {
-			t.Errorf("%s: brought back too soon", name)
+			t.Errorf("%s: ready again too soon", name)
 		}
 		u := v.Confirm(SourceWatch, began.Add(time.Second+OlderTrusted))
 		if v.state(1) != decide.Ready || len(u.List.Entries) != 1 {
-			t.Errorf("%s: the revisions have begun anew, and it is not back: %+v", name, u)
+			t.Errorf("%s: not ready again although the lower revisions stand: %+v", name, u)
 		}
 	}
 	v := NewView()
@@ -113,7 +113,7 @@
 	expect(t, v, 1, decide.Ready) // newer
 }
 
-// An older list that is followed by one that has the server draining is forgotten.
+// An older list by which a server is ready is forgotten once a newer one has the server as removed.
 func TestOlderListIsNotBelievedLater(t *testing.T) {
 	t.Parallel()
 	v := NewView()
@@ -124,8 +124,8 @@
 	expect(t, v, 1, decide.Gone)
 }
 
-// Cordoned servers drain whatever the list says, and are back with the end of the cordon only if it still has them
-// ready.
+// Cordoned servers are draining whatever the list says, and are ready after the end of the cordon only if they are ready
+// by the list.
 func TestCordon(t *testing.T) {
 	t.Parallel()
 	v := NewView()
@@ -137,14 +137,14 @@
 	v.Apply(changes(2, entry(1, decide.Ready, 0)), began)
 	expect(t, v, 1, decide.Draining)
 	if l, ok := v.List(); !ok || len(l.Entries) != 2 || l.Entries[0].State != decide.Ready || l.Entries[1].State != decide.Ready {
-		t.Errorf("the list is to be as it was told: %+v", l)
+		t.Errorf("want the list as discovery has it, without the cordon: %+v", l)
 	}
 	v.SetCordon(Cordon{})
 	expect(t, v, 1, decide.Ready)
 }
 
-// Whatever lists come in whatever order, the count of ready servers is that of the states in force, and nothing that
-// is draining by a revision is made ready by a lower one of the same process within OlderTrusted.
+// Whatever lists come in whatever order, the count of ready servers agrees with the states in force, and no server that
+// is draining by a revision becomes ready by a lower one within OlderListTrustedAfter, unless its process is another one.
 func TestViewUnderAnyLists(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
@@ -183,7 +183,8 @@
 	})
 }
 
-// What a watch has brought before it was ended is withdrawn from the list in force, without its revision: the next source is asked for the whole list.
+// Servers that are draining by a list from a source that has been replaced become draining, but no other entry of that
+// list counts, nor does its revision: the whole list is requested from the next source.
 func TestWithdraw(t *testing.T) {
 	now := time.Now()
 	v := NewView()
