--- a/internal/front/answering.go
+++ b/internal/front/answering.go
@@ -2,17 +2,17 @@
 
 import "net/http"
 
-// answering notes whether an answer has begun.
+// answerTracker is an http.ResponseWriter that records whether an answer has been started.
 type answering struct {
 	http.ResponseWriter
 	answered bool
 }
 
-// WriteHeader is http.ResponseWriter's.
+// WriteHeader implements http.ResponseWriter.
 func (a *answering) WriteHeader(status int) {
 	a.answered = true
 	a.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap lets http.ResponseController find the underlying writer.
 func (a *answering) Unwrap() http.ResponseWriter { return a.ResponseWriter }
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -1,5 +1,5 @@
-// Package front holds what all fronts that speak HTTP share: the checks of a request, what goes on of it, and how its answer
-// is written. The fronts themselves are in folders of their own.
+// Package front holds what all HTTP fronts share: checking a request, choosing the header fields that are forwarded,
+// and writing the answer. The fronts themselves are in subfolders.
 package front
 
 import (
@@ -24,67 +24,69 @@
 )
 
 const (
-	BodyLimit     = 64 << 10               // bytes of a request's body that are held
-	longLimit     = 40 << 20               // bytes of a request's body, in any form
-	foreignLimit  = 1 << 20                // bytes of an answer that goes to another site, which is held
-	writeWait     = 5 * time.Second        // for the client to take its answer, or of a long one the next piece
-	lingerWait    = 200 * time.Millisecond // for the rest of what has been turned away, so that it gets to read why
+	BodyLimit     = 64 << 10               // bytes of a request's body that are buffered; the rest of a longer one is streamed
+	longLimit     = 40 << 20               // bytes of a request's body, buffered or streamed
+	foreignLimit  = 1 << 20                // bytes of an answer to a request from another site, which is buffered whole
+	writeWait     = 5 * time.Second        // for the client to take its answer, or the next piece of a streamed one
+	lingerWait    = 200 * time.Millisecond // for reading on after a rejection, so that the client gets to read the answer
 	patienceLimit = time.Hour
-	// answerMargin is kept from a client's patience: an answer has to get to it and be read by then.
+	// answerMargin is subtracted from a client's patience, for the way of the answer to the client.
 	answerMargin = 10 * time.Millisecond
-	busyHoldOff  = 500 * time.Millisecond // what a client is told that the node itself has no room for
+	busyHoldOff  = 500 * time.Millisecond // Retry-After of requests that the node refuses because it is at its own limits
 )
 
-// Handler serves the requests of a front: checks each, hands it to the loop, writes its answer.
+// Handler serves the HTTP requests of a front: it checks each, passes it to the loop and writes the answer.
 type Handler struct {
-	// Lost, if set, tells whether a request's connection was ended to make room while the request was on its way: it is refused.
+	// Evicted, if set, reports whether a request's connection was evicted for a new one while the request was
+	// arriving. The request is refused then.
 	Lost func(*http.Request) bool
-	// Gone, if set, tells whether a request's client has left: nothing more is begun for it. It is called at any time until the request has been answered.
+	// ClientGone, if set, reports whether a request's client has left. No attempt is started for it from then on. It
+	// is called at any time until the request has been answered.
 	Gone func(*http.Request) bool
-	// Hidden, if set, tells whether so much lies unread behind a request that the end of its client's connection could not be seen. Nothing is begun for it
-	// once it has waited for hiddenWait.
+	// DisconnectHidden, if set, reports whether so many unread bytes follow a request that the end of its client's
+	// connection could not be seen. No attempt is started then once the request has waited for disconnectHiddenWait.
 	Hidden func(*http.Request) bool
-	// Doubtful, if set, tells whether a request's end can be read in two ways: it has both a length and a transfer coding. It is asked once for
-	// each request, in their order on a connection.
+	// AmbiguousEnd, if set, reports whether a request's end can be read in two ways, as it has both a length and a
+	// transfer coding. It is called exactly once for each request, in the order of the requests on a connection.
 	Doubtful func(*http.Request) bool
-	// Crowded, if set, tells whether answers are to close their connections, as others want them.
+	// ConnectionPressure, if set, reports whether answers should close their connections, as other clients need them.
 	Crowded func() bool
-	// Foreign requests come from another site: they are served from what this one has to spare, and keyed ones are not
-	// taken, as the servers here have not seen the keys that those of their own site have.
+	// Foreign is set if the requests come from another site. They are served from spare capacity only. Keyed ones are
+	// rejected, because the servers here don't know the keys that the servers of the other site have seen.
 	Foreign bool
-	// Seen, if set, is told of each request that was handed to the loop, once its client has been answered or has gone. It must not
-	// block.
+	// OnComplete, if set, is called for each request that was passed to the loop, once its client has been answered or
+	// has left. It must not block.
 	Seen func(*Seen)
-	// Guard, if set, is told of each request that was read whole, once it is over.
+	// Guard, if set, records the end of each request that was read whole.
 	Guard *guard.Guard
-	// Figures, if set, count the requests of each class by their ends.
+	// Figures, if set, counts the requests of each class by their answers' status.
 	Figures *stats.Figures
 
 	loop      *core.Loop
 	log       *slog.Logger
 	classes   map[string]decide.Class
-	longest   time.Duration
-	drainEnd  atomic.Pointer[time.Time] // set once the node is to end
-	closing   atomic.Bool               // it takes no more requests
-	leaving   atomic.Bool               // each answer is the last on its connection
-	away      atomic.Bool               // clients are to go elsewhere
-	open      atomic.Int64              // requests that the module has
+	longest   time.Duration             // the longest deadline of any class
+	drainEnd  atomic.Pointer[time.Time] // when a drain ends; nil: no drain has started
+	closing   atomic.Bool               // new requests are refused
+	leaving   atomic.Bool               // each answer closes its connection
+	away      atomic.Bool               // the health check says that the node is not ready
+	open      atomic.Int64              // requests that have been passed to the loop and not answered
 	maxOpen   int64
-	bodies    atomic.Int64 // bytes of bodies that are held
+	bodies    atomic.Int64 // bytes of request bodies that are buffered or reserved
 	maxBodies int64
 }
 
-// Seen is a request that is over.
+// CompletedRequest is a request that is over, as it is passed to Handler.OnComplete.
 type Seen struct {
 	Request  *core.Request
 	Answer   core.Answer
-	Gone     bool // the client has gone: there was no answer
+	Gone     bool // the client left before it was answered
 	Began    time.Time
 	Took     time.Duration // until the final answer was there
-	Patience time.Duration // of the client, by its header
+	Patience time.Duration // how long the client waits, by its X-Time-Left
 }
 
-// NewHandler makes a handler that holds at most so many bytes of bodies.
+// NewHandler returns a handler that buffers at most maxBodies bytes of request bodies at a time.
 func NewHandler(l *core.Loop, s decide.Settings, maxBodies int64, log *slog.Logger) *Handler {
 	f := &Handler{loop: l, log: log, classes: map[string]decide.Class{}, longest: s.LongestDeadline(), maxOpen: math.MaxInt64, maxBodies: maxBodies}
 	if m := s.MaxOpen; m > 0 {
@@ -96,29 +98,29 @@
 	return f
 }
 
-// Drain has the node called not ready, and each request answered by end.
+// Drain has the health check say from now on that the node is not ready, and has each request answered by end.
 func (f *Handler) Drain(end time.Time) {
 	f.drainEnd.Store(&end)
 	f.loop.EndBy(end)
 }
 
-// Leave has clients sent to a new connection with their next answer, or no more.
+// SetCloseAfterAnswer sets whether each answer closes its connection, so that the client has to open a new one.
 func (f *Handler) Leave(on bool) { f.leaving.Store(on) }
 
-// Longest is the longest deadline of any class.
+// LongestDeadline is the longest deadline of any class.
 func (f *Handler) Longest() time.Duration { return f.longest }
 
-// LastCall has no more requests taken.
+// RefuseNewRequests has all requests from now on refused with 503.
 func (f *Handler) LastCall() { f.closing.Store(true) }
 
-// Ready tells whether the node can serve.
+// Ready is the result of the health check: the node is not draining, is not set not ready, and has a server to send to.
 func (f *Handler) Ready() bool { return f.drainEnd.Load() == nil && !f.away.Load() && f.loop.Able() }
 
-// Away has the node say that it is not ready, or ends that. Clients that come all the same are served.
+// SetNotReady sets whether the health check says that the node is not ready. Requests are served in any case.
 func (f *Handler) Away(on bool) { f.away.Store(on) }
 
-// ServeHTTP answers one request: GET /health/ready and /health/live itself, and those of a known class with what the loop
-// makes of them. Malformed requests get a 4xx or 5xx of their own, never 429 or 503.
+// ServeHTTP answers one request. It answers GET /health/ready and /health/live itself, and passes requests of a known
+// class to the loop. A malformed request gets a 4xx or 5xx status, but never 429 or 503, which invite a retry.
 func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	doubtful := f.Doubtful != nil && f.Doubtful(r)
 	class, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
@@ -160,7 +162,7 @@
 	}
 	defer f.bodies.Add(-holds)
 	if f.bodies.Add(holds) > f.maxBodies {
-		w.Header().Set("Connection", "close") // its body is not read
+		w.Header().Set("Connection", "close") // the body is not read
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerWait))
 		answer(core.Answer{Status: http.StatusServiceUnavailable, HoldOff: busyHoldOff, Reason: decide.ByNode})
 		return
@@ -185,9 +187,9 @@
 	watched := &answering{ResponseWriter: w}
 	w = watched
 	defer func() { f.Guard.Ended(watched.answered) }()
-	began := time.Now() // no later than the look
+	began := time.Now() // must not be later than the check of the client's presence
 	if f.Gone != nil && f.Gone(r) {
-		reject(w, http.StatusBadRequest, "the client has closed") // or its own direction only
+		reject(w, http.StatusBadRequest, "the client has closed") // it can read this if it has closed only its own direction
 		return
 	}
 	lost := f.Lost != nil && f.Lost(r)
@@ -208,7 +210,7 @@
 		req.Deadline = *end
 	}
 	ctx := r.Context()
-	var there *presence // nil: that can't be told
+	var there *presence // nil: the front can't check whether the client has left
 	if f.Gone != nil {
 		client, leave := context.WithCancel(ctx)
 		defer leave()
@@ -219,19 +221,20 @@
 	f.Figures.Took(class, a.Status, began)
 	if f.Seen != nil {
 		seen := &Seen{Request: req, Answer: a, Gone: !ok, Began: began, Took: time.Since(began), Patience: patience}
-		defer func() { f.Seen(seen) }() // not before the client has its answer
+		defer func() { f.Seen(seen) }() // deferred until the client has its answer
 	}
 	if !ok {
 		if there != nil && there.unseen.Load() {
 			answer(core.Answer{Status: http.StatusServiceUnavailable, HoldOff: busyHoldOff, Reason: decide.ByNode})
 			return
 		}
-		// It has closed its connection, or its own direction only: then it is told that nothing comes.
+		// The client has closed its connection. If it has closed only its own direction, it learns that no answer
+		// comes.
 		reject(w, http.StatusBadRequest, "the client has closed")
 		return
 	}
 	if upload != nil && !upload.ended {
-		w.Header().Set("Connection", "close") // what is left of its body is not read
+		w.Header().Set("Connection", "close") // the remaining body is not read
 		http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerWait))
 	}
 	if a.Rest != nil {
@@ -241,8 +244,8 @@
 	answer(a)
 }
 
-// turnAway answers what has not been taken. One from another site, whose own checks it has passed, does not fit this
-// site's settings: that is no fault of its client's, and its own site answers it.
+// rejectNotTaken answers a request that fails a check. A request from another site has passed the checks there and only
+// doesn't fit the settings here, which is not its client's fault: it gets 503, so that its own site answers it.
 func (f *Handler) turnAway(w http.ResponseWriter, status int, fault string) {
 	if f.Foreign {
 		status = http.StatusServiceUnavailable
@@ -250,14 +253,15 @@
 	reject(w, status, fault)
 }
 
-// reject answers what is no request. Where one ends on its connection is in doubt, so nothing more is read there.
+// reject answers an invalid request and closes its connection, because it is uncertain where the request ends.
 func reject(w http.ResponseWriter, status int, fault string) {
 	w.Header().Set("Connection", "close")
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerWait)) // net/http reads some of a body that is left
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerWait)) // net/http reads on in an unread body
 	http.Error(w, fault, status)
 }
 
-// check says what is wrong with a request by its header, or how long its client waits.
+// check validates the header of a request. It returns how long the client waits, by X-Time-Left, or a status and a
+// message for the client if the request is invalid.
 func check(r *http.Request, class decide.Class) (patience time.Duration, status int, fault string) {
 	method := http.MethodPost
 	if class.Effect == decide.Safe {
@@ -265,11 +269,11 @@
 	}
 	keys := r.Header["Idempotency-Key"]
 	switch {
-	case !r.ProtoAtLeast(1, 1): // net/http would pass over a Transfer-Encoding there
+	case !r.ProtoAtLeast(1, 1): // net/http ignores Transfer-Encoding in HTTP/1.0
 		return 0, http.StatusHTTPVersionNotSupported, "HTTP/1.1 only"
 	case r.Method != http.MethodGet && r.Method != http.MethodPost, r.Method != method:
 		return 0, http.StatusMethodNotAllowed, "the class wants " + method
-	case method == http.MethodGet && r.ContentLength != 0: // -1: in chunks
+	case method == http.MethodGet && r.ContentLength != 0: // -1: chunked
 		return 0, http.StatusBadRequest, "GET takes no body"
 	case r.ContentLength > longLimit:
 		return 0, http.StatusRequestEntityTooLarge, "the body is too large"
@@ -289,15 +293,18 @@
 	return time.Duration(min(seconds, patienceLimit.Seconds()) * float64(time.Second)), 0, ""
 }
 
+// single reports whether a header field has exactly one value, which is not empty.
 func one(values []string) bool { return len(values) == 1 && values[0] != "" }
 
-// readBody takes in the body, whole and in time, or its beginning if it is long, or says what is wrong with it.
+// readBody reads the body of a request. It returns a body of at most BodyLimit bytes whole, and of a longer one the
+// first BodyLimit bytes and an upload for the rest. If the body is invalid or arrives too slowly, it returns a status
+// and a message for the client.
 func readBody(w http.ResponseWriter, r *http.Request) (body []byte, rest *upload, status int, fault string) {
 	if r.ContentLength == 0 {
 		return nil, nil, 0, ""
 	}
 	u := &upload{control: http.NewResponseController(w), body: r.Body, began: time.Now(), length: r.ContentLength}
-	body, err := io.ReadAll(io.LimitReader(u, BodyLimit)) // grows with what has come, whatever the length says
+	body, err := io.ReadAll(io.LimitReader(u, BodyLimit)) // the buffer grows with what has arrived, whatever Content-Length says
 	if err == nil && len(body) == BodyLimit && r.ContentLength != BodyLimit {
 		u.Upload = core.Upload{Reader: u, Length: r.ContentLength, Fault: func() int { status, _ := u.fault(); return status }}
 		return body, u, 0, ""
@@ -306,27 +313,27 @@
 		status, fault = u.fault()
 		return nil, nil, status, fault
 	}
-	u.control.SetReadDeadline(time.Time{}) // else it would end the wait for the client's going
+	u.control.SetReadDeadline(time.Time{}) // else the deadline would end the watch for the client's leaving
 	return body, nil, 0, ""
 }
 
-// upload is a body that is read as it comes, at the pace of a good client at least.
+// upload is a request body that is read as it arrives. A Read fails if the client is slower than package pace allows.
 type upload struct {
 	core.Upload
 	control *http.ResponseController
 	body    io.Reader
 	began   time.Time
-	brought int64
-	length  int64  // -1: not known
-	taken   func() // told once, when all of it has come
-	ended   bool
-	err     error
+	brought int64  // bytes
+	length  int64  // by Content-Length; -1: not known
+	taken   func() // if set, called once, when the body is complete
+	ended   bool   // the whole body has been read
+	err     error  // of the last Read; nil at the body's regular end
 }
 
 var errLong = errors.New("the body is too large")
 
-// Read reads more of the body, within the time that a good client needs. It fails with errLong once the body is beyond
-// longLimit bytes.
+// Read reads more of the body. It fails if the client is slower than package pace allows, and with errTooLong once the
+// body is longer than maxRequestBody.
 func (u *upload) Read(p []byte) (int, error) {
 	u.control.SetReadDeadline(pace.Deadline(u.began, u.brought))
 	n, err := u.body.Read(p)
@@ -338,12 +345,12 @@
 		if u.taken != nil {
 			u.taken()
 		}
-		u.control.SetReadDeadline(time.Time{}) // else it would end the wait for the client's going
+		u.control.SetReadDeadline(time.Time{}) // else the deadline would end the watch for the client's leaving
 	}
 	return n, err
 }
 
-// fault says what is wrong with a body of which a read has failed.
+// fault returns the status and the message for the client after a failed Read.
 func (u *upload) fault() (status int, text string) {
 	switch {
 	case errors.Is(u.err, os.ErrDeadlineExceeded):
@@ -354,6 +361,7 @@
 	return http.StatusBadRequest, "the body is malformed"
 }
 
+// newRequest builds the loop's request from an HTTP request that has been checked, and its body or the beginning of it.
 func newRequest(r *http.Request, class string, patience time.Duration, body []byte) *core.Request {
 	e := decide.RequestArrived{ID: decide.RequestID(r.Header.Get("X-Correlation-Id")), Class: class, Tenant: r.Header.Get("X-Account"),
 		Key: queryValue(r.URL.RawQuery, "obj"), Repeat: r.Header.Get("X-Repeat") == "1", Write: fact(r.Header.Get("X-Facts"), "write")}
@@ -365,7 +373,7 @@
 		Header: endToEnd(r.Header)}
 }
 
-// queryValue gives the first value of a name, as url.Values.Get does, without taking the rest apart.
+// queryValue returns the first value of a name in a query, like url.Values.Get, but without parsing the rest.
 func queryValue(query, name string) string {
 	for pair := range strings.SplitSeq(query, "&") {
 		n, v, _ := strings.Cut(pair, "=")
@@ -382,7 +390,8 @@
 	return ""
 }
 
-// fact tells whether one of the further figures of a request is set.
+// flagSet reports whether a flag is set in the text of an X-Facts field, which has the form "name=value,...": its value
+// is not empty, 0 or false.
 func fact(text, name string) bool {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, v, _ := strings.Cut(strings.TrimSpace(field), "="); n == name {
@@ -392,8 +401,8 @@
 	return false
 }
 
-// endToEnd copies a header without what belongs to one connection or is the node's own. What tells one request
-// from another goes on, whatever Connection says of it.
+// endToEnd returns a copy of a header without the hop-by-hop fields and those that the node sets itself.
+// X-Correlation-Id and Idempotency-Key, which identify a request, are kept even if Connection names them.
 func endToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, field := range h["Connection"] {
@@ -411,11 +420,11 @@
 	return out
 }
 
-// ownFields belong to one connection or are the node's own, in canonical form.
+// ownFields are the hop-by-hop fields and those that the node sets itself, in canonical form.
 var ownFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 	"Content-Length", "X-Time-Left", "X-Backend-Load", "X-Unprocessed"}
 
-// write sends the final answer. It is the only one: each request comes here once.
+// writeAnswer writes an answer without a Rest. It is called at most once per request.
 func (f *Handler) write(w http.ResponseWriter, a core.Answer) {
 	f.head(w, a)
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
@@ -424,8 +433,8 @@
 	w.Write(a.Body)
 }
 
-// pass sends an answer whose rest is still coming, piece by piece. One that can't be finished ends in a way that its client notices: its
-// length is short, or its last chunk is missing.
+// streamAnswer writes an answer with a Rest piece by piece. If the Rest can't be completed, the connection is aborted,
+// so that the client notices: the body is shorter than its length, or its last chunk is missing.
 func (f *Handler) pass(w http.ResponseWriter, class string, a core.Answer) {
 	closed := false
 	defer func() {
@@ -433,7 +442,7 @@
 			a.Rest.Close()
 		}
 	}()
-	if f.Foreign { // it is held whole
+	if f.Foreign { // the other site gets an answer only whole, so it is buffered
 		var body []byte
 		err := a.Rest.Copy(func(p []byte) error {
 			if len(a.Body)+len(body)+len(p) > foreignLimit {
@@ -476,14 +485,15 @@
 	f.Figures.End(class, a.Status)
 }
 
-// last closes the connection with this answer where it is to be the last one on it: that may have begun while the request was out.
+// closeIfLast has an answer close its connection if no more requests are wanted there. It is called as the answer is
+// written, because that may have changed while the request was open.
 func (f *Handler) last(w http.ResponseWriter) {
 	if f.closing.Load() || f.leaving.Load() || f.Crowded != nil && f.Crowded() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// head sets the header of an answer, but for its length.
+// setHeader sets the header fields of an answer, except Content-Length.
 func (f *Handler) head(w http.ResponseWriter, a core.Answer) {
 	h := w.Header()
 	if a.Header != nil {
@@ -496,7 +506,7 @@
 		}
 	}
 	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // else net/http would guess one
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	f.last(w)
 	if a.Status == http.StatusConflict {
--- a/internal/front/handler_test.go
+++ b/internal/front/handler_test.go
@@ -8,16 +8,16 @@
 	"starlingvalve/decide"
 )
 
-// A Connection header that names a request's id or key does not take it away: without them a repeat can't be told.
+// A Connection header that names a request's id or key does not remove it: without them a retry can't be recognised.
 func TestConnectionHeaderKeepsIdentity(t *testing.T) {
 	t.Parallel()
 	h := endToEnd(http.Header{"Connection": {"X-Hop, x-correlation-id", "idempotency-key"}, "X-Hop": {"1"}, "X-Correlation-Id": {"q"}, "Idempotency-Key": {"k"}})
 	if len(h) != 2 || h.Get("X-Correlation-Id") != "q" || h.Get("Idempotency-Key") != "k" {
-		t.Errorf("%v goes on", h)
+		t.Errorf("%v is forwarded", h)
 	}
 }
 
-// queryValue finds what url.Values.Get finds.
+// queryValue returns the same value as url.Values.Get.
 func TestQueryValue(t *testing.T) {
 	for query, want := range map[string]string{"": "", "obj=7f": "7f", "a=1&obj=x%20y&obj=2": "x y", "o%62j=z": "z", "obj": "", "objx=1": "",
 		"obj=a;b": "", "obj=%zz&obj=ok": "ok", "a=b+c&obj=b+c": "b c"} {
@@ -27,7 +27,8 @@
 	}
 }
 
-// A hand-off that does not fit this site's settings has not run, and says so; to a client it is the client's fault.
+// A request handed off from another site that does not fit the settings here is answered with 503, which says that it
+// has not run. The same request from a client gets a 4xx status, which blames the client.
 func TestForeignMisfit(t *testing.T) {
 	s := decide.Settings{Classes: []decide.Class{{Name: "read", Effect: decide.Safe}, {Name: "tag", Effect: decide.Keyed}}}
 	for _, c := range []struct {
--- a/internal/front/lost_test.go
+++ b/internal/front/lost_test.go
@@ -9,8 +9,8 @@
 	"starlingvalve/internal/guard"
 )
 
-// A request that was read and whose handler ends without an answer is counted as lost. The fault is planted: the look
-// at its client ends the handler. One that is answered is not.
+// A request that was read and whose handler ends without an answer counts as lost; one that is answered does not. To
+// cause the fault, the check of the client's presence aborts the handler.
 func TestRequestWithoutAnswerIsCounted(t *testing.T) {
 	t.Parallel()
 	for gone, want := range map[string]int64{"answers": 0, "aborts": 1} {
--- a/internal/front/presence.go
+++ b/internal/front/presence.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// hiddenWait is how long a request may have waited for an attempt to begin although it could not be seen whether
-// its client has left since. Nothing may begin later than 0.1 s after that.
+// disconnectHiddenWait is how long after a request's start attempts may still start while it can't be seen whether its
+// client has left. It is below 0.1 s, because no attempt may start later than that after the client has left.
 const hiddenWait = 60 * time.Millisecond
 
-// presence tells whether the client of one request is still there. A look at its connection is a system call: so a
-// look that has found it there is good for as long as the caller says. Several goroutines may ask at once.
+// clientPresence checks whether the client of one request is still connected. A check is a system call, so the result
+// that the client is there is reused for as long as the caller allows. It is safe for concurrent use.
 type presence struct {
-	handler *Handler // its Gone and Hidden look; the first is set
+	handler *Handler // provides ClientGone, which has to be set, and DisconnectHidden
 	request *http.Request
-	leave   func()       // called each time that a look finds the client gone
-	began   time.Time    // the first look was made no earlier
-	last    atomic.Int64 // when the last look began that found it there, in ns from began
-	unseen  atomic.Bool  // the client may be there, and is taken for gone
+	leave   func()       // called by each check that finds the client gone
+	began   time.Time    // when the request was taken up; the first check was made then or later
+	last    atomic.Int64 // when the last check that found the client there was started, in ns since began
+	unseen  atomic.Bool  // it can't be seen whether the client is there, and it counts as gone
 }
 
-// left looks, unless that was done no longer than age ago.
+// gone reports whether the client has left. It makes a check unless the last one is more recent than maxAge.
 func (p *presence) left(age time.Duration) bool {
 	now := time.Since(p.began)
 	if now-time.Duration(p.last.Load()) < age {
--- a/internal/front/presence_test.go
+++ b/internal/front/presence_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A look is good for the age that is asked for, and no longer. A client that could not be seen is taken for gone
-// once its request has waited for hiddenWait, and not before; one that is gone is so at each look.
+// The result of a check is reused up to the age that the caller allows, and no longer. A client whose disconnect could
+// not be seen counts as gone once its request has waited for disconnectHiddenWait, and not before. A client that is
+// gone is gone at each check.
 func TestPresence(t *testing.T) {
 	t.Parallel()
 	looks, gone, hidden, left := 0, false, false, 0
@@ -20,32 +21,32 @@
 	}
 	p := newcomer(0)
 	if p.left(time.Hour) || looks != 0 {
-		t.Errorf("%d looks at one that was looked at just now", looks)
+		t.Errorf("%d checks of a client that was checked just now", looks)
 	}
 	p = newcomer(time.Hour)
 	for range 2 {
 		if p.left(time.Minute) || looks != 1 {
-			t.Errorf("%d looks, want one for both", looks)
+			t.Errorf("%d checks, want one for both calls", looks)
 		}
 	}
-	p.began = p.began.Add(-time.Hour) // as if that look were so long ago
+	p.began = p.began.Add(-time.Hour) // as if that check were an hour ago
 	if p.left(time.Minute) || looks != 2 {
-		t.Errorf("%d looks, want another after an hour", looks)
+		t.Errorf("%d checks, want another after an hour", looks)
 	}
 	hidden = true
 	if p = newcomer(time.Hour); !p.left(time.Minute) || !p.unseen.Load() || left != 1 {
-		t.Error("one that could not be seen for an hour is there")
+		t.Error("a client that could not be seen for an hour counts as there")
 	}
 	p = newcomer(0)
 	p.began = time.Now()
 	if p.left(0) && time.Since(p.began) < hiddenWait {
-		t.Error("one that could not be seen for a moment is gone")
+		t.Error("a client that could not be seen for a moment counts as gone")
 	}
 	hidden, gone = false, true
 	p = newcomer(time.Hour)
 	for look := range 2 {
 		if !p.left(time.Minute) || p.unseen.Load() {
-			t.Errorf("look %d: one that is gone is there", look)
+			t.Errorf("check %d: a client that has left counts as there", look)
 		}
 	}
 }
--- a/internal/serverlist/view.go
+++ b/internal/serverlist/view.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// MaxWatchGap is the longest time from an answer of a watch to the next call that continues it. A later call starts a
-	// new watch; changes within this time after the answer count as notified although no answer has brought them.
+	// MaxWatchGap is the longest time from an answer of a watch to the next call that continues it. A later call starts
+	// a new watch; changes within this time after the answer count as notified although no answer has brought them.
 	ContinueWithin = 200 * time.Millisecond
 	// OlderListTrustedAfter is how long a list with a lower revision than the one in force has to stand before it makes
-	// draining or removed servers ready again: it may come from a replica of discovery that lags behind, or the revisions
-	// may have started again from the beginning.
+	// draining or removed servers ready again: it may come from a replica of discovery that lags behind, or the
+	// revisions may have started again from the beginning.
 	OlderTrusted = 10 * time.Second
 
 	offKept = time.Minute // how long a removed server is remembered
@@ -94,8 +94,8 @@
 	return u
 }
 
-// Withdraw applies a list of a source that is no longer followed: only servers that are draining or removed by it change,
-// and the revision and the source of the list in force stay. The update holds the whole list in force.
+// Withdraw applies a list of a source that is no longer followed: only servers that are draining or removed by it
+// change, and the revision and the source of the list in force stay. The update holds the whole list in force.
 func (v *View) Withdraw(l List, now time.Time) Update {
 	off := List{Version: l.Version, Source: SourceNone}
 	for _, e := range l.Entries {
@@ -171,9 +171,9 @@
 	v.off[e.ID] = o
 }
 
-// keepUnavailable returns an entry as it is to be set: draining instead of ready if a list with a higher revision had the
-// server as draining or removed. A server that has started since then is another process and stays ready. If no list with
-// a higher revision comes, the entry is trusted after OlderListTrustedAfter.
+// keepUnavailable returns an entry as it is to be set: draining instead of ready if a list with a higher revision had
+// the server as draining or removed. A server that has started since then is another process and stays ready. If no
+// list with a higher revision comes, the entry is trusted after OlderListTrustedAfter.
 func (v *View) holdBack(e Entry, revision uint64, now time.Time) Entry {
 	o, off := v.off[e.ID]
 	if !off || e.State != decide.Ready || revision >= o.revision || e.StartedAt > o.started {
@@ -229,8 +229,8 @@
 	}
 }
 
-// Confirm takes in an answer of discovery without changes. If the update has entries, the caller has to put them in force:
-// they are of an older list that is trusted by now.
+// Confirm takes in an answer of discovery without changes. If the update has entries, the caller has to put them in
+// force: they are of an older list that is trusted by now.
 func (v *View) Confirm(source Source, now time.Time) Update {
 	v.confirm(source, now)
 	l := List{Version: v.revision, Source: source}
