--- a/internal/front/http1/admission.go
+++ b/internal/front/http1/admission.go
@@ -22,64 +22,70 @@
 )
 
 const (
-	refuseWait = 100 * time.Millisecond // for the request of a connection that is refused, and to write the refusal
-	evictWait  = 100 * time.Millisecond // for evicted connections to be closed; a newcomer is refused if they are not
-	aheadMost  = 64 << 10               // bytes of one connection that are read ahead of its requests, to see whether its client has left;
-	aheadRoom  = 2 << 20                // and of all: a client that sends more is noticed when it has been served so far
-	lateWait   = 200 * time.Millisecond // after its deadline what came in time is still read: the process may have been kept from it so long
+	refuseWait = 100 * time.Millisecond // for reading the request of a refused connection, and for writing the refusal
+	evictWait  = 100 * time.Millisecond // for evicted connections to be closed; after that a new connection is refused
+	// To notice that a client has left, the bytes that follow its open request are read ahead. If a client sends more
+	// than these limits, it is noticed only once the requests before that have been served.
+	aheadMost  = 64 << 10               // bytes of one connection that are read ahead
+	aheadRoom  = 2 << 20                // bytes of all connections that are read ahead
+	lateWait   = 200 * time.Millisecond // input is still read so long after a deadline, as a busy process reads late
 	lateMost   = headerLimit + front.BodyLimit
 	refusal    = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
-// admission accepts clients' connections, always, and bounds them: at the bound one that brings nothing makes room, else the
-// new one is refused. Silent clients then shut out nobody.
+// admission is a listener that limits the number of open client connections. At the limit it still accepts a
+// connection: it evicts one that has no open request and makes no progress, or refuses the new one if there is none. So
+// clients that connect and send nothing can't shut others out.
 type admission struct {
 	*net.TCPListener
-	next    func() (*net.TCPConn, error) // the listener's
-	gate    pause.Gate                   // shut: no connection is accepted
+	next    func() (*net.TCPConn, error) // the listener's AcceptTCP; tests replace it
+	gate    pause.Gate                   // while it is shut, no connection is accepted
 	retry   accept.Retry
-	refused func(string)  // told the class of a request that is refused at the door
-	turning atomic.Int64  // connections that are being refused
-	ahead   atomic.Int64  // bytes that are read ahead
-	open    atomic.Int64  // connections that are not closed, evicted ones too
-	freed   chan struct{} // told when one of them has been closed
-	ends    sync.WaitGroup
-
-	began time.Time // the zero of room's clock
+	refused func(string)   // called with the class of each refused request; "" if it is not known
+	turning atomic.Int64   // connections that are being refused
+	ahead   atomic.Int64   // bytes reserved for reading ahead, of all connections
+	open    atomic.Int64   // connections that have not been closed, including evicted ones
+	freed   chan struct{}  // signalled when a connection has been closed
+	ends    sync.WaitGroup // goroutines that refuse connections
+
+	began time.Time // the zero of the clock of conns
 	mu    sync.Mutex
 	room  *admit.Room
 }
 
-// clientConn embeds *net.TCPConn: net/http would reset connections whose CloseWrite it doesn't see.
+// clientConn is one client connection. It embeds *net.TCPConn because net/http resets connections that have no
+// CloseWrite method.
 type clientConn struct {
 	*net.TCPConn
 	owner *admission
 	once  sync.Once
 
-	// Under the owner's lock.
+	// Guarded by the owner's lock, except for the atomic fields.
 	admit.Conn
 	scan    scan
 	evicted bool
-	serving bool         // net/http has a request's head whole, and has not ended it
-	readBy  time.Time    // the deadline of its reading; zero: none
-	late    int          // bytes that have been taken at that deadline
-	wrote   atomic.Int64 // when something was last written, on the owner's clock, in ns
-	sent    atomic.Int64 // bytes, of the answer to the request that is open
+	serving bool         // net/http is serving a request of this connection
+	readBy  time.Time    // the read deadline; zero: none
+	late    int          // bytes that readLate has taken after that deadline
+	wrote   atomic.Int64 // when bytes were last written, on the owner's clock, in ns
+	sent    atomic.Int64 // bytes that have been written of the answer to the open request
 
-	// Of the one goroutine that reads.
-	ahead    []byte       // has come behind a request that is open
-	reserved atomic.Int64 // of the owner's room for such bytes
-	stopped  atomic.Bool  // nothing more is read before the open request has been answered: there was no room
+	// Used by the one goroutine that reads, except for the atomic fields.
+	ahead    []byte       // bytes that follow the open request
+	reserved atomic.Int64 // bytes of the owner's readAhead that this connection has reserved
+	stopped  atomic.Bool  // a limit is reached: nothing more is read before the open request has been answered
 }
 
+// newAdmission returns an admission on a listener, with at most limit open connections.
 func newAdmission(l *net.TCPListener, limit int) *admission {
 	return &admission{TCPListener: l, next: l.AcceptTCP, began: time.Now(), room: admit.New(limit), refused: func(string) {}, freed: make(chan struct{}, 1)}
 }
 
 func (a *admission) now() time.Duration { return time.Since(a.began) }
 
-// Accept waits for the next connection that there is room for. The others are refused in goroutines of their own, at most
-// refuseMost at once. It fails once the listener is closed, and for nothing else.
+// Accept returns the next connection that is within the limit. Others are refused, by up to descriptors.MaxRefused
+// goroutines at once that wait for the request, and beyond that without waiting. It fails only once the listener is
+// closed.
 func (a *admission) Accept() (net.Conn, error) {
 	for {
 		tcp, err := a.next()
@@ -105,7 +111,7 @@
 	}
 }
 
-// makeRoom evicts connections until there is room for another, and tells whether there is.
+// makeRoom evicts connections until another one is within the limit, and reports whether it is.
 func (a *admission) makeRoom() bool {
 	for a.full() {
 		if !a.settled() || !a.evictOne() {
@@ -121,8 +127,9 @@
 	return a.room.Full()
 }
 
-// settled waits until another connection may be evicted, and tells whether it may. Each that has been is closed by its own goroutine: without this many
-// would be accepted before the first of them is closed, and take the descriptors that are kept for servers and discovery.
+// waitForEvicted waits until so many evicted connections have been closed that another one may be evicted, and reports
+// whether that is so. Each evicted connection is closed by its own goroutine. Without the wait many connections could
+// be accepted before the first of them is closed, and use up the file descriptors reserved for servers and discovery.
 func (a *admission) settled() bool {
 	if a.leaving() < descriptors.Evicted {
 		return true
@@ -139,14 +146,15 @@
 	return true
 }
 
-// leaving is how many connections have been evicted and not yet been closed.
+// evictedOpen is the number of connections that have been evicted and not yet closed.
 func (a *admission) leaving() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return int(a.open.Load()) - a.room.Count()
 }
 
-// evictOne evicts the connection that has least to say, and tells whether there is one to evict.
+// evictOne evicts the connection that admit.ConnSet.Victim names, and reports whether there was one. Connections with
+// unread input are not evicted: they count as progressing from now on.
 func (a *admission) evictOne() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -156,12 +164,12 @@
 			a.evict(old)
 			return true
 		}
-		a.room.Set(victim, admit.Writing, a.now()) // what it has sent is not read yet
+		a.room.Set(victim, admit.Writing, a.now()) // it has sent something that has not been read yet
 	}
 	return false
 }
 
-// admit takes a connection in, for which there is room.
+// admit adds an accepted connection.
 func (a *admission) admit(tcp *net.TCPConn) *clientConn {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -172,24 +180,26 @@
 	return c
 }
 
-// evict ends a connection on which no request is open. What comes in this moment may be the last byte of one: so it is the reading that ends, and
-// what has come by then is read, and answered if it is a whole request. It is called under the lock.
+// evict ends a connection without an open request. It sets the read deadline to now instead of closing the connection,
+// because the last byte of a request may arrive in this moment: what has arrived is still read, and answered if it is a
+// whole request. It is called under the lock.
 func (a *admission) evict(c *clientConn) {
 	a.room.Leave(&c.Conn)
 	c.evicted, c.readBy, c.late = true, time.Now(), 0
 	c.TCPConn.SetReadDeadline(c.readBy)
 }
 
-// refuse answers the request of a connection for which there is no room. It waits a moment for it, to count it.
+// refuse answers a connection beyond the limit with the refusal and closes it. It waits up to refuseWait for the
+// request, in order to count it under its class.
 func (a *admission) refuse(tcp *net.TCPConn) {
 	defer tcp.Close()
 	tcp.SetReadDeadline(time.Now().Add(refuseWait))
 	var text [4 << 10]byte
 	n, class := 0, ""
 	for class == "" && n < len(text) {
-		more, err := tcp.Read(text[n:]) // what is left unread would reset the connection ahead of the answer
+		more, err := tcp.Read(text[n:]) // closing with unread input would reset the connection
 		if err != nil {
-			break // it is told all the same, and counts under no class
+			break // the client is refused all the same, and counted without a class
 		}
 		n += more
 		class = classIn(text[:n])
@@ -197,7 +207,7 @@
 	a.turnAway(tcp, class)
 }
 
-// turnAway writes the refusal, which counts under the request's class if that is known.
+// writeRefusal writes the refusal and counts it, under the request's class if that is known.
 func (a *admission) turnAway(tcp *net.TCPConn, class string) {
 	tcp.SetWriteDeadline(time.Now().Add(refuseWait))
 	if _, err := io.WriteString(tcp, refusal); err == nil {
@@ -205,7 +215,8 @@
 	}
 }
 
-// refuseNow answers a connection without waiting for its request. One that has come can be counted.
+// refuseNow answers a connection with the refusal and closes it, without waiting for its request. A request that has
+// arrived already is counted under its class.
 func (a *admission) refuseNow(tcp *net.TCPConn) {
 	defer tcp.Close()
 	var text [512]byte
@@ -217,14 +228,14 @@
 	a.turnAway(tcp, classIn(text[:n]))
 }
 
-// peek reads what has come without taking it.
+// peekUnread copies bytes that have arrived into a buffer without consuming them, and returns their number.
 func peek(tcp *net.TCPConn, into []byte) int {
 	n, _ := come(tcp, into, syscall.MSG_PEEK)
 	return n
 }
 
-// come gives what has come, whatever the deadline of the reading. With nothing and no error the other side has ended its sending; EAGAIN: nothing has
-// come yet.
+// receiveNow receives what has arrived without waiting, and whatever the read deadline is. 0 bytes without an error
+// mean that the client has closed its direction; EAGAIN means that nothing has arrived.
 func come(tcp *net.TCPConn, into []byte, flags int) (n int, err error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
@@ -236,7 +247,8 @@
 	return max(0, n), err
 }
 
-// classIn gives the first part of the path of a request that begins so.
+// requestClass returns the first segment of the path in the request line that text begins with; "" if the line is not
+// complete or has none.
 func classIn(text []byte) string {
 	line, _, whole := bytes.Cut(text, []byte("\n"))
 	_, target, ok := bytes.Cut(line, []byte(" /"))
@@ -249,7 +261,7 @@
 	return ""
 }
 
-// Close is net.Listener's.
+// Close implements net.Listener.
 func (a *admission) Close() error {
 	err := a.TCPListener.Close()
 	a.gate.End()
@@ -274,7 +286,8 @@
 	return a.room.Crowded()
 }
 
-// closeRest ends the connections on which no request is open, but for those that have something to be read, or whose head is coming.
+// closeWithoutRequest evicts the connections without an open request, except those that have unread input or that have
+// made progress with a request's head lately.
 func (a *admission) closeRest() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -289,8 +302,8 @@
 	}
 }
 
-// closeStalled ends the connections whose answers have begun and do not move, and the reading of those on which no request is open or whose request is not
-// whole: it has not been taken, and its client is told so.
+// closeStalled closes the connections whose answer has been started and has stalled. It also evicts those without an
+// open request, and those whose request has not arrived whole: such a request has not been accepted, and is refused.
 func (a *admission) closeStalled() {
 	var stalled []*clientConn
 	a.mu.Lock()
@@ -317,8 +330,8 @@
 	}
 }
 
-// track follows what the server does with a connection. That a request is open shows where its head is read: net/http calls a connection
-// active with the first byte.
+// track is the server's ConnState callback: it updates the state of a connection between requests. Whether a request is
+// open is seen by clientConn.track, which reads its head: net/http calls a connection active from the first byte on.
 func (a *admission) track(conn net.Conn, state http.ConnState) {
 	if state != http.StateIdle && state != http.StateActive {
 		return
@@ -328,27 +341,28 @@
 	defer a.mu.Unlock()
 	c.serving = state == http.StateActive
 	switch {
-	case c.serving: // of the next request some may have come with the last one
-	case len(c.scan.doubts) > 0:
+	case c.serving: // clientConn.track has set the state
+	case len(c.scan.doubts) > 0: // the next request has arrived together with the last one, its head at least
 		a.busy(c)
-	case c.scan.head > 0:
+	case c.scan.head > 0: // a part of its head has
 		a.room.Set(&c.Conn, admit.Writing, a.now())
 	default:
 		a.room.Set(&c.Conn, admit.Idle, a.now())
 	}
 }
 
-// waiting tells whether something has come that nobody has read.
+// hasUnread reports whether bytes have arrived that have not been read.
 func (c *clientConn) waiting() bool { return peek(c.TCPConn, make([]byte, 1)) > 0 }
 
-// lost tells whether the connection was ended to make room while a request was on its way. Nothing is sent on for it: it is refused.
+// wasEvicted reports whether the connection has been evicted. A request that was arriving meanwhile is refused, and not
+// sent to a server.
 func (c *clientConn) lost() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	return c.evicted
 }
 
-// SetReadDeadline leaves a connection that has been evicted at its end.
+// SetReadDeadline sets the read deadline, unless the connection has been evicted: then its reading stays ended.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -359,7 +373,7 @@
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// Read follows what comes.
+// Read reads from the connection and passes what it reads to the request scan, which may remove empty lines.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.read(p)
@@ -370,14 +384,15 @@
 	}
 }
 
-// read reads into p. net/http watches for its client's leaving by reading one byte behind the request that is open. With that byte it would watch no
-// more, and what comes behind it hides the end: so such a read goes on, until the client has left or net/http ends it, and what it brings is kept
-// for the next one.
+// read reads into p. While a request is open, net/http watches for the client's leaving by reading one byte. If it got
+// a byte, it would stop watching, and unread bytes after that one would hide the end of the connection. So such a read
+// does not return with a byte: it goes on until the client has left or net/http ends it, and keeps the bytes in
+// readAhead for later reads. It returns one byte if the limits of reading ahead leave no space.
 func (c *clientConn) read(p []byte) (int, error) {
 	c.stopped.Store(false)
 	if len(p) == 1 && c.watched() {
 		var first [1]byte
-		more := first[:] // nothing is set aside for those who send one request at a time
+		more := first[:] // no buffer is reserved for clients that send one request at a time
 		if c.ahead != nil {
 			more = c.space()
 		}
@@ -385,7 +400,7 @@
 			n, err := c.TCPConn.Read(more)
 			switch {
 			case err != nil:
-				if !errors.Is(err, os.ErrDeadlineExceeded) { // it has left: none of its requests is wanted any more
+				if !errors.Is(err, os.ErrDeadlineExceeded) { // the client has left, and wants no more answers
 					c.letGo()
 				}
 				return 0, err
@@ -418,14 +433,15 @@
 	return n, err
 }
 
-// watched tells whether a read of one byte is net/http's watch for the client's leaving: a request is open, and all of it has been read.
+// isWatchRead reports whether a read of one byte is net/http's watch for the client's leaving: a request is open, and
+// has been read whole.
 func (c *clientConn) watched() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	return c.serving && !c.evicted && c.scan.state == scanHead
 }
 
-// space is where what comes ahead is read to; nil: there is no room for more.
+// readAheadSpace returns the free part of the read-ahead buffer, which it enlarges if needed; nil: a limit is reached.
 func (c *clientConn) space() []byte {
 	if len(c.ahead) == cap(c.ahead) {
 		more := min(max(len(c.ahead), 512), aheadMost-int(c.reserved.Load()))
@@ -442,13 +458,15 @@
 	return c.ahead[len(c.ahead):cap(c.ahead)]
 }
 
+// releaseReadAhead frees the read-ahead buffer and what is reserved for it.
 func (c *clientConn) letGo() {
 	c.owner.ahead.Add(-c.reserved.Swap(0))
 	c.ahead = nil
 }
 
-// take gives what had come when the deadline of the reading was over: a read would not look. It may be the last byte of a request, which is then
-// taken. What comes later than lateWait is not looked for, nor more than a request's worth.
+// readLate reads what has arrived at the time when the read deadline has passed, because a Read would return nothing.
+// That may be the last byte of a request, which is then served. It reads nothing later than lateReadWindow after the
+// deadline, and no more bytes than one request may have.
 func (c *clientConn) take(p []byte) (n int) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -460,7 +478,7 @@
 	return n
 }
 
-// Write notes that an answer moves.
+// Write writes to the connection, and records the progress of the answer.
 func (c *clientConn) Write(p []byte) (int, error) {
 	n, err := c.TCPConn.Write(p)
 	if n > 0 {
@@ -470,25 +488,29 @@
 	return n, err
 }
 
-// gone tells whether the client has left, also behind bytes that nobody has read yet. One that ends its own direction only has left too.
+// clientGone reports whether the client has left, which shows also behind bytes that have not been read. A client that
+// has closed only its own direction counts as gone.
 func (c *clientConn) gone() bool {
 	raw, err := c.TCPConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	look := []unix.PollFd{{Events: unix.POLLRDHUP}} // resets are told besides
+	look := []unix.PollFd{{Events: unix.POLLRDHUP}} // resets are always reported
 	if raw.Control(func(fd uintptr) {
 		look[0].Fd = int32(fd)
 		_, err = unix.Poll(look, 0)
 	}) != nil {
-		return true // it has been closed here
+		return true // the connection has been closed on this side
 	}
 	return err == nil && look[0].Revents != 0
 }
 
-// hidden tells whether the client's end could not be seen if it had come: there is no room to read on, and the system takes no more than lies unread.
+// disconnectHidden reports whether a disconnect of the client could go unseen: reading ahead has stopped at a limit,
+// and unread bytes are left, so that the kernel may not accept more from the client, its end included.
 func (c *clientConn) hidden() bool { return c.stopped.Load() && c.waiting() }
 
+// track passes bytes that have been read to the request scan and updates the state of the connection. It returns the
+// length that is left in p after the scan has removed empty lines.
 func (c *clientConn) follow(p []byte) int {
 	a := c.owner
 	a.mu.Lock()
@@ -504,7 +526,7 @@
 	return kept
 }
 
-// busy notes that a request is open, of whose answer nothing has been written. It is called under the lock.
+// setBusy records that a request is open, and that nothing of its answer has been written. It is called under the lock.
 func (a *admission) busy(c *clientConn) {
 	c.sent.Store(0)
 	a.room.Set(&c.Conn, admit.Busy, a.now())
@@ -516,7 +538,7 @@
 	return c.scan.doubtful()
 }
 
-// leave takes a connection out that has been closed.
+// remove removes a connection that has been closed.
 func (a *admission) leave(c *clientConn) {
 	a.mu.Lock()
 	a.room.Leave(&c.Conn)
@@ -528,7 +550,7 @@
 	}
 }
 
-// Close closes the connection and gives back its place among the clients' connections and what it has reserved. From the
+// Close closes the connection, and releases its place among the client connections and its read-ahead bytes. From the
 // second call on it returns net.ErrClosed.
 func (c *clientConn) Close() error {
 	err := net.ErrClosed
--- a/internal/front/http1/admission_test.go
+++ b/internal/front/http1/admission_test.go
@@ -55,8 +55,8 @@
 	c.owner.room.Set(&c.Conn, s, c.owner.now()-age)
 }
 
-// Whatever accept(2) fails with, the next connection is taken: errors of a connection that was waiting, of the network and of the machine once ended the
-// front, and the process with it.
+// Whatever accept(2) fails with, the next connection is taken: errors of a connection that was waiting, of the network
+// and of the machine once ended the front, and the process with it.
 func TestAcceptErrorsEndNothing(t *testing.T) {
 	t.Parallel()
 	a, dial, accept := doorstep(t, 3)
@@ -149,8 +149,8 @@
 	}
 }
 
-// Connections that make room give their descriptors back before many others are taken in: what is kept for servers and discovery stays free, also where
-// the goroutines that close them get no time. Who comes meanwhile is refused.
+// Connections that make room give their descriptors back before many others are taken in: what is kept for servers and
+// discovery stays free, also where the goroutines that close them get no time. Who comes meanwhile is refused.
 func TestEvictedAreClosedFirst(t *testing.T) {
 	const limit = 8
 	a, dial, accept := doorstep(t, limit)
--- a/internal/front/http1/endings_test.go
+++ b/internal/front/http1/endings_test.go
@@ -35,8 +35,9 @@
 	return text, err
 }
 
-// A connection whose reading has to end, as it is evicted, has turned idle too long, its head's time is over, or the node takes no more, gives up what has come by
-// then: a request that is whole is answered. It was closed, and what had been read of the request was dropped.
+// A connection whose reading has to end, as it is evicted, has turned idle too long, its head's time is over, or the
+// node takes no more, gives up what has come by then: a request that is whole is answered. It was closed, and what had
+// been read of the request was dropped.
 func TestEndOfReading(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*admission, *clientConn){
@@ -132,7 +133,8 @@
 	return func() { f.Close(); <-served }
 }
 
-// A request whose connection was evicted while it came is refused, and its client told; nothing of it goes on: there is no loop here to take it.
+// A request whose connection was evicted while it came is refused, and its client told; nothing of it goes on: there is
+// no loop here to take it.
 func TestEvictedIsRefused(t *testing.T) {
 	t.Parallel()
 	for _, at := range []int{0, 1, len(text) - 1} {
@@ -168,7 +170,8 @@
 	}
 }
 
-// Nothing is begun for a request whose client had left before it was taken up, whatever it has sent behind it: there is no loop here to take it.
+// Nothing is begun for a request whose client had left before it was taken up, whatever it has sent behind it: there is
+// no loop here to take it.
 func TestLeftBeforeTaken(t *testing.T) {
 	t.Parallel()
 	for _, behind := range []string{"", "G", text, strings.Repeat(text, 200)} { // the last is beyond net/http's buffer
--- a/internal/front/http1/scan.go
+++ b/internal/front/http1/scan.go
@@ -7,10 +7,10 @@
 	"starlingvalve/internal/chunk"
 )
 
-// scan follows the requests in what a connection brings, in pieces of any size, and notes of each whether its head has both
-// Content-Length and Transfer-Encoding: net/http drops the length, and whoever goes by it would find another request in the body. It is
-// pure. What net/http can't read it answers and closes, so that here only the ends of good requests matter. A request that hides behind
-// a doubtful one is never served: the doubtful one closes the connection.
+// scan follows the requests in what a connection brings, in pieces of any size, and notes of each whether its head has
+// both Content-Length and Transfer-Encoding: net/http drops the length, and whoever goes by it would find another
+// request in the body. It is pure. What net/http can't read it answers and closes, so that here only the ends of good
+// requests matter. A request that hides behind a doubtful one is never served: the doubtful one closes the connection.
 type scan struct {
 	state   scanState
 	line    []byte // the beginning of the present one: as much of it as tells the two fields, and a length
@@ -39,8 +39,8 @@
 	doubtsMost = 4096 // requests ahead of their handler; net/http's buffer of 4 KB holds some 200
 )
 
-// feed takes what has come. Empty lines ahead of a request are taken out of p, as RFC 9112, section 2.2, has it: what is left
-// of it has the length that feed gives.
+// feed takes what has come. Empty lines ahead of a request are taken out of p, as RFC 9112, section 2.2, has it: what
+// is left of it has the length that feed gives.
 func (s *scan) feed(p []byte) int {
 	kept := len(p)
 	for at := 0; at < kept; {
@@ -83,7 +83,7 @@
 	return kept
 }
 
-// endLine takes a line of a head.
+// endLine handles the end of a line of a head.
 func (s *scan) endLine() {
 	cut := len(s.line) == lineKept
 	line := bytes.TrimSuffix(s.line, []byte("\r"))
@@ -92,7 +92,7 @@
 		s.endHead()
 		return
 	}
-	if line[0] == ' ' || line[0] == '\t' { // it goes on with the line before, as net/http has it
+	if line[0] == ' ' || line[0] == '\t' { // to net/http this continues the line before
 		s.unsure = s.unsure || s.sized
 		return
 	}
@@ -106,7 +106,7 @@
 		n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 		s.sized, s.unsure = true, s.unsure || cut
 		if s.hasSize = true; err != nil || n < 0 {
-			n = 0 // net/http turns it away
+			n = 0 // net/http rejects the request
 		}
 		s.length = n
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
@@ -114,6 +114,7 @@
 	}
 }
 
+// endHead handles the end of a head: it adds the mark of its request.
 func (s *scan) endHead() {
 	if len(s.doubts) < doubtsMost {
 		s.doubts = append(s.doubts, s.coded && s.hasSize || s.unsure)
@@ -128,15 +129,16 @@
 	}
 }
 
+// startRequest resets the scan to the beginning of a request.
 func (s *scan) next() {
 	s.state, s.head, s.length = scanHead, 0, 0
 	s.hasSize, s.coded, s.sized, s.unsure = false, false, false, false
 }
 
-// doubtful is asked once for each request, in their order.
+// nextAmbiguous reports whether the next request is ambiguous. It is called once for each request, in their order.
 func (s *scan) doubtful() bool {
 	if len(s.doubts) == 0 {
-		return true // it was seen by net/http and not here: that can't be
+		return true // can't happen: net/http has seen a request that this scan has not
 	}
 	first := s.doubts[0]
 	s.doubts = s.doubts[:copy(s.doubts, s.doubts[1:])]
--- a/internal/front/http1/scan_test.go
+++ b/internal/front/http1/scan_test.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// Where net/http takes a request as good and whole, the scanner has it at the same place, or calls it, or one before it, doubtful.
+// Where net/http takes a request as good and whole, the scanner has it at the same place, or calls it, or one before
+// it, doubtful.
 func FuzzScan(f *testing.F) {
 	f.Add("GET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", 5)
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1;x\r\na\r\n0\r\nT: v\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n", 3)
