--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// A connection that brings no whole header within 3 s has been answered or closed by then; good clients take 2 s
-	// for one.
-	headerWait  = 2600 * time.Millisecond // for a request's header, all of it
-	idleWait    = 2100 * time.Millisecond // a client may count on 2 s; many ask once and keep what others then lack
+	// A connection without a whole request header has to be answered or closed after 3 s at the latest. Well-behaved
+	// clients take 2 s for a header.
+	headerWait  = 2600 * time.Millisecond // for the whole header of a request
+	idleWait    = 2100 * time.Millisecond // clients may rely on 2 s; many send one request, and hold what others need
 	headerLimit = 16 << 10
 
-	// SIGTERM: connections come for 0.4 s more; the rest is for the accept queue. Clients go on using those that
-	// they have.
+	// After SIGTERM clients connect for 0.4 s more; the rest of the time is for the accept queue. Clients go on using
+	// the connections that they have.
 	drainAccept = 600 * time.Millisecond
-	lastCall    = 300 * time.Millisecond // before the end no more requests are taken
+	lastCall    = 300 * time.Millisecond // so long before the drain's end new requests are refused
 	drainLook   = 20 * time.Millisecond
-	// After the end an answer that has not moved for drainStall is ended, within what is left before SIGKILL. A long
-	// one may be of a slow peer: it is lost after 2 s in any case.
+	// After the drain's end a stalled answer is aborted after drainStall, in order to be done before SIGKILL. A long
+	// answer may go to a slow client; one that stalls for 2 s counts as failed in any case.
 	drainStall = 100 * time.Millisecond
 	longStall  = 2 * time.Second
-	drainSlack = 700 * time.Millisecond // beyond the longest deadline: what was taken before the drain may end so late
+	drainSlack = 700 * time.Millisecond // beyond the longest deadline: requests from before the drain may end so late
 )
 
 // Front is a core.Front on one listener.
@@ -75,13 +75,14 @@
 // OpenConnections is the number of open client connections, without the evicted ones.
 func (f *Front) Held() int { return f.door.held() }
 
-// Drain is core.Front's. Clients still come for a moment, and what the kernel has accepted counts as taken: so the
-// listener stays open for that long. On the connections that they have they are served for as long as an answer can
-// come by the end: the others of its zone may be few, and have its clients soon enough. Then what has no request open
-// is closed, as the server's own Shutdown would wait for new connections and for heads that are half there.
+// Drain implements core.Front. Clients go on connecting for a moment, and have to be served once the kernel has accepted
+// the connection, so the listener stays open for that long. Requests on open connections are served for as long as an
+// answer can come by end: the zone may have few other nodes, which get this node's clients soon enough. Then connections
+// without an open request are closed. http.Server.Shutdown is not used, because it waits for new connections and for
+// half-received heads.
 func (f *Front) Drain(end time.Time) {
-	f.handler.Drain(end)     // by then all is answered
-	if !f.door.gate.Shut() { // else a successor takes what comes, from the same queue
+	f.handler.Drain(end)     // all requests are answered by then
+	if !f.door.gate.Shut() { // if it is shut, a successor accepts the connections from the same queue
 		time.Sleep(drainAccept)
 	}
 	f.door.Close()
@@ -90,15 +91,14 @@
 	}
 	f.handler.LastCall()
 	f.door.closeRest()
-	// Each answer is now the last on its connection. What the loop has at the end is answered then. Answers that are on
-	// their way may go on for as long as they move: nothing is owed to a client that takes none of its own, or while
-	// its server gives none of it. net/http's Shutdown is not asked: it closes a connection whose next head is being
-	// read.
+	// From now on each answer closes its connection. Requests that are still with the loop at end are answered then.
+	// Answers that are being written may go on while they make progress, but not if the client takes nothing or the
+	// server sends nothing. http.Server.Shutdown would close connections whose next head is being read.
 	for until := time.Now().Add(f.handler.Longest() + drainSlack); f.door.open.Load() > 0; time.Sleep(drainLook) {
 		f.door.closeRest() // including connections that have become idle since
 		now := time.Now()
 		if now.After(until) {
-			f.log.Warn("drain ended with open connections", "connections", f.door.open.Load())
+			f.log.Warn("drained with connections open", "connections", f.door.open.Load())
 			return
 		}
 		if now.Sub(end) > drainStall {
--- a/internal/front/http1/scan.go
+++ b/internal/front/http1/scan.go
@@ -7,22 +7,23 @@
 	"starlingvalve/internal/chunk"
 )
 
-// scan follows the requests in what a connection brings, in pieces of any size, and notes of each whether its head has
-// both Content-Length and Transfer-Encoding: net/http drops the length, and whoever goes by it would find another
-// request in the body. It is pure. What net/http can't read it answers and closes, so that here only the ends of good
-// requests matter. A request that hides behind a doubtful one is never served: the doubtful one closes the connection.
+// requestScan finds the requests in the input of a connection, which it gets in pieces of any size. It marks each
+// request whose head has both Content-Length and Transfer-Encoding as ambiguous: net/http drops the length, but a peer
+// that goes by it would find another request in the body (request smuggling). It does no I/O. Input that net/http rejects
+// needs no exact handling, because its connection is closed. A request hidden behind an ambiguous one is never served,
+// because the ambiguous one closes the connection, too.
 type scan struct {
 	state   scanState
-	line    []byte // the beginning of the present one: as much of it as tells the two fields, and a length
-	head    int    // bytes of it so far
-	length  int64
-	hasSize bool
-	sized   bool // the last line was a length
-	unsure  bool // a length that goes on in the next line, or is too far off to be read here
-	coded   bool
+	line    []byte // the first maxLineKept bytes of the present line of the head
+	head    int    // bytes of the present head so far
+	length  int64  // bytes of the body that are still to come, by Content-Length
+	hasSize bool   // the head has a Content-Length
+	sized   bool   // the last line was a Content-Length
+	unsure  bool   // a Content-Length goes on in the next line, or beyond the bytes that are kept of its line
+	coded   bool   // the head has a Transfer-Encoding
 	chunks  chunk.Decoder
 
-	doubts []bool // of requests whose heads are complete and which nobody has asked about yet
+	doubts []bool // marks of the requests whose heads are complete, until nextAmbiguous has returned them
 }
 
 type scanState int
@@ -31,16 +32,16 @@
 	scanHead scanState = iota
 	scanBody
 	scanChunks
-	scanLost // no end can be known: net/http will find out
+	scanLost // the end of the request can't be determined; net/http rejects it
 )
 
 const (
-	lineKept   = 64   // bytes of a line that are looked at: names with their blanks, and a length
-	doubtsMost = 4096 // requests ahead of their handler; net/http's buffer of 4 KB holds some 200
+	lineKept   = 64   // bytes that are kept of a line: enough for the two field names with blanks, and a length
+	doubtsMost = 4096 // requests ahead of their handlers; net/http's buffer of 4 KB holds some 200
 )
 
-// feed takes what has come. Empty lines ahead of a request are taken out of p, as RFC 9112, section 2.2, has it: what
-// is left of it has the length that feed gives.
+// feed scans bytes that have been read. It removes empty lines before a request from p, as RFC 9112, section 2.2,
+// requires, and returns the length that is left.
 func (s *scan) feed(p []byte) int {
 	kept := len(p)
 	for at := 0; at < kept; {
