--- a/internal/front/http1/admission_test.go
+++ b/internal/front/http1/admission_test.go
@@ -19,7 +19,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// doorstep is an admission on a port that the kernel chose.
+// newTestAdmission returns an admission on a port that the kernel chooses, and functions that connect to it and accept
+// from it.
 func doorstep(t testing.TB, limit int) (a *admission, dial func() net.Conn, accept func() *clientConn) {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -48,15 +49,15 @@
 	return a, dial, accept
 }
 
-// set gives a connection a state that it has had for so long.
+// set gives a connection a state, as if it had made its last progress age ago.
 func (c *clientConn) set(s admit.State, age time.Duration) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	c.owner.room.Set(&c.Conn, s, c.owner.now()-age)
 }
 
-// Whatever accept(2) fails with, the next connection is taken: errors of a connection that was waiting, of the network
-// and of the machine once ended the front, and the process with it.
+// Whatever accept(2) fails with, the next connection is accepted. Errors of a queued connection, of the network or of
+// the machine once ended the front, and the process with it.
 func TestAcceptErrorsEndNothing(t *testing.T) {
 	t.Parallel()
 	a, dial, accept := doorstep(t, 3)
@@ -74,7 +75,7 @@
 	dial()
 	accept()
 	if len(errs) > 0 {
-		t.Errorf("%d errors were not met", len(errs))
+		t.Errorf("%d errors were not returned to Accept", len(errs))
 	}
 	a.Close()
 	if _, err := a.Accept(); !errors.Is(err, net.ErrClosed) {
@@ -82,8 +83,8 @@
 	}
 }
 
-// At the bound what brings nothing goes first, one with a request open never, and a request that crosses its
-// connection's end is not passed on. A request that is refused at the door is counted under its class.
+// At the limit a connection that sends nothing is evicted first, and one with an open request never. A request that
+// arrives as its connection is evicted is not passed on. A refused request is counted under its class.
 func TestAdmission(t *testing.T) {
 	t.Parallel()
 	a, dial, accept := doorstep(t, 3)
@@ -103,7 +104,7 @@
 	go func() { c, _ := a.Accept(); done <- c.(*clientConn) }()
 	io.WriteString(refused, "GET /read?obj=1 HTTP/1.1\r\nHost: h\r\n")
 	if resp, err := http.ReadResponse(bufio.NewReader(refused), nil); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
-		t.Fatalf("with none to close: %v, %v", resp, err)
+		t.Fatalf("want a refusal, as no connection can be evicted: %v, %v", resp, err)
 	}
 	if class := <-counted; class != "read" {
 		t.Errorf("counted as %q", class)
@@ -114,12 +115,12 @@
 	third := <-done
 	third.set(admit.Busy, 0)
 	if idle.lost() || !mute.lost() || busy.lost() {
-		t.Error("the wrong one was closed first")
+		t.Error("the wrong connection was evicted first")
 	}
 	dial()
 	fourth := accept()
 	if !idle.lost() || busy.lost() || a.held() != 3 {
-		t.Errorf("the wrong one was closed second; %d open", a.held())
+		t.Errorf("the wrong connection was evicted second; %d open", a.held())
 	}
 	for _, c := range []*clientConn{busy, third, fourth, idle, mute} {
 		c.Close()
@@ -130,7 +131,7 @@
 	}
 }
 
-// A mute connection whose request has come and is not read yet is no mute one.
+// A connection whose request has arrived but has not been read does not count as one that has sent nothing.
 func TestUnreadIsNotMute(t *testing.T) {
 	t.Parallel()
 	_, dial, accept := doorstep(t, 2)
@@ -145,12 +146,13 @@
 	dial()
 	accept()
 	if first.lost() || !second.lost() {
-		t.Error("the one that had sent something made room")
+		t.Error("the connection that had sent something was evicted")
 	}
 }
 
-// Connections that make room give their descriptors back before many others are taken in: what is kept for servers and
-// discovery stays free, also where the goroutines that close them get no time. Who comes meanwhile is refused.
+// Evicted connections have to be closed before many others are accepted, even if the goroutines that close them don't
+// run: otherwise they use up the file descriptors reserved for servers and discovery. New connections are refused
+// meanwhile.
 func TestEvictedAreClosedFirst(t *testing.T) {
 	const limit = 8
 	a, dial, accept := doorstep(t, limit)
@@ -159,7 +161,7 @@
 		dial()
 		first = append(first, accept())
 	}
-	a.began = a.began.Add(-2 * admit.MuteLeast) // all of them may make room now; nobody reads from them, so that none is closed
+	a.began = a.began.Add(-2 * admit.MuteLeast) // all may be evicted now, but are not closed, as nobody reads
 	for range descriptors.Evicted {
 		dial()
 		accept()
@@ -175,11 +177,11 @@
 	for range 2 {
 		text, _ := io.ReadAll(dial())
 		if !strings.HasPrefix(string(text), "HTTP/1.1 503 ") {
-			t.Errorf("a newcomer gets %q", text)
+			t.Errorf("a new connection gets %q", text)
 		}
 	}
 	if open, held := a.open.Load(), a.held(); open != limit+descriptors.Evicted || held != limit {
-		t.Errorf("%d connections are open, %d of them held", open, held)
+		t.Errorf("%d connections are open, %d of them not evicted", open, held)
 	}
 	first[0].Close()
 	dial()
@@ -187,7 +189,7 @@
 	case c := <-accepted:
 		c.Close()
 	case <-time.After(testkit.Patient):
-		t.Error("nobody is accepted once one has been closed")
+		t.Error("no connection is accepted after an evicted one has been closed")
 		a.Close()
 	}
 }
--- a/internal/front/http1/endings_test.go
+++ b/internal/front/http1/endings_test.go
@@ -16,15 +16,15 @@
 	"starlingvalve/internal/testkit"
 )
 
-// come waits until something has come on a connection that nobody has read.
+// waitUnread waits until bytes have arrived on the connection that have not been read.
 func (c *clientConn) come(t *testing.T) {
 	t.Helper()
-	testkit.Until(t, "nothing has come", c.waiting)
+	testkit.Until(t, "nothing has arrived", c.waiting)
 }
 
 const head = "GET /read HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// read is what net/http would get of a connection until its reading ends.
+// readAll returns what net/http would read from a connection until a Read fails.
 func readAll(c *clientConn) (text string, err error) {
 	var p [4096]byte
 	for err == nil {
@@ -35,9 +35,9 @@
 	return text, err
 }
 
-// A connection whose reading has to end, as it is evicted, has turned idle too long, its head's time is over, or the
-// node takes no more, gives up what has come by then: a request that is whole is answered. It was closed, and what had
-// been read of the request was dropped.
+// When the reading of a connection ends, because it is evicted, has been idle or in a head for too long, or the node
+// shuts down, the bytes that have arrived by then are still read, and a whole request is answered. The fault: the
+// connection was closed, and what had been read of the request was dropped.
 func TestEndOfReading(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(*admission, *clientConn){
@@ -63,14 +63,14 @@
 				c.come(t)
 				end(a, c)
 				if got, err := readAll(c); got != head[cut:] || !errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("read %q, %v; want what had come, then the end", got, err)
+					t.Errorf("read %q, %v; want what had arrived, then the end", got, err)
 				}
-				c.SetReadDeadline(time.Now().Add(testkit.Patient)) // net/http does at each request
+				c.SetReadDeadline(time.Now().Add(testkit.Patient)) // as net/http does for each request
 				if c.lost() != (name == "evicted") {
 					t.Errorf("lost: %v", c.lost())
 				} else if c.lost() {
 					if _, err := readAll(c); !errors.Is(err, os.ErrDeadlineExceeded) {
-						t.Errorf("it goes on after its end: %v", err)
+						t.Errorf("the connection is readable again after its end: %v", err)
 					}
 				}
 			})
@@ -78,7 +78,8 @@
 	}
 }
 
-// One that trickles is not read on for it: what comes after its time, or is more than a request, is not looked for.
+// A client that sends slowly doesn't gain more time by that: bytes long after the deadline, and bytes beyond the length
+// of one request, are not read.
 func TestEndOfReadingIsOne(t *testing.T) {
 	t.Parallel()
 	_, dial, accept := doorstep(t, 3)
@@ -90,16 +91,16 @@
 	if got, err := readAll(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read %q, %v long after its time", got, err)
 	}
-	c.SetReadDeadline(time.Now().Add(testkit.Patient)) // late would move with a busy machine's clock
+	c.SetReadDeadline(time.Now().Add(testkit.Patient)) // so that no deadline passes meanwhile on a busy machine
 	c.owner.mu.Lock()
 	c.readBy, c.late = time.Now(), lateMost
 	c.owner.mu.Unlock()
 	if n := c.take(make([]byte, 1)); n != 0 {
-		t.Errorf("%d bytes beyond a request's worth", n)
+		t.Errorf("%d bytes read beyond the length of one request", n)
 	}
 }
 
-// A head that has stalled makes room only if nothing more of it has come.
+// A connection with a stalled head is evicted only if no more of the head has arrived.
 func TestUnreadWritingStays(t *testing.T) {
 	t.Parallel()
 	_, dial, accept := doorstep(t, 2)
@@ -114,27 +115,28 @@
 	dial()
 	accept()
 	if first.lost() || !second.lost() {
-		t.Error("the one whose request was whole made room")
+		t.Error("the connection whose request was whole was evicted")
 	}
 }
 
-// text is a request that is good.
+// text is a valid request.
 const text = "GET /read HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: a\r\nX-Time-Left: 9\r\n\r\n"
 
-// atDoor is a front behind a door. It has no loop: what would go on to one is a failure.
+// newTestFront returns a front on the listener of an admission. It has no loop, so a request that is passed on makes
+// the test fail.
 func atDoor(a *admission) *Front {
 	return New(a.TCPListener, 3, front.NewHandler(nil, testkit.Settings(), 1<<20, testkit.Quiet), testkit.Quiet)
 }
 
-// serve runs it until end.
+// serve runs the front until end is called.
 func (f *Front) serve() (end func()) {
 	served := make(chan bool)
 	go func() { f.Serve(); close(served) }()
 	return func() { f.Close(); <-served }
 }
 
-// A request whose connection was evicted while it came is refused, and its client told; nothing of it goes on: there is
-// no loop here to take it.
+// A request whose connection was evicted while it was arriving is answered with a refusal, and not passed to the loop:
+// there is none here.
 func TestEvictedIsRefused(t *testing.T) {
 	t.Parallel()
 	for _, at := range []int{0, 1, len(text) - 1} {
@@ -155,7 +157,7 @@
 			read = c.scan.head
 			c.owner.mu.Unlock()
 		}
-		c.owner.mu.Lock() // what comes now is not noted, and perhaps not read, before the connection is evicted
+		c.owner.mu.Lock() // what arrives now is not scanned, and perhaps not read, before the connection is evicted
 		io.WriteString(peer, text[at:])
 		c.owner.evict(c)
 		c.owner.mu.Unlock()
@@ -170,20 +172,20 @@
 	}
 }
 
-// Nothing is begun for a request whose client had left before it was taken up, whatever it has sent behind it: there is
-// no loop here to take it.
+// No attempt is started for a request whose client left before it was taken up, whatever bytes follow it: such a request
+// must not get to the loop, and there is none here.
 func TestLeftBeforeTaken(t *testing.T) {
 	t.Parallel()
-	for _, behind := range []string{"", "G", text, strings.Repeat(text, 200)} { // the last is beyond net/http's buffer
+	for _, behind := range []string{"", "G", text, strings.Repeat(text, 200)} { // the last one exceeds net/http's buffer
 		a, dial, _ := doorstep(t, 3)
 		peer := dial()
 		io.WriteString(peer, text+behind)
-		peer.(*net.TCPConn).CloseWrite() // which waits in the listener's queue
+		peer.(*net.TCPConn).CloseWrite() // while the connection waits in the listener's queue
 		f := atDoor(a)
 		end := f.serve()
 		resp, err := http.ReadResponse(bufio.NewReader(peer), nil)
 		if err != nil || resp.StatusCode != 400 || !resp.Close {
-			t.Errorf("%d bytes behind it: %v %v; want to be told that nothing comes", len(behind), resp, err)
+			t.Errorf("%d bytes after it: %v %v; want 400, as no answer comes", len(behind), resp, err)
 		}
 		end()
 	}
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -75,11 +75,11 @@
 // OpenConnections is the number of open client connections, without the evicted ones.
 func (f *Front) Held() int { return f.door.held() }
 
-// Drain implements core.Front. Clients go on connecting for a moment, and have to be served once the kernel has accepted
-// the connection, so the listener stays open for that long. Requests on open connections are served for as long as an
-// answer can come by end: the zone may have few other nodes, which get this node's clients soon enough. Then connections
-// without an open request are closed. http.Server.Shutdown is not used, because it waits for new connections and for
-// half-received heads.
+// Drain implements core.Front. Clients go on connecting for a moment, and have to be served once the kernel has
+// accepted the connection, so the listener stays open for that long. Requests on open connections are served for as
+// long as an answer can come by end: the zone may have few other nodes, which get this node's clients soon enough. Then
+// connections without an open request are closed. http.Server.Shutdown is not used, because it waits for new
+// connections and for half-received heads.
 func (f *Front) Drain(end time.Time) {
 	f.handler.Drain(end)     // all requests are answered by then
 	if !f.door.gate.Shut() { // if it is shut, a successor accepts the connections from the same queue
--- a/internal/front/http1/look_test.go
+++ b/internal/front/http1/look_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// BenchmarkLook is the cost of a look at a client that is there.
+// BenchmarkLook measures the check of a client that is connected.
 func BenchmarkLook(b *testing.B) {
 	_, dial, accept := doorstep(b, 3)
 	dial()
@@ -10,7 +10,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if c.gone() {
-			b.Fatal("it is there")
+			b.Fatal("a connected client counts as gone")
 		}
 	}
 }
--- a/internal/front/http1/scan.go
+++ b/internal/front/http1/scan.go
@@ -9,9 +9,9 @@
 
 // requestScan finds the requests in the input of a connection, which it gets in pieces of any size. It marks each
 // request whose head has both Content-Length and Transfer-Encoding as ambiguous: net/http drops the length, but a peer
-// that goes by it would find another request in the body (request smuggling). It does no I/O. Input that net/http rejects
-// needs no exact handling, because its connection is closed. A request hidden behind an ambiguous one is never served,
-// because the ambiguous one closes the connection, too.
+// that goes by it would find another request in the body (request smuggling). It does no I/O. Input that net/http
+// rejects needs no exact handling, because its connection is closed. A request hidden behind an ambiguous one is never
+// served, because the ambiguous one closes the connection, too.
 type scan struct {
 	state   scanState
 	line    []byte // the first maxLineKept bytes of the present line of the head
--- a/internal/front/http1/scan_test.go
+++ b/internal/front/http1/scan_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// scanned feeds text in pieces and gives what is left of it, and the marks.
+// scanned feeds text to a scan in pieces, and returns what is left of it and the scan.
 func scanned(text string, piece int) (kept string, s scan) {
 	for text != "" {
 		n := min(piece, len(text))
@@ -20,6 +20,8 @@
 	return kept, s
 }
 
+// Each request gets one mark, "!" if it is ambiguous, in pieces of any size. A scan that misses the end of a request
+// would let a smuggled one pass.
 func TestScan(t *testing.T) {
 	const get, post = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", "POST /a HTTP/1.1\r\nHost: h\r\n"
 	for text, want := range map[string]string{
@@ -54,8 +56,8 @@
 	}
 }
 
-// Where net/http takes a request as good and whole, the scanner has it at the same place, or calls it, or one before
-// it, doubtful.
+// If net/http accepts a request as valid and whole, the scan finds it at the same place, or marks it or one before it as
+// ambiguous.
 func FuzzScan(f *testing.F) {
 	f.Add("GET /a HTTP/1.1\r\nHost: h\r\n\r\nPOST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", 5)
 	f.Add("POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n1;x\r\na\r\n0\r\nT: v\r\n\r\nGET / HTTP/1.1\r\nHost: h\r\n\r\n", 3)
@@ -70,7 +72,7 @@
 		for n := 1; ; n++ {
 			req, err := http.ReadRequest(r)
 			if err != nil || !req.ProtoAtLeast(1, 1) {
-				return // it is answered and its connection closed
+				return // net/http rejects it and closes the connection
 			}
 			if _, err := io.Copy(io.Discard, req.Body); err != nil {
 				return
@@ -78,7 +80,7 @@
 			at := len(kept) - source.Len() - r.Buffered()
 			_, s := scanned(kept[:at], 1<<20)
 			if s.state == scanLost {
-				return // a bare line feed among chunks: what comes behind has no mark, and is doubtful
+				return // a bare line feed among chunks: requests after it have no mark, and count as ambiguous
 			}
 			for _, doubt := range s.doubts {
 				if doubt {
