--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -1,6 +1,6 @@
-// Package accept decides what follows an error of a listener's accept. Linux also gives errors there that say nothing
-// of the listener: of a connection that ended in the queue, of the network, or of this machine's descriptors and
-// memory. None of them may end a server.
+// Package accept handles errors of a listener's Accept. On Linux some of these errors don't concern the listener, but a
+// connection that ended in the queue, the network, or this machine's file descriptors and memory. None of them may end
+// a server.
 package accept
 
 import (
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// The wait after an error doubles from waitFirst up to waitMost. A machine that is short of something would otherwise
-// spin.
+// The wait after an error doubles from minWait up to maxWait. Without a wait the loop would spin on a machine that has
+// run out of a resource.
 const (
 	waitFirst = time.Millisecond
 	waitMost  = 100 * time.Millisecond
 )
 
-// Retry is the state of one goroutine that accepts. Its zero value is ready.
+// Retry is the backoff state of one goroutine that accepts connections. Its zero value is ready to use.
 type Retry struct{ wait time.Duration }
 
-// After waits for a moment after an error, and tells whether to accept again: always, but for a listener that is
+// After waits after an error of Accept, and reports whether to call Accept again: always, unless the listener is
 // closed.
 func (r *Retry) After(err error) bool {
 	if errors.Is(err, net.ErrClosed) {
@@ -30,16 +30,16 @@
 	return true
 }
 
-// Reset is called after each connection that was accepted.
+// Reset ends the backoff. It has to be called after each accepted connection.
 func (r *Retry) Reset() { r.wait = 0 }
 
-// Listener is a listener whose Accept fails once it is closed, and for nothing else. One goroutine accepts.
+// Listener is a listener whose Accept fails only once the listener is closed. Accept must be called from one goroutine.
 type Listener struct {
 	net.Listener
 	retry Retry
 }
 
-// Accept is net.Listener's.
+// Accept implements net.Listener.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// All that accept(2) documents is retried, with a wait that grows to a bound and begins anew after a connection; a
-// closed listener is not.
+// All errors that accept(2) documents are retried. The wait doubles up to a bound and starts again from the beginning
+// after a connection. A closed listener is not retried.
 func TestAfter(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO,
@@ -24,7 +24,7 @@
 				for n := range 20 {
 					began := time.Now()
 					if !r.After(err) {
-						t.Fatal("it ends the server")
+						t.Fatal("the error ends the server")
 					}
 					if want := min(waitFirst<<n, waitMost); time.Since(began) != want {
 						t.Errorf("error %d: waited %v, want %v", n, time.Since(began), want)
@@ -43,10 +43,10 @@
 	}
 }
 
-// failing fails some times before it gives a connection.
+// failing is a listener that fails a number of times before it accepts connections.
 type failing struct {
 	net.Listener
-	left int
+	left int // failures to come
 }
 
 func (f *failing) Accept() (net.Conn, error) {
@@ -57,7 +57,7 @@
 	return f.Listener.Accept()
 }
 
-// A listener gives the next connection whatever failed before, and fails once it is closed.
+// A Listener returns the next connection after any errors, and fails once it is closed.
 func TestListener(t *testing.T) {
 	t.Parallel()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,6 +77,6 @@
 	c.Close()
 	l.Close()
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("after Close: %v", err)
 	}
 }
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -1,6 +1,6 @@
-// Package admit is the admission control of client connections: it decides which one is closed for a new one when all
-// of a node's descriptors are taken, by what a connection does and how lately it made progress, not by its age. It is
-// pure: no I/O, no clock.
+// Package admit is the admission control of client connections: at the limit it decides which connection is closed for
+// a new one. It goes by a connection's state and the time since its last progress, not by its age. It does no I/O and
+// reads no clock.
 package admit
 
 import (
@@ -12,74 +12,76 @@
 type State int
 
 const (
-	// Mute: nothing has arrived yet.
+	// NothingRead: nothing has been read from it since it was accepted.
 	Mute State = iota
-	// Writing: a part of a request's head has arrived.
+	// ReadingHead: a part of a request's head has been read.
 	Writing
-	// Idle: its requests have been answered, and nothing has arrived since.
+	// Idle: its requests have been answered, and nothing has been read since.
 	Idle
-	// Busy: a request is in flight. It is never closed for another.
+	// Busy: a request is in flight. A busy connection is never closed for another.
 	Busy
 	stateCount
 )
 
-// How long a connection has been without progress before it may be closed for a new one.
+// How long a connection must have been without progress before it may be closed for a new one.
 const (
-	MuteLeast  = 250 * time.Millisecond // in state Mute: clients that want something send at once
-	StallLeast = 700 * time.Millisecond // in state Writing: good clients take 2 s for the whole head
-	IdleLeast  = 2 * time.Second        // in state Idle: clients may count on it
+	MuteLeast  = 250 * time.Millisecond // in state NothingRead: a client with a request sends it at once
+	StallLeast = 700 * time.Millisecond // in state ReadingHead: well-behaved clients take 2 s for the whole head
+	IdleLeast  = 2 * time.Second        // in state Idle: clients may rely on it
 )
 
-// closePart is the part of the limit from which on answers close their connections: many clients send one request and
-// keep the connection that others then lack. The requests in flight of true clients take less than that.
+// pressureShare is the part of the limit from which on answers close their connections. Many clients send one request
+// only and hold a connection that others need. The requests in flight of well-behaved clients take less than this part.
 const closePart = 0.5
 
-// Conn is one connection. Owner is the caller's, to find what belongs to a connection that Victim names.
+// Conn is one connection. Owner is set by the caller, in order to find what belongs to a connection that Victim
+// returns.
 type Conn struct {
 	Owner any
 
 	state   State
-	last    time.Duration // when something last arrived, or the state was entered
-	element *list.Element // of its state's list; nil: it has left
+	last    time.Duration // when something was last read, or the state was entered
+	element *list.Element // in the list of its state; nil: the connection has been removed
 }
 
 // State is what the connection is doing.
 func (c *Conn) State() State { return c.state }
 
-// Last is when something last arrived on it, or its state was entered, by the clock of the Room's caller.
+// LastProgress is when something was last read from the connection, or its state was entered, on the clock of the set's
+// caller.
 func (c *Conn) Last() time.Duration { return c.last }
 
-// Room is the set of all client connections of a node, bounded by its limit. It is not safe for concurrent use. Times
-// are readings of the caller's clock, which does not go back.
+// ConnSet is the set of all open client connections of a node, which has a limit. It is not safe for concurrent use.
+// Times are readings of the caller's clock, which must not go back.
 type Room struct {
 	limit   int
 	count   int
 	byState [stateCount]list.List // of *Conn, the one longest without progress first
 }
 
-// New returns an empty set for at most limit connections.
+// New returns an empty set with a limit.
 func New(limit int) *Room { return &Room{limit: limit} }
 
-// SetLimit changes the limit. Connections beyond it stay open.
+// SetLimit changes the limit. Connections beyond it stay in the set.
 func (r *Room) SetLimit(n int) { r.limit = n }
 
-// Count is how many connections there are.
+// Count is the number of connections.
 func (r *Room) Count() int { return r.count }
 
-// Full tells whether the limit is reached, so that a new connection needs a Victim.
+// Full reports whether the limit is reached, so that a Victim has to be closed for a new connection.
 func (r *Room) Full() bool { return r.count >= r.limit }
 
-// Crowded tells whether so many connections are open that answers are to close theirs.
+// UnderPressure reports whether so many connections are open that answers should close theirs.
 func (r *Room) Crowded() bool { return float64(r.count) >= closePart*float64(r.limit) }
 
-// Enter adds a new connection, in state Mute.
+// Add adds a new connection, in state NothingRead.
 func (r *Room) Enter(c *Conn, now time.Duration) {
 	r.count++
 	r.move(c, Mute, now)
 }
 
-// Set notes what a connection is doing now. In the state that it has already, that is progress. One that has left stays
-// out.
+// SetState sets the state of a connection and counts as progress, also if the state stays the same. It has no effect on
+// a connection that has been removed.
 func (r *Room) Set(c *Conn, s State, now time.Duration) {
 	if c.element != nil {
 		r.byState[c.state].Remove(c.element)
@@ -92,7 +94,7 @@
 	c.element = r.byState[s].PushBack(c)
 }
 
-// Leave removes a connection. Further calls do nothing.
+// Remove removes a connection. Further calls have no effect.
 func (r *Room) Leave(c *Conn) {
 	if c.element != nil {
 		r.byState[c.state].Remove(c.element)
@@ -101,8 +103,8 @@
 	}
 }
 
-// Victim is the connection to close for a new one: a mute one before an idle one, and either before one whose head has
-// stalled. It is nil if none has been without progress for long enough.
+// Victim returns the connection to close for a new one: one from which nothing has been read before an idle one, and
+// either of these before one whose head has stalled. It returns nil if none has been without progress for long enough.
 func (r *Room) Victim(now time.Duration) *Conn {
 	for _, of := range []struct {
 		s     State
@@ -115,10 +117,10 @@
 	return nil
 }
 
-// Unused lists the connections on which no request is in flight.
+// WithoutRequest returns the connections on which no request is in flight.
 func (r *Room) Unused() []*Conn { return r.inStates(Mute, Writing, Idle) }
 
-// Used lists those on which one is.
+// WithRequest returns the connections on which a request is in flight.
 func (r *Room) Used() []*Conn { return r.inStates(Busy) }
 
 func (r *Room) inStates(states ...State) (out []*Conn) {
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// Thousands of mute connections never displace a client that writes its head slowly, nor one whose request is in
-// flight.
+// Thousands of connections that send nothing never displace a client that sends its head slowly, nor one whose request
+// is in flight. At the limit the node would otherwise cut off the clients that it is to serve.
 func TestCrowd(t *testing.T) {
 	r := New(64)
 	slow, busy := &Conn{}, &Conn{}
@@ -30,7 +30,7 @@
 				break
 			}
 			if v == slow || v == busy {
-				t.Fatalf("after %v the wrong one is closed: %v", now, v.state)
+				t.Fatalf("after %v the wrong connection is closed: it is in state %v", now, v.state)
 			}
 			r.Leave(v)
 		}
@@ -39,10 +39,11 @@
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of 3000 were refused", refused)
+		t.Errorf("%d of 3000 connections were refused", refused)
 	}
 }
 
+// A connection becomes a victim only after the timeout of its state, in the order of the states, and a busy one never.
 func TestOrder(t *testing.T) {
 	r := New(4)
 	mute, idle, stalled, busy := &Conn{}, &Conn{}, &Conn{}, &Conn{}
@@ -66,7 +67,7 @@
 	}
 }
 
-// The count is that of the lists, whatever happens in whatever order, and no victim is busy.
+// Whatever happens in whatever order, the count agrees with the lists, and no victim is busy.
 func TestCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New(rapid.IntRange(1, 8).Draw(t, "limit"))
--- a/internal/chunk/chunk.go
+++ b/internal/chunk/chunk.go
@@ -1,16 +1,16 @@
-// Package chunk takes HTTP/1.1's chunked coding apart (RFC 9112, section 7.1). It is pure: whoever reads the bytes hands them
-// over in pieces of any size, and may stop and go on at any of them.
+// Package chunk decodes HTTP/1.1's chunked transfer coding (RFC 9112, section 7.1). It does no I/O: the caller passes
+// the bytes in pieces of any size.
 package chunk
 
 import "errors"
 
 const (
-	lineLimit    = 4 << 10  // bytes of a chunk's size with its extensions
+	lineLimit    = 4 << 10  // bytes of a chunk's size line with its extensions
 	trailerLimit = 16 << 10 // bytes of all trailers
-	digitsLimit  = 15       // of a size: more would not fit
+	digitsLimit  = 15       // hexadecimal digits of a size: more would overflow an int64
 )
 
-// What is wrong with the text.
+// Errors of Next.
 var (
 	ErrSize    = errors.New("chunk: malformed size")
 	ErrEnd     = errors.New("chunk: malformed end of a chunk")
@@ -21,31 +21,31 @@
 
 const (
 	size  state = iota // digits
-	space              // behind them
+	space              // after the digits
 	extension
-	sizeEnd // after its CR
+	sizeEnd // LF of the size line
 	data
-	dataEnd // CR
-	dataLF
-	trailer // at a line's start
+	dataEnd // CR after the data
+	dataLF  // LF after the data
+	trailer // at the start of a line
 	trailerLine
-	trailerEnd // after the CR of an empty line
+	trailerEnd // LF of the empty line that ends the body
 	done
 )
 
-// Decoder follows one body. Its zero value is at the beginning.
+// Decoder decodes one body. Its zero value is at the beginning of the body.
 type Decoder struct {
 	state  state
-	left   int64 // of the chunk
-	digits int
-	line   int // bytes of the size's line, or of the trailers
+	left   int64 // bytes of the chunk that are still to come
+	digits int   // of the size
+	line   int   // bytes of the size line, or of the trailers
 }
 
-// Done tells whether the body is complete.
+// Done reports whether the body is complete.
 func (d *Decoder) Done() bool { return d.state == done }
 
-// Next takes the beginning of p and tells how many bytes it used; data, a part of p, is what they hold of the body. It stops
-// behind some data, at the body's end, and at the end of p.
+// Next decodes the beginning of p. It returns how many bytes of p it has used, and the content that they hold, which is
+// a part of p. It stops after some content, at the end of the body, and at the end of p.
 func (d *Decoder) Next(p []byte) (content []byte, used int, err error) {
 	for used < len(p) && d.state != done {
 		c := p[used]
@@ -64,7 +64,7 @@
 			case c == '\r':
 				d.state = sizeEnd
 			default:
-				return nil, used, ErrSize // a bare line feed too: others may see another end
+				return nil, used, ErrSize // also a bare line feed: other decoders may find another end of the line
 			}
 		case space:
 			switch c {
@@ -130,6 +130,7 @@
 	return nil, used, nil
 }
 
+// unhex returns the value of a hexadecimal digit.
 func unhex(c byte) (byte, bool) {
 	switch {
 	case '0' <= c && c <= '9':
--- a/internal/chunk/chunk_test.go
+++ b/internal/chunk/chunk_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// decode feeds text in pieces of so many bytes. rest is what comes behind the body.
+// decode passes text to a decoder in pieces of piece bytes. rest is the number of bytes after the body.
 func decode(text []byte, piece int) (body []byte, rest int, d Decoder, err error) {
 	for at := 0; at < len(text) && !d.Done(); {
 		content, used, err := d.Next(text[at:min(len(text), at+piece)])
@@ -22,12 +22,13 @@
 	return body, rest, d, nil
 }
 
+// Each valid form of a body is decoded, and each invalid one is rejected with its error, in pieces of any size.
 func TestForms(t *testing.T) {
 	for _, c := range []struct {
 		text, body string
 		rest       int
 		err        error
-		open       bool // it has no end
+		open       bool // the body is incomplete
 	}{
 		{text: "0\r\n\r\n"},
 		{text: "3\r\nabc\r\n0\r\n\r\nGET", body: "abc", rest: 3},
@@ -50,13 +51,13 @@
 		for _, piece := range []int{1, 2, 7, 1 << 20} {
 			body, rest, d, err := decode([]byte(c.text), piece)
 			if string(body) != c.body || rest != c.rest || !errors.Is(err, c.err) || d.Done() != (c.err == nil && !c.open) {
-				t.Errorf("%.40q by %d: %q, %d behind, done %v, %v", c.text, piece, body, rest, d.Done(), err)
+				t.Errorf("%.40q by %d: %q, %d bytes after it, done %v, %v", c.text, piece, body, rest, d.Done(), err)
 			}
 		}
 	}
 }
 
-// What is taken here as whole is the same body to the standard library, in pieces of any size.
+// A body that is decoded here as complete is the same in pieces of any size, and to the standard library.
 func FuzzDecoder(f *testing.F) {
 	f.Add([]byte("3;a\r\nabc\r\n0\r\nX: y\r\n\r\nrest"), 1)
 	f.Add([]byte("fffffffffffffff\r\nx"), 3)
@@ -67,7 +68,7 @@
 			t.Fatalf("by %d %q %v, at once %q %v", piece, body, err, whole, err2)
 		}
 		if err != nil || !d.Done() || bytes.Contains(text, []byte(" ;")) || bytes.Contains(text, []byte("\t;")) {
-			return // the library knows no space before extensions, which the standard allows
+			return // the library does not accept a space before extensions, which the RFC allows
 		}
 		std, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
 		if err != nil || !bytes.Equal(std, body) {
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -1,76 +1,76 @@
-// Package descriptors divides the file descriptors that a process may have: what the node itself needs is kept
-// back, and the rest is divided between clients' connections and connections to servers, so that neither can take
-// what another needs. Discovery is then reached, a successor let in, and a server connected to, however many
-// clients rest on their connections. The package is pure: no I/O, no state.
+// Package descriptors divides the file descriptors that a process may open: those that the node itself needs are
+// reserved, and the rest is divided between client connections and connections to servers. So the node can reach
+// discovery, accept a successor and connect to a server, however many clients keep idle connections. The package does
+// no I/O and has no state.
 package descriptors
 
 import "fmt"
 
-// Least is the smallest limit that a node runs with.
+// MinLimit is the smallest limit of open files with which a node runs.
 const Least = 64
 
-// What clients' connections take beyond their share, each for a moment.
+// Client connections that are open beyond the clients' share, each for a short time.
 const (
-	// Refused is how many connections that have been refused may wait at once for the request that they are
-	// refused for.
+	// MaxRefused is the number of refused connections that may be kept open at once, each until its request has been
+	// read.
 	Refused = 8
-	// Evicted is how many connections that have made room for others may be still to be closed.
+	// MaxEvicted is the number of connections that may be evicted for others but not closed yet.
 	Evicted = 3
-	// accepted is the connection that has been accepted and not yet been given a place.
+	// accepted is for the connection that has been accepted but not yet counted.
 	accepted = 1
 )
 
-// What a node has open for itself, whatever its clients do.
+// File descriptors of the node itself, whatever its clients do.
 const (
 	standardStreams = 3 // input, output, the log
 	runtimeFiles    = 4 // Go's poller and its wake-up; the two files of the CPU limit
 	lagMeter        = 2 // both ends of the pipe by which the loop measures its lag
 	clientListener  = 1
-	datagrams       = 1 // between nodes
-	replacement     = 3 // the socket at which a successor calls, its connection, and that to the predecessor
-	discovery       = 4 // a watch and a fetch, and the same at the discovery that is being left
-	configuration   = 1 // read again on SIGHUP
-	margin          = 4 // inherited ones, and what is not counted above
+	datagrams       = 1 // messages between nodes
+	replacement     = 3 // the socket for a successor, its connection, and the connection to the predecessor
+	discovery       = 4 // a watch and a fetch, and the same at the previous source while discovery moves
+	configuration   = 1 // the file that is read again on SIGHUP
+	margin          = 4 // inherited descriptors, and what is not counted above
 
 	node = standardStreams + runtimeFiles + lagMeter + clientListener + datagrams + replacement + discovery +
 		configuration + margin
 
 	link     = 3  // the sockets of both sides of the link to other sites, and a certificate that is read again
-	fleet    = 11 // two sockets, the log, its lock, a snapshot, the operators' socket and some callers, statm
+	fleet    = 11 // two sockets, the log, its lock, a snapshot, the operators' socket and some of its callers, statm
 	recorder = 1
 )
 
 const (
-	// clientShare is the clients' part of what is not the node's own: each open request takes a connection of
-	// either side.
+	// clientShare is the part of the connections' descriptors that clients get: an open request takes a connection to
+	// the client and one to a server.
 	clientShare = 0.5
-	// leastRest is the part of a limit that is left to connections in any case. It counts only with limits far
-	// below those of the platform and all optional parts at once; the node's own needs may then run short.
+	// minConnShare is the part of the limit that connections get in any case. It matters only with a limit far below
+	// that of the platform and all optional parts in use; the node itself may then run out of descriptors.
 	leastRest = 0.25
 )
 
 // Uses names the optional parts of a node that need descriptors of their own.
 type Uses struct {
-	Operators int  // connections at the second address, its listener included; 0: there is none
-	Link      bool // work is handed to other sites
-	Fleet     bool // the node agrees with others
-	Recorder  bool // what arrives is recorded
+	Operators int  // connections at the operators' address, including its listener; 0: there is no such address
+	Link      bool // requests are handed off to other sites
+	Fleet     bool // the node takes part in the agreement of the fleet
+	Recorder  bool // requests are recorded
 }
 
-// Split is how many descriptors each may have. Their sum is the limit.
+// Split is the number of descriptors for each purpose. Their sum is the limit.
 type Split struct {
-	Node    int // the node's own
-	Clients int // clients' connections
-	Servers int // connections to servers
+	Node    int // for the node itself
+	Clients int // for client connections
+	Servers int // for connections to servers
 }
 
 // Total is the limit that was divided.
 func (s Split) Total() int { return s.Node + s.Clients + s.Servers }
 
-// Divide splits a limit; one below Least is an error.
+// Divide splits a limit of open files. A limit below MinLimit is an error.
 func Divide(limit int, u Uses) (Split, error) {
 	if limit < Least {
-		return Split{}, fmt.Errorf("%d file descriptors are too few: want %d at least", limit, Least)
+		return Split{}, fmt.Errorf("%d file descriptors are too few: at least %d are required", limit, Least)
 	}
 	own := node + Refused + Evicted + accepted + u.Operators
 	if u.Link {
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever a node consists of, its own needs come first, and the rest is divided without a remainder.
+// Whatever parts a node has, its own needs come first, and the rest is divided between connections without a remainder.
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(-1, 4096).Draw(t, "limit")
@@ -28,12 +28,12 @@
 		}
 		bare, err := Divide(limit, Uses{})
 		if err != nil || limit >= 128 && s.Node < bare.Node+u.Operators || s.Node < node+Refused+Evicted {
-			t.Fatalf("own %d, without the optional parts %+v, %v", s.Node, bare, err)
+			t.Fatalf("%d for the node itself, without the optional parts %+v, %v", s.Node, bare, err)
 		}
 	})
 }
 
-// The limits that the platform names, in figures: a change of the split shows here.
+// The splits of the limits that the platform sets, as numbers, so that a change of a split shows.
 func TestDivideFigures(t *testing.T) {
 	for _, c := range []struct {
 		limit int
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -1,17 +1,19 @@
-// Package pace decides how long a peer has that sends a body: by its progress, not by its size. It is pure.
+// Package pace sets the read deadline of a body that a peer sends. The deadline depends on the bytes that have arrived,
+// not on the size of the body. The package does no I/O and reads no clock.
 package pace
 
 import "time"
 
 const (
-	// Grace is what a body has before its pace counts: pieces come with pauses.
+	// Grace is added to the time that a body may take, because its pieces come with pauses.
 	Grace = 1500 * time.Millisecond
-	// Least is the pace that a body must keep over all its time beyond that, in bytes a second: three quarters of what the
-	// slowest good client has.
+	// MinBytesPerSecond is the least mean rate of a body, in bytes per second, with Grace not counted: three quarters
+	// of the rate of the slowest well-behaved client.
 	Least = 48_000
 )
 
-// Deadline is when a body that began at a time must have brought more than it has.
+// Deadline returns when more bytes of a body must have arrived, if its reading began at a time and so many bytes have
+// been received.
 func Deadline(began time.Time, brought int64) time.Time {
 	return began.Add(Grace + time.Duration(float64(brought)/Least*float64(time.Second)))
 }
