--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -104,7 +104,7 @@
 	case res.Code == decide.OK:
 		r.answer <- Answer{Status: http.StatusOK, Header: res.Header, Body: res.Body, Work: time.Since(t.sent)}
 		r.over = true
-	case res.Client > 0: // the backend rejects the request as invalid: others would too, and it is not the backend's failure
+	case res.Client > 0: // the request is invalid: other backends would reject it too, and the backend has not failed
 		r.answer <- Answer{Status: res.Client}
 		r.over = true
 	}
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -12,7 +12,8 @@
 // does not change are not affected.
 func (l *Loop) Hold(h Held) {
 	l.post(func() {
-		if u := l.view.SetCordon(h); len(u.Transitions) > 0 { // ListCached, because this answers no list request of the module
+		if u := l.view.SetCordon(h); len(u.Transitions) > 0 {
+			// ListCached, because this answers no list request of the module.
 			l.enforce(u, decide.ListCached)
 		}
 	})
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -219,7 +219,7 @@
 
 var stateNames = map[decide.ServerState]string{decide.Ready: "ready", decide.Draining: "draining", decide.Gone: "gone"}
 
-// setListFigures sets the metrics of the list: its revision, its age, and whether it is watched and valid.
+// setListMetrics sets the metrics of the list: its revision, its age, and whether it is watched and valid.
 func (l *Loop) publishList() {
 	var revision uint64
 	if r := l.view.Revision(); r != nil {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -195,7 +195,7 @@
 	l.publish()
 }
 
-// setFigures sets the metrics of the servers and of the list. Draining servers, and those that the module avoids, count
+// setMetrics sets the metrics of the servers and of the list. Draining servers, and those that the module avoids, count
 // as unhealthy.
 func (l *Loop) publish() {
 	listed, ready := l.view.Size()
--- a/internal/core/ports.go
+++ b/internal/core/ports.go
@@ -53,7 +53,7 @@
 	// Fetch returns the whole list.
 	Fetch(ctx context.Context) (List, error)
 	// Watch passes changes since a version to news, or the whole list if since is nil, and also answers without
-	// changes. It returns when a call fails or ctx ends; the error is a CallError. A list that is Silent says that
+	// changes. It returns when a call fails or ctx ends; the error is a CallError. A list that is Stalled says that
 	// the watch has become unresponsive and is restarted.
 	Watch(ctx context.Context, since *uint64, news func(List)) error
 	// Follow is a Watch that is restarted whenever it fails, until ctx ends.
@@ -132,12 +132,12 @@
 	Deadline time.Time // the attempt ends by then
 	Whole    time.Time // deadline of the request: a streamed answer of at most 64 KiB is complete by then; zero: Deadline
 	WriteBy  time.Time // if set, nothing is written from then on, as servers forget the idempotency key
-	ListBy   time.Time // if set, no attempt starts from then on: the list by which the server was chosen is not valid any more
+	ListBy   time.Time // if set, the attempt must start before: the list by which the server was chosen expires
 
 	Probe      bool          // a health check, which belongs to no request
 	Effect     decide.Effect // of the request's class
 	MayHaveRun bool          // an earlier attempt of the request may have run
-	ColdMost   int           // requests that all nodes together may send per window to a server in slow start; 0: it is warm
+	ColdMost   int           // if the server is in slow start: requests that all nodes may send it per window; else 0
 	Told       time.Duration // the X-Time-Left that was sent to the server; set when the head is written
 
 	// RequestContext, if set, ends with the request. From then on no writing is started for it. Unlike a cancellation,
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	BodyLimit     = 64 << 10               // bytes of a request's body that are buffered; the rest of a longer one is streamed
+	BodyLimit     = 64 << 10               // bytes of a request's body that are buffered; the rest is streamed
 	longLimit     = 40 << 20               // bytes of a request's body, buffered or streamed
 	foreignLimit  = 1 << 20                // bytes of an answer to a request from another site, which is buffered whole
 	writeWait     = 5 * time.Second        // for the client to take its answer, or the next piece of a streamed one
@@ -59,7 +59,7 @@
 	Seen func(*Seen)
 	// Guard, if set, records the end of each request that was read whole.
 	Guard *guard.Guard
-	// Figures, if set, counts the requests of each class by their answers' status.
+	// Metrics, if set, counts the requests of each class by their answers' status.
 	Figures *stats.Figures
 
 	loop      *core.Loop
@@ -189,7 +189,7 @@
 	defer func() { f.Guard.Ended(watched.answered) }()
 	began := time.Now() // must not be later than the check of the client's presence
 	if f.Gone != nil && f.Gone(r) {
-		reject(w, http.StatusBadRequest, "the client has closed") // it can read this if it has closed only its own direction
+		reject(w, http.StatusBadRequest, "the client has closed") // or has closed only its own direction, and reads this
 		return
 	}
 	lost := f.Lost != nil && f.Lost(r)
@@ -304,7 +304,7 @@
 		return nil, nil, 0, ""
 	}
 	u := &upload{control: http.NewResponseController(w), body: r.Body, began: time.Now(), length: r.ContentLength}
-	body, err := io.ReadAll(io.LimitReader(u, BodyLimit)) // the buffer grows with what has arrived, whatever Content-Length says
+	body, err := io.ReadAll(io.LimitReader(u, BodyLimit)) // the buffer grows with what arrives, not by Content-Length
 	if err == nil && len(body) == BodyLimit && r.ContentLength != BodyLimit {
 		u.Upload = core.Upload{Reader: u, Length: r.ContentLength, Fault: func() int { status, _ := u.fault(); return status }}
 		return body, u, 0, ""
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -99,7 +99,7 @@
 	stale    atomic.Int64 // attempts sent while no watch kept the list fresh
 
 	made      time.Time    // the zero of the guard's clock
-	unwatched atomic.Int64 // when the last watch ended, in ns since epoch; 0: a watch keeps the list fresh, or none ever has
+	unwatched atomic.Int64 // when the last watch ended, in ns since epoch; 0: the list is watched, or never was
 	report    func(r Rule, a Attempt)
 }
 
--- a/internal/serverlist/list.go
+++ b/internal/serverlist/list.go
@@ -41,7 +41,7 @@
 	Entries []Entry
 
 	Source Source `json:"-"`
-	// Silent marks a List that holds no list: the watch has become unresponsive and is restarted.
+	// Stalled marks a List that holds no list: the watch has become unresponsive and is restarted.
 	Silent bool `json:"-"`
 	// StaleSince is set if the watch that brought this list was resumed too late: since that time the process may have
 	// counted as notified of the changes in this list.
--- a/internal/serverlist/view.go
+++ b/internal/serverlist/view.go
@@ -138,7 +138,7 @@
 	return list
 }
 
-// state is a server's state in force; Gone if it is not listed.
+// state is a server's state in force; Removed if it is not listed.
 func (v *View) state(id decide.ServerID) decide.ServerState {
 	e, listed := v.entries[id]
 	if !listed {
