--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// followPushedLists follows the server list for as long as the loop runs. It is used in place of subscribe where
-// lists are pushed to the node, so that the module requests none.
+// followPushedLists follows the server list until the loop ends or its source is replaced. It is used in place of
+// subscribe where lists are pushed to the node, so that the module requests none.
 func (l *Loop) listen() {
 	ctx, _ := l.watching()
 	d, since := l.members, l.view.Revision()
@@ -69,6 +69,7 @@
 	})
 }
 
+// endWatchCall ends the open watch, if there is one, and records that the list is not watched from now on.
 func (l *Loop) unwatch() {
 	if l.endWatch != nil {
 		l.endWatch()
