--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -51,9 +51,9 @@
 	began time.Time
 	base  decide.Time // the module's time at startedAt
 
-	mu        sync.Mutex // guards all fields below, and the module
-	ended     bool       // the loop handles nothing more
-	ending    bool       // open requests have been answered, and no attempt is started any more
+	mu        sync.Mutex  // guards all fields below, and the module
+	ended     bool        // the loop handles nothing more
+	ending    bool        // open requests have been answered, and no attempt is started any more
 	endBy     *time.Timer // answers all open requests when it fires; nil: not set
 	alarm     *time.Timer // fires when the first of timers is due
 	requests  map[decide.RequestID]*Request
--- a/internal/core/ports.go
+++ b/internal/core/ports.go
@@ -187,9 +187,9 @@
 type Answer struct {
 	Status  int
 	Header  http.Header
-	Body    []byte // the whole body, or its beginning if Rest is set
-	Rest    Rest   // the remainder of the body, which the front has to close; nil: Body is the whole body
-	Length  int64  // of the whole body, if Rest is set; -1: not known before its end
+	Body    []byte        // the whole body, or its beginning if Rest is set
+	Rest    Rest          // the remainder of the body, which the front has to close; nil: Body is the whole body
+	Length  int64         // of the whole body, if Rest is set; -1: not known before its end
 	HoldOff time.Duration // how long the client should wait before it retries; 0: no advice
 	Reason  decide.Reason // of a refusal
 	Work    time.Duration // how long the attempt that served the request took; 0: no server of this site served it
@@ -210,11 +210,11 @@
 	Left func(age time.Duration) bool
 
 	// The remaining fields belong to the loop.
-	answer   chan Answer // buffered: takes the final answer, the only one
-	arriving bool        // arrive is running, so that the front's own goroutine can make the first attempt
-	attempt  func()      // the first attempt, if the front's own goroutine makes it
-	runs     chan func() // attempts with an upload, which the front's own goroutine makes
-	over     bool        // it has its final answer, or needs none
+	answer   chan Answer     // buffered: takes the final answer, the only one
+	arriving bool            // arrive is running, so that the front's own goroutine can make the first attempt
+	attempt  func()          // the first attempt, if the front's own goroutine makes it
+	runs     chan func()     // attempts with an upload, which the front's own goroutine makes
+	over     bool            // it has its final answer, or needs none
 	wanted   context.Context // ends once the request is over
 	end      func()          // ends ctx
 	out      int             // attempts and hand-offs that have not ended
--- a/internal/front/http1/admission.go
+++ b/internal/front/http1/admission.go
@@ -26,11 +26,11 @@
 	evictWait  = 100 * time.Millisecond // for evicted connections to be closed; after that a new connection is refused
 	// To notice that a client has left, the bytes that follow its open request are read ahead. If a client sends more
 	// than these limits, it is noticed only once the requests before that have been served.
-	aheadMost  = 64 << 10               // bytes of one connection that are read ahead
-	aheadRoom  = 2 << 20                // bytes of all connections that are read ahead
-	lateWait   = 200 * time.Millisecond // input is still read so long after a deadline, as a busy process reads late
-	lateMost   = headerLimit + front.BodyLimit
-	refusal    = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	aheadMost = 64 << 10               // bytes of one connection that are read ahead
+	aheadRoom = 2 << 20                // bytes of all connections that are read ahead
+	lateWait  = 200 * time.Millisecond // input is still read so long after a deadline, as a busy process reads late
+	lateMost  = headerLimit + front.BodyLimit
+	refusal   = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 // admission is a listener that limits the number of open client connections. At the limit it still accepts a
