--- a/internal/upstream/http1/admit.go
+++ b/internal/upstream/http1/admit.go
@@ -13,16 +13,18 @@
 	"starlingvalve/internal/guard"
 )
 
-var errKeyForgotten = errors.New("the keyed window is over")
+var errKeyForgotten = errors.New("the time in which servers remember the idempotency key is over")
 
-// facts are what is known of an attempt at a host now. age is how old a look at the client may be.
+// attemptState describes the attempt of exchange x at host h as the guard judges it, at the present time. maxAge is the
+// greatest age of an earlier check whether the client has left; if the last check is older, the client's connection is
+// checked again.
 func (b *Transport) facts(h *host, x *core.Exchange, age time.Duration) guard.Attempt {
 	a := x.Facts(time.Now(), age)
 	a.OffSince = b.offSince(h)
 	return a
 }
 
-// offSince is when a host was closed, as its server drains or is gone; zero: it is not.
+// closedSince returns when h was closed because its server drains or was removed; the zero time if h is open.
 func (b *Transport) offSince(h *host) time.Time {
 	if at := h.off.Load(); at != 0 {
 		return b.made.Add(time.Duration(at))
@@ -30,8 +32,8 @@
 	return time.Time{}
 }
 
-// admit asks the guard whether an attempt may be written, right before its first byte. If it may not, the result has
-// an error.
+// admit has the guard decide, right before the first byte, whether an attempt may be written. It returns the attempt as
+// the guard saw it. If the attempt was refused, the result holds an outcome code and an error; otherwise its Err is nil.
 func (b *Transport) admit(ctx context.Context, h *host, x *core.Exchange) (guard.Attempt, core.Result) {
 	a := b.facts(h, x, core.LookAge)
 	a.Over = ctx.Err() != nil || x.Wanted != nil && x.Wanted.Err() != nil
@@ -58,17 +60,20 @@
 	}
 }
 
-// anyAge has no look made at a client: one that finds it gone, or hidden, ends its request.
+// unlimitedAge makes attemptState use the last known state of the client without a new check: a check that finds the
+// client gone, or cannot tell, would end its request.
 const anyAge = time.Duration(math.MaxInt64)
 
-// written has the guard judge an attempt that has been written whole, by what is known now. It changes nothing.
+// checkWritten has the guard count the rules that an attempt broke although it was admitted, by what is known once all
+// of it has been written. The attempt itself is not affected.
 func (b *Transport) written(h *host, x *core.Exchange, admitted guard.Attempt) {
 	a := b.facts(h, x, anyAge)
 	a.ColdMost, a.ColdSent = admitted.ColdMost, admitted.ColdSent
 	b.guard.Sent(a, admitted.Now)
 }
 
-// countCold counts an attempt at a server in slow start, and gives how many there are in the present window.
+// countSlowStart records an attempt, made at now, at a server in slow start. It returns the number of attempts at this
+// server within the last slowStartWindow, this one included.
 func (b *Transport) countCold(h *host, now time.Time) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/upstream/http1/answer.go
+++ b/internal/upstream/http1/answer.go
@@ -16,55 +16,72 @@
 )
 
 const (
-	longLimit = 40 << 20 // of an answer's body, in any form
-	pieceSize = 16 << 10 // one stream's buffer,
-	smallSize = 2 << 10  // or so much once the budget is spent: no stream waits for another's
+	// maxBodySize is the size of the largest response body, in bytes, with any framing.
+	longLimit = 40 << 20
+	// streamBufferSize is the buffer of one streamed body, in bytes.
+	pieceSize = 16 << 10
+	// smallStreamBuffer is the buffer, in bytes, of a body whose stream begins when the node's buffer budget is spent: no stream
+	// waits for the buffer of another.
+	smallSize = 2 << 10
+	// stallTimeout is the longest pause within a streamed body, and the time to write one piece of an upload.
 	stallWait = 8 * time.Second
-	longPace  = 16 << 10               // bytes a second, of an answer that says no length: it may be a long one, a slow server's;
-	longWait  = 400 * time.Millisecond // but its pieces come so soon: what stops is over half a second after its time at the latest
-	leastPace = 8 << 10                // bytes a second, of a long answer over all the time that it is waited for: an eighth of the slowest good peer's
+	// longBodyRate is a rate in bytes a second. A body of unknown length that arrives at least so fast may be a long one of a
+	// slow server, and may go on beyond the deadline of its request.
+	longPace = 16 << 10
+	// longBodyPause is the longest pause within such a body after that deadline: one that stops has ended half a second
+	// after the deadline at the latest.
+	longWait = 400 * time.Millisecond
+	// minAverageRate is the lowest average rate of a long body, in bytes a second of the time spent waiting for it: an eighth
+	// of the rate of the slowest good server.
+	leastPace = 8 << 10
 
-	// An answer of unknown length is held until it has bodyLimit, or so much has come in heldMost, or nothing more for startWait.
+	// A body of unknown length is buffered until it is complete or has more than maxBufferedBody bytes, until maxHoldTime has
+	// passed since its first bytes, or until maxHoldPause passes with no data. Then it is streamed to the client.
 	heldMost  = time.Second
 	startWait = 300 * time.Millisecond
 )
 
 var (
-	errTooLarge = errors.New("the answer is too large")
-	errNoise    = errors.New("the answer is longer than its length")
-	errShort    = errors.New("the answer ends before its length")
+	errTooLarge = errors.New("the response is too large")
+	errNoise    = errors.New("the response is longer than its declared length")
+	errShort    = errors.New("the response ends before its declared length")
 )
 
-// framing is how the end of an answer's body is known.
+// framing is how the end of a response body is recognised.
 type framing int
 
 const (
-	byLength framing = iota
-	byChunks
-	byClose // the connection's clean end; a reset is none
+	byLength framing = iota // Content-Length
+	byChunks                // chunked transfer encoding
+	byClose                 // orderly close of the connection; a reset does not end the body
 )
 
-// answer is the body of one answer as it comes. It is a core.Rest once its beginning has gone on.
+// responseBody reads the body of one response from its connection. Once the beginning of the body has been forwarded it serves
+// as the core.Rest that streams the remainder.
 type answer struct {
 	c       *conn
 	frame   framing
-	left    int64 // byLength: bytes still to come
+	left    int64 // bytes of the body still to be read; only byLength
 	decoder chunk.Decoder
-	taken   int64 // bytes of the body so far
-	whole   bool  // its end has come
-	keep    bool  // the connection can take another request: known once it is whole
+	taken   int64 // bytes of the body read so far
+	whole   bool  // the end of the body has been read
+	keep    bool  // the connection can carry another request; valid once complete is set
 
-	// As a Rest.
+	// The fields below are used while the remainder is streamed.
 	ctx     context.Context
-	passed  time.Time     // its beginning has gone on
-	wholeBy time.Time     // unless it turns out to be long
-	waited  time.Duration // for its server, since it is passed on
-	room    *atomic.Int64 // bytes of the node's budget that are free
-	err     error         // of the server's side
-	broken  bool          // the other side would take no more
-	end     func(error, bool) decide.OutcomeCode
+	passed  time.Time     // when the beginning of the body was forwarded
+	wholeBy time.Time     // deadline of the whole body, unless it turns out to be long
+	waited  time.Duration // spent waiting for data of the server since forwardedAt
+	room    *atomic.Int64 // free bytes of the node's buffer budget
+	err     error         // error on the server's side
+	broken  bool          // the client's side takes no more data
+	// finish releases the connection, once, and returns the outcome. Its arguments are the server's error, if any, and
+	// whether the connection may be reused.
+	end func(error, bool) decide.OutcomeCode
 }
 
+// newResponseBody prepares to read the body of resp, whose header has been read from c. It fails with errTooLarge if the
+// declared length is above maxBodySize.
 func newAnswer(c *conn, resp *http.Response) (*answer, error) {
 	a := &answer{c: c, frame: byLength, left: resp.ContentLength}
 	switch {
@@ -83,7 +100,8 @@
 	return a, nil
 }
 
-// read reads some of the body into p. It gives io.EOF once the body is whole, which the last bytes never come with.
+// read reads at least one byte of the body into p, or returns an error. After the last byte it returns 0 and io.EOF; it
+// never returns io.EOF together with data.
 func (a *answer) read(p []byte) (int, error) {
 	for {
 		if a.whole {
@@ -92,7 +110,7 @@
 		if a.taken > longLimit {
 			return 0, errTooLarge
 		}
-		a.c.left = pieceSize + headLimit // each read may have so much: the body's own bounds are here
+		a.c.left = pieceSize + headLimit // more than one read can use: maxBodySize bounds the body
 		n, err := a.some(p)
 		a.taken += int64(n)
 		if n > 0 || err != nil {
@@ -101,6 +119,8 @@
 	}
 }
 
+// readPart makes one attempt to read body data into p. It may return 0 bytes without an error, as when the data read held
+// nothing but the frame of a chunk.
 func (a *answer) some(p []byte) (int, error) {
 	switch a.frame {
 	case byLength:
@@ -120,7 +140,7 @@
 		}
 		return n, err
 	}
-	// What has been buffered is decoded in place; the buffer is filled where there is none.
+	// Buffered bytes are decoded in place; Peek fills the buffer if it is empty.
 	if _, err := a.c.r.Peek(1); err != nil {
 		if errors.Is(err, io.EOF) {
 			err = errShort
@@ -135,15 +155,17 @@
 	return n, err
 }
 
-// checked tells, of an answer that is whole, whether what comes behind it leaves it good, and whether its connection can take another.
-// A read that found less than it had room for has taken all that had come: to look again at once would tell nothing new, and costs
-// a system call. Before it is used again the connection is looked at in any case.
+// checkEnd is called once the body is complete. It returns errTrailingData if unexpected data follows the body, and clears
+// reusable if the connection cannot carry another request. A last read that returned fewer bytes than it asked for has emptied
+// the socket; the connection is then not checked again, which would cost a system call and show nothing new. It is
+// checked in any case before its next use.
 func (a *answer) checked() error {
 	more, open := "", true
 	if a.frame != byClose && (!a.c.short || a.c.r.Buffered() > 0) {
 		more, open = a.c.behind()
 	}
-	// Another answer behind this one leaves this one good. Anything else may be its own end, and its length wrong.
+	// A further response after this one does not invalidate it. Any other data may belong to this body, so that the
+	// declared length would be wrong.
 	if more != "" && !strings.HasPrefix(httpStart, more) {
 		return errNoise
 	}
@@ -151,8 +173,8 @@
 	return nil
 }
 
-// begin reads an answer until it is whole, if it has bodyLimit at most, or else so much that it may go on to the client. It tells whether
-// there is a rest.
+// readBeginning reads a body of at most maxBufferedBody bytes to its end, and of a longer one as much as is needed to start
+// streaming it. It returns what it read, and rest = true if the remainder is still to be read with Copy.
 func (a *answer) begin() (body []byte, rest bool, err error) {
 	long := a.frame == byLength && a.left > bodyLimit
 	size := 512
@@ -161,7 +183,8 @@
 	}
 	body = make([]byte, 0, size)
 	pauses := a.frame != byLength
-	// The connection's deadline is the request's; that of the pause comes first, once something has come.
+	// The connection's deadline is that of the request. Once the first data has arrived, each read is also limited to
+	// maxHoldPause.
 	defer func() { a.c.pause = 0 }()
 	var first time.Time
 	for {
@@ -189,9 +212,11 @@
 	}
 }
 
-// patience is until when the next piece may come. An answer is timed by its last byte if it has bodyLimit at most: one that does not say its length ends
-// with its request, unless it comes so fast that it must be a long one. A long one may take longer, as long as it comes at leastPace but for stallWait: one that only trickles would hold its client, and
-// the node's end, for ever. What a slow client takes is not its server's time.
+// nextDeadline returns the deadline of the next read of a streamed body. A long body may take any time, as long as its
+// average rate stays at minAverageRate, with stallTimeout of tolerance: a server that sends a few bytes now and then would
+// otherwise keep its client, and the node's shutdown, waiting for ever. A body of unknown length that has at most
+// maxBufferedBody bytes so far has to end by completeBy, as other bodies of that size do, unless it has arrived so fast that it
+// must be a long one. Time spent writing to a slow client does not count.
 func (a *answer) patience(now time.Time) time.Time {
 	until := now.Add(min(stallWait, stallWait+time.Duration(float64(a.taken)/leastPace*float64(time.Second))-a.waited))
 	if a.frame != byLength && a.taken <= bodyLimit {
@@ -209,7 +234,7 @@
 	return until
 }
 
-// Copy is core.Rest's.
+// Copy implements core.Rest.
 func (a *answer) Copy(write func([]byte) error) error {
 	size := int64(pieceSize)
 	if a.room.Add(-size) < 0 {
@@ -223,7 +248,7 @@
 	for a.err == nil && !a.broken {
 		now := time.Now()
 		a.c.SetDeadline(a.patience(now))
-		if a.ctx.Err() != nil { // which sets a deadline too
+		if a.ctx.Err() != nil { // an ended ctx sets a deadline too, which SetDeadline above may have replaced
 			a.err = a.ctx.Err()
 			break
 		}
@@ -245,23 +270,24 @@
 		a.err = err
 	}
 	if a.broken {
-		return fmt.Errorf("the client takes no more: %w", context.Canceled)
+		return fmt.Errorf("the client stopped reading: %w", context.Canceled)
 	}
 	return a.err
 }
 
-// Close is core.Rest's.
+// Close implements core.Rest.
 func (a *answer) Close() decide.OutcomeCode {
 	switch {
 	case a.err == nil && a.whole && !a.broken:
 		return a.end(nil, a.keep)
-	case a.err == nil: // given up: nothing is said of the server
+	case a.err == nil: // given up on the client's side; says nothing about the server
 		return a.end(context.Canceled, false)
 	}
 	return a.end(a.err, false)
 }
 
-// codeOf is the outcome of an attempt that had its request whole and ended with an error.
+// outcomeOf returns the outcome of an attempt whose request was written completely, and which ended with err, or well if
+// err is nil. ctx is the context of the attempt.
 func codeOf(ctx context.Context, err error) decide.OutcomeCode {
 	switch {
 	case err == nil:
--- a/internal/upstream/http1/backend.go
+++ b/internal/upstream/http1/backend.go
@@ -1,4 +1,5 @@
-// Package http1 is the transport to servers that speak HTTP/1.1 over plain TCP.
+// Package http1 is the transport to backends that speak HTTP/1.1 over plain TCP: it sends attempts and probes, and keeps
+// a pool of connections.
 package http1
 
 import (
@@ -30,68 +31,76 @@
 )
 
 const (
-	bodyLimit  = 64 << 10 // bytes of an answer's body that are held until it is whole
-	headLimit  = 64 << 10 // of an answer's header, with what interim answers come before it
-	roomPart   = 1.0 / 8  // of the memory: buffers of answers that are passed on as they come
+	// maxBufferedBody is the size, in bytes, up to which a response body is buffered until it is complete.
+	bodyLimit = 64 << 10
+	// maxHeaderSize bounds the header of a response in bytes, including interim (1xx) responses before it.
+	headLimit = 64 << 10
+	// bufferShare is the part of the node's memory for the buffers of streamed bodies.
+	roomPart   = 1.0 / 8
 	sweepEvery = time.Second
-	idlePart   = 0.75 // of the time after which a backend closes an idle connection: well before, it is retired
-	probeWait  = 500 * time.Millisecond
-
-	dialPart  = 8   // one backend's share of all connections that may be in the making
-	loadLimit = 1e6 // more than any figure of a load report can be
+	// idleFraction is the part of a backend's own idle timeout after which the node closes an idle connection: well
+	// before the backend does.
+	idlePart  = 0.75
+	probeWait = 500 * time.Millisecond
+
+	// dialDivisor: at most one in so many of all connections may be in the making to one backend.
+	dialPart = 8
+	// maxLoadValue is above any value that a valid load report can hold.
+	loadLimit = 1e6
 )
 
-// Transport holds the connections to all Transport. Each carries one request at a time; the most recently used
-// goes first. It does not use http.Transport, which sends some requests again by itself.
+// Transport implements core.Transport. It holds the connections to all backends. Each connection carries one request at a
+// time, and the one used last is reused first. It does not use http.Transport, which resends some requests by itself.
 type Transport struct {
 	mu             sync.Mutex
 	hosts          map[decide.ServerID]*host
-	byAddr         map[string]*host // those that are not closed
-	lists          int              // whole lists so far
-	learned        idle.Limit       // after how long idle connections turn out to be closed
-	made           time.Time        // the zero of its clock
-	idle           *queue.List      // of all hosts' idle connections, *conn, the least recently used first
-	open, limit    int              // connections, also those being made
-	room           atomic.Int64     // bytes that are free for the buffers of long answers
+	byAddr         map[string]*host // hosts that are not closed
+	lists          int              // number of full lists received so far
+	learned        idle.Limit       // the idle time after which servers have been found to close connections
+	made           time.Time        // zero of the clock that durations since the start refer to
+	idle           *queue.List      // idle connections (*conn) of all hosts, the least recently used first
+	open, limit    int              // connections that are open or being made, and the most allowed
+	room           atomic.Int64     // free bytes of the budget for buffers of streamed bodies
 	connectTimeout time.Duration
 	idleLimit      time.Duration
-	coldWindow     time.Duration // in which attempts at a server in slow start are counted
+	coldWindow     time.Duration // period over which attempts at a server in slow start are counted
 	guard          *guard.Guard
 	log            *slog.Logger
 }
 
-// host is one backend, a core.Server. The fields are under the lock of Transport.
+// host is one backend, and implements core.Server. Its fields are guarded by Transport.mu, except the atomic ones.
 type host struct {
 	owner   *Transport
 	addr    string
 	started decide.Time
-	closed  bool         // it drains or is gone: nothing new is written to it
-	off     atomic.Int64 // since when, in ns on the owner's clock; 0: it is not closed
-	sent    atomic.Int64 // the latest attempt's first byte, on the same clock
-	cold    []time.Time  // attempts of the present window of its slow start
-	idle    []*conn      // the least recently used first
-	dials   int          // under way
+	closed  bool         // it drains or was removed: no new request is written to it
+	off     atomic.Int64 // when it was closed, in ns since Transport.clockStart; 0 if it is open
+	sent    atomic.Int64 // when the first byte of the latest attempt was written, on the same clock
+	cold    []time.Time  // attempts during slow start, within the last slowStartWindow
+	idle    []*conn      // idle connections, the least recently used first
+	dials   int          // connections being made
 	reuse   reuse.Server
-	states  []reuse.Idle // room for idle's states
-	heard   time.Time
-	seen    int // the last whole list that it was in
+	states  []reuse.Idle // reused buffer for the states of idleConns
+	heard   time.Time    // when the latest response was received
+	seen    int          // number of the latest full list that contained it
 }
 
+// conn is one connection to a host.
 type conn struct {
 	net.Conn
 	host  *host
-	place *queue.Element // among all idle connections, while it is idle
+	place *queue.Element // its element of Transport.idleConns; nil while it is not idle
 	r     *bufio.Reader
-	left  int64           // what may still come on one answer
-	short bool            // the last read had room for more than there was
-	pause time.Duration   // a read that brings nothing for so long gives errPause, and can be tried again; 0: none does
-	since time.Time       // made, or idle since
+	left  int64           // bytes that may still be read before a read fails
+	short bool            // the last read returned fewer bytes than it asked for
+	pause time.Duration   // a read that brings nothing for so long fails with errPause, and may be repeated; 0: no such limit
+	since time.Time       // when it was made, or last became idle
 	used  bool            // it has carried an exchange
-	until time.Time       // the exchange's deadline
-	ctx   context.Context // the exchange's
+	until time.Time       // deadline of the present exchange
+	ctx   context.Context // context of the present exchange
 }
 
-// Read is what r reads by: no more than may still come.
+// Read reads at most readAllowance bytes, and returns io.EOF once that is used up. It is the source of reader.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.left <= 0 {
 		return 0, io.EOF
@@ -103,8 +112,10 @@
 	return n, err
 }
 
-var errPause = errors.New("nothing comes for the moment")
+var errPause = errors.New("no data within the longest pause")
 
+// readWithPause reads like the connection beneath, but fails with errPause after maxPause without data, if that is set and ends
+// before the exchange's deadline.
 func (c *conn) readPaused(p []byte) (int, error) {
 	if c.pause == 0 {
 		return c.Conn.Read(p)
@@ -124,10 +135,10 @@
 	return n, err
 }
 
-// New makes a transport without servers; Update gives it some. memoryMB is the node's memory in MiB, of which roomPart is
-// granted to buffers of answers that are passed on as they come. limit is the most connections that are open at once, to
-// all servers together. Idle connections are kept for idlePart of s.ConnIdle, or for a minute if that is not set. Each attempt
-// passes g right before its first byte.
+// New returns a transport without servers; Update supplies them. memoryMB is the node's memory in MiB, of which
+// bufferShare is reserved for the buffers of streamed bodies. maxConns is the most connections open at once, to all
+// servers together. Idle connections are kept for idleFraction of settings.ConnIdle, or for a minute if that is not set.
+// Each attempt needs the consent of g right before its first byte.
 func New(s decide.Settings, memoryMB, limit int, g *guard.Guard, log *slog.Logger) *Transport {
 	idle := time.Duration(float64(s.ConnIdle) * idlePart)
 	if idle <= 0 {
@@ -139,8 +150,8 @@
 	return b
 }
 
-// Update follows the list. Connections of an address or a process that is no more are closed: a request on one
-// of them would be a reset.
+// Update applies a list of servers. The connections of servers that are no longer listed as ready, or whose address or
+// start time has changed, are closed: a request on one of them would end with a reset.
 func (b *Transport) Update(l core.List) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -162,7 +173,7 @@
 		h := b.hosts[e.ID]
 		if h != nil && (e.State != decide.Ready || h.addr != e.Addr || e.StartedAt > h.started) {
 			b.retire(h, l.StaleSince)
-			delete(b.hosts, e.ID) // attempts that connect to it still hold h, and find it closed
+			delete(b.hosts, e.ID) // attempts that are connecting still refer to h, and find it closed
 			h = nil
 		}
 		if h == nil && e.State == decide.Ready {
@@ -171,8 +182,8 @@
 	}
 }
 
-// join takes in a new backend. If another is still listed at its address, the one that started first is no more:
-// what is sent to it would reach the other.
+// add adds a new host. If another host is still listed with the same address, the one that started earlier no longer
+// exists, and is closed: requests meant for it would reach the other process.
 func (b *Transport) join(n *host) *host {
 	if h := b.byAddr[n.addr]; h != nil {
 		if h.started > n.started {
@@ -185,7 +196,8 @@
 	return n
 }
 
-// retire closes a host. notified is since when the process may have counted as notified, if that is earlier than now.
+// retire closes a host and its idle connections. notified is the time from which this node may have counted as notified
+// of the host's end, if that was before now, or zero; the guard then judges the attempts sent since.
 func (b *Transport) retire(h *host, notified time.Time) {
 	b.close(h)
 	if last := h.sent.Load(); last > 0 {
@@ -197,11 +209,13 @@
 	b.closeAll(h)
 }
 
+// close marks a host as closed, from now on.
 func (b *Transport) close(h *host) {
 	h.closed = true
 	h.off.Store(int64(max(1, time.Since(b.made))))
 }
 
+// dropIdle closes the idle connections of a host.
 func (b *Transport) closeAll(h *host) {
 	for _, c := range h.idle {
 		b.drop(c)
@@ -209,13 +223,14 @@
 	h.idle = nil
 }
 
+// closeConn closes a connection and stops counting it as open.
 func (b *Transport) drop(c *conn) {
 	b.take(c)
 	c.Close()
 	b.open--
 }
 
-// take notes that a connection is idle no more.
+// unlinkIdle removes a connection from Transport.idleConns, if it is there. The caller removes it from the host's.
 func (b *Transport) take(c *conn) {
 	if c.place != nil {
 		b.idle.Remove(c.place)
@@ -223,7 +238,7 @@
 	}
 }
 
-// SetLimit changes how many connections may be open. Idle ones beyond it are closed.
+// SetLimit sets the most connections that may be open. Idle ones above that number are closed at once.
 func (b *Transport) SetLimit(n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -231,13 +246,14 @@
 	}
 }
 
+// find returns the host that is listed with this id, or nil.
 func (b *Transport) find(id decide.ServerID) *host {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.hosts[id]
 }
 
-// CloseIdle closes the idle connections to a server. One that it does not know is passed over.
+// CloseIdle closes the idle connections to a server. It does nothing if the id is not listed.
 func (b *Transport) CloseIdle(id decide.ServerID) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -246,7 +262,8 @@
 	}
 }
 
-// Run retires idle connections until ctx ends, and then closes them all.
+// Run closes idle connections that have become unusable, every sweepInterval, until ctx ends. Then it closes all hosts and
+// their idle connections.
 func (b *Transport) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
@@ -265,6 +282,7 @@
 	}
 }
 
+// sweep closes the idle connections that are no longer usable.
 func (b *Transport) sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -282,8 +300,8 @@
 	}
 }
 
-// usable tells whether an idle connection may take a request: young enough, and quiet. A write to one that the
-// backend has closed would succeed, and then leave open whether the request ran.
+// usable reports whether an idle connection may carry a request: it is open, has no unread data, and has not been idle for
+// too long. A write to a connection that the backend has closed would succeed, and leave open whether the request ran.
 func (b *Transport) usable(c *conn) bool {
 	text, open := c.behind()
 	limit := b.idleLimit
@@ -293,8 +311,9 @@
 	return time.Since(c.since) < limit && open && text == ""
 }
 
-// behind gives the beginning of what has come on a connection beyond the answer that was read, and tells whether
-// the connection is open. That text belongs to no request, and would be taken for the next one's answer.
+// pendingData returns the first bytes, as many as responseStart has, of data that arrived on the connection after the response
+// that was read, and whether the connection is open. Such data belongs to no request, and would be taken for the
+// response to the next one.
 func (c *conn) behind() (text string, open bool) {
 	if n := c.r.Buffered(); n > 0 {
 		next, _ := c.r.Peek(min(n, len(httpStart)))
@@ -315,12 +334,12 @@
 
 var (
 	errTooMany = errors.New("too many connections")
-	errClosed  = errors.New("the backend drains or is gone")
-	// errUnwanted: the request was over before anything of it was written.
-	errUnwanted = errors.New("nobody waits for it any more")
+	errClosed  = errors.New("the backend drains or was removed")
+	// errUnwanted: the request was over before its last byte was written.
+	errUnwanted = errors.New("the request is already over")
 )
 
-// evict makes room at the bound by closing the connection that has been idle longest.
+// evict closes the connection that has been idle longest, to stay within maxConns. It returns false if none is idle.
 func (b *Transport) evict() bool {
 	e := b.idle.Front()
 	if e == nil {
@@ -328,14 +347,15 @@
 	}
 	c := e.Value.(*conn)
 	h := c.host
-	if i := slices.Index(h.idle, c); i >= 0 { // the first, but for moments of the clock
+	if i := slices.Index(h.idle, c); i >= 0 { // usually the first; orders may differ if two became idle at nearly the same time
 		h.idle = slices.Delete(h.idle, i, i+1)
 	}
 	b.drop(c)
 	return true
 }
 
-// release gives a connection back, for the next request or to be closed.
+// release ends the use of a connection: it becomes idle if keep is set, its host is open and maxConns is not exceeded;
+// otherwise it is closed.
 func (b *Transport) release(h *host, c *conn, keep bool) {
 	if keep {
 		keep = c.SetDeadline(time.Time{}) == nil
@@ -351,8 +371,8 @@
 	c.place = b.idle.PushBack(c)
 }
 
-// silent closes a host's idle connections if nothing has come from it since a time: a machine that was cut off
-// and is back resets them, and each of them would cost a request.
+// dropIdleIfUnresponsive closes a host's idle connections if no response has been received from it since the given time. A machine that
+// was disconnected resets such connections when it is back, and each of them would cost a request.
 func (b *Transport) silent(h *host, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -361,7 +381,8 @@
 	}
 }
 
-// do makes an exchange and blocks until it is over. An end of ctx calls it off.
+// do makes an exchange with h and blocks until it has ended, or until the beginning of a long body has been read; the
+// result then has a Rest. If ctx ends, the exchange is aborted. A nil h fails with decide.ConnectFailed.
 func (b *Transport) do(ctx context.Context, h *host, x *core.Exchange) core.Result {
 	if h == nil {
 		return core.Result{Code: decide.ConnectFailed, Err: errClosed}
@@ -374,23 +395,23 @@
 			return core.Result{Code: decide.Cancelled, Err: ctx.Err()}
 		case x.Unwanted(core.LookAge):
 			return core.Result{Code: decide.Moot, Err: errUnwanted}
-		case errors.Is(err, errTooMany), shortOf(err): // not the backend's fault
+		case errors.Is(err, errTooMany), shortOf(err): // a shortage of this node: not the backend's fault
 			return core.Result{Code: decide.Moot, Err: err}
 		}
 		return core.Result{Code: decide.ConnectFailed, Err: err}
 	}
-	// Connecting takes time: what made this attempt right may no longer hold, and until the last byte is
-	// written it has not run.
+	// Connecting takes time, in which the reasons for this attempt may have ceased to hold. Until its last byte is
+	// written the request has not run, so that it can still be given up.
 	admitted, refused := b.admit(ctx, h, x)
 	if refused.Err != nil {
-		b.release(h, c, true) // which closes it, if the server drains or is gone
+		b.release(h, c, true) // closes it if the server drains or was removed
 		return refused
 	}
 	again, age := c.used, time.Since(c.since)
 	c.used = true
 	c.SetDeadline(x.Deadline)
 	if !x.WriteBy.IsZero() && x.WriteBy.Before(x.Deadline) {
-		c.SetWriteDeadline(x.WriteBy) // the last byte too
+		c.SetWriteDeadline(x.WriteBy) // applies to the last byte too
 	}
 	c.until, c.ctx = x.Deadline, ctx
 	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
@@ -399,7 +420,7 @@
 	if calledOff(r.Err) {
 		r.Code = decide.Moot
 	}
-	// end is called once all of the answer is in, or none more is wanted.
+	// finish is called once the response is complete, has failed, or is no longer wanted.
 	end := func(r *core.Result, keep bool) {
 		stopped := stop()
 		switch {
@@ -441,7 +462,7 @@
 	return r
 }
 
-// shortOf tells whether the node itself lacks what a connection takes: a descriptor, a port, memory.
+// localShortage reports whether a connection failed because this node lacks descriptors, ports or memory.
 func shortOf(err error) bool {
 	for _, e := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		if errors.Is(err, e) {
@@ -451,27 +472,28 @@
 	return false
 }
 
-// brokenOff tells whether the other side ended the connection.
+// closedByServer reports whether err means that the other side ended the connection.
 func brokenOff(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
+// responseStart is the beginning of every HTTP/1 response.
 const httpStart = "HTTP/1."
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// roundTrip writes a request and reads its answer, or so much of it that it can go on: then the result has a Rest. What it gives
-// besides is the answer's body; nil: there is none.
+// roundTrip writes a request and reads its response, or as much of it as is needed to start streaming the body; the result
+// then has a Rest. It also returns the body, or nil if none was read. admitted is the attempt as the guard admitted it.
 func (b *Transport) roundTrip(ctx context.Context, c *conn, x *core.Exchange, admitted guard.Attempt) (core.Result, *answer) {
 	if x.Upload != nil && x.Upload.Spent {
-		return core.Result{Code: decide.Moot, Err: errors.New("a part of the client's body is gone")}, nil
+		return core.Result{Code: decide.Moot, Err: errors.New("an earlier attempt has consumed a part of the client's body")}, nil
 	}
 	text := buffers.Get().(*bytes.Buffer)
 	defer buffers.Put(text)
 	text.Reset()
 	x.WriteHTTP(text)
 	if _, err := c.Write(text.Bytes()); err != nil {
-		return core.Result{Code: decide.ConnectFailed, Err: err}, nil // its last byte was not written
+		return core.Result{Code: decide.ConnectFailed, Err: err}, nil // the last byte was not written, so the request has not run
 	}
 	if x.Upload != nil {
 		if r := b.upload(ctx, c, x); r.Err != nil {
@@ -482,14 +504,14 @@
 		x.Written()
 	}
 	b.written(c.host, x, admitted)
-	c.left = headLimit                     // http.ReadResponse itself takes a header of any size
-	req := &http.Request{Method: x.Method} // of it ReadResponse looks at the method only
+	c.left = headLimit                     // http.ReadResponse itself does not bound the header
+	req := &http.Request{Method: x.Method} // ReadResponse uses only its method
 	resp, err := http.ReadResponse(c.r, req)
 	for err == nil && resp.StatusCode < 200 && resp.StatusCode != http.StatusSwitchingProtocols {
-		resp, err = http.ReadResponse(c.r, req) // that was an interim answer
+		resp, err = http.ReadResponse(c.r, req) // the previous one was an interim response
 	}
 	if err == nil && resp.StatusCode < 200 {
-		err = errors.New("the backend speaks another protocol")
+		err = errors.New("the backend switched to another protocol")
 	}
 	if err != nil {
 		return core.Result{Code: decide.Reset, Err: err}, nil
@@ -500,7 +522,7 @@
 	}
 	body, rest, err := a.begin()
 	if err == nil && rest && resp.StatusCode != http.StatusOK {
-		err = errTooLarge // of no use to anybody
+		err = errTooLarge // a long error response is of no use to the client
 	}
 	if err != nil {
 		return core.Result{Code: decide.Reset, Err: err}, nil
@@ -520,7 +542,8 @@
 	return r, a
 }
 
-// parseReport reads a load report. One that does not make sense in all its parts, or has no known field, is none.
+// parseReport parses a load report, "name=value" fields separated by commas. It returns nil if any field is malformed or
+// out of range, or if no field is known.
 func parseReport(text string) *decide.Report {
 	var r decide.Report
 	known := false
@@ -538,7 +561,7 @@
 	return &r
 }
 
-// Find is core.Transport's.
+// Find implements core.Transport.
 func (b *Transport) Find(id decide.ServerID) core.Server {
 	if h := b.find(id); h != nil {
 		return h
@@ -546,15 +569,15 @@
 	return nil
 }
 
-// Do is core.Server's.
+// Do implements core.Server.
 func (h *host) Do(ctx context.Context, x *core.Exchange) core.Result { return h.owner.do(ctx, h, x) }
 
-// Probe is core.Server's.
+// Probe implements core.Server.
 func (h *host) Probe(ctx context.Context, path string) core.Result {
 	return h.owner.probe(ctx, h, path)
 }
 
-// probe asks a backend how it is.
+// probe sends a health check to a backend. The load report comes in the header of the response, or else in its body.
 func (b *Transport) probe(ctx context.Context, h *host, path string) core.Result {
 	r := b.do(ctx, h, &core.Exchange{Method: http.MethodGet, URL: &url.URL{Path: path, Host: "api.internal"}, Deadline: time.Now().Add(probeWait), Probe: true})
 	if r.Report == nil && r.Code == decide.OK {
--- a/internal/upstream/http1/connect.go
+++ b/internal/upstream/http1/connect.go
@@ -11,7 +11,9 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
-// connect takes an idle connection, waits for one to have rested, or makes one. errTooMany is the node's own shortage.
+// connect returns a connection to h for one request: an idle one, an idle one after waiting for its cooldown to end, or a
+// new one. If the handshake of a new one fails, a connection that has become idle in the meantime is used. It fails with
+// errTooManyConns if the node or its share for this host has no capacity left; that is no fault of the server.
 func (b *Transport) connect(ctx context.Context, h *host, x *core.Exchange) (*conn, error) {
 	var failed error
 	for {
@@ -43,7 +45,7 @@
 	}
 }
 
-// writtenBy is when a request must have been written.
+// writeDeadline returns the time by which a request must have been written completely.
 func writtenBy(x *core.Exchange) time.Time {
 	if !x.WriteBy.IsZero() && x.WriteBy.Before(x.Deadline) {
 		return x.WriteBy
@@ -51,8 +53,9 @@
 	return x.Deadline
 }
 
-// choose decides on the next step for a request, and takes the connection that it names out of the idle ones. After a handshake that failed
-// there is no second: only what has become idle in the meantime will do.
+// choose decides how the next request to h gets its connection. If that is an idle one, choose returns it and removes it
+// from the idle connections; for a new one it returns nil, and has counted the dial. by is when the request must have
+// been written. noDial is set after a failed handshake: there is no second one, and only an idle connection will do.
 func (b *Transport) choose(h *host, by time.Time, noDial bool) (*conn, reuse.Decision, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -80,17 +83,20 @@
 	return nil, next, nil
 }
 
-// mayDial tells whether there is capacity for one more connection, and makes it at the bound.
+// mayDial reports whether one more connection to h may be made. If maxConns is reached it closes an idle connection, of any
+// host, to stay within that.
 func (b *Transport) mayDial(h *host) bool {
 	return h.dials < max(2, b.limit/dialPart) && (b.open < b.limit || b.evict())
 }
 
+// countDial counts a connection to h as open and being made.
 func (b *Transport) countDial(h *host) {
 	b.open++
 	h.dials++
 }
 
-// awaitRest waits for the rest of a connection, unless its request ends before.
+// awaitCooldown waits for the given time, the remaining cooldown of a connection. It returns early, with an error, if the
+// request ends.
 func awaitRest(ctx context.Context, x *core.Exchange, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
@@ -115,7 +121,8 @@
 	return nil
 }
 
-// checkTaken gives a connection that was taken from the idle ones, if it can be used, or else closes it.
+// revalidate returns c, which choose took from the idle connections, if it can still be used. Otherwise it closes c and
+// returns nil, with errClosed if the host is closed, or without an error if another connection should be chosen.
 func (b *Transport) checkTaken(h *host, c *conn) (*conn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -130,7 +137,8 @@
 	return c, nil
 }
 
-// putBack returns a connection to the idle ones on which nothing was written: it has been idle all the time.
+// putBack returns a connection, on which nothing has been written, to the idle ones. It keeps its idleSince, and its place
+// in their order. It is closed instead if the host is closed or maxConns is exceeded.
 func (b *Transport) putBack(h *host, c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +151,7 @@
 	c.place = b.idle.PushBack(c)
 }
 
-// dial makes a connection for one request, which choose has counted. It ends with the request.
+// dial makes a connection for one request; choose has counted it. It gives up when the request ends.
 func (b *Transport) dial(ctx context.Context, h *host, x *core.Exchange) (*conn, error) {
 	ctx, cancel := context.WithDeadline(ctx, x.Deadline)
 	defer cancel()
@@ -153,14 +161,14 @@
 	return b.handshake(ctx, h)
 }
 
-// grow makes a connection, which choose has counted, for requests to come.
+// addConn makes an idle connection for later requests; choose has counted it.
 func (b *Transport) grow(h *host) {
 	if c, err := b.handshake(context.Background(), h); err == nil {
 		b.release(h, c, true)
 	}
 }
 
-// handshake makes a connection, within the time that the settings give.
+// handshake makes a connection within connectTimeout. If it fails, the connection is no longer counted as open.
 func (b *Transport) handshake(ctx context.Context, h *host) (*conn, error) {
 	began := time.Now()
 	d := net.Dialer{Timeout: b.connectTimeout}
