--- a/internal/upstream/http1/admit_test.go
+++ b/internal/upstream/http1/admit_test.go
@@ -11,7 +11,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// guarded is a transport with a guard of its own, before one server that answers at once.
+// newGuardedTransport returns a transport with a guard of its own, and one server that answers at once. grace is the time
+// after the notification of a drain in which attempts still do not count as violations.
 func guarded(t *testing.T, grace time.Duration) (*Transport, *guard.Guard) {
 	t.Helper()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -22,12 +23,13 @@
 	return b, g
 }
 
-// A watch that was resumed too late brings a drain: an attempt that went to the server after the grace is counted.
-// Where the watch was resumed in time, or nothing went there, nothing is.
+// A list that removes a server arrives on a watch that was resumed too late, so that the node counts as notified earlier.
+// An attempt sent to the server after the grace from that moment is counted as a violation of the drain rule; one
+// within the grace is not, and none is if the watch was resumed in time.
 func TestLateDrainIsCounted(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		stale time.Duration // before the attempt; 0: the watch was resumed in time
+		stale time.Duration // how long before the list the node counts as notified; 0: the watch was resumed in time
 		want  int64
 	}{"in time": {0, 0}, "within the grace": {time.Millisecond, 0}, "late": {time.Hour, 1}} {
 		b, g := guarded(t, time.Minute)
@@ -40,13 +42,14 @@
 		}
 		b.Update(l)
 		if _, violated := g.Counts(guard.Drain); violated != c.want {
-			t.Errorf("%s: %d, want %d", name, violated, c.want)
+			t.Errorf("%s: %d violations, want %d", name, violated, c.want)
 		}
 	}
 }
 
-// A server that was closed while an attempt connected gets nothing, and the refusal is counted; so is one in slow
-// start beyond what all nodes may send it, however late its connections came up.
+// An attempt at a server that was closed in the meantime is refused right before its first byte, and the refusal is
+// counted. So is an attempt at a server in slow start above the number that may be sent to it in one window, however long
+// its connection took to be made.
 func TestRefusalsAreCounted(t *testing.T) {
 	t.Parallel()
 	b, g := guarded(t, time.Minute)
@@ -56,10 +59,10 @@
 		t.Errorf("to a closed host: %v", r.Code)
 	}
 	if _, refused := b.admit(t.Context(), h, get(testkit.Patient)); refused.Code != decide.ConnectFailed || refused.Err == nil {
-		t.Errorf("at the last moment: %v %v", refused.Code, refused.Err)
+		t.Errorf("right before the first byte: %v %v, want a failure to connect", refused.Code, refused.Err)
 	}
 	if refused, _ := g.Counts(guard.Drain); refused != 1 {
-		t.Errorf("%d refused for drain, want 1", refused)
+		t.Errorf("%d attempts refused by the drain rule, want 1", refused)
 	}
 	b, g = guarded(t, time.Minute)
 	h = b.find(1)
@@ -71,6 +74,6 @@
 		}
 	}
 	if refused, violated := g.Counts(guard.Failback); refused != 1 || violated != 0 {
-		t.Errorf("%d refused for failback, %d got past, want 1 and 0", refused, violated)
+		t.Errorf("%d attempts refused by the failback rule, %d violations; want 1 and 0", refused, violated)
 	}
 }
--- a/internal/upstream/http1/backend_test.go
+++ b/internal/upstream/http1/backend_test.go
@@ -21,11 +21,13 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
+// get returns a GET exchange whose deadline is wait from now.
 func get(wait time.Duration) *core.Exchange {
 	return &core.Exchange{Method: "GET", URL: &url.URL{Path: "/read", Host: "h"}, Deadline: time.Now().Add(wait)}
 }
 
-// What comes behind a good answer, at once or late, is never taken for the next request's.
+// Data after a complete response, be it a second response or a part of one, at once or late, is never taken for the
+// response to the next request.
 func TestNothingLeftOver(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "start of one": "HTTP/1"} {
@@ -48,7 +50,7 @@
 					t.Errorf("%s after %v: %v %q", name, late, r.Code, r.Body)
 				}
 				<-sent
-				if text, open := "", true; late > 0 && len(b.find(1).idle) > 0 { // what has been written comes
+				if text, open := "", true; late > 0 && len(b.find(1).idle) > 0 { // wait until the written data has arrived
 					c := b.find(1).idle[0]
 					for end := time.Now().Add(testkit.Patient); text == "" && open && time.Now().Before(end); text, open = c.behind() {
 						time.Sleep(time.Millisecond)
@@ -60,17 +62,19 @@
 	}
 }
 
-// The node's own shortage is not the server's: it would be taken for one that fails.
+// Errors that mean a shortage of this node are told apart from those of the server, which would otherwise count as
+// failing.
 func TestShortOf(t *testing.T) {
 	t.Parallel()
 	for e, want := range map[syscall.Errno]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ECONNREFUSED: false, syscall.EHOSTUNREACH: false} {
 		if err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}); shortOf(err) != want {
-			t.Errorf("%v: %v", err, !want)
+			t.Errorf("%v: local shortage %v, want %v", err, !want, want)
 		}
 	}
 }
 
-// While a connection is in the making its request ends: nothing is written for it, and the attempt ends at once, although it may not be called off.
+// A request that ends while its attempt is connecting has nothing written for it, with a new connection and with an idle
+// one. The attempt ends at once, even though its own context does not end.
 func TestUnwantedWhileConnecting(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
@@ -95,11 +99,11 @@
 	}
 	b.Update(core.List{Full: true})
 	if got.Load() > 0 || b.open != 0 {
-		t.Errorf("%d requests came, %d connections are open", got.Load(), b.open)
+		t.Errorf("the server got %d requests, %d connections are open; want none of either", got.Load(), b.open)
 	}
 }
 
-// inPieces is answering for what is written in pieces.
+// inPieces returns a server that calls reply for each request, which may write its response in pieces.
 func inPieces(reply func(net.Conn)) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -112,7 +116,7 @@
 	}
 }
 
-// A report counts only if all of it makes sense.
+// A load report is used only if every field of it is valid.
 func TestReport(t *testing.T) {
 	t.Parallel()
 	if r := parseReport("inflight=7,queue=2"); r == nil || r.InFlight != 7 || r.Queue != 2 {
@@ -125,8 +129,8 @@
 	}
 }
 
-// A new backend at the address of one that is still listed has taken its place: nothing goes to the old one, nor
-// on its connections.
+// A new backend with the address of one that is still listed replaces it: nothing is sent to the old one any more, nor on
+// connections made to it.
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -141,17 +145,17 @@
 		news.Full = full
 		b.Update(news)
 		if r := b.do(t.Context(), b.find(1), get(testkit.Patient)); r.Code != decide.ConnectFailed {
-			t.Errorf("the old one: %v, %d open", r.Code, b.open)
+			t.Errorf("to the old backend: outcome %v, want a failure to connect; %d connections open", r.Code, b.open)
 		}
 		if r := b.do(t.Context(), b.find(2), get(testkit.Patient)); r.Code != decide.OK || b.open != 1 {
-			t.Errorf("the new one: %v, %d open", r.Code, b.open)
+			t.Errorf("to the new backend: outcome %v; %d connections open, want 1", r.Code, b.open)
 		}
 		time.Sleep(2 * reuse.Rest)
 	}
 	b.Update(core.List{Full: true})
 }
 
-// A machine that says nothing when connected to takes a part of the descriptors only.
+// A machine that never answers connection attempts occupies only a part of the allowed connections.
 func TestDialsBounded(t *testing.T) {
 	t.Parallel()
 	b := New(testkit.Settings(), 192, 16, nil, testkit.Quiet)
@@ -159,11 +163,11 @@
 	h := b.find(1)
 	h.dials = 2
 	if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.Moot || b.open != 0 {
-		t.Errorf("%v (%v), %d open", r.Code, r.Err, b.open)
+		t.Errorf("outcome %v (%v), want moot; %d connections open, want none", r.Code, r.Err, b.open)
 	}
 }
 
-// After connecting, what has changed in the meantime counts: nothing is written.
+// A change while an attempt is connecting takes effect before its first byte: nothing is written.
 func TestLookAgainBeforeWriting(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
@@ -216,7 +220,8 @@
 	}
 }
 
-// A refused connection never ran, and the bound on connections is kept, by closing idle ones first.
+// A refused connection ends as a failure to connect, which has no effect. The bound on connections is kept by closing
+// idle ones first, and exceeding it does not count against the backend.
 func TestConnecting(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -237,8 +242,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := b.do(t.Context(), b.find(2), get(testkit.Patient)); r.Code != decide.Moot { // the backend is not to blame
-		t.Errorf("beyond the bound: %v", r.Code)
+	if r := b.do(t.Context(), b.find(2), get(testkit.Patient)); r.Code != decide.Moot { // must not count against the backend
+		t.Errorf("beyond the bound on connections: outcome %v, want moot", r.Code)
 	}
 	b.release(b.find(1), held, true)
 	b.CloseIdle(1)
@@ -247,8 +252,8 @@
 	}
 }
 
-// A backend that let an attempt time out in silence may have been cut off: its idle connections are not used
-// again. One that has answered in the meantime keeps them.
+// A backend that sent nothing until an attempt timed out may have been disconnected: its idle connections are closed. If
+// it has answered another request since the attempt began, they are kept.
 func TestSilenceClosesIdle(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, func(c net.Conn) { io.Copy(io.Discard, c) })
@@ -274,14 +279,13 @@
 			t.Errorf("outcome %v (%v)", r.Code, r.Err)
 		}
 		if len(h.idle) != want {
-			t.Errorf("heard of it: %v; %d idle connections kept, want %d", heard, len(h.idle), want)
+			t.Errorf("responded in the meantime: %v; %d idle connections kept, want %d", heard, len(h.idle), want)
 		}
 		b.Update(core.List{Full: true})
 	}
 }
 
-// A list of thousands: each change costs what changed, an address that is taken over is found at once, and at the bound the
-// connection that has been idle longest makes room.
+// A list of 10 000 servers is applied, applied again without change, and halved: hosts and addresses follow it.
 func TestManyHosts(t *testing.T) {
 	b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
 	l := testkit.Known(make([]string, 10_000)...)
@@ -311,7 +315,7 @@
 	}
 }
 
-// What comes back from a server, and the outcome that it is.
+// Each kind of response, and the outcome that the attempt ends with.
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -366,8 +370,9 @@
 	}
 }
 
-// Servers that drop connections after standing idle a while, without a word, are noticed, and such connections replaced before
-// a request is written to them. Without that each of them costs a request that may have run.
+// A server resets connections that have been idle for 300 ms, without notice. After a few such resets the transport has
+// learned the limit, and closes such connections before it writes a request to them. Otherwise each of them would cost
+// a request that may have run.
 func TestShortIdleTimeIsLearned(t *testing.T) {
 	t.Parallel()
 	var drop atomic.Bool
@@ -401,7 +406,7 @@
 	for range 40 {
 		for range 3 {
 			if r := exchange(0); r.Code != decide.OK {
-				t.Fatalf("on a young connection: %v (%v)", r.Code, r.Err)
+				t.Fatalf("on a connection idle for a short time: outcome %v (%v)", r.Code, r.Err)
 			}
 		}
 		if r := exchange(300 * time.Millisecond); r.Code == decide.Reset {
@@ -409,6 +414,6 @@
 		}
 	}
 	if broken < 4 || broken > 15 {
-		t.Errorf("%d of 40 requests were written to connections that had stood too long; want a few, from which it is learned", broken)
+		t.Errorf("%d of 40 requests were reset on connections that were idle for too long; want 4 to 15, from which the limit is learned", broken)
 	}
 }
--- a/internal/upstream/http1/connect_test.go
+++ b/internal/upstream/http1/connect_test.go
@@ -20,8 +20,10 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
-// A connection rests after an answer, whatever else rests: a second one that comes some milliseconds behind it would be the next request's. Its
-// server sees how long it was let rest. While one rests there is no handshake in its place, unless waits go on.
+// A connection is not reused before its cooldown after a response is over, however many other connections are cooling
+// down: a second response some milliseconds after the first would be taken for the response to the next request. The
+// server measures the time between response and next request. Requests wait for the cooldown instead of making new
+// connections, except for one more when waits go on.
 func TestRest(t *testing.T) {
 	t.Parallel()
 	var early atomic.Int64
@@ -35,7 +37,7 @@
 			if !answered.IsZero() && time.Since(answered) < reuse.Rest {
 				early.Add(1)
 			}
-			answered = time.Now() // before it is written: what the node counts from is later
+			answered = time.Now() // taken before writing: the node starts its cooldown later
 			io.WriteString(c, testkit.OK("x"))
 		}
 	})
@@ -56,36 +58,37 @@
 			b.release(h, c, true)
 		}
 		for i := range max(8, 2*open) {
-			time.Sleep(time.Duration(i%4) * reuse.Rest / 4) // it has rested for a part of the time
+			time.Sleep(time.Duration(i%4) * reuse.Rest / 4) // part of the cooldown is over
 			if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.OK {
 				t.Errorf("%d open, request %d: %v (%v)", open, i, r.Code, r.Err)
 			}
 		}
 		b.mu.Lock()
 		if b.open > open+1 {
-			t.Errorf("%d connections, %d before", b.open, open)
+			t.Errorf("%d connections are open, want at most one more than the %d before", b.open, open)
 		}
 		b.mu.Unlock()
 		b.Update(core.List{Full: true})
 	}
 	if n := early.Load(); n > 0 {
-		t.Errorf("%d requests came on connections that had not rested", n)
+		t.Errorf("%d requests came on connections before the end of their cooldown", n)
 	}
 }
 
 const (
-	latest = 20 * time.Millisecond // a second answer of a server that the transport must stand
-	heldUp = 4 * time.Millisecond  // by so much the machine may hold up one that is to come at a time
+	latest = 20 * time.Millisecond // the latest second response, after the first, that must not reach another request
+	heldUp = 4 * time.Millisecond  // the longest scheduling delay with which a second response still counts as sent in time
 )
 
-// strays are second answers, each of them the text of no request.
+// strayResponses counts second responses. The body of each is the path of no request.
 type strays struct {
 	mu     sync.Mutex
-	sent   int             // as late as wanted
-	missed map[string]bool // those that the machine held up: they came too late to be told apart
+	sent   int             // sent with the wanted delay, or at most scheduleDelay more
+	missed map[string]bool // body of each response sent; true if the machine delayed it by so much that it may reach another request
 }
 
-// send writes a second answer so late after the first, on a connection that is written to under turn.
+// send writes a second response with this text as its body, delay after the first one, which was written at answered.
+// writeLock guards writes to the connection.
 func (s *strays) send(c net.Conn, turn *sync.Mutex, answered time.Time, late time.Duration, text string) {
 	time.Sleep(time.Until(answered.Add(late)))
 	turn.Lock()
@@ -93,15 +96,15 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Since(answered) > late+heldUp/2 {
-		return // it would not be as late as is tested
+		return // the machine is late: the response would not have the wanted delay
 	}
 	io.WriteString(c, testkit.OK(text))
 	s.missed[text] = time.Since(answered) >= late+heldUp
 	s.sent++
 }
 
-// A second answer up to 20 ms behind the first never reaches another request, however many requests there are at a time, and however
-// the pool stands: empty, at the bound, with connections that rest, have rested, or have never been used.
+// A second response up to 20 ms after the first never reaches another request, with any number of concurrent requests and
+// any state of the pool: empty, at its bound, with connections that are cooling down, have cooled down, or were never used.
 func TestLateSecondAnswer(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond, latest} {
@@ -118,7 +121,7 @@
 
 func lateSecondAnswers(t *testing.T, late time.Duration, callers, limit int) {
 	s := strays{missed: map[string]bool{}}
-	together := min(callers, max(2, limit/dialPart)) // requests that are answered at once
+	together := min(callers, max(2, limit/dialPart)) // requests that the server answers at the same moment
 	var arrived, count atomic.Int64
 	answer := make(chan struct{}, together)
 	addr := testkit.Server(t, func(c net.Conn) {
@@ -140,7 +143,7 @@
 				}
 				<-answer
 			} else if n%3 == 0 || strings.HasPrefix(req.URL.Path, "/after") {
-				time.Sleep(latest + heldUp) // a second answer finds this request open, on a connection that was used too early
+				time.Sleep(latest + heldUp) // keeps the request open for a second response, should its connection have been reused too early
 			}
 			turn.Lock()
 			answered := time.Now()
@@ -161,14 +164,14 @@
 	}
 	ask := func(path string) {
 		r := send(path)
-		for path == "/together" && errors.Is(r.Err, errTooMany) { // the others wait for it
+		for path == "/together" && errors.Is(r.Err, errTooMany) { // at the bound; the other requests wait for this one
 			time.Sleep(time.Millisecond)
 			r = send(path)
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		switch text := string(r.Body); {
-		case r.Code == decide.Moot && errors.Is(r.Err, errTooMany): // the bound
+		case r.Code == decide.Moot && errors.Is(r.Err, errTooMany): // the bound on connections is reached
 		case r.Code == decide.OK && s.missed[text]:
 		case r.Code != decide.OK || text != path:
 			t.Errorf("%s: %v %q (%v)", path, r.Code, text, r.Err)
@@ -179,7 +182,7 @@
 		for caller := range callers {
 			all.Go(func() {
 				for i := range 4 {
-					time.Sleep(time.Duration((caller+i)%5) * latest / 5) // for a part of the time that a connection has to rest
+					time.Sleep(time.Duration((caller+i)%5) * latest / 5) // for a part of the cooldown
 					ask(fmt.Sprintf("/%d/%d/%d", round, caller, i))
 				}
 			})
@@ -189,7 +192,7 @@
 			all.Go(func() { ask("/together") })
 		}
 		all.Wait()
-		// All connections rest now; requests come one after the other.
+		// All connections are cooling down now; requests are made one after the other.
 		for i := range 3 {
 			time.Sleep(latest / 3)
 			ask(fmt.Sprintf("/after/%d/%d", round, i))
@@ -199,16 +202,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sent == 0 {
-		t.Error("no second answer was sent in time")
+		t.Error("no second response was sent in time; the test shows nothing")
 	}
 }
 
-// While a connection rests its request may end: it does so at once, nothing is written, and the connection stays, as rested as it was.
+// A request that ends while it waits for a connection's cooldown ends at once: nothing is written, and the connection goes
+// back to the pool with its idle time unchanged.
 func TestEndsWhileConnectionRests(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		change func(*Transport, *core.Exchange, context.CancelFunc)
-		rests  time.Duration // as long as no machine is held up, where the end is to come first
+		rests  time.Duration // so long that the request ends first on any machine
 		want   decide.OutcomeCode
 		open   int
 	}{
@@ -221,7 +225,7 @@
 			t.Parallel()
 			var got atomic.Int64
 			addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { got.Add(1); return testkit.OK("x") }))
-			b := New(testkit.Settings(), 192, 1, nil, testkit.Quiet) // no room for a second connection
+			b := New(testkit.Settings(), 192, 1, nil, testkit.Quiet) // at most one connection
 			b.Update(testkit.Known(addr))
 			h := b.find(1)
 			if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.OK {
@@ -246,11 +250,11 @@
 			})
 			c.change(b, x, cancel)
 			if r := <-done; r.Code != c.want || got.Load() != before {
-				t.Errorf("%v (%v), want %v; %d requests were written", r.Code, r.Err, c.want, got.Load()-before)
+				t.Errorf("outcome %v (%v), want %v; %d requests were written, want none", r.Code, r.Err, c.want, got.Load()-before)
 			}
 			b.mu.Lock()
 			if b.open != c.open || len(h.idle) != c.open || c.open > 0 && !h.idle[0].since.Equal(since) {
-				t.Errorf("%d open, %d of them idle, want %d, with its rest as it was", b.open, len(h.idle), c.open)
+				t.Errorf("%d connections open, %d of them idle; want %d, with an unchanged idle time", b.open, len(h.idle), c.open)
 			}
 			b.mu.Unlock()
 			b.Update(core.List{Full: true})
@@ -258,7 +262,8 @@
 	}
 }
 
-// A request does not spend the time that it has left on waiting for a connection to rest: a new one is made.
+// A request with little time left, compared to the cooldown of the idle connection, does not wait for it: a new connection
+// is made.
 func TestLittleTimeIsNotSpentOnRest(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -277,23 +282,24 @@
 		x := get(testkit.Patient)
 		change(x)
 		if r := b.do(t.Context(), h, x); r.Code != decide.OK || b.open != 2 || !h.idle[0].since.Equal(since) {
-			t.Errorf("%s: %v (%v), %d open, want 2", name, r.Code, r.Err, b.open)
+			t.Errorf("%s: outcome %v (%v), %d connections open, want 2", name, r.Code, r.Err, b.open)
 		}
 		b.Update(core.List{Full: true})
 	}
 }
 
-// ending is a context that a test ends.
+// endableContext is a context that a test can end.
 type ending struct {
 	context.Context
 	end context.CancelFunc
 }
 
-// A server whose table is full refuses a connection: what has become idle in the meantime serves the request, and nothing is laid at its door.
+// A server whose connection table is full refuses a new connection. The request then uses one that has become idle in the
+// meantime, and the refusal does not count as a failure of the server.
 func TestRefusedHandshakeFallsBack(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	refused, err := net.Dial("tcp", addr) // nobody listens at its own end, and nobody else can
+	refused, err := net.Dial("tcp", addr) // its local address refuses connections: nobody listens there, and nobody else can while it is open
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -302,7 +308,7 @@
 	b.Update(testkit.Known(refused.LocalAddr().String()))
 	h := b.find(1)
 	if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.ConnectFailed || !strings.Contains(r.Err.Error(), "refused") {
-		t.Fatalf("nothing idle: %v (%v), want the refusal", r.Code, r.Err)
+		t.Fatalf("with no idle connection: outcome %v (%v), want a refused connection", r.Code, r.Err)
 	}
 	tcp, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -314,7 +320,7 @@
 	b.open++
 	b.mu.Unlock()
 	x := get(testkit.Patient)
-	x.Left = func(time.Duration) bool { // asked once the handshake has failed: the other exchange ends at just this moment
+	x.Left = func(time.Duration) bool { // called once the handshake has failed: another exchange ends at this moment
 		if c != nil {
 			b.release(h, c, true)
 			c = nil
@@ -322,7 +328,7 @@
 		return false
 	}
 	if r := b.do(t.Context(), h, x); r.Code != decide.OK || b.open != 1 {
-		t.Errorf("one idle by then: %v (%v), %d open", r.Code, r.Err, b.open)
+		t.Errorf("with a connection idle by then: outcome %v (%v), %d connections open, want 1", r.Code, r.Err, b.open)
 	}
 	b.Update(core.List{Full: true})
 }
--- a/internal/upstream/http1/endings_test.go
+++ b/internal/upstream/http1/endings_test.go
@@ -11,14 +11,15 @@
 	"starlingvalve/internal/testkit"
 )
 
-// The time in which servers remember a key ends while a request is being written: its last byte is not written, and so it has not run.
+// The time in which servers remember an idempotency key ends while a request is being written. Its last byte must not be
+// written: the server could have forgotten an earlier attempt with that key, and run the request again.
 func TestWindowEndsWithinWrite(t *testing.T) {
 	t.Parallel()
 	whole, done := make(chan bool, 1), make(chan bool)
 	const size = 4 << 20
 	addr := testkit.Server(t, func(c net.Conn) {
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
-		<-done // it reads nothing before the window is over
+		<-done // reads nothing before the window is over, so that the write cannot finish
 		n, _ := io.Copy(io.Discard, c)
 		whole <- n >= size
 	})
@@ -34,19 +35,19 @@
 	x.Method, x.Body, x.WriteBy = "POST", make([]byte, size), time.Now().Add(200*time.Millisecond)
 	r := b.do(t.Context(), b.find(1), x)
 	if r.Code != decide.ConnectFailed || time.Now().Before(x.WriteBy) || time.Until(x.Deadline) < testkit.Patient/2 {
-		t.Errorf("%v (%v) with %v of its time left; want it to end with the window, not run", r.Code, r.Err, time.Until(x.Deadline))
+		t.Errorf("outcome %v (%v) with %v left until the deadline; want a failure to connect when the window ends", r.Code, r.Err, time.Until(x.Deadline))
 	}
 	close(done)
 	if <-whole {
-		t.Error("it came to the server whole")
+		t.Error("the server received the whole request")
 	}
 	b.Update(core.List{Full: true})
 	if b.open != 0 {
-		t.Errorf("%d connections are open", b.open)
+		t.Errorf("%d connections are open, want none", b.open)
 	}
 }
 
-// How long the next piece of an answer that is passed on is waited for.
+// The time until the deadline of the next read of a streamed body.
 func TestPatience(t *testing.T) {
 	t.Parallel()
 	now := time.Now()
--- a/internal/upstream/http1/upload.go
+++ b/internal/upstream/http1/upload.go
@@ -15,15 +15,19 @@
 )
 
 const (
-	chunkHead = 6 // bytes before a chunk's data: four digits, CR LF
-	chunkTail = 7 // and behind it: CR LF, and of the last one what ends the body
+	// chunkPrefix is the length, in bytes, of what precedes the data of a chunk: four hex digits, CR, LF.
+	chunkHead = 6
+	// chunkSuffix is the most bytes that follow it: CR, LF, and after the last chunk the end of the body.
+	chunkTail = 7
 
-	unsentLeast = pieceSize // bytes of a body that the system may not be able to send at once
+	// minUnsentBody is the smallest body, in bytes, of which the operating system may not be able to send all at once.
+	unsentLeast = pieceSize
 )
 
-// upload writes what of a body is still coming. Until its last byte is written the request has not run, whatever
-// happens: but what has been read of it can't be written again. If its client leaves before that, its last byte is
-// not written.
+// upload streams to the server the part of the client's body that is still being received. Until its last byte is written
+// the request has not run, so each failure is known to be without effect; but bytes read from the client are gone for
+// another attempt. If the client leaves before the end, the last byte is not written. After the last byte, the
+// exchange's deadline is set to the client's patience from then on.
 func (b *Transport) upload(ctx context.Context, c *conn, x *core.Exchange) core.Result {
 	u := x.Upload
 	piece := make([]byte, pieceSize)
@@ -34,8 +38,8 @@
 		left -= int64(n)
 		ended = errors.Is(err, io.EOF) || u.Length >= 0 && left <= 0
 		if err != nil && !ended || left < 0 && u.Length >= 0 || ended && u.Length >= 0 && left > 0 {
-			// No server's fault.
-			return core.Result{Code: decide.Moot, Client: u.Fault(), Err: fmt.Errorf("the client's body: %w", err)}
+			// The fault is the client's, not the server's.
+			return core.Result{Code: decide.Moot, Client: u.Fault(), Err: fmt.Errorf("reading the client's body: %w", err)}
 		}
 		out := piece[chunkHead : chunkHead+n]
 		if u.Length < 0 {
@@ -43,10 +47,10 @@
 		}
 		age := core.LookAge
 		if ended {
-			age = 0 // what the client sent before it left may have hidden its end from an older look
+			age = 0 // an older check may have missed that the client left: unread data of its body hid the end
 		}
 		c.SetDeadline(time.Now().Add(stallWait))
-		if ctx.Err() != nil { // which sets a deadline too, as the request's end may
+		if ctx.Err() != nil { // an ended ctx sets a deadline too, as the end of the request may
 			return core.Result{Code: decide.Moot, Err: ctx.Err()}
 		}
 		if x.Unwanted(age) {
@@ -66,10 +70,10 @@
 	return core.Result{}
 }
 
-// callOffUnsent ends the wait for the answer to a request with a large body once nobody wants it, whether attempts
-// may be cancelled or not, if the system still holds some of its body then: the server has not begun it. The
-// function that it gives ends that. It tells whether it came to it, if the exchange has failed; the connection is
-// then to be closed.
+// abortUnsent aborts an exchange with a large body when its request ends while the operating system still holds unsent
+// bytes of that body: the server cannot have begun it then, so this is right even where attempts must not be cancelled.
+// The caller calls the returned function, with the error of the exchange, once the exchange is over. It ends the
+// watching, and returns true if the request was aborted in this way; the connection must then be closed.
 func (c *conn) callOffUnsent(x *core.Exchange) (stop func(failed error) bool) {
 	if x.Upload == nil && len(x.Body) < unsentLeast || x.Wanted == nil {
 		return func(error) bool { return false }
@@ -85,8 +89,8 @@
 	}
 }
 
-// discardUnsent has the connection's close drop what the system has not sent, and tells whether there is any. An
-// orderly close would still deliver it.
+// discardUnsent makes the next Close discard the bytes that the operating system has not sent, as an orderly close would
+// still deliver them. It returns false if there are none.
 func (c *conn) discardUnsent() bool {
 	if c.unsent() == 0 {
 		return false
@@ -94,7 +98,7 @@
 	return c.Conn.(*net.TCPConn).SetLinger(0) == nil
 }
 
-// unsent is how many bytes have been written that the system has not sent; 0 where it does not tell.
+// unsentBytes returns how many bytes written to the connection the operating system has not sent yet; 0 if unknown.
 func (c *conn) unsent() (n int) {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -108,7 +112,8 @@
 	return n
 }
 
-// chunked puts n bytes, which stand at chunkHead, into the form of a chunk, and the body's end behind them.
+// frameChunk frames, in place, the n data bytes at offset chunkPrefix of the buffer as a chunk; n = 0 gives no chunk. If
+// ended is set, the end of the body follows. It returns the part of the buffer to be written.
 func chunked(piece []byte, n int, ended bool) []byte {
 	from, to := chunkHead, chunkHead+n
 	if n > 0 {
--- a/internal/upstream/idle/idle.go
+++ b/internal/upstream/idle/idle.go
@@ -1,6 +1,6 @@
-// Package idle learns how long a connection to a server may stand idle and still be used. Servers, and what stands between,
-// close idle connections earlier than they say, and some without a word: a request that is written to such a connection ends
-// as a reset, after which it may have run. The package is pure: no I/O, no clock.
+// Package idle learns how long a connection to a server may be idle and still be reused. Servers, and devices between them
+// and the node, close idle connections earlier than configured, and some without notice: a request written to such a
+// connection ends with a reset, after which it may have run. The package does no I/O and reads no clock.
 package idle
 
 import (
@@ -9,25 +9,33 @@
 )
 
 const (
-	firstEdge = 25 * time.Millisecond // ages are told apart from here on, by powers of two
-	edges     = 12                    // up to 51 s
-	halfLife  = 10 * time.Second      // of what is known: a limit is tried again after some of these
-	leastBad  = 4.0                   // breaks beyond an age before it counts: fewer are chance
-	leastUsed = 20.0                  // uses below that age before their rate of breaks counts
-	factor    = 3.0                   // beyond the age breaks are that many times as frequent as below,
-	margin    = 0.1                   // and by that part of the uses more: else other troubles are to blame
+	// Idle times are sorted into classes. firstBound is the upper bound of the first; each further bound is twice the one
+	// before it. With 12 bounds the last one is 51 s.
+	firstEdge = 25 * time.Millisecond
+	edges     = 12
+	// halfLife is the time after which an observation counts half. After a few half-lives a learned limit is forgotten,
+	// and longer idle times are tried again.
+	halfLife = 10 * time.Second
+	// minBreaks is how many breaks above an idle time are needed to conclude that servers close there: fewer may be chance.
+	leastBad = 4.0
+	// minUses is how many uses below an idle time are needed to know the rate of breaks there.
+	leastUsed = 20.0
+	// Above a limit, the rate of breaks is at least rateFactor times the rate below it, plus rateMargin. With a smaller
+	// difference, breaks have another cause than the idle time.
+	factor = 3.0
+	margin = 0.1
 )
 
-// Limit holds what uses of idle connections have shown, by age in classes. Its zero value knows nothing. It is not safe for
-// concurrent use.
+// Limit learns the longest idle time of reusable connections, from counts of uses and breaks by class of idle time. The
+// zero value has no observations. It is not safe for concurrent use.
 type Limit struct {
-	at     time.Duration // of the last use
+	at     time.Duration // the time up to which the counts have been decayed
 	used   [edges + 1]float64
 	broken [edges + 1]float64
 }
 
-// Used takes the use of a connection that had stood idle for age, at a time on a clock that runs evenly. broken: it came down
-// before an answer was complete.
+// Record adds the use of a connection that had been idle for age. now is the time on any monotonic clock. broken is set if
+// the connection was ended by the other side before the response was complete.
 func (l *Limit) Used(now, age time.Duration, broken bool) {
 	l.fade(now)
 	i := 0
@@ -40,7 +48,8 @@
 	}
 }
 
-// Longest is the age from which on connections are not to be used; 0: no such age is known.
+// MaxIdle returns the idle time from which on connections should not be reused, or 0 if no limit is known. now is the time
+// on the clock of Record.
 func (l *Limit) Longest(now time.Duration) time.Duration {
 	l.fade(now)
 	belowUsed, belowBad, aboveUsed, aboveBad := 0.0, 0.0, 0.0, 0.0
@@ -57,6 +66,7 @@
 	return 0
 }
 
+// decay reduces all counts by the time since the last call.
 func (l *Limit) fade(now time.Duration) {
 	if now <= l.at {
 		return
--- a/internal/upstream/idle/idle_test.go
+++ b/internal/upstream/idle/idle_test.go
@@ -6,8 +6,10 @@
 	"time"
 )
 
-// play uses connections of ages up to two seconds, most of them young, at 200 a second. Those idle for longer than closes
-// break in a part of the uses, and any breaks by chance.
+// simulate records 200 uses a second, for duration from the time from on, of connections idle for up to two seconds, most
+// of them for less than 0.2 s. Uses above the learned limit are left out, as a new connection would be made. After an idle
+// time above closesAfter (0: no limit) a use breaks with probability breakShare; any use breaks with probability baseRate.
+// It returns the time at the end.
 func play(l *Limit, from, length, closes time.Duration, part, chance float64) (now time.Duration) {
 	r := rand.New(rand.NewPCG(1, uint64(closes)))
 	for now = from; now < from+length; now += 5 * time.Millisecond {
@@ -16,19 +18,21 @@
 			age = time.Duration(r.Float64() * float64(2*time.Second))
 		}
 		if longest := l.Longest(now); longest > 0 && age >= longest {
-			continue // a new one is made instead
+			continue // a new connection is made instead
 		}
 		l.Used(now, age, r.Float64() < chance || closes > 0 && age > closes && r.Float64() < part)
 	}
 	return now
 }
 
+// The limit is learned if servers or devices between close connections after some time, within the range that the
+// simulated idle times cover, and not from breaks that do not depend on the idle time.
 func TestLimitIsLearned(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		closes       time.Duration
 		part, chance float64
-		least, most  time.Duration // 0: none
+		least, most  time.Duration // range of the learned limit; 0: none is learned
 	}{
 		{"none closes", 0, 0, 0, 0, 0},
 		{"all break now and then", 0, 0, 0.3, 0, 0},
@@ -44,20 +48,20 @@
 	}
 }
 
-// What servers no longer do is forgotten, and a limit holds no longer than what speaks for it.
+// Once servers no longer close connections early, the learned limit is forgotten within two minutes.
 func TestLimitIsForgotten(t *testing.T) {
 	var l Limit
 	now := play(&l, 0, 5*time.Second, 100*time.Millisecond, 0.9, 0)
 	if l.Longest(now) == 0 {
-		t.Fatal("nothing learned")
+		t.Fatal("no limit was learned")
 	}
 	now = play(&l, now, 2*time.Minute, 0, 0, 0)
 	if got := l.Longest(now); got != 0 {
-		t.Errorf("%v, two minutes after the last break", got)
+		t.Errorf("limit %v two minutes after the last break, want none", got)
 	}
 }
 
-// A few breaks are chance.
+// Three breaks may be chance: no limit is learned from them.
 func TestFewBreaksAreChance(t *testing.T) {
 	var l Limit
 	for i := range 100 {
@@ -67,6 +71,6 @@
 		l.Used(time.Second, time.Second, true)
 	}
 	if got := l.Longest(time.Second); got != 0 {
-		t.Errorf("%v after three breaks", got)
+		t.Errorf("limit %v after three breaks, want none", got)
 	}
 }
--- a/internal/upstream/reuse/reuse.go
+++ b/internal/upstream/reuse/reuse.go
@@ -1,66 +1,79 @@
-// Package reuse decides which connection to a server carries the next request: an idle one, one that is waited for, or a new one.
+// Package reuse decides which connection to a server carries the next request: an idle one at once, an idle one after a
+// wait, or a new one.
 //
-// A server may send a second answer some milliseconds behind the first. Nothing in it tells whose answer it is, so on a connection
-// that carries another request by then it would be taken for that request's. A connection therefore rests after each answer, and
-// is used again only once the rest is over and nothing has come. A new connection in its place costs the server a handshake and a
-// slot in its table; it is refused where the table is full, and may come up late. To wait costs a few milliseconds. So requests
-// wait, and a further connection is made only once the waits at a server have cost as much as a handshake.
+// A faulty server may send a second response some milliseconds after the first. Nothing in it shows which request it
+// belongs to, so on a connection that carries another request by then it would be taken for the response to that one.
+// A connection therefore has a cooldown after each response, and is reused only if no data has arrived by its end.
+// A new connection instead costs the server a handshake and a slot in its connection table; it is refused if the table
+// is full, and may be slow to come up. Waiting costs a few milliseconds. So requests wait, and a further connection is
+// made only once the waits at a server have cost as much as a handshake.
 //
-// The package is pure: no I/O, no clock.
+// The package does no I/O and reads no clock.
 package reuse
 
 import "time"
 
 const (
-	// Rest is how long a connection rests after an answer. Second answers were seen up to 4 ms behind the first, the network's
-	// part in them, and nothing bounds them: those of up to 20 ms are kept from the next request, with 5 ms for the network.
+	// Cooldown is the shortest time between a response on a connection and its next request. Second responses arrived up to
+	// 4 ms after the first, network delay included, and nothing bounds their delay. The cooldown covers those sent up
+	// to 20 ms after the first, with 5 ms for the network.
 	Rest = 25 * time.Millisecond
 
-	leastPrice = 60 * time.Millisecond // of a handshake: a server's work, and the slot that it takes for long
-	dialFactor = 4                     // a connection that takes so long to be made is worth that many times as long a wait
-	dialWeight = 0.2                   // of the last handshake in the mean
-	waitPart   = 0.5                   // of the time that a request has left: it waits no longer for a rest
-	lifetime   = 10 * time.Second      // over which waits are summed up: about as long as a connection that is hardly used lives
+	// minDialCost is the least cost of a handshake, as a time spent waiting: it covers the work of the server, and the slot
+	// that the connection occupies for long.
+	leastPrice = 60 * time.Millisecond
+	// dialCostFactor: a handshake costs as much as a wait that is so many times as long as the handshake takes.
+	dialFactor = 4
+	// dialSmoothing is the weight of the latest handshake in the moving average of their durations.
+	dialWeight = 0.2
+	// maxWaitShare is the largest part of a request's remaining time that it may spend waiting for a cooldown.
+	waitPart = 0.5
+	// costDecayTime is the time over which a sum of waits as large as the cost of a handshake is forgotten: about the
+	// lifetime of a connection that is hardly used.
+	lifetime = 10 * time.Second
 )
 
 // Idle is the state of one idle connection.
 type Idle struct {
-	Used bool          // it has carried a request: there may be more to come
-	For  time.Duration // it has been idle
+	Used bool          // it has carried a request, so that a second response may still arrive
+	For  time.Duration // how long it has been idle
 }
 
-// rested tells whether the connection may take a request now, as far as its rest goes.
+// cooledDown reports whether the cooldown of the connection, if it needs one, is over.
 func (i Idle) rested() bool { return !i.Used || i.For >= Rest }
 
-// Step is what to do for the next request.
+// Step says how the next request gets its connection.
 type Step int
 
 const (
-	Use  Step = iota // the connection at Index takes the request now
-	Wait             // it takes the request after Wait
+	Use  Step = iota // the idle connection at Index carries the request now
+	Wait             // the idle connection at Index carries the request after Wait
 	Dial             // a new connection is made for it
 )
 
-// Decision is what Choose decides.
+// Decision is the result of Choose.
 type Decision struct {
 	Step  Step
-	Index int           // in what was given to Choose
-	Wait  time.Duration // until the rest is over
-	Grow  bool          // besides, a connection is to be made for those to come
+	Index int           // into the idle connections given to Choose; unused for Dial
+	Wait  time.Duration // until the cooldown is over; 0 unless Step is Wait
+	Grow  bool          // also make a connection for later requests
 }
 
-// Server holds what is known of one server. Its zero value knows nothing. It is not safe for concurrent use.
+// Server decides for the connections to one server. It holds the cost of recent waits and of handshakes. The zero value has
+// no observations. It is not safe for concurrent use.
 type Server struct {
-	waited time.Duration // in all, less what has been forgotten
-	at     time.Duration // of the last decision
-	dial   time.Duration // mean time of a handshake
+	waited time.Duration // sum of recent waits, less what has decayed
+	at     time.Duration // time of the last wait
+	dial   time.Duration // moving average of the time that a handshake takes; 0 if unknown
 }
 
-// Choose decides for one request, at a time on a clock that runs evenly. idle are the server's idle connections, the one that has been idle
-// longest first; those that wait for a request already are not among them. left is the time by which the request must have been written.
+// Choose decides for one request. now is the time on any monotonic clock. idle holds the server's idle connections, the one
+// idle for longest first, without those that another request already waits for. timeLeft is the time until the request must
+// have been written.
 //
-// Of the rested ones the most recent is used: it is the least likely to have been closed by the server, and those that are not needed
-// grow old and are retired. Of those that rest, the one that has rested longest is waited for.
+// Of the connections that have cooled down, the one used last is chosen: the server is least likely to have closed it, and
+// connections that are not needed stay idle until they are closed. If none has cooled down, the request waits for the
+// one that has been idle for longest.
 func (s *Server) Choose(now time.Duration, idle []Idle, left time.Duration) Decision {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if idle[i].rested() {
@@ -77,7 +90,8 @@
 	return Decision{Step: Wait, Wait: wait, Grow: s.worthwhile(now, wait)}
 }
 
-// worthwhile adds a wait, and tells whether the waits of late have cost as much as a handshake. If so they are counted from nothing.
+// addWait adds a wait to the cost of recent waits, and reports whether that cost has reached the cost of a handshake. If so,
+// the sum starts again from zero.
 func (s *Server) worthwhile(now, wait time.Duration) bool {
 	price := s.price()
 	forgotten := time.Duration(float64(price) * float64(now-s.at) / float64(lifetime))
@@ -89,10 +103,10 @@
 	return true
 }
 
-// price is the wait that a handshake is worth.
+// dialCost returns the cost of a handshake, as a time spent waiting.
 func (s *Server) price() time.Duration { return max(leastPrice, dialFactor*s.dial) }
 
-// Dialled takes the time that a connection took to be made; for one that failed, the time after which it would have been given up.
+// RecordDial adds the duration of a handshake. For one that failed, took is the timeout of connecting.
 func (s *Server) Dialled(took time.Duration) {
 	if s.dial == 0 {
 		s.dial = took
--- a/internal/upstream/reuse/reuse_test.go
+++ b/internal/upstream/reuse/reuse_test.go
@@ -38,21 +38,22 @@
 	}
 }
 
-// A request that has little time left does not spend it on waiting.
+// A request does not wait for a cooldown that takes more than half of its remaining time.
 func TestLittleTimeLeft(t *testing.T) {
 	t.Parallel()
 	for left, want := range map[time.Duration]Step{time.Second: Wait, 40 * ms: Wait, 39 * ms: Dial, 0: Dial, -ms: Dial} {
 		if got := new(Server).Choose(0, []Idle{{Used: true, For: Rest - 20*ms}}, left); got.Step != want {
-			t.Errorf("%v left: %+v", left, got)
+			t.Errorf("%v left, 20 ms of cooldown to wait for: %+v, want step %v", left, got, want)
 		}
 		if got := new(Server).Choose(0, []Idle{{Used: true, For: Rest}}, left); got.Step != Use {
-			t.Errorf("%v left, one that has rested: %+v", left, got)
+			t.Errorf("%v left, a connection that has cooled down: %+v, want it used", left, got)
 		}
 	}
 }
 
-// However a pool stands and whatever has been learned of its server, no used connection takes a request before its rest is over, and none
-// waits for longer than a rest.
+// In any state of the pool, and with any history of handshakes, no used connection is given a request before its cooldown
+// is over, and no request waits for longer than one cooldown. A request with enough time left makes no new connection
+// beside idle ones.
 func TestNoneIsUsedBeforeItHasRested(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
@@ -72,28 +73,28 @@
 			d := s.Choose(now, idle, left)
 			if d.Step == Dial {
 				if len(idle) > 0 && left >= 2*Rest {
-					r.Fatalf("a new connection beside %v, with %v left", idle, left)
+					r.Fatalf("a new connection beside the idle ones %v, with %v left", idle, left)
 				}
 				continue
 			}
 			c := idle[d.Index]
 			if c.Used && c.For+d.Wait < Rest {
-				r.Fatalf("%+v with %v", d, idle)
+				r.Fatalf("%+v uses a connection before its cooldown is over; idle: %v", d, idle)
 			}
 			if d.Wait < 0 || d.Wait > Rest || d.Step == Use && d.Wait > 0 {
-				r.Fatalf("%+v with %v", d, idle)
+				r.Fatalf("%+v has a wrong wait; idle: %v", d, idle)
 			}
 		}
 	})
 }
 
-// Waits that go on lead to one more connection, the later the dearer a handshake is; rare ones lead to none.
+// Frequent waits lead to one more connection, after the more waits the longer a handshake takes; rare waits lead to none.
 func TestGrowsWhenWaitsCostAsMuch(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
 		dial, every time.Duration
-		most        int // requests until it grows; 0: it never does
-		least       int
+		most        int // most requests until a connection is added; 0: none is
+		least       int // fewest requests until then
 	}{
 		"one after the other":    {0, 30 * ms, 5, 2},
 		"a slow handshake":       {50 * ms, 30 * ms, 30, 6},
@@ -111,7 +112,7 @@
 			}
 		}
 		if grew < c.least || grew > c.most {
-			t.Errorf("%s: grew at request %d, want %d to %d", name, grew, c.least, c.most)
+			t.Errorf("%s: a connection was added at request %d, want %d to %d", name, grew, c.least, c.most)
 		}
 	}
 }
