--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -1,6 +1,6 @@
-// Package logqueue keeps a log from holding up the program that writes it: lines wait in a bounded queue for a writer of
-// their own. A reader that stops reading (a full pipe, a terminal that is halted) then costs log lines, which are counted,
-// and nothing else.
+// Package logqueue keeps a slow log reader from blocking the program: log lines are queued, up to a bound, and written by
+// a goroutine of their own. If the reader stops (a full pipe, a stopped terminal), lines are lost and counted, and nothing
+// else happens.
 package logqueue
 
 import (
@@ -11,37 +11,39 @@
 )
 
 const (
-	// DefaultLines is the most lines that wait. A fleet that fails at once brings some 200 lines of 100 bytes.
+	// DefaultLines is the default for the most queued lines. If a whole fleet fails at once, about 200 lines of 100 bytes are
+	// logged.
 	DefaultLines = 1024
-	// DefaultBytes is the most bytes that wait, over all lines.
+	// DefaultBytes is the default for the most queued bytes, over all lines.
 	DefaultBytes = 128 << 10
-	// CloseWait is how long Close waits for what is queued to be written.
+	// CloseWait is how long Close waits until the queued lines are written.
 	CloseWait = 200 * time.Millisecond
 )
 
-// Queue is an io.Writer whose Write never blocks. Its zero value is not usable: see New.
+// Queue is an io.Writer whose Write never blocks. It must be made by New.
 type Queue struct {
 	w        io.Writer
 	maxLines int
 	maxBytes int
-	done     chan struct{} // closed once the writer has ended
+	done     chan struct{} // closed once the writing goroutine has ended
 
 	mu      sync.Mutex
-	more    sync.Cond // there are lines, or it closes
+	more    sync.Cond // signalled when a line is queued, or the queue is closing
 	lines   []line
-	bytes   int    // of lines
-	missing uint64 // lost since the last line that was taken
-	lost    uint64 // in all
+	bytes   int    // total length of lines
+	missing uint64 // lines lost since the last one was queued
+	lost    uint64 // lines lost in all
 	closing bool
 }
 
+// line is a queued log line.
 type line struct {
 	text   []byte
-	before uint64 // lines lost right before this one
+	before uint64 // number of lines lost right before this one
 }
 
-// New starts a queue in front of w, which holds at most so many lines and bytes; 0 stands for the defaults.
-// Close ends it.
+// New returns a queue that writes to w, and starts its writing goroutine, which Close ends. It holds at most the given
+// numbers of lines and bytes; 0 stands for the defaults.
 func New(w io.Writer, lines, bytes int) *Queue {
 	if lines <= 0 {
 		lines = DefaultLines
@@ -55,8 +57,8 @@
 	return q
 }
 
-// Write takes one line, or counts it as lost where there is no room. It reports success either way: who logs can do
-// nothing about it. It keeps no reference to p.
+// Write queues one line, or counts it as lost if the queue is full or closing. It reports success either way, as a logger
+// cannot handle the error. It keeps no reference to p.
 func (q *Queue) Write(p []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -72,16 +74,17 @@
 	return len(p), nil
 }
 
-// Lost is the number of lines that were not written for want of room.
+// Lost returns the number of lines lost so far.
 func (q *Queue) Lost() uint64 {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.lost
 }
 
-// Close takes no more lines and waits for those that are queued, for CloseWait at most. A write that still hangs then
-// is broken off where w has deadlines (a pipe that does not block). Where it has none, a system call that nobody can
-// end goes on, and the writer ends with the process: Close is for its last moment. It tells whether all was written.
+// Close rejects further lines, and waits until the queued ones are written, for at most CloseWait. A write that still blocks
+// then is ended through a deadline if w supports one, as a non-blocking pipe does. Otherwise the system call cannot be
+// ended, and the writing goroutine stays until the process exits: Close should be the last thing that a process does. It
+// reports whether everything was written.
 func (q *Queue) Close() bool {
 	q.mu.Lock()
 	q.closing = true
@@ -100,7 +103,7 @@
 	return false
 }
 
-// run writes what is queued, one line a call, and says how many are missing where they are.
+// run writes the queued lines, one for each call of Write. Where lines were lost it writes a line with their number.
 func (q *Queue) run() {
 	defer close(q.done)
 	for {
@@ -125,6 +128,7 @@
 	}
 }
 
+// writeLost writes a log line with the number of lost lines, if there are any.
 func (q *Queue) tellLost(n uint64) {
 	if n > 0 {
 		slog.New(slog.NewTextHandler(q.w, nil)).Warn("log lines lost: the log's reader is too slow", "lines", n)
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// gate is a writer that holds each write until it is opened.
+// gatedWriter is a writer whose writes block until open is closed.
 type gate struct {
-	entered chan struct{}
+	entered chan struct{} // receives a value when a write starts
 	open    chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
@@ -30,12 +30,13 @@
 	return g.got.Write(p)
 }
 
-// A writer that hangs costs lines and no time; what is lost is counted, and told where it is missing.
+// While the underlying writer blocks, lines are lost but Write does not block. Lost lines are counted, and reported in the log
+// at the place where they are missing.
 func TestReaderThatStops(t *testing.T) {
 	g := &gate{entered: make(chan struct{}, 1), open: make(chan struct{})}
 	q := New(g, 3, 0)
 	fmt.Fprintln(q, "first")
-	<-g.entered // it hangs in the writer's hands
+	<-g.entered // the first line has left the queue, and its write blocks
 	for i := range 10 {
 		fmt.Fprintf(q, "line %d\n", i)
 	}
@@ -48,7 +49,7 @@
 	}
 	fmt.Fprintln(q, "last")
 	if !q.Close() {
-		t.Error("not all was written")
+		t.Error("not everything was written")
 	}
 	lines := strings.Split(strings.TrimSpace(g.got.String()), "\n")
 	if len(lines) != 6 || lines[0] != "first" || lines[3] != "line 2" || !strings.Contains(lines[4], "lines=7") || lines[5] != "last" {
@@ -56,12 +57,14 @@
 	}
 }
 
+// queued returns the number of queued lines.
 func (q *Queue) queued() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.lines)
 }
 
+// The bound on bytes applies as well as that on lines, and a line after Close counts as lost.
 func TestBoundInBytes(t *testing.T) {
 	g := &gate{entered: make(chan struct{}, 1), open: make(chan struct{})}
 	q := New(g, 0, 1000)
@@ -79,11 +82,12 @@
 	}
 	q.Write([]byte("late"))
 	if q.Lost() != 4 {
-		t.Error("a line after the end is not counted")
+		t.Errorf("%d lost, want 4: a line after Close counts as lost", q.Lost())
 	}
 }
 
-// Close ends in time with a pipe that nobody reads, and its writer ends too, as the pipe has deadlines.
+// With a pipe that nobody reads, Close returns after CloseWait, and the writing goroutine ends because a pipe supports
+// deadlines.
 func TestCloseWithUnreadPipe(t *testing.T) {
 	r, w, err := os.Pipe()
 	if err != nil {
@@ -94,12 +98,12 @@
 	q := New(w, 0, 0)
 	q.Write(make([]byte, DefaultBytes)) // more than a pipe holds
 	if q.Close() {
-		t.Error("all written, with nobody to read it")
+		t.Error("Close reports that everything was written to a pipe that nobody reads")
 	}
 	select {
 	case <-q.done:
 	default:
-		t.Error("the writer goes on")
+		t.Error("the writing goroutine is still running")
 	}
 }
 
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops serves the node's second address: whether the process can serve, and its figures. It takes no lock that a
-// request holds, and its connections are its own.
+// Package ops serves the node's second address, for operations: /healthcheck and /stats. It takes no lock that the serving of
+// requests holds, and has its own listener and connections, so that it answers under any load.
 package ops
 
 import (
@@ -15,12 +15,13 @@
 )
 
 const (
-	// Connections at once. At the bound the oldest makes room: an answer takes no time, so that one has brought no whole call.
+	// MaxConnections is the most connections open at once. A further one replaces the oldest: as answers are written at once,
+	// the oldest has most likely not sent a complete call.
 	Connections = 8
-	// Descriptors is what the second address takes at most: its listener, its connections, and one that has been accepted.
+	// MaxDescriptors is the most file descriptors in use: the listener, the connections, and one just accepted.
 	Descriptors = Connections + 2
-	callWait    = 5 * time.Second // for a call, all of it; and again for its answer
-	headerLimit = 8 << 10
+	callWait    = 5 * time.Second // to read a whole call, and again to write its answer
+	headerLimit = 8 << 10         // of a call, in bytes
 )
 
 // Server serves the second address on one listener.
@@ -29,7 +30,8 @@
 	server *http.Server
 }
 
-// New makes a server. healthy tells whether the process can serve; figures writes them. Neither may block.
+// New returns a server on a listener. healthy reports whether the process can serve requests; metrics writes the answer to
+// /stats. Neither may block.
 func New(l *net.TCPListener, healthy func() bool, figures io.WriterTo, log *slog.Logger) *Server {
 	s := &Server{door: &door{TCPListener: l}}
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -56,7 +58,7 @@
 	return s
 }
 
-// Serve answers calls until Close.
+// Serve answers calls until Close, and then returns nil.
 func (s *Server) Serve() error {
 	err := s.server.Serve(s.door)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -65,26 +67,27 @@
 	return err
 }
 
-// Close ends Serve, and all connections with it.
+// Close ends Serve and closes all connections.
 func (s *Server) Close() { s.server.Close() }
 
-// door bounds the connections of a listener.
+// boundedListener limits the number of connections open at once.
 type door struct {
 	*net.TCPListener
 	retry accept.Retry
 	mu    sync.Mutex
-	open  []*conn // the oldest first
+	open  []*conn // open connections, the oldest first
 }
 
-// conn embeds *net.TCPConn: net/http would reset connections whose CloseWrite it doesn't see.
+// conn removes itself from its listener when it is closed. It embeds *net.TCPConn because net/http closes a connection with
+// a reset if it has no CloseWrite method.
 type conn struct {
 	*net.TCPConn
 	owner *door
 	once  sync.Once
 }
 
-// Accept waits for the next connection. With Connections open already, it closes the oldest. It fails once the listener is
-// closed, and for nothing else.
+// Accept waits for the next connection. If MaxConnections are open already, it closes the oldest. It retries after temporary
+// errors, and fails only once the listener is closed.
 func (d *door) Accept() (net.Conn, error) {
 	raw, err := d.AcceptTCP()
 	for err != nil && d.retry.After(err) {
@@ -108,7 +111,7 @@
 	return c, nil
 }
 
-// Close closes the connection and forgets it. From the second call on it returns net.ErrClosed.
+// Close closes the connection and removes it from its listener. Further calls return net.ErrClosed.
 func (c *conn) Close() error {
 	err := net.ErrClosed
 	c.once.Do(func() {
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -17,6 +17,7 @@
 	"starlingvalve/internal/testkit"
 )
 
+// serve starts a server, and returns its address.
 func serve(t *testing.T, healthy func() bool, figures io.WriterTo) string {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -35,6 +36,8 @@
 	return l.Addr().String()
 }
 
+// call sends text on a new connection, and returns the status and body of the answer. It checks that the connection is closed
+// after the answer.
 func call(t *testing.T, addr, text string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -53,18 +56,19 @@
 		t.Errorf("%q: %v, closes: %v", text, err, resp.Close)
 	}
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("%q: the connection goes on: %v", text, err)
+		t.Errorf("%q: the connection is not closed after the answer: %v", text, err)
 	}
 	return resp.StatusCode, string(raw)
 }
 
+// Statuses for each kind of call, and the names, order and values of all metrics.
 func TestCalls(t *testing.T) {
 	var able atomic.Bool
 	f := stats.New([]string{"clip", "order"})
 	addr := serve(t, able.Load, f)
 	const host = " HTTP/1.1\r\nHost: h\r\n\r\n"
 	if status, _ := call(t, addr, "GET /healthcheck"+host); status != 503 {
-		t.Errorf("not able: %d", status)
+		t.Errorf("health check while the process can't serve: %d, want 503", status)
 	}
 	able.Store(true)
 	for text, want := range map[string]int{"GET /healthcheck" + host: 200, "GET /stats" + host: 200, "POST /stats" + host: 405,
@@ -110,11 +114,11 @@
 		"gw.guard.deadline.refused:0|c\ngw.guard.deadline.violated:0|c\ngw.guard.departed.refused:1|c\ngw.guard.departed.violated:0|c\n" +
 		"gw.guard.unwatched_sends:0|c\n"
 	if text != want {
-		t.Errorf("figures\n%s, want\n%s", text, want)
+		t.Errorf("metrics\n%s, want\n%s", text, want)
 	}
 }
 
-// Callers that say nothing, or half a call, and stay hold out nobody, and their number is bounded.
+// Callers that send nothing, or a part of a call, and keep their connections open do not keep others from being served.
 func TestMuteCallers(t *testing.T) {
 	addr := serve(t, func() bool { return true }, stats.New(nil))
 	for i := range 100 {
@@ -129,9 +133,9 @@
 	}
 	began := time.Now()
 	if status, body := call(t, addr, "GET /stats HTTP/1.1\r\nHost: h\r\n\r\n"); status != 200 || !strings.HasPrefix(body, "gw.sends:0|c") {
-		t.Errorf("%d %q", status, body)
+		t.Errorf("status %d, body %q", status, body)
 	}
 	if took := time.Since(began); took > time.Second {
-		t.Errorf("beside mute callers a call took %v", took)
+		t.Errorf("with unresponsive callers a call took %v, want at most 1 s", took)
 	}
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats holds the figures that a node reports: what it has served, refused and failed, what it has sent, and what it
-// has now. Each is an atomic that is counted where the thing happens: whoever reads them waits for nobody.
+// Package stats holds the metrics of a node: counters of requests by their end, of attempts, lists and calls to discovery, and
+// gauges of its present state. Each is an atomic that is updated where the event happens, so that readers never block.
 package stats
 
 import (
@@ -12,39 +12,40 @@
 	"starlingvalve/internal/guard"
 )
 
-// Ends are the requests of one class that are over, by their end. They never go down.
+// ClassCounts counts the ended requests of one class, by how they ended. The counts never go down.
 type Ends struct {
-	Answered atomic.Int64 // served: 200
-	Deferred atomic.Int64 // refused: 429 or 503, a new try does no harm
-	Errored  atomic.Int64 // any other end
+	Answered atomic.Int64 // answered with 200
+	Deferred atomic.Int64 // refused with 429 or 503: a retry is harmless
+	Errored  atomic.Int64 // ended in any other way
 
-	bounds []time.Duration // none: times are not counted
-	took   []atomic.Int64  // answers of 200 by how long they took: up to each bound, and beyond the last
+	bounds []time.Duration // upper bounds of the latency buckets, ascending; nil: latencies are not counted
+	took   []atomic.Int64  // 200 responses by latency: one bucket up to each bound, and one above the last
 }
 
-// Figures of one process, from 0 at its start. A nil *Figures counts nothing.
+// Metrics holds the metrics of one process, counted from its start. A nil *Metrics counts nothing.
 type Figures struct {
 	names   []string
 	classes map[string]*Ends
 
-	sends     atomic.Int64 // attempts whose last byte has been written to a server; each copy counts, probes don't
-	current   atomic.Int64 // requests taken and not ended
-	size      atomic.Int64 // listed servers
-	unhealthy atomic.Int64 // listed servers that the node avoids
-
-	outcomes    [outcomeKinds]atomic.Int64 // attempts by how they ended
-	lists       [sourceKinds]atomic.Int64  // lists that were taken in, by their source
-	transitions atomic.Int64               // of servers' states
-	revision    atomic.Int64
-	listAge     atomic.Int64 // ms since discovery was last known to have nothing newer; -1: it never was
-	watched     atomic.Int64 // 1: a watch keeps the list fresh
-	usable      atomic.Int64 // 1: something vouches for the list, or for some server of it
-	unvouched   atomic.Int64 // requests refused as nothing did
-	calls       [callKinds]atomic.Int64
+	sends     atomic.Int64 // attempts whose last byte was written to a server, copies included and probes not
+	current   atomic.Int64 // requests received completely and not ended
+	size      atomic.Int64 // servers on the list
+	unhealthy atomic.Int64 // servers on the list to which the node sends no normal traffic
+
+	outcomes    [outcomeKinds]atomic.Int64 // attempts by outcome
+	lists       [sourceKinds]atomic.Int64  // applied lists by source
+	transitions atomic.Int64               // changes of the state of a server
+	revision    atomic.Int64 // of the list in force
+	listAge     atomic.Int64 // ms since the list was last known to be the newest that discovery has; -1: never
+	watched     atomic.Int64 // 1 while a watch keeps the list up to date, 0 otherwise
+	usable      atomic.Int64 // 1 while the list, or at least one server of it, is confirmed recently enough, 0 otherwise
+	unvouched   atomic.Int64 // requests refused because there was no valid list
+	calls       [callKinds]atomic.Int64 // calls to discovery by how they ended
 	guard       atomic.Pointer[guard.Guard]
 }
 
-// New makes the figures of a node with these classes. Others are not counted: clients may invent any.
+// New returns the metrics of a node with these classes. Requests of other classes are not counted, as clients may send any
+// name.
 func New(classes []string) *Figures {
 	f := &Figures{names: classes, classes: map[string]*Ends{}}
 	for _, name := range classes {
@@ -53,7 +54,7 @@
 	return f
 }
 
-// Class gives the ends of a class, or nil.
+// Class returns the counts of a class, or nil if it is unknown.
 func (f *Figures) Class(name string) *Ends {
 	if f == nil {
 		return nil
@@ -61,7 +62,7 @@
 	return f.classes[name]
 }
 
-// End counts a request of a class by the status of its final answer.
+// RequestEnded counts a request of a class by the status of its final response.
 func (f *Figures) End(class string, status int) {
 	e := f.Class(class)
 	switch {
@@ -75,14 +76,15 @@
 	}
 }
 
-// Time has the times counted that a class's answers of 200 take, by these bounds, which rise. It is called before any is answered.
+// TrackLatency enables the counting of latencies of a class, in buckets with these upper bounds, which must be ascending. It
+// must be called before the first request of the class is answered.
 func (f *Figures) Time(class string, bounds []time.Duration) {
 	if e := f.Class(class); e != nil {
 		e.bounds, e.took = bounds, make([]atomic.Int64, len(bounds)+1)
 	}
 }
 
-// Took counts how long an answer took since a request began, if that is counted.
+// RecordLatency counts the time since the start of a request if its status is 200 and the latencies of its class are counted.
 func (f *Figures) Took(class string, status int, began time.Time) {
 	e := f.Class(class)
 	if e == nil || e.bounds == nil || status != 200 {
@@ -92,7 +94,7 @@
 	e.took[i].Add(1)
 }
 
-// Times gives how many answers of a class took how long, by its bounds; nil: that is not counted.
+// LatencyCounts returns the number of responses in each latency bucket of a class, or nil if they are not counted.
 func (f *Figures) Times(class string) (counts []uint64) {
 	e := f.Class(class)
 	if e == nil {
@@ -104,7 +106,7 @@
 	return counts
 }
 
-// Each gives the ends of every class, by its name.
+// EachClass calls visit with the counts of each class, in the order of New.
 func (f *Figures) Each(take func(class string, answered, deferred, errored int64)) {
 	for _, name := range f.names {
 		e := f.classes[name]
@@ -112,27 +114,27 @@
 	}
 }
 
-// Sent counts an attempt that has been written whole to a server.
+// AttemptSent counts an attempt that was written completely to a server.
 func (f *Figures) Sent() {
 	if f != nil {
 		f.sends.Add(1)
 	}
 }
 
-// Taken counts a request that has come whole, or with n = -1 its end, whichever way.
+// AddInFlight changes the number of requests in flight: n is 1 for a request received completely, and -1 at its end.
 func (f *Figures) Taken(n int64) {
 	if f != nil {
 		f.current.Add(n)
 	}
 }
 
-// Outcomes of attempts and sources of lists, in the order of decide.OutcomeCode and serverlist.Source.
+// Names of outcomes of attempts and of sources of lists, in the order of decide.OutcomeCode and serverlist.Source.
 var (
 	outcomeNames = []string{"ok", "error", "full", "timeout", "connect", "reset", "cancelled", "moot"}
 	sourceNames  = []string{"none", "cache", "predecessor", "call", "watch", "push", "cordon"}
 )
 
-// Ends of calls to discovery, in the order of decide.FailureCause; the first is that of answered ones.
+// Names of the results of calls to discovery, in the order of decide.FailureCause; the first is for answered calls.
 var callNames = []string{"answered", "moved", "went_down", "broken", "unreachable", "crowded", "useless"}
 
 const (
@@ -141,21 +143,21 @@
 	sourceKinds  = 7
 )
 
-// Guarded has the figures of a guard reported, too.
+// SetGuard adds the counts of a guard to the metrics that are written.
 func (f *Figures) Guarded(g *guard.Guard) {
 	if f != nil {
 		f.guard.Store(g)
 	}
 }
 
-// Ended counts an attempt by its outcome, a decide.OutcomeCode.
+// AttemptEnded counts an attempt by its outcome, a decide.OutcomeCode.
 func (f *Figures) Ended(outcome int) {
 	if f != nil && outcome >= 0 && outcome < outcomeKinds {
 		f.outcomes[outcome].Add(1)
 	}
 }
 
-// Applied counts a list by its source, a serverlist.Source, and the states of servers that it changed.
+// ListApplied counts an applied list by its source, a serverlist.Source, and the number of servers whose state it changed.
 func (f *Figures) Applied(source, transitions int) {
 	if f != nil && source >= 0 && source < sourceKinds {
 		f.lists[source].Add(1)
@@ -163,7 +165,8 @@
 	}
 }
 
-// List sets what is known of the list in force: a negative age means that discovery has never confirmed it.
+// SetList sets the gauges of the list in force: its revision, the time since discovery last confirmed it (negative: never),
+// and whether a watch keeps it up to date.
 func (f *Figures) List(revision uint64, age time.Duration, watched bool) {
 	if f == nil {
 		return
@@ -176,14 +179,14 @@
 	}
 }
 
-// Called counts a call to discovery that has ended, or a watch that has broken, by its decide.FailureCause; 0: it was answered.
+// CallEnded counts an ended call to discovery, or a failed watch, by its decide.FailureCause; 0 means that it was answered.
 func (f *Figures) Called(cause int) {
 	if f != nil && cause >= 0 && cause < callKinds {
 		f.calls[cause].Add(1)
 	}
 }
 
-// Usable sets whether the list may be used.
+// SetUsable sets whether the list, or at least one server of it, is valid, so that requests can be sent.
 func (f *Figures) Usable(usable bool) {
 	if f == nil {
 		return
@@ -194,14 +197,14 @@
 	}
 }
 
-// Unvouched counts a request that was refused as nothing vouched for the list.
+// RefusedNoList counts a request that was refused because there was no valid list.
 func (f *Figures) Unvouched() {
 	if f != nil {
 		f.unvouched.Add(1)
 	}
 }
 
-// Cluster sets how many servers are listed, and how many of those the node avoids.
+// SetServers sets the number of servers on the list, and how many of them get no normal traffic from this node.
 func (f *Figures) Cluster(size, unhealthy int) {
 	if f != nil {
 		f.size.Store(int64(size))
@@ -209,7 +212,7 @@
 	}
 }
 
-// WriteTo writes the figures, one a line: counts as NAME:N|c, what is now as NAME:N|g.
+// WriteTo writes the metrics, one per line, in the form of statsd: counters as NAME:N|c, gauges as NAME:N|g.
 func (f *Figures) WriteTo(w io.Writer) (int64, error) {
 	text := make([]byte, 0, 256+128*len(f.names))
 	line := func(name string, v int64, kind string) {
