--- a/internal/gossip/audience_test.go
+++ b/internal/gossip/audience_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Two nodes whose subsets share a server are in each other's audience, for any number of nodes and servers and any size of
-// subset. The audience holds only a few other nodes.
+// Two nodes whose subsets share a server are in each other's audience, for any number of nodes and servers and any
+// size of subset. The audience holds only a few other nodes.
 func TestAudienceMeets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, servers := rapid.IntRange(1, 160).Draw(t, "nodes"), rapid.IntRange(1, 250).Draw(t, "servers")
--- a/internal/gossip/estimate.go
+++ b/internal/gossip/estimate.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// LoadEstimator estimates the load from other nodes while no load reports arrive: if the network loses all datagrams between
-// nodes, the other nodes still send requests. A node's own share of all requests at its servers changes slowly, so the
-// others' requests are estimated from its own. The zero value has received no report. It is not safe for concurrent use.
+// LoadEstimator estimates the load from other nodes while no load reports arrive: if the network loses all datagrams
+// between nodes, the other nodes still send requests. A node's own share of all requests at its servers changes
+// slowly, so the others' requests are estimated from its own. The zero value has received no report. It is not safe
+// for concurrent use.
 type Reckoning struct {
 	lastMessage time.Duration // when the latest message arrived
 	resumed     time.Duration // when the first message after the latest gap arrived
@@ -33,7 +34,8 @@
 	leastObserved = 4.0
 )
 
-// MessageReceived records that a message of another node arrived. now is the time on any monotonic clock, here and below.
+// MessageReceived records that a message of another node arrived. now is the time on any monotonic clock, here and
+// below.
 func (r *Reckoning) Heard(now time.Duration) {
 	if r.anyMessage && now-r.lastMessage > silenceLimit {
 		r.resumed, r.interrupted = now, true
@@ -59,8 +61,8 @@
 	}
 }
 
-// EstimateOthers returns the estimated number of requests that the other nodes have in flight at all servers of this node
-// together. ok is false as long as the node's share is not known.
+// EstimateOthers returns the estimated number of requests that the other nodes have in flight at all servers of this
+// node together. ok is false as long as the node's share is not known.
 func (r *Reckoning) Others() (requests float64, ok bool) {
 	if r.allSeconds < leastObserved || r.ownSeconds <= 0 {
 		return 0, false
--- a/internal/gossip/estimate_test.go
+++ b/internal/gossip/estimate_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A node that has a tenth of all requests estimates those of the others at nine times its own while no reports arrive, and
-// follows changes of its own load. After a gap it uses reports again once all nodes have had time to send theirs.
+// A node that has a tenth of all requests estimates those of the others at nine times its own while no reports arrive,
+// and follows changes of its own load. After a gap it uses reports again once all nodes have had time to send theirs.
 func TestReckoning(t *testing.T) {
 	var r Reckoning
 	now := time.Duration(0)
--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -1,6 +1,6 @@
-// Package logqueue keeps a slow log reader from blocking the program: log lines are queued, up to a bound, and written by
-// a goroutine of their own. If the reader stops (a full pipe, a stopped terminal), lines are lost and counted, and nothing
-// else happens.
+// Package logqueue keeps a slow log reader from blocking the program: log lines are queued, up to a bound, and written
+// by a goroutine of their own. If the reader stops (a full pipe, a stopped terminal), lines are lost and counted, and
+// nothing else happens.
 package logqueue
 
 import (
@@ -11,8 +11,8 @@
 )
 
 const (
-	// DefaultLines is the default for the most queued lines. If a whole fleet fails at once, about 200 lines of 100 bytes are
-	// logged.
+	// DefaultLines is the default for the most queued lines. If a whole fleet fails at once, about 200 lines of 100
+	// bytes are logged.
 	DefaultLines = 1024
 	// DefaultBytes is the default for the most queued bytes, over all lines.
 	DefaultBytes = 128 << 10
@@ -57,8 +57,8 @@
 	return q
 }
 
-// Write queues one line, or counts it as lost if the queue is full or closing. It reports success either way, as a logger
-// cannot handle the error. It keeps no reference to p.
+// Write queues one line, or counts it as lost if the queue is full or closing. It reports success either way, as a
+// logger cannot handle the error. It keeps no reference to p.
 func (q *Queue) Write(p []byte) (int, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -81,10 +81,10 @@
 	return q.lost
 }
 
-// Close rejects further lines, and waits until the queued ones are written, for at most CloseWait. A write that still blocks
-// then is ended through a deadline if w supports one, as a non-blocking pipe does. Otherwise the system call cannot be
-// ended, and the writing goroutine stays until the process exits: Close should be the last thing that a process does. It
-// reports whether everything was written.
+// Close rejects further lines, and waits until the queued ones are written, for at most CloseWait. A write that still
+// blocks then is ended through a deadline if w supports one, as a non-blocking pipe does. Otherwise the system call
+// cannot be ended, and the writing goroutine stays until the process exits: Close should be the last thing that a
+// process does. It reports whether everything was written.
 func (q *Queue) Close() bool {
 	q.mu.Lock()
 	q.closing = true
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -30,8 +30,8 @@
 	return g.got.Write(p)
 }
 
-// While the underlying writer blocks, lines are lost but Write does not block. Lost lines are counted, and reported in the log
-// at the place where they are missing.
+// While the underlying writer blocks, lines are lost but Write does not block. Lost lines are counted, and reported in
+// the log at the place where they are missing.
 func TestReaderThatStops(t *testing.T) {
 	g := &gate{entered: make(chan struct{}, 1), open: make(chan struct{})}
 	q := New(g, 3, 0)
--- a/internal/member/registry/call.go
+++ b/internal/member/registry/call.go
@@ -20,8 +20,9 @@
 // callKind is the purpose of a call to discovery, as it is logged.
 type callKind string
 
-// The kinds of calls. Calls that continue a watch are frequent, and are logged at the debug level unless they fail. Calls to
-// an agent are made several times a second, and fail while discovery is down: they are logged at the debug level only.
+// The kinds of calls. Calls that continue a watch are frequent, and are logged at the debug level unless they fail.
+// Calls to an agent are made several times a second, and fail while discovery is down: they are logged at the debug
+// level only.
 const (
 	callWhole  callKind = "whole list"
 	callBegins callKind = "begin watch"
@@ -84,8 +85,8 @@
 var localErrors = []error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE,
 	syscall.ENFILE, syscall.EAGAIN, syscall.EINTR}
 
-// isLocalFailure reports whether a call failed because of a shortage on this machine. A retry soon after costs discovery
-// nothing, while the backoff after failures of discovery could last longer than a change may go unnoticed.
+// isLocalFailure reports whether a call failed because of a shortage on this machine. A retry soon after costs
+// discovery nothing, while the backoff after failures of discovery could last longer than a change may go unnoticed.
 func local(err error) bool {
 	var system syscall.Errno
 	return errors.As(err, &system) && slices.Contains(localErrors, error(system))
@@ -94,8 +95,8 @@
 // errUnavailable is the answer of a discovery service that is down, or has no capacity for the call.
 var errUnavailable = errors.New("discovery answered 503")
 
-// callError returns the core.CallError for a failed call: the cause, and how long the call took if it was the first one of
-// its watch. The time of a further call holds its wait for a change, and is left out.
+// callError returns the core.CallError for a failed call: the cause, and how long the call took if it was the first
+// one of its watch. The time of a further call holds its wait for a change, and is left out.
 func (p *pacing) failed(err error, first bool, took time.Duration) error {
 	failure := &core.CallError{Cause: p.cause(err, first, took), Err: err}
 	if first {
@@ -104,9 +105,9 @@
 	return failure
 }
 
-// cause classifies the error of a failed call or watch. An overloaded discovery service ends calls that it has queued for
-// too long with 503 or a reset, and refuses others at once, as it also does while it is down. Only a failure to connect or
-// a missing answer shows that it is unreachable.
+// cause classifies the error of a failed call or watch. An overloaded discovery service ends calls that it has queued
+// for too long with 503 or a reset, and refuses others at once, as it also does while it is down. Only a failure to
+// connect or a missing answer shows that it is unreachable.
 func (p *pacing) cause(err error, first bool, took time.Duration) decide.FailureCause {
 	unavailable := errors.Is(err, errUnavailable)
 	switch {
--- a/internal/member/registry/decode.go
+++ b/internal/member/registry/decode.go
@@ -18,8 +18,9 @@
 // states maps the state of a server, as discovery has it, to the module's.
 var states = map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
 
-// Decode parses a list in the JSON form of discovery. It returns an error if any entry is invalid: an empty id, an unknown
-// state, or an address that is not IP:port, except for servers that are gone. Start times are clamped to [0, maxStartTime].
+// Decode parses a list in the JSON form of discovery. It returns an error if any entry is invalid: an empty id, an
+// unknown state, or an address that is not IP:port, except for servers that are gone. Start times are clamped to [0,
+// maxStartTime].
 func Decode(raw []byte) (core.List, error) {
 	var in struct {
 		Version *uint64 `json:"version"`
@@ -56,9 +57,9 @@
 	return l, nil
 }
 
-// ServerID returns the module's id for a server's name. It is the same at every node, because the order of servers that all
-// nodes share depends on it. If the name has exactly eight hex digits after its first dash, the id is their value;
-// otherwise it is a hash of the name.
+// ServerID returns the module's id for a server's name. It is the same at every node, because the order of servers
+// that all nodes share depends on it. If the name has exactly eight hex digits after its first dash, the id is their
+// value; otherwise it is a hash of the name.
 func ServerID(name string) decide.ServerID {
 	if _, digits, ok := strings.Cut(name, "-"); ok && len(digits) == 8 {
 		if v, err := strconv.ParseUint(digits, 16, 32); err == nil {
--- a/internal/member/registry/endings_test.go
+++ b/internal/member/registry/endings_test.go
@@ -48,10 +48,10 @@
 // drainingEntry is a draining server as a list holds it.
 const drains = `{"id":"s-00000001","addr":"127.0.0.1:9","state":"draining"}`
 
-// A watch that becomes unresponsive, before the header of an answer, after it or in the middle of a list, is started again
-// at once, from the version that it had; the first answer of the new one holds what was missed. With the wait that other
-// list requests have before them, in a fleet of 40 nodes, that answer came up to 3.4 s after the wait of the call was
-// over, and the limit is 2 s.
+// A watch that becomes unresponsive, before the header of an answer, after it or in the middle of a list, is started
+// again at once, from the version that it had; the first answer of the new one holds what was missed. With the wait
+// that other list requests have before them, in a fleet of 40 nodes, that answer came up to 3.4 s after the wait of
+// the call was over, and the limit is 2 s.
 func TestSilentWatchIsBegunAnew(t *testing.T) {
 	t.Parallel()
 	whole := list(8, false, drains)
@@ -96,8 +96,8 @@
 
 // An answer of a watch that is older than one delivered before is dropped: a draining server would be ready again. The
 // whole list is requested at once, because the node soon counts as notified of later changes; if another older answer
-// follows, the watch ends. The versions of a discovery service that was restarted may start again: if the first answer has
-// a lower version than the watch started from, and holds changes only, the whole list is requested.
+// follows, the watch ends. The versions of a discovery service that was restarted may start again: if the first answer
+// has a lower version than the watch started from, and holds changes only, the whole list is requested.
 func TestOlderLists(t *testing.T) {
 	t.Parallel()
 	d, older := asked(t, decide.Settings{}, func(n int, w io.Writer) {
@@ -125,8 +125,8 @@
 	}
 }
 
-// An answer of a watch that is cut off shows that there is a change: it is requested again at once, and delivered. If the
-// next one is cut off too, the watch ends.
+// An answer of a watch that is cut off shows that there is a change: it is requested again at once, and delivered. If
+// the next one is cut off too, the watch ends.
 func TestBrokenAnswerIsAskedForAgain(t *testing.T) {
 	t.Parallel()
 	for again, want := range map[bool][]uint64{true: {7, 8}, false: {7}} {
@@ -163,9 +163,9 @@
 	}
 }
 
-// An agent does not answer, or not completely, for some calls. The node counts as notified of what the agent has as soon
-// as it is back, so it must be called again, and its list applied, within the grace for drains. With a backoff that
-// doubled up to 5 s, a drain went unnoticed for that long.
+// An agent does not answer, or not completely, for some calls. The node counts as notified of what the agent has as
+// soon as it is back, so it must be called again, and its list applied, within the grace for drains. With a backoff
+// that doubled up to 5 s, a drain went unnoticed for that long.
 func TestAgentComesBack(t *testing.T) {
 	t.Parallel()
 	const silentCalls = 3
@@ -203,8 +203,8 @@
 				took := time.Since(began)
 				cancel()
 				<-ended
-				// Each call is made within its own time limit. On a busy machine the total takes longer, but the number of calls is
-				// the same.
+				// Each call is made within its own time limit. On a busy machine the total takes longer, but the
+				// number of calls is the same.
 				if len(calls) < 2+silentCalls {
 					t.Errorf("the new list was received after %d calls, want at least %d", len(calls), 2+silentCalls)
 				}
--- a/internal/member/registry/fleet_test.go
+++ b/internal/member/registry/fleet_test.go
@@ -23,11 +23,11 @@
 
 const (
 	discoveryTimeout = 2 * time.Second // a call that would be queued for longer is refused
-	silentWithin     = 2 * time.Second // so long after the wait of an unanswered call, the node counts as notified of what it missed
+	silentWithin     = 2 * time.Second // after the wait of an unanswered call, to receive what was missed
 )
 
-// queuedDiscovery is one discovery service for all nodes, in the virtual time of a synctest bubble. It processes the calls
-// that start watches one after the other, and holds those that continue watches until there is a change.
+// queuedDiscovery is one discovery service for all nodes, in the virtual time of a synctest bubble. It processes the
+// calls that start watches one after the other, and holds those that continue watches until there is a change.
 type queuedDiscovery struct {
 	perCall time.Duration
 
@@ -125,9 +125,9 @@
 	return &http.Response{StatusCode: status, Status: http.StatusText(status), Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// The watches of 300 nodes are answered with a change at the same moment, and all become unresponsive from then on. Each
-// node has to receive what it missed within 2 s after the wait of its own call. If all waits were equal they would end
-// together, and the service would get 300 calls that start a watch at one moment.
+// The watches of 300 nodes are answered with a change at the same moment, and all become unresponsive from then on.
+// Each node has to receive what it missed within 2 s after the wait of its own call. If all waits were equal they
+// would end together, and the service would get 300 calls that start a watch at one moment.
 func TestSilentWatchesOfManyNodes(t *testing.T) {
 	t.Parallel()
 	for _, round := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second} { // to process one call of each node
@@ -181,10 +181,10 @@
 	t.Logf("the last node received the change %v after its wait was over", worst)
 }
 
-// The error of a call holds its cause, and how long the call took, except for a call that continues a watch, which may have
-// been open for long. A call that is queued in vain or refused means an overloaded discovery service: it refuses at once
-// what it has no capacity for. No answer or no connection means that it is unreachable; the refusal of a watch that has
-// been open, that it went down.
+// The error of a call holds its cause, and how long the call took, except for a call that continues a watch, which may
+// have been open for long. A call that is queued in vain or refused means an overloaded discovery service: it refuses
+// at once what it has no capacity for. No answer or no connection means that it is unreachable; the refusal of a watch
+// that has been open, that it went down.
 func TestCallErrors(t *testing.T) {
 	t.Parallel()
 	const crowded = 100 * time.Millisecond
@@ -211,7 +211,7 @@
 			t.Parallel()
 			d := New(netip.MustParseAddrPort(testkit.Server(t, failing(c.says, crowded, reset))), decide.Settings{Nodes: 300}, testkit.Quiet)
 			d.asked.wait, d.asked.vary, d.asked.slack = crowded, 0, 20*crowded
-			if d.asked.crowd = time.Minute; c.cause == decide.CauseWentDown { // otherwise a refusal that is late on a busy machine would count as one of an open watch
+			if d.asked.crowd = time.Minute; c.cause == decide.CauseWentDown { // elsewhere, no refusal may count as late on a busy machine
 				d.asked.crowd = crowded
 			}
 			err := d.Watch(t.Context(), nil, func(core.List) {})
@@ -253,10 +253,10 @@
 	}
 }
 
-// After the first answer, however slow, the watch is continued at once: discovery ends a watch whose next call comes more
-// than 200 ms later, and the node counts as notified of changes in that time. A pause at this place, meant to let other
-// nodes' calls through, left drains unnoticed for 3.9 s, and cost another queued call because the watch had to be started
-// again.
+// After the first answer, however slow, the watch is continued at once: discovery ends a watch whose next call comes
+// more than 200 ms later, and the node counts as notified of changes in that time. A pause at this place, meant to let
+// other nodes' calls through, left drains unnoticed for 3.9 s, and cost another queued call because the watch had to
+// be started again.
 func TestWatchGoesOnAtOnce(t *testing.T) {
 	t.Parallel()
 	for _, answer := range []time.Duration{time.Second / 8, time.Second / 2, discoveryTimeout - time.Millisecond} {
--- a/internal/member/registry/local_test.go
+++ b/internal/member/registry/local_test.go
@@ -33,9 +33,9 @@
 	return f.RoundTripper.RoundTrip(r)
 }
 
-// A call that fails because of a shortage on this machine is retried soon, as a part of the same call. With the backoff after
-// failures of discovery, a process whose connections failed now and then missed a change for 10 s. Errors caused by the
-// machine of the discovery service count as failures of discovery.
+// A call that fails because of a shortage on this machine is retried soon, as a part of the same call. With the
+// backoff after failures of discovery, a process whose connections failed now and then missed a change for 10 s.
+// Errors caused by the machine of the discovery service count as failures of discovery.
 func TestLocalFailuresAreTriedAgain(t *testing.T) {
 	t.Parallel()
 	for errno, again := range map[syscall.Errno]bool{syscall.EADDRNOTAVAIL: true, syscall.ENETUNREACH: true, syscall.ENOBUFS: true, syscall.ENFILE: true,
--- a/internal/member/registry/registry.go
+++ b/internal/member/registry/registry.go
@@ -1,5 +1,5 @@
-// Package registry implements core.Membership with the platform's service discovery over HTTP: either one registry service
-// that all nodes call, or an agent of the node's own to which lists are pushed.
+// Package registry implements core.Membership with the platform's service discovery over HTTP: either one registry
+// service that all nodes call, or an agent of the node's own to which lists are pushed.
 package registry
 
 import (
@@ -22,9 +22,9 @@
 const (
 	listLimit = 4 << 20 // largest list, in bytes
 
-	// A watch is a sequence of calls (long polls), each of which waits at the registry for a change. The wait grows from
-	// minWatchWait by watchWaitPerNode for each node of the fleet, up to maxWatchWait: each call costs the one service
-	// that all nodes use. A connection that carries no more data is noticed when the wait is over.
+	// A watch is a sequence of calls (long polls), each of which waits at the registry for a change. The wait grows
+	// from minWatchWait by watchWaitPerNode for each node of the fleet, up to maxWatchWait: each call costs the one
+	// service that all nodes use. A connection that carries no more data is noticed when the wait is over.
 	watchLeast = 3 * time.Second
 	watchMost  = 20 * time.Second
 	watchEach  = time.Second / 4
@@ -37,7 +37,8 @@
 	// callTimeout is how long such a call may take, beyond that wait: it may be queued at the registry.
 	callSlack = 3 * time.Second
 	dialWait  = time.Second
-	// watchSlack is how late, beyond its wait, the answer to a further call of a watch may be. Such a call is not queued.
+	// watchSlack is how late, beyond its wait, the answer to a further call of a watch may be. Such a call is not
+	// queued.
 	watchSlack = time.Second
 	// overloadWait: a call that the registry refuses only after at least so long had been accepted, and held or queued
 	// until then; it was not refused as it came in.
@@ -48,8 +49,8 @@
 	registryURL = "/registry/instances"
 )
 
-// Registry gets the list of backends from service discovery at one address, the registry service or an agent. It has its
-// own connections.
+// Registry gets the list of backends from service discovery at one address, the registry service or an agent. It has
+// its own connections.
 type Registry struct {
 	addr   netip.AddrPort
 	asked  pacing // for Watch: one service that all nodes call
@@ -97,10 +98,10 @@
 	return p.wait - p.vary/2 + rand.N(p.vary)
 }
 
-// New returns a client of the registry, or of the agent, at addr. The node counts as notified of a change as soon as its
-// agent has it. So an agent that answers again after a failure, and a watch of it that became unresponsive, must be
-// noticed well within settings.DrainGrace, the time that servers are given to drain. Calls to the node's own agent cost
-// no other node anything, so they are made that often.
+// New returns a client of the registry, or of the agent, at addr. The node counts as notified of a change as soon as
+// its agent has it. So an agent that answers again after a failure, and a watch of it that became unresponsive, must
+// be noticed well within settings.DrainGrace, the time that servers are given to drain. Calls to the node's own agent
+// cost no other node anything, so they are made that often.
 func New(addr netip.AddrPort, s decide.Settings, log *slog.Logger) *Registry {
 	grace := func(part time.Duration, least, most time.Duration) time.Duration {
 		return min(max(s.DrainGrace/part, least), most)
@@ -127,17 +128,18 @@
 	return l, err
 }
 
-// errOlderList is the error of an answer with a lower version than the watch has already delivered: a server that drains
-// by now may be ready in it.
+// errOlderList is the error of an answer with a lower version than the watch has already delivered: a server that
+// drains by now may be ready in it.
 var errOlder = errors.New("list: older than one that this watch has delivered")
 
 // Watch calls onList with each answer, including those without changes, until a call fails or ctx ends; the error is a
 // core.CallError. It starts with the changes since the given version, or with the whole list if since is nil.
 //
 // Each further call is made at once after the answer before it: discovery ends a watch whose next call comes more than
-// 200 ms later, and the node counts as notified of changes within that time. A watch that becomes unresponsive, or whose
-// answer is older than the one before or is cut off, is started again at once, because the node soon counts as notified
-// of what it has missed. Before the restart of an unresponsive watch, onList is called with a list that is marked Silent.
+// 200 ms later, and the node counts as notified of changes within that time. A watch that becomes unresponsive, or
+// whose answer is older than the one before or is cut off, is started again at once, because the node soon counts as
+// notified of what it has missed. Before the restart of an unresponsive watch, onList is called with a list that is
+// marked Silent.
 func (d *Registry) Watch(ctx context.Context, since *uint64, news func(core.List)) error {
 	return d.watch(ctx, since, d.asked, news)
 }
@@ -198,9 +200,10 @@
 	}
 }
 
-// nextCall makes one call of a watch: the first one, from version since or for the whole list if since is nil, or a further
-// one from version. A discovery service that was restarted may count versions from the start again. A list of changes with
-// a lower version than since then means nothing, and the whole list is requested. Within one watch versions only rise.
+// nextCall makes one call of a watch: the first one, from version since or for the whole list if since is nil, or a
+// further one from version. A discovery service that was restarted may count versions from the start again. A list of
+// changes with a lower version than since then means nothing, and the whole list is requested. Within one watch
+// versions only rise.
 func (d *Registry) next(ctx context.Context, since *uint64, version uint64, first bool, p pacing) (core.List, error) {
 	if first && since == nil {
 		return d.fetch(ctx, p.kind(callWhole), p.first)
--- a/internal/member/registry/registry_test.go
+++ b/internal/member/registry/registry_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// The wait of a watch grows with the number of nodes that call the one service: with 3 s for each, the calls of 34 nodes
-// used all its capacity, and it refused those of the other 46 for good. Waits deviate from the mean by up to 20 ms for each
-// node, but at most by a fifth, to either side.
+// The wait of a watch grows with the number of nodes that call the one service: with 3 s for each, the calls of 34
+// nodes used all its capacity, and it refused those of the other 46 for good. Waits deviate from the mean by up to 20
+// ms for each node, but at most by a fifth, to either side.
 func TestWatchWaitsByNodes(t *testing.T) {
 	t.Parallel()
 	for nodes, want := range map[int]struct{ wait, differ int }{1: {3000, 20}, 3: {3000, 60}, 40: {10000, 800}, 80: {20000, 1600}, 5000: {20000, 4000}} {
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -1,5 +1,5 @@
-// Package ops serves the node's second address, for operations: /healthcheck and /stats. It takes no lock that the serving of
-// requests holds, and has its own listener and connections, so that it answers under any load.
+// Package ops serves the node's second address, for operations: /healthcheck and /stats. It takes no lock that the
+// serving of requests holds, and has its own listener and connections, so that it answers under any load.
 package ops
 
 import (
@@ -15,8 +15,8 @@
 )
 
 const (
-	// MaxConnections is the most connections open at once. A further one replaces the oldest: as answers are written at once,
-	// the oldest has most likely not sent a complete call.
+	// MaxConnections is the most connections open at once. A further one replaces the oldest: as answers are written
+	// at once, the oldest has most likely not sent a complete call.
 	Connections = 8
 	// MaxDescriptors is the most file descriptors in use: the listener, the connections, and one just accepted.
 	Descriptors = Connections + 2
@@ -30,8 +30,8 @@
 	server *http.Server
 }
 
-// New returns a server on a listener. healthy reports whether the process can serve requests; metrics writes the answer to
-// /stats. Neither may block.
+// New returns a server on a listener. healthy reports whether the process can serve requests; metrics writes the
+// answer to /stats. Neither may block.
 func New(l *net.TCPListener, healthy func() bool, figures io.WriterTo, log *slog.Logger) *Server {
 	s := &Server{door: &door{TCPListener: l}}
 	handle := func(w http.ResponseWriter, r *http.Request) {
@@ -78,16 +78,16 @@
 	open  []*conn // open connections, the oldest first
 }
 
-// conn removes itself from its listener when it is closed. It embeds *net.TCPConn because net/http closes a connection with
-// a reset if it has no CloseWrite method.
+// conn removes itself from its listener when it is closed. It embeds *net.TCPConn because net/http closes a connection
+// with a reset if it has no CloseWrite method.
 type conn struct {
 	*net.TCPConn
 	owner *door
 	once  sync.Once
 }
 
-// Accept waits for the next connection. If MaxConnections are open already, it closes the oldest. It retries after temporary
-// errors, and fails only once the listener is closed.
+// Accept waits for the next connection. If MaxConnections are open already, it closes the oldest. It retries after
+// temporary errors, and fails only once the listener is closed.
 func (d *door) Accept() (net.Conn, error) {
 	raw, err := d.AcceptTCP()
 	for err != nil && d.retry.After(err) {
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -36,8 +36,8 @@
 	return l.Addr().String()
 }
 
-// call sends text on a new connection, and returns the status and body of the answer. It checks that the connection is closed
-// after the answer.
+// call sends text on a new connection, and returns the status and body of the answer. It checks that the connection is
+// closed after the answer.
 func call(t *testing.T, addr, text string) (status int, body string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -15,8 +15,8 @@
 const (
 	// DatagramLimit is the length of the longest datagram, in bytes.
 	DatagramLimit = 256
-	// queueLength is the most datagrams that wait to be sent, enough for some reports to each node that shares a server.
-	// Further ones are dropped.
+	// queueLength is the most datagrams that wait to be sent, enough for some reports to each node that shares a
+	// server. Further ones are dropped.
 	queueLength = 512
 )
 
@@ -37,21 +37,22 @@
 	log   *slog.Logger
 }
 
-// New returns peers that use the socket conn. nodes has the address of each node of the tier, with this node at index self.
-// broadcast, if it is valid, is one address that reaches every node.
+// New returns peers that use the socket conn. nodes has the address of each node of the tier, with this node at index
+// self. broadcast, if it is valid, is one address that reaches every node.
 func New(conn *net.UDPConn, nodes []netip.AddrPort, all netip.AddrPort, self int, log *slog.Logger) *Peers {
 	return &Peers{conn: conn, nodes: nodes, all: all, self: self, queue: make(chan datagram, queueLength), log: log}
 }
 
-// SetActive starts or stops sending and receiving. While it is stopped, another process that has the same socket does both.
+// SetActive starts or stops sending and receiving. While it is stopped, another process that has the same socket does
+// both.
 func (p *Peers) Speak(on bool) {
 	if p != nil {
 		p.gate.Set(on, p.conn.SetReadDeadline)
 	}
 }
 
-// Send queues a datagram for the node with index to, or for all other nodes if toAll is set. It never blocks. The datagram
-// is dropped if the queue is full, if it is longer than DatagramLimit, or while sending is stopped.
+// Send queues a datagram for the node with index to, or for all other nodes if toAll is set. It never blocks. The
+// datagram is dropped if the queue is full, if it is longer than DatagramLimit, or while sending is stopped.
 func (p *Peers) Send(to int, toAll bool, data []byte) {
 	if p == nil || len(data) > DatagramLimit || p.gate.Shut() {
 		return
@@ -93,8 +94,8 @@
 	}
 }
 
-// Receive calls received with each datagram from another node of the tier, and with the index of that node, until the socket
-// is closed. Datagrams from other addresses, and those longer than DatagramLimit, are dropped.
+// Receive calls received with each datagram from another node of the tier, and with the index of that node, until the
+// socket is closed. Datagrams from other addresses, and those longer than DatagramLimit, are dropped.
 func (p *Peers) Read(received func(from int, data []byte)) {
 	nodeAt := map[netip.AddrPort]int{}
 	for i, a := range p.nodes {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,8 +11,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// Datagrams reach one node or all others, and those that are too long, or for an unknown node, are dropped. Only datagrams of
-// other nodes of the tier are received, and none that is too long.
+// Datagrams reach one node or all others, and those that are too long, or for an unknown node, are dropped. Only
+// datagrams of other nodes of the tier are received, and none that is too long.
 func TestDatagrams(t *testing.T) {
 	t.Parallel()
 	udp := func() *net.UDPConn {
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,6 @@
-// Package stats holds the metrics of a node: counters of requests by their end, of attempts, lists and calls to discovery, and
-// gauges of its present state. Each is an atomic that is updated where the event happens, so that readers never block.
+// Package stats holds the metrics of a node: counters of requests by their end, of attempts, lists and calls to
+// discovery, and gauges of its present state. Each is an atomic that is updated where the event happens, so that
+// readers never block.
 package stats
 
 import (
@@ -44,8 +45,8 @@
 	guard       atomic.Pointer[guard.Guard]
 }
 
-// New returns the metrics of a node with these classes. Requests of other classes are not counted, as clients may send any
-// name.
+// New returns the metrics of a node with these classes. Requests of other classes are not counted, as clients may send
+// any name.
 func New(classes []string) *Figures {
 	f := &Figures{names: classes, classes: map[string]*Ends{}}
 	for _, name := range classes {
@@ -76,15 +77,16 @@
 	}
 }
 
-// TrackLatency enables the counting of latencies of a class, in buckets with these upper bounds, which must be ascending. It
-// must be called before the first request of the class is answered.
+// TrackLatency enables the counting of latencies of a class, in buckets with these upper bounds, which must be
+// ascending. It must be called before the first request of the class is answered.
 func (f *Figures) Time(class string, bounds []time.Duration) {
 	if e := f.Class(class); e != nil {
 		e.bounds, e.took = bounds, make([]atomic.Int64, len(bounds)+1)
 	}
 }
 
-// RecordLatency counts the time since the start of a request if its status is 200 and the latencies of its class are counted.
+// RecordLatency counts the time since the start of a request if its status is 200 and the latencies of its class are
+// counted.
 func (f *Figures) Took(class string, status int, began time.Time) {
 	e := f.Class(class)
 	if e == nil || e.bounds == nil || status != 200 {
@@ -157,7 +159,8 @@
 	}
 }
 
-// ListApplied counts an applied list by its source, a serverlist.Source, and the number of servers whose state it changed.
+// ListApplied counts an applied list by its source, a serverlist.Source, and the number of servers whose state it
+// changed.
 func (f *Figures) Applied(source, transitions int) {
 	if f != nil && source >= 0 && source < sourceKinds {
 		f.lists[source].Add(1)
@@ -165,8 +168,8 @@
 	}
 }
 
-// SetList sets the gauges of the list in force: its revision, the time since discovery last confirmed it (negative: never),
-// and whether a watch keeps it up to date.
+// SetList sets the gauges of the list in force: its revision, the time since discovery last confirmed it (negative:
+// never), and whether a watch keeps it up to date.
 func (f *Figures) List(revision uint64, age time.Duration, watched bool) {
 	if f == nil {
 		return
@@ -179,7 +182,8 @@
 	}
 }
 
-// CallEnded counts an ended call to discovery, or a failed watch, by its decide.FailureCause; 0 means that it was answered.
+// CallEnded counts an ended call to discovery, or a failed watch, by its decide.FailureCause; 0 means that it was
+// answered.
 func (f *Figures) Called(cause int) {
 	if f != nil && cause >= 0 && cause < callKinds {
 		f.calls[cause].Add(1)
--- a/internal/upstream/http1/admit.go
+++ b/internal/upstream/http1/admit.go
@@ -32,8 +32,9 @@
 	return time.Time{}
 }
 
-// admit has the guard decide, right before the first byte, whether an attempt may be written. It returns the attempt as
-// the guard saw it. If the attempt was refused, the result holds an outcome code and an error; otherwise its Err is nil.
+// admit has the guard decide, right before the first byte, whether an attempt may be written. It returns the attempt
+// as the guard saw it. If the attempt was refused, the result holds an outcome code and an error; otherwise its Err is
+// nil.
 func (b *Transport) admit(ctx context.Context, h *host, x *core.Exchange) (guard.Attempt, core.Result) {
 	a := b.facts(h, x, core.LookAge)
 	a.Over = ctx.Err() != nil || x.Wanted != nil && x.Wanted.Err() != nil
--- a/internal/upstream/http1/admit_test.go
+++ b/internal/upstream/http1/admit_test.go
@@ -11,8 +11,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// newGuardedTransport returns a transport with a guard of its own, and one server that answers at once. grace is the time
-// after the notification of a drain in which attempts still do not count as violations.
+// newGuardedTransport returns a transport with a guard of its own, and one server that answers at once. grace is the
+// time after the notification of a drain in which attempts still do not count as violations.
 func guarded(t *testing.T, grace time.Duration) (*Transport, *guard.Guard) {
 	t.Helper()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -23,9 +23,9 @@
 	return b, g
 }
 
-// A list that removes a server arrives on a watch that was resumed too late, so that the node counts as notified earlier.
-// An attempt sent to the server after the grace from that moment is counted as a violation of the drain rule; one
-// within the grace is not, and none is if the watch was resumed in time.
+// A list that removes a server arrives on a watch that was resumed too late, so that the node counts as notified
+// earlier. An attempt sent to the server after the grace from that moment is counted as a violation of the drain rule;
+// one within the grace is not, and none is if the watch was resumed in time.
 func TestLateDrainIsCounted(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -48,8 +48,8 @@
 }
 
 // An attempt at a server that was closed in the meantime is refused right before its first byte, and the refusal is
-// counted. So is an attempt at a server in slow start above the number that may be sent to it in one window, however long
-// its connection took to be made.
+// counted. So is an attempt at a server in slow start above the number that may be sent to it in one window, however
+// long its connection took to be made.
 func TestRefusalsAreCounted(t *testing.T) {
 	t.Parallel()
 	b, g := guarded(t, time.Minute)
--- a/internal/upstream/http1/answer.go
+++ b/internal/upstream/http1/answer.go
@@ -20,23 +20,24 @@
 	longLimit = 40 << 20
 	// streamBufferSize is the buffer of one streamed body, in bytes.
 	pieceSize = 16 << 10
-	// smallStreamBuffer is the buffer, in bytes, of a body whose stream begins when the node's buffer budget is spent: no stream
-	// waits for the buffer of another.
+	// smallStreamBuffer is the buffer, in bytes, of a body whose stream begins when the node's buffer budget is spent:
+	// no stream waits for the buffer of another.
 	smallSize = 2 << 10
 	// stallTimeout is the longest pause within a streamed body, and the time to write one piece of an upload.
 	stallWait = 8 * time.Second
-	// longBodyRate is a rate in bytes a second. A body of unknown length that arrives at least so fast may be a long one of a
-	// slow server, and may go on beyond the deadline of its request.
+	// longBodyRate is a rate in bytes a second. A body of unknown length that arrives at least so fast may be a long
+	// one of a slow server, and may go on beyond the deadline of its request.
 	longPace = 16 << 10
 	// longBodyPause is the longest pause within such a body after that deadline: one that stops has ended half a second
 	// after the deadline at the latest.
 	longWait = 400 * time.Millisecond
-	// minAverageRate is the lowest average rate of a long body, in bytes a second of the time spent waiting for it: an eighth
-	// of the rate of the slowest good server.
+	// minAverageRate is the lowest average rate of a long body, in bytes a second of the time spent waiting for it: an
+	// eighth of the rate of the slowest good server.
 	leastPace = 8 << 10
 
-	// A body of unknown length is buffered until it is complete or has more than maxBufferedBody bytes, until maxHoldTime has
-	// passed since its first bytes, or until maxHoldPause passes with no data. Then it is streamed to the client.
+	// A body of unknown length is buffered until it is complete or has more than maxBufferedBody bytes, until
+	// maxHoldTime has passed since its first bytes, or until maxHoldPause passes with no data. Then it is streamed to
+	// the client.
 	heldMost  = time.Second
 	startWait = 300 * time.Millisecond
 )
@@ -56,8 +57,8 @@
 	byClose                 // orderly close of the connection; a reset does not end the body
 )
 
-// responseBody reads the body of one response from its connection. Once the beginning of the body has been forwarded it serves
-// as the core.Rest that streams the remainder.
+// responseBody reads the body of one response from its connection. Once the beginning of the body has been forwarded
+// it serves as the core.Rest that streams the remainder.
 type answer struct {
 	c       *conn
 	frame   framing
@@ -80,8 +81,8 @@
 	end func(error, bool) decide.OutcomeCode
 }
 
-// newResponseBody prepares to read the body of resp, whose header has been read from c. It fails with errTooLarge if the
-// declared length is above maxBodySize.
+// newResponseBody prepares to read the body of resp, whose header has been read from c. It fails with errTooLarge if
+// the declared length is above maxBodySize.
 func newAnswer(c *conn, resp *http.Response) (*answer, error) {
 	a := &answer{c: c, frame: byLength, left: resp.ContentLength}
 	switch {
@@ -119,8 +120,8 @@
 	}
 }
 
-// readPart makes one attempt to read body data into p. It may return 0 bytes without an error, as when the data read held
-// nothing but the frame of a chunk.
+// readPart makes one attempt to read body data into p. It may return 0 bytes without an error, as when the data read
+// held nothing but the frame of a chunk.
 func (a *answer) some(p []byte) (int, error) {
 	switch a.frame {
 	case byLength:
@@ -155,10 +156,10 @@
 	return n, err
 }
 
-// checkEnd is called once the body is complete. It returns errTrailingData if unexpected data follows the body, and clears
-// reusable if the connection cannot carry another request. A last read that returned fewer bytes than it asked for has emptied
-// the socket; the connection is then not checked again, which would cost a system call and show nothing new. It is
-// checked in any case before its next use.
+// checkEnd is called once the body is complete. It returns errTrailingData if unexpected data follows the body, and
+// clears reusable if the connection cannot carry another request. A last read that returned fewer bytes than it asked
+// for has emptied the socket; the connection is then not checked again, which would cost a system call and show
+// nothing new. It is checked in any case before its next use.
 func (a *answer) checked() error {
 	more, open := "", true
 	if a.frame != byClose && (!a.c.short || a.c.r.Buffered() > 0) {
@@ -173,8 +174,8 @@
 	return nil
 }
 
-// readBeginning reads a body of at most maxBufferedBody bytes to its end, and of a longer one as much as is needed to start
-// streaming it. It returns what it read, and rest = true if the remainder is still to be read with Copy.
+// readBeginning reads a body of at most maxBufferedBody bytes to its end, and of a longer one as much as is needed to
+// start streaming it. It returns what it read, and rest = true if the remainder is still to be read with Copy.
 func (a *answer) begin() (body []byte, rest bool, err error) {
 	long := a.frame == byLength && a.left > bodyLimit
 	size := 512
@@ -213,10 +214,10 @@
 }
 
 // nextDeadline returns the deadline of the next read of a streamed body. A long body may take any time, as long as its
-// average rate stays at minAverageRate, with stallTimeout of tolerance: a server that sends a few bytes now and then would
-// otherwise keep its client, and the node's shutdown, waiting for ever. A body of unknown length that has at most
-// maxBufferedBody bytes so far has to end by completeBy, as other bodies of that size do, unless it has arrived so fast that it
-// must be a long one. Time spent writing to a slow client does not count.
+// average rate stays at minAverageRate, with stallTimeout of tolerance: a server that sends a few bytes now and then
+// would otherwise keep its client, and the node's shutdown, waiting for ever. A body of unknown length that has at
+// most maxBufferedBody bytes so far has to end by completeBy, as other bodies of that size do, unless it has arrived
+// so fast that it must be a long one. Time spent writing to a slow client does not count.
 func (a *answer) patience(now time.Time) time.Time {
 	until := now.Add(min(stallWait, stallWait+time.Duration(float64(a.taken)/leastPace*float64(time.Second))-a.waited))
 	if a.frame != byLength && a.taken <= bodyLimit {
@@ -286,8 +287,8 @@
 	return a.end(a.err, false)
 }
 
-// outcomeOf returns the outcome of an attempt whose request was written completely, and which ended with err, or well if
-// err is nil. ctx is the context of the attempt.
+// outcomeOf returns the outcome of an attempt whose request was written completely, and which ended with err, or well
+// if err is nil. ctx is the context of the attempt.
 func codeOf(ctx context.Context, err error) decide.OutcomeCode {
 	switch {
 	case err == nil:
--- a/internal/upstream/http1/backend.go
+++ b/internal/upstream/http1/backend.go
@@ -1,5 +1,5 @@
-// Package http1 is the transport to backends that speak HTTP/1.1 over plain TCP: it sends attempts and probes, and keeps
-// a pool of connections.
+// Package http1 is the transport to backends that speak HTTP/1.1 over plain TCP: it sends attempts and probes, and
+// keeps a pool of connections.
 package http1
 
 import (
@@ -49,8 +49,9 @@
 	loadLimit = 1e6
 )
 
-// Transport implements core.Transport. It holds the connections to all backends. Each connection carries one request at a
-// time, and the one used last is reused first. It does not use http.Transport, which resends some requests by itself.
+// Transport implements core.Transport. It holds the connections to all backends. Each connection carries one request
+// at a time, and the one used last is reused first. It does not use http.Transport, which resends some requests by
+// itself.
 type Transport struct {
 	mu             sync.Mutex
 	hosts          map[decide.ServerID]*host
@@ -93,7 +94,7 @@
 	r     *bufio.Reader
 	left  int64           // bytes that may still be read before a read fails
 	short bool            // the last read returned fewer bytes than it asked for
-	pause time.Duration   // a read that brings nothing for so long fails with errPause, and may be repeated; 0: no such limit
+	pause time.Duration   // longest time that a read waits for data before errPause; 0: no limit
 	since time.Time       // when it was made, or last became idle
 	used  bool            // it has carried an exchange
 	until time.Time       // deadline of the present exchange
@@ -114,8 +115,8 @@
 
 var errPause = errors.New("no data within the longest pause")
 
-// readWithPause reads like the connection beneath, but fails with errPause after maxPause without data, if that is set and ends
-// before the exchange's deadline.
+// readWithPause reads like the connection beneath, but fails with errPause after maxPause without data, if that is set
+// and ends before the exchange's deadline.
 func (c *conn) readPaused(p []byte) (int, error) {
 	if c.pause == 0 {
 		return c.Conn.Read(p)
@@ -137,8 +138,8 @@
 
 // New returns a transport without servers; Update supplies them. memoryMB is the node's memory in MiB, of which
 // bufferShare is reserved for the buffers of streamed bodies. maxConns is the most connections open at once, to all
-// servers together. Idle connections are kept for idleFraction of settings.ConnIdle, or for a minute if that is not set.
-// Each attempt needs the consent of g right before its first byte.
+// servers together. Idle connections are kept for idleFraction of settings.ConnIdle, or for a minute if that is not
+// set. Each attempt needs the consent of g right before its first byte.
 func New(s decide.Settings, memoryMB, limit int, g *guard.Guard, log *slog.Logger) *Transport {
 	idle := time.Duration(float64(s.ConnIdle) * idlePart)
 	if idle <= 0 {
@@ -262,8 +263,8 @@
 	}
 }
 
-// Run closes idle connections that have become unusable, every sweepInterval, until ctx ends. Then it closes all hosts and
-// their idle connections.
+// Run closes idle connections that have become unusable, every sweepInterval, until ctx ends. Then it closes all hosts
+// and their idle connections.
 func (b *Transport) Run(ctx context.Context) {
 	tick := time.NewTicker(sweepEvery)
 	defer tick.Stop()
@@ -300,8 +301,9 @@
 	}
 }
 
-// usable reports whether an idle connection may carry a request: it is open, has no unread data, and has not been idle for
-// too long. A write to a connection that the backend has closed would succeed, and leave open whether the request ran.
+// usable reports whether an idle connection may carry a request: it is open, has no unread data, and has not been idle
+// for too long. A write to a connection that the backend has closed would succeed, and leave open whether the request
+// ran.
 func (b *Transport) usable(c *conn) bool {
 	text, open := c.behind()
 	limit := b.idleLimit
@@ -311,9 +313,9 @@
 	return time.Since(c.since) < limit && open && text == ""
 }
 
-// pendingData returns the first bytes, as many as responseStart has, of data that arrived on the connection after the response
-// that was read, and whether the connection is open. Such data belongs to no request, and would be taken for the
-// response to the next one.
+// pendingData returns the first bytes, as many as responseStart has, of data that arrived on the connection after the
+// response that was read, and whether the connection is open. Such data belongs to no request, and would be taken for
+// the response to the next one.
 func (c *conn) behind() (text string, open bool) {
 	if n := c.r.Buffered(); n > 0 {
 		next, _ := c.r.Peek(min(n, len(httpStart)))
@@ -347,7 +349,7 @@
 	}
 	c := e.Value.(*conn)
 	h := c.host
-	if i := slices.Index(h.idle, c); i >= 0 { // usually the first; orders may differ if two became idle at nearly the same time
+	if i := slices.Index(h.idle, c); i >= 0 { // usually at 0; orders may differ by moments
 		h.idle = slices.Delete(h.idle, i, i+1)
 	}
 	b.drop(c)
@@ -371,8 +373,9 @@
 	c.place = b.idle.PushBack(c)
 }
 
-// dropIdleIfUnresponsive closes a host's idle connections if no response has been received from it since the given time. A machine that
-// was disconnected resets such connections when it is back, and each of them would cost a request.
+// dropIdleIfUnresponsive closes a host's idle connections if no response has been received from it since the given
+// time. A machine that was disconnected resets such connections when it is back, and each of them would cost a
+// request.
 func (b *Transport) silent(h *host, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -482,8 +485,9 @@
 
 var buffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
 
-// roundTrip writes a request and reads its response, or as much of it as is needed to start streaming the body; the result
-// then has a Rest. It also returns the body, or nil if none was read. admitted is the attempt as the guard admitted it.
+// roundTrip writes a request and reads its response, or as much of it as is needed to start streaming the body; the
+// result then has a Rest. It also returns the body, or nil if none was read. admitted is the attempt as the guard
+// admitted it.
 func (b *Transport) roundTrip(ctx context.Context, c *conn, x *core.Exchange, admitted guard.Attempt) (core.Result, *answer) {
 	if x.Upload != nil && x.Upload.Spent {
 		return core.Result{Code: decide.Moot, Err: errors.New("an earlier attempt has consumed a part of the client's body")}, nil
@@ -493,7 +497,8 @@
 	text.Reset()
 	x.WriteHTTP(text)
 	if _, err := c.Write(text.Bytes()); err != nil {
-		return core.Result{Code: decide.ConnectFailed, Err: err}, nil // the last byte was not written, so the request has not run
+		// The last byte was not written, so the request has not run.
+		return core.Result{Code: decide.ConnectFailed, Err: err}, nil
 	}
 	if x.Upload != nil {
 		if r := b.upload(ctx, c, x); r.Err != nil {
@@ -542,8 +547,8 @@
 	return r, a
 }
 
-// parseReport parses a load report, "name=value" fields separated by commas. It returns nil if any field is malformed or
-// out of range, or if no field is known.
+// parseReport parses a load report, "name=value" fields separated by commas. It returns nil if any field is malformed
+// or out of range, or if no field is known.
 func parseReport(text string) *decide.Report {
 	var r decide.Report
 	known := false
--- a/internal/upstream/http1/backend_test.go
+++ b/internal/upstream/http1/backend_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// A request that ends while its attempt is connecting has nothing written for it, with a new connection and with an idle
-// one. The attempt ends at once, even though its own context does not end.
+// A request that ends while its attempt is connecting has nothing written for it, with a new connection and with an
+// idle one. The attempt ends at once, even though its own context does not end.
 func TestUnwantedWhileConnecting(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
@@ -129,8 +129,8 @@
 	}
 }
 
-// A new backend with the address of one that is still listed replaces it: nothing is sent to the old one any more, nor on
-// connections made to it.
+// A new backend with the address of one that is still listed replaces it: nothing is sent to the old one any more, nor
+// on connections made to it.
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -226,7 +226,8 @@
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
 	other := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	refused, err := net.Dial("tcp", addr) // nobody listens at its own end, and nobody else can
+	// The local address of this connection refuses others: nobody listens there, and nobody else can while it is open.
+	refused, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -252,8 +253,8 @@
 	}
 }
 
-// A backend that sent nothing until an attempt timed out may have been disconnected: its idle connections are closed. If
-// it has answered another request since the attempt began, they are kept.
+// A backend that sent nothing until an attempt timed out may have been disconnected: its idle connections are closed.
+// If it has answered another request since the attempt began, they are kept.
 func TestSilenceClosesIdle(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, func(c net.Conn) { io.Copy(io.Discard, c) })
--- a/internal/upstream/http1/connect.go
+++ b/internal/upstream/http1/connect.go
@@ -11,9 +11,10 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
-// connect returns a connection to h for one request: an idle one, an idle one after waiting for its cooldown to end, or a
-// new one. If the handshake of a new one fails, a connection that has become idle in the meantime is used. It fails with
-// errTooManyConns if the node or its share for this host has no capacity left; that is no fault of the server.
+// connect returns a connection to h for one request: an idle one, an idle one after waiting for its cooldown to end,
+// or a new one. If the handshake of a new one fails, a connection that has become idle in the meantime is used. It
+// fails with errTooManyConns if the node or its share for this host has no capacity left; that is no fault of the
+// server.
 func (b *Transport) connect(ctx context.Context, h *host, x *core.Exchange) (*conn, error) {
 	var failed error
 	for {
@@ -53,9 +54,10 @@
 	return x.Deadline
 }
 
-// choose decides how the next request to h gets its connection. If that is an idle one, choose returns it and removes it
-// from the idle connections; for a new one it returns nil, and has counted the dial. by is when the request must have
-// been written. noDial is set after a failed handshake: there is no second one, and only an idle connection will do.
+// choose decides how the next request to h gets its connection. If that is an idle one, choose returns it and removes
+// it from the idle connections; for a new one it returns nil, and has counted the dial. by is when the request must
+// have been written. noDial is set after a failed handshake: there is no second one, and only an idle connection will
+// do.
 func (b *Transport) choose(h *host, by time.Time, noDial bool) (*conn, reuse.Decision, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,8 +85,8 @@
 	return nil, next, nil
 }
 
-// mayDial reports whether one more connection to h may be made. If maxConns is reached it closes an idle connection, of any
-// host, to stay within that.
+// mayDial reports whether one more connection to h may be made. If maxConns is reached it closes an idle connection,
+// of any host, to stay within that.
 func (b *Transport) mayDial(h *host) bool {
 	return h.dials < max(2, b.limit/dialPart) && (b.open < b.limit || b.evict())
 }
@@ -95,8 +97,8 @@
 	h.dials++
 }
 
-// awaitCooldown waits for the given time, the remaining cooldown of a connection. It returns early, with an error, if the
-// request ends.
+// awaitCooldown waits for the given time, the remaining cooldown of a connection. It returns early, with an error, if
+// the request ends.
 func awaitRest(ctx context.Context, x *core.Exchange, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
@@ -137,8 +139,8 @@
 	return c, nil
 }
 
-// putBack returns a connection, on which nothing has been written, to the idle ones. It keeps its idleSince, and its place
-// in their order. It is closed instead if the host is closed or maxConns is exceeded.
+// putBack returns a connection, on which nothing has been written, to the idle ones. It keeps its idleSince, and its
+// place in their order. It is closed instead if the host is closed or maxConns is exceeded.
 func (b *Transport) putBack(h *host, c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/upstream/http1/connect_test.go
+++ b/internal/upstream/http1/connect_test.go
@@ -77,14 +77,14 @@
 
 const (
 	latest = 20 * time.Millisecond // the latest second response, after the first, that must not reach another request
-	heldUp = 4 * time.Millisecond  // the longest scheduling delay with which a second response still counts as sent in time
+	heldUp = 4 * time.Millisecond  // the longest delay by the machine of a response sent in time
 )
 
 // strayResponses counts second responses. The body of each is the path of no request.
 type strays struct {
 	mu     sync.Mutex
 	sent   int             // sent with the wanted delay, or at most scheduleDelay more
-	missed map[string]bool // body of each response sent; true if the machine delayed it by so much that it may reach another request
+	missed map[string]bool // by body: the machine delayed it so much that it may reach another request
 }
 
 // send writes a second response with this text as its body, delay after the first one, which was written at answered.
@@ -103,8 +103,9 @@
 	s.sent++
 }
 
-// A second response up to 20 ms after the first never reaches another request, with any number of concurrent requests and
-// any state of the pool: empty, at its bound, with connections that are cooling down, have cooled down, or were never used.
+// A second response up to 20 ms after the first never reaches another request, with any number of concurrent requests
+// and any state of the pool: empty, at its bound, with connections that are cooling down, have cooled down, or were
+// never used.
 func TestLateSecondAnswer(t *testing.T) {
 	t.Parallel()
 	for _, late := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond, latest} {
@@ -143,7 +144,8 @@
 				}
 				<-answer
 			} else if n%3 == 0 || strings.HasPrefix(req.URL.Path, "/after") {
-				time.Sleep(latest + heldUp) // keeps the request open for a second response, should its connection have been reused too early
+				// Keep the request open for a second response, should its connection have been reused too early.
+				time.Sleep(latest + heldUp)
 			}
 			turn.Lock()
 			answered := time.Now()
@@ -206,8 +208,8 @@
 	}
 }
 
-// A request that ends while it waits for a connection's cooldown ends at once: nothing is written, and the connection goes
-// back to the pool with its idle time unchanged.
+// A request that ends while it waits for a connection's cooldown ends at once: nothing is written, and the connection
+// goes back to the pool with its idle time unchanged.
 func TestEndsWhileConnectionRests(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -262,8 +264,8 @@
 	}
 }
 
-// A request with little time left, compared to the cooldown of the idle connection, does not wait for it: a new connection
-// is made.
+// A request with little time left, compared to the cooldown of the idle connection, does not wait for it: a new
+// connection is made.
 func TestLittleTimeIsNotSpentOnRest(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -294,12 +296,13 @@
 	end context.CancelFunc
 }
 
-// A server whose connection table is full refuses a new connection. The request then uses one that has become idle in the
-// meantime, and the refusal does not count as a failure of the server.
+// A server whose connection table is full refuses a new connection. The request then uses one that has become idle in
+// the meantime, and the refusal does not count as a failure of the server.
 func TestRefusedHandshakeFallsBack(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	refused, err := net.Dial("tcp", addr) // its local address refuses connections: nobody listens there, and nobody else can while it is open
+	// The local address of this connection refuses others: nobody listens there, and nobody else can while it is open.
+	refused, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/http1/endings_test.go
+++ b/internal/upstream/http1/endings_test.go
@@ -11,8 +11,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// The time in which servers remember an idempotency key ends while a request is being written. Its last byte must not be
-// written: the server could have forgotten an earlier attempt with that key, and run the request again.
+// The time in which servers remember an idempotency key ends while a request is being written. Its last byte must not
+// be written: the server could have forgotten an earlier attempt with that key, and run the request again.
 func TestWindowEndsWithinWrite(t *testing.T) {
 	t.Parallel()
 	whole, done := make(chan bool, 1), make(chan bool)
--- a/internal/upstream/http1/upload.go
+++ b/internal/upstream/http1/upload.go
@@ -24,10 +24,10 @@
 	unsentLeast = pieceSize
 )
 
-// upload streams to the server the part of the client's body that is still being received. Until its last byte is written
-// the request has not run, so each failure is known to be without effect; but bytes read from the client are gone for
-// another attempt. If the client leaves before the end, the last byte is not written. After the last byte, the
-// exchange's deadline is set to the client's patience from then on.
+// upload streams to the server the part of the client's body that is still being received. Until its last byte is
+// written the request has not run, so each failure is known to be without effect; but bytes read from the client are
+// gone for another attempt. If the client leaves before the end, the last byte is not written. After the last byte,
+// the exchange's deadline is set to the client's patience from then on.
 func (b *Transport) upload(ctx context.Context, c *conn, x *core.Exchange) core.Result {
 	u := x.Upload
 	piece := make([]byte, pieceSize)
@@ -89,8 +89,8 @@
 	}
 }
 
-// discardUnsent makes the next Close discard the bytes that the operating system has not sent, as an orderly close would
-// still deliver them. It returns false if there are none.
+// discardUnsent makes the next Close discard the bytes that the operating system has not sent, as an orderly close
+// would still deliver them. It returns false if there are none.
 func (c *conn) discardUnsent() bool {
 	if c.unsent() == 0 {
 		return false
@@ -112,8 +112,8 @@
 	return n
 }
 
-// frameChunk frames, in place, the n data bytes at offset chunkPrefix of the buffer as a chunk; n = 0 gives no chunk. If
-// ended is set, the end of the body follows. It returns the part of the buffer to be written.
+// frameChunk frames, in place, the n data bytes at offset chunkPrefix of the buffer as a chunk; n = 0 gives no chunk.
+// If ended is set, the end of the body follows. It returns the part of the buffer to be written.
 func chunked(piece []byte, n int, ended bool) []byte {
 	from, to := chunkHead, chunkHead+n
 	if n > 0 {
--- a/internal/upstream/idle/idle.go
+++ b/internal/upstream/idle/idle.go
@@ -1,6 +1,6 @@
-// Package idle learns how long a connection to a server may be idle and still be reused. Servers, and devices between them
-// and the node, close idle connections earlier than configured, and some without notice: a request written to such a
-// connection ends with a reset, after which it may have run. The package does no I/O and reads no clock.
+// Package idle learns how long a connection to a server may be idle and still be reused. Servers, and devices between
+// them and the node, close idle connections earlier than configured, and some without notice: a request written to
+// such a connection ends with a reset, after which it may have run. The package does no I/O and reads no clock.
 package idle
 
 import (
@@ -9,14 +9,15 @@
 )
 
 const (
-	// Idle times are sorted into classes. firstBound is the upper bound of the first; each further bound is twice the one
-	// before it. With 12 bounds the last one is 51 s.
+	// Idle times are sorted into classes. firstBound is the upper bound of the first; each further bound is twice the
+	// one before it. With 12 bounds the last one is 51 s.
 	firstEdge = 25 * time.Millisecond
 	edges     = 12
 	// halfLife is the time after which an observation counts half. After a few half-lives a learned limit is forgotten,
 	// and longer idle times are tried again.
 	halfLife = 10 * time.Second
-	// minBreaks is how many breaks above an idle time are needed to conclude that servers close there: fewer may be chance.
+	// minBreaks is how many breaks above an idle time are needed to conclude that servers close there: fewer may be
+	// chance.
 	leastBad = 4.0
 	// minUses is how many uses below an idle time are needed to know the rate of breaks there.
 	leastUsed = 20.0
@@ -34,8 +35,8 @@
 	broken [edges + 1]float64
 }
 
-// Record adds the use of a connection that had been idle for age. now is the time on any monotonic clock. broken is set if
-// the connection was ended by the other side before the response was complete.
+// Record adds the use of a connection that had been idle for age. now is the time on any monotonic clock. broken is
+// set if the connection was ended by the other side before the response was complete.
 func (l *Limit) Used(now, age time.Duration, broken bool) {
 	l.fade(now)
 	i := 0
@@ -48,8 +49,8 @@
 	}
 }
 
-// MaxIdle returns the idle time from which on connections should not be reused, or 0 if no limit is known. now is the time
-// on the clock of Record.
+// MaxIdle returns the idle time from which on connections should not be reused, or 0 if no limit is known. now is the
+// time on the clock of Record.
 func (l *Limit) Longest(now time.Duration) time.Duration {
 	l.fade(now)
 	belowUsed, belowBad, aboveUsed, aboveBad := 0.0, 0.0, 0.0, 0.0
--- a/internal/upstream/idle/idle_test.go
+++ b/internal/upstream/idle/idle_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// simulate records 200 uses a second, for duration from the time from on, of connections idle for up to two seconds, most
-// of them for less than 0.2 s. Uses above the learned limit are left out, as a new connection would be made. After an idle
-// time above closesAfter (0: no limit) a use breaks with probability breakShare; any use breaks with probability baseRate.
-// It returns the time at the end.
+// simulate records 200 uses a second, for duration from the time from on, of connections idle for up to two seconds,
+// most of them for less than 0.2 s. Uses above the learned limit are left out, as a new connection would be made.
+// After an idle time above closesAfter (0: no limit) a use breaks with probability breakShare; any use breaks with
+// probability baseRate. It returns the time at the end.
 func play(l *Limit, from, length, closes time.Duration, part, chance float64) (now time.Duration) {
 	r := rand.New(rand.NewPCG(1, uint64(closes)))
 	for now = from; now < from+length; now += 5 * time.Millisecond {
--- a/internal/upstream/reuse/reuse.go
+++ b/internal/upstream/reuse/reuse.go
@@ -14,13 +14,13 @@
 import "time"
 
 const (
-	// Cooldown is the shortest time between a response on a connection and its next request. Second responses arrived up to
-	// 4 ms after the first, network delay included, and nothing bounds their delay. The cooldown covers those sent up
-	// to 20 ms after the first, with 5 ms for the network.
+	// Cooldown is the shortest time between a response on a connection and its next request. Second responses arrived
+	// up to 4 ms after the first, network delay included, and nothing bounds their delay. The cooldown covers those
+	// sent up to 20 ms after the first, with 5 ms for the network.
 	Rest = 25 * time.Millisecond
 
-	// minDialCost is the least cost of a handshake, as a time spent waiting: it covers the work of the server, and the slot
-	// that the connection occupies for long.
+	// minDialCost is the least cost of a handshake, as a time spent waiting: it covers the work of the server, and the
+	// slot that the connection occupies for long.
 	leastPrice = 60 * time.Millisecond
 	// dialCostFactor: a handshake costs as much as a wait that is so many times as long as the handshake takes.
 	dialFactor = 4
@@ -59,21 +59,21 @@
 	Grow  bool          // also make a connection for later requests
 }
 
-// Server decides for the connections to one server. It holds the cost of recent waits and of handshakes. The zero value has
-// no observations. It is not safe for concurrent use.
+// Server decides for the connections to one server. It holds the cost of recent waits and of handshakes. The zero
+// value has no observations. It is not safe for concurrent use.
 type Server struct {
 	waited time.Duration // sum of recent waits, less what has decayed
 	at     time.Duration // time of the last wait
 	dial   time.Duration // moving average of the time that a handshake takes; 0 if unknown
 }
 
-// Choose decides for one request. now is the time on any monotonic clock. idle holds the server's idle connections, the one
-// idle for longest first, without those that another request already waits for. timeLeft is the time until the request must
-// have been written.
+// Choose decides for one request. now is the time on any monotonic clock. idle holds the server's idle connections,
+// the one idle for longest first, without those that another request already waits for. timeLeft is the time until the
+// request must have been written.
 //
-// Of the connections that have cooled down, the one used last is chosen: the server is least likely to have closed it, and
-// connections that are not needed stay idle until they are closed. If none has cooled down, the request waits for the
-// one that has been idle for longest.
+// Of the connections that have cooled down, the one used last is chosen: the server is least likely to have closed it,
+// and connections that are not needed stay idle until they are closed. If none has cooled down, the request waits for
+// the one that has been idle for longest.
 func (s *Server) Choose(now time.Duration, idle []Idle, left time.Duration) Decision {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if idle[i].rested() {
@@ -90,8 +90,8 @@
 	return Decision{Step: Wait, Wait: wait, Grow: s.worthwhile(now, wait)}
 }
 
-// addWait adds a wait to the cost of recent waits, and reports whether that cost has reached the cost of a handshake. If so,
-// the sum starts again from zero.
+// addWait adds a wait to the cost of recent waits, and reports whether that cost has reached the cost of a handshake.
+// If so, the sum starts again from zero.
 func (s *Server) worthwhile(now, wait time.Duration) bool {
 	price := s.price()
 	forgotten := time.Duration(float64(price) * float64(now-s.at) / float64(lifetime))
--- a/internal/upstream/reuse/reuse_test.go
+++ b/internal/upstream/reuse/reuse_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// In any state of the pool, and with any history of handshakes, no used connection is given a request before its cooldown
-// is over, and no request waits for longer than one cooldown. A request with enough time left makes no new connection
-// beside idle ones.
+// In any state of the pool, and with any history of handshakes, no used connection is given a request before its
+// cooldown is over, and no request waits for longer than one cooldown. A request with enough time left makes no new
+// connection beside idle ones.
 func TestNoneIsUsedBeforeItHasRested(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
