--- a/internal/upstream/http1/admit.go
+++ b/internal/upstream/http1/admit.go
@@ -15,7 +15,7 @@
 
 var errKeyForgotten = errors.New("the time in which servers remember the idempotency key is over")
 
-// attemptState describes the attempt of exchange x at host h as the guard judges it, at the present time. maxAge is the
+// attemptState describes the attempt of an exchange at host h as the guard judges it, at the present time. maxAge is the
 // greatest age of an earlier check whether the client has left; if the last check is older, the client's connection is
 // checked again.
 func (b *Transport) facts(h *host, x *core.Exchange, age time.Duration) guard.Attempt {
--- a/internal/upstream/http1/backend.go
+++ b/internal/upstream/http1/backend.go
@@ -384,8 +384,8 @@
 	}
 }
 
-// do makes an exchange with h and blocks until it has ended, or until the beginning of a long body has been read; the
-// result then has a Rest. If ctx ends, the exchange is aborted. A nil h fails with decide.ConnectFailed.
+// do makes an exchange with a host and blocks until it has ended, or until the beginning of a long body has been read; the
+// result then has a Rest. If ctx ends, the exchange is aborted. A nil host fails with decide.ConnectFailed.
 func (b *Transport) do(ctx context.Context, h *host, x *core.Exchange) core.Result {
 	if h == nil {
 		return core.Result{Code: decide.ConnectFailed, Err: errClosed}
--- a/internal/upstream/http1/connect.go
+++ b/internal/upstream/http1/connect.go
@@ -11,7 +11,7 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
-// connect returns a connection to h for one request: an idle one, an idle one after waiting for its cooldown to end,
+// connect returns a connection to a host for one request: an idle one, an idle one after waiting for its cooldown to end,
 // or a new one. If the handshake of a new one fails, a connection that has become idle in the meantime is used. It
 // fails with errTooManyConns if the node or its share for this host has no capacity left; that is no fault of the
 // server.
@@ -54,8 +54,8 @@
 	return x.Deadline
 }
 
-// choose decides how the next request to h gets its connection. If that is an idle one, choose returns it and removes
-// it from the idle connections; for a new one it returns nil, and has counted the dial. by is when the request must
+// choose decides how the next request to a host gets its connection. If that is an idle one, choose returns it and removes
+// it from the idle connections; for a new one it returns nil, and has counted the dial. writeBy is when the request must
 // have been written. noDial is set after a failed handshake: there is no second one, and only an idle connection will
 // do.
 func (b *Transport) choose(h *host, by time.Time, noDial bool) (*conn, reuse.Decision, error) {
