--- a/internal/upstream/reuse/reuse_test.go
+++ b/internal/upstream/reuse/reuse_test.go
@@ -10,6 +10,7 @@
 
 const ms = time.Millisecond
 
+// The decision for each state of the idle connections, for a request with enough time left.
 func TestChoose(t *testing.T) {
 	t.Parallel()
 	used := func(idle ...time.Duration) (all []Idle) {
