--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -32,16 +32,18 @@
 )
 
 const (
-	// Bodies that are being read or held get their part of the memory.
+	// bodyMemoryShare is the share of the memory limit for request bodies that are being read or buffered.
 	bodyPart = 1.0 / 8
 
-	// SIGKILL comes killAfter after SIGTERM and the longest deadline, which counts for drainLongest at most.
+	// The platform sends SIGKILL this long after SIGTERM: the longest deadline of any class, of which maxDrainDeadline
+	// counts at most, plus killAfter. The node sends its last answers killMargin before that.
 	drainLongest = 3 * time.Second
 	killAfter    = 700 * time.Millisecond
-	killMargin   = 200 * time.Millisecond // kept from that: the last answers have left by then
+	killMargin   = 200 * time.Millisecond
 )
 
-// Run serves until ctx ends and what has been taken by then is answered. On reload it reads the configuration again.
+// Run opens the node's sockets, or takes over its predecessor's, and serves until ctx ends and all requests accepted by
+// then are answered. Each signal on reload makes it read the configuration file again.
 func Run(ctx context.Context, c *Config, reload <-chan os.Signal, log *slog.Logger) error {
 	s, err := openSockets(c, log)
 	if err != nil {
@@ -50,7 +52,7 @@
 	return serve(ctx, c, s, reload, log)
 }
 
-// assembly is a node as it is put together: what several parts need, and the parts.
+// assembly holds the parts of a node and what several of them need, while the node is built and while it runs.
 type assembly struct {
 	c       *Config
 	log     *slog.Logger
@@ -60,19 +62,20 @@
 	figures   *stats.Figures
 	guard     *guard.Guard
 	transport *upstream.Transport
-	gate      *gate // nil: nothing crosses
+	gate      *gate // to and from other sites; nil: no requests are handed to or taken from other sites
 	loop      *core.Loop
 	handler   *front.Handler
 	front     *http1.Front
 	takeover  *takeover
 	peers     *peer.Peers
-	second    *net.TCPListener // the second address; nil: there is none
+	second    *net.TCPListener // the operators' address; nil: there is none
 
-	violations atomic.Int64 // of the guard's rules
+	violations atomic.Int64 // attempts that broke one of the guard's rules
 	parts      parts
 }
 
-// serve puts a node together and has it run until ctx ends and what has been taken by then is answered.
+// serve assembles a node on the given sockets and runs it until ctx ends and all requests accepted by then are answered.
+// It also returns, with an error, if the node can't start or its clients' listener fails.
 func serve(ctx context.Context, c *Config, s *sockets, reload <-chan os.Signal, log *slog.Logger) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -100,7 +103,7 @@
 		err = fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 		log.Info("draining")
-		a.parts.drain(time.Now().Add(c.drainTime()), &running) // a node without clients may still serve another site's
+		a.parts.drain(time.Now().Add(c.drainTime()), &running) // a node without clients may still serve requests of another site
 		log.Info("drained")
 	}
 	a.parts.last()
@@ -110,7 +113,8 @@
 	return err
 }
 
-// assemble makes the parts, in the order in which they start. What they own when it fails is let go of by their after.
+// assemble creates the parts in the order in which they start. If it fails, the cleanup of the parts that were added
+// releases what they own.
 func (a *assembly) assemble(ctx context.Context, reload <-chan os.Signal, served chan<- error) error {
 	c, s, log := a.c, a.sockets, a.log
 	var learned *decide.Snapshot
@@ -118,7 +122,7 @@
 	if s.from != nil {
 		a.add(part{after: func() { s.from.Close() }})
 		if k, err := takeState(s.from.State); err != nil {
-			log.Warn("what the predecessor knew is not taken", "err", err)
+			log.Warn("ignoring the predecessor's state", "err", err)
 		} else {
 			c.Known, learned, elsewhere = k.List, k.Learned, k.elsewhere(c.Discovery)
 			c.Known.Source = serverlist.SourcePredecessor
@@ -175,7 +179,7 @@
 	}
 	a.add(part{run: func(ctx context.Context) {
 		if elsewhere {
-			log.Info("discovery: the predecessor's list is from elsewhere; the whole list is asked for", "at", c.Discovery)
+			log.Info("discovery: the predecessor's list is from another discovery server; requesting the full list", "at", c.Discovery)
 			a.loop.Move(registry.New(c.Discovery, c.Settings, log))
 		}
 		follow(ctx, c, a.loop, a.gate, &a.takeover.source, reload, log)
@@ -189,10 +193,10 @@
 	return nil
 }
 
-// violationsLogged bounds the lines about rules that were broken; the figures count them all.
+// maxViolationsLogged bounds the log lines about broken rules. The statistics count all violations.
 const violationsLogged = 100
 
-// logViolation says that a rule was broken although the guard was asked.
+// logViolation logs an attempt that was sent although it broke one of the guard's rules, up to maxViolationsLogged times.
 func (a *assembly) logViolation(r guard.Rule, t guard.Attempt) {
 	if a.violations.Add(1) > violationsLogged {
 		return
@@ -202,7 +206,8 @@
 
 func (a *assembly) add(p ...part) { a.parts = append(a.parts, p...) }
 
-// decisions makes the loop and the front that hands it requests.
+// createLoop creates the event loop that runs the decision module, starting from the predecessor's learned state if that
+// is not nil, and the front that passes clients' requests to it.
 func (a *assembly) decisions(ctx context.Context, learned *decide.Snapshot) error {
 	c, log := a.c, a.log
 	var messenger core.Messenger
@@ -228,7 +233,8 @@
 	return nil
 }
 
-// record has the recorder see what is over. It ends once all that was taken has been answered, and seen.
+// addRecorder passes each completed request to the recorder. The recorder stops only in the cleanup, when all accepted
+// requests have been answered and recorded.
 func (a *assembly) record() {
 	keeper := recorder.New(a.c.Record, a.log)
 	a.handler.Seen = func(s *front.Seen) { keeper.Take(tryOf(s)) }
@@ -243,7 +249,8 @@
 	}})
 }
 
-// agreement is this node's part in what its fleet agrees on. What it followed at its last end holds before anything is served.
+// addFleetControl makes the node a member of its fleet's agreement on drains and budgets. The drains that the node
+// followed when it last stopped apply again before it serves anything.
 func (a *assembly) agreement() error {
 	for _, class := range a.c.Settings.Classes {
 		if class.Aim > 0 {
@@ -259,16 +266,17 @@
 	return nil
 }
 
-// fleetNode is this node to the agreement.
+// fleetNode is what the fleet's control sees and uses of this node.
 type fleetNode struct {
 	*takeover
 	figures *stats.Figures
 }
 
-// Away has the node say that it is not ready, or ends that.
+// Away makes the node report that it is not ready, because the fleet has drained it, or ends that.
 func (n fleetNode) Away(on bool) { n.drained(on) }
 
-// Ends counts the requests that are over, by class, with the times of those that were served.
+// Ends returns for each class the number of completed requests by outcome since the start of the process, and the
+// distribution of the response times of those that were served.
 func (n fleetNode) Ends() map[string]health.Ends {
 	ends := map[string]health.Ends{}
 	n.figures.Each(func(class string, answered, deferred, errored int64) {
@@ -277,7 +285,7 @@
 	return ends
 }
 
-// Resident reads /proc/self/statm; 0: it can't be read.
+// Resident returns the resident memory of this process in bytes, from /proc/self/statm, or 0 if that can't be read.
 func (fleetNode) Resident() uint64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -288,17 +296,17 @@
 	return resident * uint64(os.Getpagesize())
 }
 
-// operations is the second address.
+// addOpsServer serves the operators' address: health checks and statistics.
 func (a *assembly) operations() {
 	watched := ops.New(a.second, a.handler.Ready, a.figures, a.log)
 	a.add(part{run: func(context.Context) {
 		if err := watched.Serve(); err != nil {
-			a.log.Error("second address", "err", err)
+			a.log.Error("operators' address: serving failed", "err", err)
 		}
 	}, close: watched.Close})
 }
 
-// successor lets another process take over from this one.
+// addHandoverServer lets a successor process take over the sockets and the state of this one.
 func (a *assembly) successor() {
 	var keeper *handover.Server
 	a.add(part{start: func() error {
@@ -306,7 +314,7 @@
 		keeper, err = handover.Listen(a.c.Handover, handover.Offer{Name: a.c.Name, Listener: a.sockets.clients, Peers: a.sockets.peers, State: a.takeover.state,
 			Connections: a.front.Held, Changed: a.takeover.changed}, a.log)
 		if err != nil {
-			a.log.Warn("no successor can take over from this process; it may still listen beside it", "err", err)
+			a.log.Warn("handover is not available; a successor can only share the port", "err", err)
 		}
 		return nil
 	}, run: func(ctx context.Context) {
@@ -323,7 +331,7 @@
 	return names
 }
 
-// tryOf is a request as the recorder takes it.
+// recorderTry converts a completed request to the form in which it is recorded.
 func tryOf(s *front.Seen) *recorder.Try {
 	e := &s.Request.Arrived
 	t := &recorder.Try{Began: s.Began, Class: e.Class, Tenant: e.Tenant, Order: s.Request.Header.Get("Idempotency-Key"), Size: len(s.Request.Body), Answer: len(s.Answer.Body),
@@ -342,13 +350,15 @@
 	return t
 }
 
-// drainTime is how long after SIGTERM the last answers have left: before the node may be killed.
+// drainTime returns how long after SIGTERM the node may take to send its last answers: killMargin less than the time after
+// which the platform may kill the process.
 func (c *Config) drainTime() time.Duration {
 	return min(c.Settings.LongestDeadline(), drainLongest) + killAfter - killMargin
 }
 
-// follow reads the configuration again whenever it is told to, until ctx ends. A bad one changes nothing; of a good
-// one discovery's address takes effect, what else is new in it at the next start.
+// reloadOnSignal reads the configuration again at each signal on reload, until ctx ends. An invalid configuration changes
+// nothing. Of a valid one, discovery's address and the gateway's certificates, roots and removed sites take effect at
+// once, all else at the next start. The address of discovery in use is kept in source.
 func follow(ctx context.Context, c *Config, loop *core.Loop, g *gate, source *atomic.Pointer[netip.AddrPort], asked <-chan os.Signal, log *slog.Logger) {
 	at := c.Discovery
 	source.Store(new(at))
@@ -360,7 +370,7 @@
 		}
 		next, err := c.reread()
 		if err != nil {
-			log.Error("configuration not taken", "err", err)
+			log.Error("keeping the old configuration: the new one is invalid", "err", err)
 			continue
 		}
 		if g != nil && next.Gateway != nil {
@@ -369,7 +379,7 @@
 		if next.Discovery != at {
 			at = next.Discovery
 			source.Store(new(at))
-			log.Info("discovery moves", "to", at)
+			log.Info("discovery: address changed; requesting the full list", "to", at)
 			loop.Move(registry.New(at, c.Settings, log))
 		}
 	}
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -1,4 +1,4 @@
-// Package app assembles a node from its configuration. It is the only package that knows all others.
+// Package app assembles a node from its configuration and runs it. It is the only package that depends on all others.
 package app
 
 import (
@@ -22,39 +22,39 @@
 	"starlingvalve/internal/wire"
 )
 
-// Limits are what the platform lets the node's process use.
+// Limits are the resources that the platform grants the node's process.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // file descriptors
+	MemoryMB int     `json:"memory_mb"` // MiB
+	Sockets  int     `json:"sockets"`   // file descriptors
 }
 
-// Config is all that a node is told at its start.
+// Config is the configuration of a node.
 type Config struct {
 	Name      string
-	Listen    netip.AddrPort // clients
+	Listen    netip.AddrPort // for clients
 	Discovery netip.AddrPort
 	Seed      int64
 	Limits    Limits
-	Ops       netip.AddrPort // the second address; invalid: there is none
-	Handover  string         // where this process and its successor meet; empty: nowhere
+	Ops       netip.AddrPort // the operators' address; invalid: there is none
+	Handover  string         // path of the Unix socket for a successor process; empty: no handover
 	PeerListen,
-	PeersAll netip.AddrPort // invalid where nodes don't talk
+	PeersAll netip.AddrPort // own address and broadcast address for messages between nodes; invalid: none
 	Peers    []netip.AddrPort
-	Known    core.List // the backends as this node last had them
+	Known    core.List // the last server list that this node had, from the configuration or from its predecessor
 	Settings decide.Settings
-	Gateway  *gateway.Config  // nil: nothing crosses
-	Record   *recorder.Config // nil: nothing is recorded
-	Fleet    *control.Config  // nil: this node agrees with nobody
+	Gateway  *gateway.Config  // nil: no requests are exchanged with other sites
+	Record   *recorder.Config // nil: no traffic is recorded
+	Fleet    *control.Config  // nil: the node takes no part in a fleet's agreement
 
-	reread    func() (*Config, error)
-	setMemory func(bytes int64) int64 // nil: the memory is not bounded
+	reread    func() (*Config, error) // loads the configuration again, at SIGHUP
+	setMemory func(bytes int64) int64 // nil: Go's memory limit is not set
 }
 
-// The least that a node can run with, and what it takes where it isn't told.
+// Minimum and default limits of a node, and a time limit of the platform.
 const (
-	// notifiedWithin is the platform's: a node counts as notified of a change so long after discovery had it and could be
-	// reached, whatever became of its calls.
+	// notifiedWithin is set by the platform: a node counts as notified of a change at this time after discovery had the
+	// change and was reachable, even if the node's calls to discovery failed.
 	notifiedWithin = 6 * time.Second
 	leastSockets   = descriptors.Least
 	leastMemoryMB  = 32
@@ -62,8 +62,9 @@
 	usualMemoryMB  = 192
 )
 
-// LoadConfig reads the file that GW_CONFIG names. The other GW_ variables go before what it says. gatewayFile, if it is
-// not empty, says how the node hands work to other sites.
+// LoadConfig reads the configuration file that the variable GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_OPS
+// override the file. If gatewayFile is not empty, it is the file that configures how the node hands requests to other
+// sites.
 func LoadConfig(getenv func(string) string, gatewayFile string) (*Config, error) {
 	read := func(getenv func(string) string) (*Config, error) {
 		c, err := readConfig(getenv)
@@ -79,7 +80,7 @@
 	c.setMemory = debug.SetMemoryLimit
 	c.reread = func() (*Config, error) {
 		return read(func(name string) string {
-			if name == "GW_DISCOVERY" { // it still has the address of the start: what is new is in the file
+			if name == "GW_DISCOVERY" { // the variable still has the address from the start; a new one is in the file
 				return ""
 			}
 			return getenv(name)
@@ -156,7 +157,7 @@
 		c.Limits.MemoryMB = usualMemoryMB
 	}
 	if c.Limits.Sockets < leastSockets || c.Limits.MemoryMB < leastMemoryMB || c.Limits.Cores < 0 {
-		return nil, fmt.Errorf("%s: limits: want %d sockets and %d MB of memory at least, have %+v", path, leastSockets, leastMemoryMB, c.Limits)
+		return nil, fmt.Errorf("%s: limits: want at least %d sockets and %d MB of memory, have %+v", path, leastSockets, leastMemoryMB, c.Limits)
 	}
 	if in.Known != nil {
 		if c.Known, err = registry.Decode(in.Known); err != nil {
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	foreignBodyPart = 1.0 / 16 // of the memory: bodies of hand-offs
-	ledgerPart      = 1.0 / 8  // of the memory: answers that the ledger keeps, at most
+	foreignBodyPart = 1.0 / 16 // share of the memory limit for bodies of requests from other sites
+	ledgerPart      = 1.0 / 8  // largest share of the memory limit for the answers that the ledger keeps
 )
 
-// gate is what a node has beside its own hall's parts once a gateway file is given.
+// siteGateway hands requests to other sites and serves requests of theirs. A node with a gateway file has one.
 type gate struct {
 	config  *gateway.Config
 	keeper  *link.Keeper
@@ -29,7 +29,7 @@
 	log     *slog.Logger
 }
 
-// openGate begins to call the other sites. Hand-offs from there are taken once it is given its loop.
+// openSiteGateway starts to connect to the other sites. It accepts no hand-offs from them before startServer is called.
 func openGate(c *Config, log *slog.Logger) (*gate, error) {
 	g := &gate{config: c.Gateway, keeper: link.NewKeeper(c.Gateway.Identity), log: log}
 	var err error
@@ -37,7 +37,7 @@
 	return g, err
 }
 
-// take begins to take hand-offs, as a front of the loop.
+// startServer starts to accept hand-offs from other sites and passes their requests to the loop.
 func (g *gate) take(c *Config, loop *core.Loop) error {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(g.config.Listen))
 	if err != nil {
@@ -52,7 +52,7 @@
 	return err
 }
 
-// drain ends what the node does for other sites by end.
+// drain accepts no further hand-offs and completes those in flight, by end at the latest.
 func (g *gate) drain(end time.Time) {
 	g.handler.Drain(end)
 	g.server.Drain(end)
@@ -65,14 +65,14 @@
 	g.dialer.Close()
 }
 
-// reload takes over certificates, roots and the removal of sites. Sites that are new, addresses and limits wait for the
+// reload applies new certificates and roots and the removal of sites. New sites, addresses and limits take effect at the
 // next start.
 func (g *gate) reload(next *gateway.Config) {
 	g.keeper.Set(next.Identity)
 	g.log.Info("gateway file read again", "file", next.Path, "sites", len(next.Identity.Peers))
 }
 
-// remote is the gate as the loop's port; nil where there is none.
+// remote returns the dialer to other sites for the loop, or nil if there is no gateway.
 func (g *gate) remote() core.Remote {
 	if g == nil {
 		return nil
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -10,15 +10,15 @@
 	"starlingvalve/internal/ops"
 )
 
-// splitOf divides the descriptors that this process may have: as many as its settings say, or fewer if the system
-// gives it fewer.
+// divideDescriptors divides the file descriptors of this process among its uses: as many as limits.sockets says, or the
+// system's limit if that is lower.
 func splitOf(c *Config, log *slog.Logger) (descriptors.Split, error) {
 	limit := c.Limits.Sockets
 	var given unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &given); err != nil {
-		log.Warn("the system's limit of descriptors can't be read", "err", err)
+		log.Warn("can't read the system's limit of file descriptors", "err", err)
 	} else if given.Cur < uint64(limit) {
-		log.Warn("the system gives fewer descriptors than limits.sockets", "sockets", limit, "given", given.Cur)
+		log.Warn("the system's limit of file descriptors is lower than limits.sockets", "sockets", limit, "given", given.Cur)
 		limit = int(given.Cur)
 	}
 	uses := descriptors.Uses{Link: c.Gateway != nil, Fleet: c.Fleet != nil, Recorder: c.Record != nil}
--- a/internal/app/parts.go
+++ b/internal/app/parts.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// part is one part of a node. Each of its functions may be nil. Parts start in their order; the rest is done for all of them, one kind
-// of step after another, in the order of the fields.
+// part is one part of a node: the functions that start, drain and stop it, of which each may be nil. Parts start in the
+// order in which they were added. Each later step is done for all parts before the next step begins, in the order of the
+// fields.
 type part struct {
-	start func() error          // what has to be there before anything runs; an error ends the node
-	run   func(context.Context) // in a goroutine of its own, until ctx ends or close
-	leave func()                // at SIGTERM, beside the drains: nobody waits for it
-	drain func(end time.Time)   // takes nothing new, and ends what there is by end; all parts at once
-	last  func()                // once all is drained
-	close func()                // ends run where ctx does not, after ctx has ended
-	after func()                // once all that ran has ended, the last part first; also where the node did not start
+	start func() error          // runs before the part's own run and all later parts; an error stops the node
+	run   func(context.Context) // runs in its own goroutine until ctx ends or close is called
+	leave func()                // called at SIGTERM, concurrently with the drains, which do not wait for it
+	drain func(end time.Time)   // accepts no new requests and completes those in flight by end; called for all parts concurrently
+	last  func()                // called when all parts are drained
+	close func()                // makes run return if it does not watch ctx; called after ctx has ended
+	after func()                // called when every run has returned, in reverse order; also if the node failed to start
 }
 
 type parts []part
 
-// start starts all parts, and sets them going. On an error nothing runs any more.
+// start starts all parts in order and runs them. If one fails to start, it stops the others and waits for them.
 func (all parts) start(ctx context.Context, stop func(), running *sync.WaitGroup) error {
 	for i, p := range all {
 		if p.start != nil {
@@ -39,7 +40,8 @@
 	return nil
 }
 
-// drain has all parts take nothing new and end what they have by end. Words of leaving go on in running.
+// drain drains all parts concurrently, by end, and waits for that. It also calls announceLeave of each part, which may
+// still run when drain returns and counts in running.
 func (all parts) drain(end time.Time, running *sync.WaitGroup) {
 	var draining sync.WaitGroup
 	for _, p := range all {
--- a/internal/app/takeover.go
+++ b/internal/app/takeover.go
@@ -23,19 +23,22 @@
 	upstream "starlingvalve/internal/upstream/http1"
 )
 
-// memoryPart of the limit is for Go's heap and stacks; the kernel's buffers and the program have the rest.
+// goMemoryShare is the share of the memory limit for Go's heap and stacks. The kernel's socket buffers and the program itself
+// use the rest.
 const memoryPart = 0.6
 
+// readyPollInterval is how often a successor checks whether it can serve.
 const ableLook = 5 * time.Millisecond
 
-// sockets are what a process begins with: its own, or its predecessor's.
+// sockets are the sockets that a process starts with: newly opened, or taken over from its predecessor.
 type sockets struct {
 	clients *net.TCPListener
-	peers   *net.UDPConn          // nil: nodes do not talk
-	from    *handover.Predecessor // nil: nobody is replaced
+	peers   *net.UDPConn          // nil: the node exchanges no messages with other nodes
+	from    *handover.Predecessor // nil: this process replaces no other
 }
 
-// openSockets takes those of the process that this one replaces, if there is one, else its own.
+// openSockets takes over the sockets of the running process of this node, if there is one. Otherwise, or if that fails, it
+// opens new ones, which share the addresses of a running process.
 func openSockets(c *Config, log *slog.Logger) (*sockets, error) {
 	s := &sockets{}
 	if c.Handover != "" {
@@ -44,7 +47,7 @@
 			log.Info("replacing the process that serves", "listen", c.Listen)
 			s.clients, s.peers, s.from = p.Listener, p.Peers, p
 		} else if !errors.Is(err, handover.ErrNoPredecessor) {
-			log.Warn("the process that serves hands nothing over; listening beside it", "err", err)
+			log.Warn("the running process hands over no sockets; sharing its port", "err", err)
 		}
 	}
 	var err error
@@ -53,7 +56,7 @@
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 	}
-	// A predecessor may have none to hand over, or another address.
+	// The predecessor may have no such socket to hand over, or one at another address.
 	if s.peers == nil && c.PeerListen.IsValid() && c.Settings.MayMessage {
 		if s.peers, err = handover.ListenUDP(c.PeerListen); err != nil {
 			s.clients.Close()
@@ -63,19 +66,20 @@
 	return s, nil
 }
 
-// known is what a process hands its successor.
+// handedState is the state that a process hands to its successor, as JSON under the names of the fields.
 type known struct {
-	List    core.List
-	Source  string // discovery's address that the list is from; empty: the predecessor does not tell
-	Learned *decide.Snapshot
+	List    core.List        // the full list of servers
+	Source  string           // address of the discovery server that the list is from; empty: unknown, as the predecessor sent none
+	Learned *decide.Snapshot // what the decision module learned about servers and classes; nil: not available
 }
 
-// elsewhere tells whether the list is of another discovery than this one: its servers may be others, and its versions mean nothing here.
+// fromOtherDiscovery reports whether the list is from another discovery server than this one. Then its servers may be
+// different, and its version can't be compared with versions here.
 func (k known) elsewhere(discovery netip.AddrPort) bool {
 	return k.Source != "" && k.Source != discovery.String()
 }
 
-// takeState takes over what the predecessor knew, if all of it makes sense.
+// decodeState decodes and checks the predecessor's state. Any invalid entry, or a list that is not full, is an error.
 func takeState(raw []byte) (known, error) {
 	var k known
 	if err := json.Unmarshal(raw, &k); err != nil {
@@ -84,16 +88,16 @@
 	for i, e := range k.List.Entries {
 		if _, err := netip.ParseAddrPort(e.Addr); err != nil || e.State != decide.Ready && e.State != decide.Draining ||
 			math.IsNaN(e.Size) || e.StartedAt < 0 {
-			return k, fmt.Errorf("list, entry %d does not make sense", i)
+			return k, fmt.Errorf("list: entry %d is invalid", i)
 		}
 	}
 	if !k.List.Full {
-		return k, errors.New("the list is not whole")
+		return k, errors.New("the list is not full")
 	}
 	return k, nil
 }
 
-// state is what this process knows, for its successor.
+// encodeState returns the state of this process for its successor, as JSON.
 func (t *takeover) state() []byte {
 	k := known{List: t.loop.Listed()}
 	if at := t.source.Load(); at != nil {
@@ -104,35 +108,36 @@
 	}
 	raw, err := json.Marshal(k)
 	if err != nil {
-		t.log.Warn("what this process knows can't be handed over", "err", err)
+		t.log.Warn("can't encode the state for the successor", "err", err)
 	}
 	return raw
 }
 
-// takeover holds a process to its part of the node while another of the same node runs, before it or after it.
+// takeover limits a process to its share of the node's resources while another process of the same node, its predecessor
+// or its successor, runs too, and determines which of the two accepts clients and sends messages to other nodes.
 type takeover struct {
-	agreement *control.Control // nil: none
+	agreement *control.Control // nil: the node takes no part in a fleet's agreement
 	front     *http1.Front
 	handler   *front.Handler
 	transport *upstream.Transport
 	peers     *peer.Peers
 	loop      *core.Loop
-	clients   int // connections that the node may have
-	servers   int
-	memoryMB  int
-	setMemory func(int64) int64 // bytes; nil: not bounded
+	clients   int                    // clients' connections that the node may have
+	servers   int                    // connections to servers that the node may have
+	memoryMB  int                    // memory limit of the node, MiB
+	setMemory func(int64) int64      // sets Go's memory limit in bytes; nil: not set
 	log       *slog.Logger
-	source    atomic.Pointer[netip.AddrPort] // discovery's address now
+	source    atomic.Pointer[netip.AddrPort] // discovery's current address
 
 	mu     sync.Mutex
-	stage  handover.Stage // of its own replacement
-	before bool           // the predecessor is still there
-	held   int            // clients' connections that it has; all that the node may have, until it has told
-	serves bool           // this process serves
+	stage  handover.Stage // of the replacement of this process by a successor
+	before bool           // the predecessor still runs
+	held   int            // clients' connections of the predecessor; the node's whole limit until it has reported them
+	serves bool           // this process can serve: always, but for a successor that is still preparing
 	away   bool           // the fleet has drained this node
 }
 
-// apply brings all parts to the present state. It is called under the lock.
+// apply passes the current state to all parts. The caller holds the lock.
 func (t *takeover) apply() {
 	part := t.stage.Part()
 	clients := t.clients
@@ -154,6 +159,7 @@
 	}
 }
 
+// set changes the state by f, under the lock, and applies it.
 func (t *takeover) set(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,16 +167,18 @@
 	t.apply()
 }
 
-// drained is told whether the fleet has drained this node: it says that it is not ready, and closes connections behind their answers.
+// setDrained sets whether the fleet has drained this node. A drained node reports that it is not ready, and closes each
+// client's connection after its next answer.
 func (t *takeover) drained(on bool) { t.set(func() { t.away = on }) }
 
-// changed is told of the stage of this process's own replacement.
+// stageChanged sets the stage of the replacement of this process by a successor.
 func (t *takeover) changed(now handover.Stage) {
 	t.set(func() { t.stage = now })
 	t.log.Info("replacement", "stage", []string{handover.Alone: "none: this process serves", handover.Shared: "a successor prepares", handover.Succeeded: "a successor serves"}[now])
 }
 
-// follow waits until this process can serve, tells its predecessor, and takes the whole of the node once that has ended.
+// replacePredecessor waits until this process can serve, notifies the predecessor, and uses all of the node's resources
+// once the predecessor has ended.
 func (t *takeover) follow(ctx context.Context, p *handover.Predecessor) {
 	stop := context.AfterFunc(ctx, p.Close)
 	defer stop()
@@ -189,7 +197,7 @@
 		p.Serving()
 	})
 	p.Run(func(held int) {
-		if held != t.held { // which nothing else writes
+		if held != t.held { // read without the lock, as only this goroutine writes it
 			t.set(func() { t.held = held })
 		}
 	})
