--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,6 @@
-// Command simhost hosts instances of the decision module on the simulator's
-// wire: a batch of events a line on standard input, a reply a line on standard
-// output.
+// Command simhost runs instances of the decision module for the simulator. It
+// reads one batch of events in JSON per line from standard input and writes one
+// reply per line to standard output.
 package main
 
 import (
@@ -21,6 +21,8 @@
 	}
 }
 
+// run answers each line of in with one line in out, until in ends. It returns an
+// error that names the line if a batch is malformed.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<20)
 	nodes := map[int]*decide.Module{}
@@ -47,6 +49,8 @@
 	}
 }
 
+// handleBatch passes a batch's events to the modules in nodes, which has one per
+// node number, and returns their actions, grouped by node as the events are.
 func answer(nodes map[int]*decide.Module, line []byte) ([]wire.Reply, error) {
 	batch, err := wire.DecodeBatch(line)
 	if err != nil {
@@ -61,11 +65,11 @@
 				nodes[g.Node] = decide.New(h.Start.Settings, h.Start.Seed)
 			case h.Retire:
 				delete(nodes, g.Node)
-				reply.Actions = nil // a dead instance does nothing
+				reply.Actions = nil // actions of a stopped instance are not carried out
 			default:
 				m := nodes[g.Node]
 				if m == nil {
-					return nil, fmt.Errorf("node %d, event %d: no up came before it", g.Node, i)
+					return nil, fmt.Errorf("node %d, event %d: the node has not been started by an \"up\" event", g.Node, i)
 				}
 				reply.Actions = append(reply.Actions, m.Handle(batch.Now, h.Event)...)
 			}
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -39,7 +39,7 @@
 	Ops       netip.AddrPort // the operators' address; invalid: there is none
 	Handover  string         // path of the Unix socket for a successor process; empty: no handover
 	PeerListen,
-	PeersAll netip.AddrPort // own address and broadcast address for messages between nodes; invalid: none
+	PeersAll netip.AddrPort // PeerListen: own address for messages between nodes; PeersAll: one that reaches all nodes; invalid: none
 	Peers    []netip.AddrPort
 	Known    core.List // the last server list that this node had, from the configuration or from its predecessor
 	Settings decide.Settings
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -9,15 +9,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// shared lets a second process bind the same address: the way that is left where sockets can't be handed over.
+// reusePort lets a second process bind the same address. That is how a successor starts if sockets can't be handed over.
 var shared = net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// A platform that refuses it has no replacement beside the old process; all else works.
+		// If the platform refuses the option, a successor can't bind while the old process runs. All else works.
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 }}
 
-// ListenTCP listens for clients at an address that another process of this user may share.
+// ListenTCP opens a listener for clients. Other processes of the same user may listen at the same address.
 func ListenTCP(at netip.AddrPort) (*net.TCPListener, error) {
 	l, err := shared.Listen(context.Background(), "tcp", at.String())
 	if err != nil {
@@ -26,7 +26,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-// ListenUDP does the same for datagrams of other nodes.
+// ListenUDP opens a socket for datagrams of other nodes. Other processes of the same user may bind the same address.
 func ListenUDP(at netip.AddrPort) (*net.UDPConn, error) {
 	c, err := shared.ListenPacket(context.Background(), "udp", at.String())
 	if err != nil {
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -12,23 +12,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// A message between the two processes is a length of four bytes (big endian) and so many bytes of JSON.
+// A message between the two processes is a length of four bytes (big endian) followed by that many bytes of JSON.
 
 const (
 	version      = 1
-	messageLimit = 4 << 20 // bytes; a list of 10,000 servers has 2 MB
-	filesMost    = 2
+	messageLimit = 4 << 20 // a list of 10,000 servers takes 2 MB
+	filesMost    = 2       // the listener and the socket for datagrams
 )
 
+// message is a message in either direction. Fields that it does not need are omitted.
 type message struct {
 	Version     int             `json:"version"`
-	Name        string          `json:"name,omitempty"`    // of the node, from the successor
-	Peers       bool            `json:"peers,omitempty"`   // the second socket is that of the peers
-	State       json.RawMessage `json:"state,omitempty"`   // the predecessor's snapshot
-	Serving     bool            `json:"serving,omitempty"` // the successor serves from now on
-	Connections int             `json:"held,omitempty"`    // clients' connections that the predecessor has
+	Name        string          `json:"name,omitempty"`    // from the successor: name of the node
+	Peers       bool            `json:"peers,omitempty"`   // from the predecessor: the second descriptor is the socket for datagrams
+	State       json.RawMessage `json:"state,omitempty"`   // from the predecessor: its state
+	Serving     bool            `json:"serving,omitempty"` // from the successor: it serves from now on
+	Connections int             `json:"held,omitempty"`    // from the predecessor: number of its clients' connections
 }
 
+// write sends m, and with it the descriptors fds.
 func write(c *net.UnixConn, m *message, fds ...int) error {
 	m.Version = version
 	body, err := json.Marshal(m)
@@ -36,14 +38,14 @@
 		return err
 	}
 	if len(body) > messageLimit {
-		return fmt.Errorf("handover: a message of %d bytes, %d at most", len(body), messageLimit)
+		return fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", len(body), messageLimit)
 	}
 	text := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(body)), uint32(len(body)))
 	var rights []byte
 	if len(fds) > 0 {
 		rights = unix.UnixRights(fds...)
 	}
-	// The descriptors travel with the first bytes.
+	// The descriptors are ancillary data of the first bytes, the length.
 	if _, _, err := c.WriteMsgUnix(text, rights, nil); err != nil {
 		return err
 	}
@@ -51,8 +53,8 @@
 	return err
 }
 
-// read takes a message, and the descriptors that come with it. The files are the caller's to close, also beside an
-// error.
+// read receives a message and the descriptors sent with it. The caller has to close the files, also those that are
+// returned together with an error.
 func read(c *net.UnixConn) (m *message, files []*os.File, err error) {
 	var head [4]byte
 	rights := make([]byte, unix.CmsgSpace(4*filesMost))
@@ -67,16 +69,16 @@
 		return nil, files, err
 	}
 	if flags&unix.MSG_CTRUNC != 0 {
-		return nil, files, errors.New("handover: more descriptors than fit")
+		return nil, files, errors.New("handover: too many descriptors in a message")
 	}
 	if _, err := io.ReadFull(c, head[n:]); err != nil {
 		return nil, files, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size > messageLimit {
-		return nil, files, fmt.Errorf("handover: a message of %d bytes, %d at most", size, messageLimit)
+		return nil, files, fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", size, messageLimit)
 	}
-	body, err := io.ReadAll(io.LimitReader(c, int64(size))) // grows with what comes, whatever the length says
+	body, err := io.ReadAll(io.LimitReader(c, int64(size))) // allocates as data arrives, not by the length that the peer claims
 	if err != nil {
 		return nil, files, err
 	}
@@ -90,6 +92,7 @@
 	return m, files, nil
 }
 
+// receivedFiles returns the descriptors in the ancillary data of a message, as files.
 func received(rights []byte) (files []*os.File, err error) {
 	if len(rights) == 0 {
 		return nil, nil
@@ -101,7 +104,7 @@
 	for _, p := range parts {
 		fds, err := unix.ParseUnixRights(&p)
 		if err != nil {
-			continue // credentials, say
+			continue // ancillary data of another kind, such as credentials
 		}
 		for _, fd := range fds {
 			unix.CloseOnExec(fd)
@@ -117,7 +120,7 @@
 	}
 }
 
-// sameUser tells whether the process at the other end is this user's.
+// sameUser reports whether the process at the other end runs as the same user as this one.
 func sameUser(c *net.UnixConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -1,6 +1,6 @@
-// Package handover lets a process of a node be replaced by another while it serves. The successor gets the
+// Package handover lets a new process of a node replace the running one without an interruption. The successor gets the
 // predecessor's listening sockets over a Unix socket, so that no connection is lost between the two, and a snapshot of
-// its state. Both keep that connection open for as long as they live, so each notices the other's end.
+// its state. Both keep that Unix connection open while they run, so each notices when the other ends.
 //
 // predecessor.go is the side of the process that is replaced, successor.go that of the process that replaces it.
 package handover
@@ -19,22 +19,22 @@
 )
 
 const (
-	helloWait   = time.Second           // for a successor to say who it is, and to take what it is given
-	startWait   = 10 * time.Second      // for it to serve
-	reportEvery = 50 * time.Millisecond // how often a successor hears of this process's connections
+	helloWait   = time.Second           // for a successor to send its first message, and to receive the sockets and the state
+	startWait   = 10 * time.Second      // for a successor to serve once it has the sockets
+	reportEvery = 50 * time.Millisecond // how often a successor receives the number of this process's client connections
 )
 
 // Offer is what a process hands to its successor.
 type Offer struct {
-	Name        string
-	Listener    *net.TCPListener
-	Peers       *net.UDPConn    // may be nil
-	State       func() []byte   // a snapshot of what it knows, as JSON
-	Connections func() int      // how many clients' connections it has
-	Changed     func(now Stage) // called at each change of the stage, one at a time
+	Name        string           // of the node; a successor with another name gets nothing
+	Listener    *net.TCPListener // for clients
+	Peers       *net.UDPConn     // for datagrams of other nodes; may be nil
+	State       func() []byte    // returns a snapshot of the process's state, as JSON
+	Connections func() int       // returns the number of its clients' connections
+	Changed     func(now Stage)  // called at each change of the stage, one call at a time
 }
 
-// Server waits for successors of this process at a Unix socket.
+// Server accepts successors of this process at a Unix socket.
 type Server struct {
 	offer    Offer
 	listener *net.UnixListener
@@ -43,7 +43,8 @@
 	log      *slog.Logger
 }
 
-// Listen opens the socket at path for successors of this process. What another process has left there is replaced.
+// Listen opens a Unix socket at path for successors of this process. It replaces a file that is there already. The socket
+// is created under a temporary name and renamed, so that path always leads to a process that listens.
 func Listen(path string, o Offer, log *slog.Logger) (*Server, error) {
 	first := path + "." + strconv.Itoa(os.Getpid())
 	os.Remove(first)
@@ -51,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then the file may be a successor's
+	l.SetUnlinkOnClose(false) // when this listener closes, the file may belong to a successor
 	s := &Server{offer: o, listener: l, path: path, log: log}
 	if err = os.Chmod(first, 0o600); err == nil {
 		if s.own, err = os.Lstat(first); err == nil {
@@ -66,7 +67,7 @@
 	return s, nil
 }
 
-// Run serves one successor at a time until ctx ends.
+// Run serves one successor at a time until ctx ends. Then it removes the socket file, unless a successor replaced it.
 func (s *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
@@ -83,7 +84,7 @@
 		retry.Reset()
 		ended := context.AfterFunc(ctx, func() { c.Close() })
 		if !sameUser(c) {
-			s.log.Warn("handover: another user's process was turned away")
+			s.log.Warn("handover: rejected a process of another user")
 		} else if err := s.serve(c); err != nil && ctx.Err() == nil {
 			s.log.Info("handover ended", "err", err)
 		}
@@ -92,14 +93,15 @@
 	}
 }
 
-// remove takes the file away, unless it is a successor's by now.
+// removeSocketFile removes the file at path, unless it is a successor's by now.
 func (s *Server) remove() {
 	if now, err := os.Lstat(s.path); err == nil && os.SameFile(now, s.own) {
 		os.Remove(s.path)
 	}
 }
 
-// serve hands a successor the sockets and the state, and goes on until one of the two processes has ended.
+// serve hands the sockets and the state to a successor and then reports client connections to it. It returns when the
+// successor has ended or failed to serve within startTimeout. The stage is Alone again after that.
 func (s *Server) serve(c *net.UnixConn) error {
 	c.SetDeadline(time.Now().Add(helloWait))
 	hello, files, err := read(c)
@@ -132,14 +134,15 @@
 		return err
 	}
 	s.offer.Changed(Succeeded)
-	c.SetReadDeadline(time.Time{}) // it says no more: what comes is its end, of which the kernel tells
+	c.SetReadDeadline(time.Time{}) // the successor sends nothing more: read returns when its process ends and the kernel closes the socket
 	_, files, err = read(c)
 	closeAll(files)
 	return err
 }
 
-// writeWithSockets writes a message with the descriptors of sockets, each of which stays valid meanwhile. (An os.File
-// of a socket would not do: its Fd sets the socket to blocking mode, which both processes would share.)
+// writeWithSockets sends a message with the descriptors of sockets, after those in fds. Each call holds one socket, so
+// that its descriptor stays valid, and calls itself for the others. (An os.File of a socket would not do: its Fd method
+// sets the socket to blocking mode, which both processes share.)
 func writeWithSockets(c *net.UnixConn, m *message, sockets []syscall.Conn, fds []int) error {
 	if len(sockets) == 0 {
 		return write(c, m, fds...)
@@ -156,14 +159,14 @@
 	return failed
 }
 
-// reportConnections sends the number of clients' connections that this process has, until over is closed.
+// reportConnections sends the number of this process's client connections every reportInterval, until done is closed.
 func (s *Server) reportConnections(c *net.UnixConn, over <-chan struct{}) {
 	tick := time.NewTicker(reportEvery)
 	defer tick.Stop()
 	for {
 		c.SetWriteDeadline(time.Now().Add(writeWait))
 		if write(c, &message{Connections: s.offer.Connections()}) != nil {
-			return // it has gone, which the reader sees, or reads no more
+			return // the successor has ended, which serve notices as it reads, or no longer reads
 		}
 		select {
 		case <-over:
--- a/internal/handover/stage.go
+++ b/internal/handover/stage.go
@@ -1,7 +1,7 @@
 package handover
 
-// Stage is how far the replacement of a process has got, as that process sees it. What each stage means for the node is
-// decided here; the package's other files carry it out.
+// Stage is the progress of the replacement of a process, as that process sees it. The methods define what each stage
+// means for the node.
 type Stage int
 
 const (
@@ -9,22 +9,23 @@
 	Alone Stage = iota
 	// Shared: a successor has the sockets and prepares to serve.
 	Shared
-	// Succeeded: it serves.
+	// Succeeded: the successor serves.
 	Succeeded
 )
 
-// Accepts tells whether this process takes new connections. Once its successor serves, that one does, from the same
-// queue.
+// Accepts reports whether this process accepts new connections. Once its successor serves, the successor accepts them,
+// from the same listen queue.
 func (s Stage) Accepts() bool { return s != Succeeded }
 
-// Speaks tells whether this process talks to other nodes: one of the two does.
+// MessagesPeers reports whether this process exchanges messages with other nodes. Only one of the two processes does.
 func (s Stage) Speaks() bool { return s != Succeeded }
 
-// Closes tells whether clients are to be sent to a new connection with their next answer.
+// ClosesConnections reports whether each client's connection is closed after its next answer, so that the client opens a
+// new one to the successor.
 func (s Stage) Closes() bool { return s == Succeeded }
 
-// Part is this process's part, between 0 and 1, of the descriptors towards servers, and of the memory: both processes
-// are one node.
+// ResourceShare returns this process's share, between 0 and 1, of the node's connections to servers and of its memory.
+// While two processes run, each gets half, as both together have to stay within the node's limits.
 func (s Stage) Part() float64 {
 	if s == Alone {
 		return 1
@@ -32,9 +33,9 @@
 	return 0.5
 }
 
-// Capacity is how many clients' connections a successor may have, of limit for the node, beside those that its
-// predecessor still has. An eighth of the limit is always its own: a predecessor that claims all could keep it from
-// ever serving.
+// ClientLimit returns how many clients' connections a successor may have: the node's limit less those that its
+// predecessor still has. It is at least an eighth of the limit, and 1, because otherwise a predecessor that holds all
+// connections could keep its successor from ever serving.
 func Capacity(limit, predecessorConnections int) int {
 	return max(limit-max(0, predecessorConnections), limit/8, 1)
 }
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -10,30 +10,31 @@
 )
 
 const (
-	askWait   = time.Second // for the predecessor's sockets; one that hangs is done without
+	askWait   = time.Second // to receive the predecessor's sockets; after that, start without a predecessor that hangs
 	writeWait = time.Second
 )
 
 // Predecessor is the process that this one replaces.
 type Predecessor struct {
-	Listener *net.TCPListener
-	Peers    *net.UDPConn // nil: it has none, or another address
-	State    []byte       // what it knows: JSON, unchecked
+	Listener *net.TCPListener // for clients
+	Peers    *net.UDPConn // for datagrams of other nodes; nil: it has none, or at another address
+	State    []byte       // its state: JSON, not validated
 
 	conn *net.UnixConn
 }
 
-// ErrNoPredecessor is returned by Ask if no process listens at the path.
+// ErrNoPredecessor is returned by TakeOver if no process listens at the path.
 var ErrNoPredecessor = errors.New("no predecessor")
 
-// Ask gets the sockets of the process that listens at the path, if they are bound to these addresses. peers may be
-// invalid: then no socket for datagrams is taken over.
+// TakeOver connects to the process that listens at the Unix socket path and takes over its sockets and state. It fails
+// if the clients' listener is not bound to listen. The socket for datagrams is taken over only if it is bound to peers,
+// which may be invalid.
 func Ask(path, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
 	end := time.Now().Add(askWait)
 	d := net.Dialer{Deadline: end}
 	raw, err := d.Dial("unix", path)
 	if err != nil {
-		return nil, ErrNoPredecessor // the file is missing, or its process has gone
+		return nil, ErrNoPredecessor // the file is missing, or its process has ended
 	}
 	c := raw.(*net.UnixConn)
 	p, err := ask(c, end, name, listen, peers)
@@ -46,7 +47,7 @@
 
 func ask(c *net.UnixConn, end time.Time, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
 	if !sameUser(c) {
-		return nil, errors.New("handover: the process at the socket is another user's")
+		return nil, errors.New("handover: the process at the socket belongs to another user")
 	}
 	c.SetDeadline(end)
 	if err := write(c, &message{Name: name}); err != nil {
@@ -58,7 +59,7 @@
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	if len(files) == 0 {
-		return nil, errors.New("handover: no sockets")
+		return nil, errors.New("handover: the predecessor sent no sockets")
 	}
 	p := &Predecessor{State: m.State, conn: c}
 	l, err := net.FileListener(files[0])
@@ -84,22 +85,23 @@
 	return p, nil
 }
 
+// hasAddress reports whether a is the address want.
 func isAddress(a net.Addr, want netip.AddrPort) bool {
 	got, err := netip.ParseAddrPort(a.String())
 	return err == nil && got == want
 }
 
-// Serving notifies the predecessor that this process serves from now on.
+// NotifyServing notifies the predecessor that this process serves from now on.
 func (p *Predecessor) Serving() {
 	p.conn.SetWriteDeadline(time.Now().Add(writeWait))
 	if err := write(p.conn, &message{Serving: true}); err != nil {
-		p.conn.Close() // it has gone, or reads no more: Run notices
+		p.conn.Close() // the predecessor has ended or no longer reads; closing makes Run return
 	}
 }
 
 // Run calls connections with each count of clients' connections that the predecessor reports, until that process has
-// ended or Close is called. It has no deadline: the kernel closes the socket of a process that ends, however that
-// comes, and one that is silent still has its connections.
+// ended or Close is called. It has no deadline: the kernel closes the socket of a process however it ends, and a
+// predecessor that sends nothing still holds its connections.
 func (p *Predecessor) Run(connections func(int)) {
 	defer p.conn.Close()
 	for {
@@ -112,23 +114,24 @@
 	}
 }
 
-// Close ends Run. The predecessor takes it for this process's end.
+// Close ends Run. To the predecessor it looks as if this process had ended.
 func (p *Predecessor) Close() { p.conn.Close() }
 
-// Path is where the process of a node is found by its successor: in the directory that both share. Empty: there is
-// none, or its name is too long for a socket.
+// Path returns the path of the Unix socket at which the process of a node accepts its successor, in a directory that both
+// processes use. It is empty if handover is not possible: without a directory, a fixed port or a name that is valid in
+// a file name, or if the path is too long for a Unix socket.
 func Path(dir, name string, listen netip.AddrPort) string {
 	if dir == "" || name == "" || name != clean(name) || listen.Port() == 0 {
 		return ""
 	}
 	path := fmt.Sprintf("%s/starlingvalve-%s-%s.sock", dir, name, strings.ReplaceAll(listen.String(), ":", "-"))
-	if len(path)+len(".")+20 > 107 { // with the number of a process, as it stands there before it is renamed
+	if len(path)+len(".")+20 > 107 { // 107 bytes fit a socket address; the file first has a suffix of "." and the process id, of up to 20 digits
 		return ""
 	}
 	return path
 }
 
-// clean leaves of a name what may stand in a file's.
+// sanitize returns name without the characters other than ASCII letters, digits, "-" and "_".
 func clean(name string) string {
 	out := []byte(nil)
 	for i := range len(name) {
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Gate is open or shut. Its zero value is open. One goroutine reads; any may set it.
+// Gate lets one goroutine read from a socket while it is open, and makes it wait while it is shut. The zero value is
+// open. Any goroutine may open or shut it.
 type Gate struct {
 	mu     sync.Mutex
 	change sync.Cond
@@ -16,7 +17,8 @@
 	ended  bool
 }
 
-// Set opens or shuts the gate. deadline is the socket's: one in the past ends what the reader waits in.
+// SetOpen opens or shuts the gate. deadline sets the read deadline of the socket: a deadline in the past interrupts a read
+// that is waiting.
 func (g *Gate) Set(open bool, deadline func(time.Time) error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -29,7 +31,7 @@
 	g.wake()
 }
 
-// End lets the reader go on to find its socket closed.
+// Release ends the wait of the reader for good, so that it reads again and gets the error of its closed socket.
 func (g *Gate) End() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,15 +44,15 @@
 	g.change.Broadcast()
 }
 
-// Shut tells whether the gate is shut now.
+// IsShut reports whether the gate is shut now and makes the reader wait.
 func (g *Gate) Shut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.shut && !g.ended
 }
 
-// Retry is asked with the error of a read. If the gate's deadline caused it, it waits until the gate opens or ends and tells to
-// read again.
+// WaitAndRetry takes the error of a read. If a deadline caused the error, it waits until the gate is open or released and
+// returns true: read again. Otherwise it returns false at once.
 func (g *Gate) Retry(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,4 +1,4 @@
-// Package tomlfile reads configuration in TOML strictly: what is wrong is one line with file, line and key.
+// Package tomlfile decodes configuration files in TOML strictly. Each error is one line of text with file, line and key.
 package tomlfile
 
 import (
@@ -12,7 +12,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Decode reads a file's text into what into points to. An unknown key and a wrong type are errors. path is for the errors only.
+// Decode decodes the text of a file, raw, into the value that into points to. Unknown keys and values of a wrong type are
+// errors. path is used in error messages only.
 func Decode(path string, raw []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -33,8 +34,9 @@
 	return fmt.Errorf("%s: %s", path, oneLine(err.Error()))
 }
 
-// Faults makes errors about keys of a text that Decode has taken: of the line where the key is, or else of its table. Keys in an
-// array of tables are named like "peer[0].name".
+// KeyErrors returns a function that creates errors about keys of a text that Decode accepted. The error has the line of
+// the key, or of the innermost enclosing table that is in the text if the key is not. Keys in an array of tables are
+// named like "peer[0].name".
 func Faults(path string, raw []byte) func(key, format string, args ...any) error {
 	lines := keyLines(raw)
 	return func(key, format string, args ...any) error {
@@ -50,7 +52,8 @@
 	}
 }
 
-// Beside gives the paths that a file names: relative ones are relative to its folder.
+// RelativeTo returns a function that resolves the paths named in the file at path: relative to the file's folder, unless
+// they are absolute.
 func Beside(path string) func(name string) string {
 	return func(name string) string {
 		if filepath.IsAbs(name) {
@@ -60,9 +63,11 @@
 	}
 }
 
+// oneLine replaces each run of white space in text by one space.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// keyLines gives the line of each key of a well-formed file, "peer[0].name" for those of arrays, and of each table.
+// keyLines returns the line number of each key and each table in a well-formed file. Keys in an array of tables are named
+// like "peer[0].name".
 func keyLines(raw []byte) map[string]int {
 	lines, count := map[string]int{}, map[string]int{}
 	p := unstable.Parser{}
