--- a/cmd/starlingvalve/config.go
+++ b/cmd/starlingvalve/config.go
@@ -20,32 +20,33 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
+// inForcePollInterval is how often --wait fetches the status.
 const inForceEvery = 100 * time.Millisecond
 
-// configCommand makes the commands about the fleet's configuration.
+// configCommand creates the commands that read and change the fleet's configuration.
 func configCommand() *cobra.Command {
 	a := &asking{}
 	root, add := a.command("config", "Change and read the fleet's configuration: services, routes, tenants")
 	var wait time.Duration
 	waits := func(c *cobra.Command) {
 		c.Flags().DurationVar(&wait, "wait", 0,
-			"wait for so long until the change is in force at every node; exit code 5 if it is not")
+			"how long to wait until the change is in force at every node; exit code 5 if it is not by then")
 	}
-	waits(add("put FILE", "Change entries as the file says, all or none", cobra.ExactArgs(1),
+	waits(add("put FILE", "Apply all changes of a file, or none", cobra.ExactArgs(1),
 		func(c *cobra.Command, d *control.Door, args []string) error {
 			return a.putConfig(c, d, args[0], wait)
 		}))
-	waits(add("rollback REVISION", "Bring all entries back to what they were at a revision", cobra.ExactArgs(1),
+	waits(add("rollback REVISION", "Restore all entries as of a revision", cobra.ExactArgs(1),
 		func(c *cobra.Command, d *control.Door, args []string) error {
 			return a.rollBackConfig(c, d, args[0], wait)
 		}))
-	add("get [KEY...]", "Print entries as a file that put takes", cobra.ArbitraryArgs, a.getConfig)
-	add("diff FILE", "What put would change", cobra.ExactArgs(1), a.diffConfig)
+	add("get [KEY...]", "Print entries in the format of a file for put", cobra.ArbitraryArgs, a.getConfig)
+	add("diff FILE", "Print what put would change", cobra.ExactArgs(1), a.diffConfig)
 	var most uint32
-	history := add("history", "Who changed what, and why", cobra.NoArgs,
+	history := add("history", "Print who changed what, and why", cobra.NoArgs,
 		func(c *cobra.Command, d *control.Door, _ []string) error { return a.configHistory(c, d, most) })
-	history.Flags().Uint32Var(&most, "most", 20, "so many revisions, the newest; 0: all that are kept")
-	add("status", "The revision in force, who lags and why; exit code 5 while the newest is not in force", cobra.NoArgs,
+	history.Flags().Uint32Var(&most, "most", 20, "number of revisions to print, newest ones; 0: all that are kept")
+	add("status", "Print the revision in force, which nodes lag and why; exit code 5 while the newest is not in force", cobra.NoArgs,
 		func(c *cobra.Command, d *control.Door, _ []string) error {
 			s, err := configStatus(c.Context(), d)
 			if err != nil {
@@ -86,7 +87,7 @@
 	return a.tellChange(c, d, r, wait)
 }
 
-// changeConfig hands in a change under a number of its own, so that it may be asked again without harm.
+// changeConfig submits a change. It has a number of its own, so that it is safe to submit it again.
 func (a *asking) changeConfig(c *cobra.Command, d *control.Door, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	if e.Ask = a.number; e.Ask == "" {
 		e.Ask = rand.Text()
@@ -96,7 +97,7 @@
 	return d.Ask(ctx, e)
 }
 
-// tellChange prints what became of a change, and waits until it is in force where that is wanted.
+// printChange prints the result of a change. If wait is not 0, it then waits up to that long until the change is in force.
 func (a *asking) tellChange(c *cobra.Command, d *control.Door, r *fleetpb.Result, wait time.Duration) error {
 	w, result := c.OutOrStdout(), r.GetConfiguration()
 	switch {
@@ -115,7 +116,7 @@
 	return a.waitInForce(c, d, result.GetRevision(), wait)
 }
 
-// codeOf is the exit code of a result.
+// exitCodeOf returns the exit code of a result, as an error.
 func codeOf(r *fleetpb.Result) error {
 	switch r.Code {
 	case fleetpb.Result_DONE:
@@ -126,15 +127,17 @@
 	return exitCode(1)
 }
 
+// parseRevision parses the number of a revision.
 func parseRevision(text string) (revision uint64, err error) {
 	var rest string
 	if n, _ := fmt.Sscanf(text, "%d%s", &revision, &rest); n != 1 {
-		return 0, fmt.Errorf("config: want the number of a revision, have %q", text)
+		return 0, fmt.Errorf("config: want a revision number, have %q", text)
 	}
 	return revision, nil
 }
 
-// waitInForce waits until every node has a revision.
+// waitInForce waits until every node has applied a revision or a newer one. If that takes longer than wait, it prints which
+// nodes lag.
 func (a *asking) waitInForce(c *cobra.Command, d *control.Door, revision uint64, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(c.Context(), wait)
 	defer cancel()
@@ -167,7 +170,7 @@
 	return answer.GetStatus(), err
 }
 
-// tellStatus prints a status; the exit code says whether the newest revision is in force.
+// printStatus prints a status. It returns the exit code exitUnproven unless the newest revision is in force.
 func (a *asking) tellStatus(w io.Writer, s *configpb.Status) error {
 	inForce := s.Accounted && s.InForce == s.Revision
 	if a.json() {
@@ -177,7 +180,7 @@
 	} else {
 		state := fmt.Sprintf("in force: %d", s.InForce)
 		if !s.Accounted {
-			state = "in force: not known, as some session is heard by no control machine"
+			state = "in force: unknown, as no control machine has a report of some session"
 		}
 		fmt.Fprintf(w, "revision %d, %s; %d nodes\n", s.Revision, state, s.Sessions)
 		a.printLags(w, s)
@@ -188,7 +191,8 @@
 	return nil
 }
 
-// printLags names the control machines, the nodes that lag, and why.
+// printLags prints a table of the control machines, of the nodes that lag and why, and of those that no machine has a
+// report of.
 func (a *asking) printLags(out io.Writer, s *configpb.Status) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
@@ -208,7 +212,7 @@
 		}
 	}
 	for _, node := range s.Unheard {
-		fmt.Fprintf(w, "unheard\t%s\tit has a session and watches no machine that was reached\n", node)
+		fmt.Fprintf(w, "unheard\t%s\tit has a session, but watches no machine that was reached\n", node)
 	}
 }
 
@@ -230,7 +234,7 @@
 		entries = nil
 		for _, key := range keys {
 			if known[key] == nil {
-				return fmt.Errorf("config: there is no %q at revision %d", key, s.GetRevision())
+				return fmt.Errorf("config: no entry %q at revision %d", key, s.GetRevision())
 			}
 			entries = append(entries, known[key])
 		}
@@ -274,7 +278,7 @@
 	return nil
 }
 
-// oneLine is an entry's value.
+// entryValue returns an entry's value as one line of JSON.
 func oneLine(e *configpb.Entry) string {
 	raw, err := protojson.Marshal(&configpb.Entry{Value: e.Value})
 	if err != nil {
@@ -302,9 +306,10 @@
 	return nil
 }
 
+// maxKeysPrinted is how many changed keys the history prints for a revision.
 const keysTold = 5
 
-// changedKeys names some of a revision's entries: with a minus those that it deleted.
+// changedKeys lists the keys of the entries that a revision changed, up to maxKeysPrinted. Deleted ones have a minus.
 func changedKeys(r *configpb.Revision) string {
 	var keys []string
 	for _, c := range r.Changes {
--- a/cmd/starlingvalve/fleet.go
+++ b/cmd/starlingvalve/fleet.go
@@ -23,33 +23,34 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// Exit codes of the fleet commands, beside 0 and, for all else, 1.
+// Exit codes of the fleet commands. 0 is success, 1 any other error.
 const (
-	exitRefused   = 3 // by a budget, or as it is drained already
-	exitQueued    = 4 // it waits
-	exitUnproven  = 5 // nodes are unheard; their names are printed
-	exitOutOfHand = 6 // the agreement is out of reach
+	exitRefused   = 3 // refused by a budget, or because the target is drained already
+	exitQueued    = 4 // the drain waits in the queue
+	exitUnproven  = 5 // some nodes have not confirmed; their names are printed
+	exitOutOfHand = 6 // the fleet's agreement can't be reached
 )
 
-// exitCode is an error of which all has been said already.
+// exitCode is an error whose message has been printed already. Its value is the exit code of the process.
 type exitCode int
 
-// Error is the code alone: whatever there was to say has been printed.
+// Error returns a text with the code only, as the message has been printed already.
 func (e exitCode) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
-// asking is what the fleet commands share.
+// fleetCLI has the flags that all fleet commands share, and their methods.
 type asking struct {
 	socket, by, why, output string
-	number                  string // of the ask; empty: a new one
-	queue, timeout          time.Duration
+	number                  string        // identifies the request, so that repeating it has no second effect; empty: a random one
+	queue, timeout          time.Duration // longest wait of a drain in the queue, and for the proof of one
 }
 
 func (a *asking) json() bool { return a.output == "json" }
 
-const codesHelp = `Exit codes: 0 done, 1 wrong use, 3 refused by a budget, 4 waiting in the queue, 5 not proven (the nodes unheard are named),
-6 the agreement is out of reach.`
+const codesHelp = `Exit codes: 0 done, 1 wrong use or another error, 3 refused by a budget, 4 waiting in the queue,
+5 not proven (the nodes that have not confirmed are named), 6 the agreement is out of reach.`
 
-// command makes a command whose subcommands ask the agreement through a node's socket.
+// command creates a command and a function that adds subcommands to it. A subcommand's run gets a client of the node's
+// socket, through which it reads or changes what the fleet agreed on.
 func (a *asking) command(use, short string) (root *cobra.Command, add func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, *control.Door, []string) error) *cobra.Command) {
 	root = &cobra.Command{Use: use, Short: short, Long: short + ", through the socket of any node.\n\n" + codesHelp,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
@@ -66,9 +67,9 @@
 		me = u.Username
 	}
 	root.PersistentFlags().StringVar(&a.socket, "socket", os.Getenv("GW_FLEET_SOCKET"), "the `PATH` of a node's socket")
-	root.PersistentFlags().StringVar(&a.by, "by", me, "who asks, for the history")
-	root.PersistentFlags().StringVar(&a.why, "why", "", "the reason, for the history")
-	root.PersistentFlags().StringVar(&a.number, "ask", "", "a `number` of your own for this ask: asked again with the same one, it has no second effect and the first answer")
+	root.PersistentFlags().StringVar(&a.by, "by", me, "who makes the request, for the history")
+	root.PersistentFlags().StringVar(&a.why, "why", "", "the reason of the request, for the history")
+	root.PersistentFlags().StringVar(&a.number, "ask", "", "a `number` of your own for this request: repeated with the same number, it has no second effect and returns the first result")
 	root.PersistentFlags().StringVarP(&a.output, "output", "o", "text", "text or json")
 	return root, func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, *control.Door, []string) error) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(c *cobra.Command, args []string) error {
@@ -95,12 +96,12 @@
 
 func fleetCommand() *cobra.Command {
 	a := &asking{}
-	root, add := a.command("fleet", "Ask the fleet's agreement: what is out, drains, budgets")
-	add("status", "What is out, who waits, the nodes, and this node's own view", cobra.NoArgs, a.status)
-	add("budget", "Each budget, and what is out of its groups", cobra.NoArgs, a.budget)
-	add("history", "Who asked what, and what became of it", cobra.NoArgs, a.history)
+	root, add := a.command("fleet", "Read and change what the fleet agreed on: drains and budgets")
+	add("status", "Print what is out of service, the queue, the nodes, and this node's own view", cobra.NoArgs, a.status)
+	add("budget", "Print each budget, and what is out of service in each of its groups", cobra.NoArgs, a.budget)
+	add("history", "Print who requested what, and with which result", cobra.NoArgs, a.history)
 	var dry, force bool
-	drain := add("drain TARGET", "Take out a server (s-5), a node (node/n3) or all servers of a zone (zone/hall-a), if the budgets allow it", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	drain := add("drain TARGET", "Drain a server (s-5), a node (node/n3) or all servers of a zone (zone/hall-a), if the budgets allow it", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		w := &fleetpb.Drain{Target: target(args[0]), By: a.by, Why: a.why, WaitMs: a.queue.Milliseconds(), Force: force}
 		if dry {
 			m, err := a.machine(c.Context(), d)
@@ -111,34 +112,34 @@
 		}
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Drain{Drain: w}})
 	})
-	drain.Flags().DurationVar(&a.queue, "queue", 0, "wait in the queue for so long, if the budgets are spent")
-	drain.Flags().BoolVar(&dry, "dry-run", false, "only tell what would become of it")
-	drain.Flags().BoolVar(&force, "force", false, "past the budgets; the history names who did it")
+	drain.Flags().DurationVar(&a.queue, "queue", 0, "how long to wait in the queue if the budgets are spent")
+	drain.Flags().BoolVar(&dry, "dry-run", false, "only print what the result would be")
+	drain.Flags().BoolVar(&force, "force", false, "ignore the budgets; the history names who did it")
 	var epoch uint64
-	back := add("return TARGET", "Take back what is drained", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	back := add("return TARGET", "End a drain", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target(args[0]), By: a.by, Why: a.why, Epoch: epoch}}})
 	})
-	back.Flags().Uint64Var(&epoch, "epoch", 0, "only the drain that was granted at this epoch; 0: whichever it is")
-	add("withdraw TARGET", "Take a drain that waits out of the queue", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	back.Flags().Uint64Var(&epoch, "epoch", 0, "only the drain that was granted at this epoch; 0: any")
+	add("withdraw TARGET", "Remove a waiting drain from the queue", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Withdraw{Withdraw: &fleetpb.Withdraw{Target: target(args[0]), By: a.by}}})
 	})
-	add("renew VOTER", "Take a voter in whose disk was lost, with its new one; start it first", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	add("renew VOTER", "Readmit a voter that lost its disk, with its new disk; start the voter first", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Renew{Renew: &fleetpb.RenewVoter{Node: args[0], By: a.by, Why: a.why}}})
 	})
 	var lift bool
-	hold := add("hold TARGET", "Keep a server, a node, a zone or, with fleet, everything from being taken out", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	hold := add("hold TARGET", "Forbid drains of a server, a node, a zone or, with the target fleet, of everything", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target(args[0]), By: a.by, Why: a.why, Lift: lift}}})
 	})
-	hold.Flags().BoolVar(&lift, "lift", false, "end that")
-	add("forget TARGET", "Say that a lapsed node (node/n3) or a server that is gone (server/s-5) is no more", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	hold.Flags().BoolVar(&lift, "lift", false, "allow drains again")
+	add("forget TARGET", "Remove a node whose session lapsed (node/n3) or a server that no longer exists (server/s-5)", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Forget{Forget: &fleetpb.Forget{Target: target(args[0]), By: a.by, Why: a.why}}})
 	})
-	wait := add("wait TARGET", "Wait until a drain is proven: no node sends there, and nothing is left", cobra.ExactArgs(1), a.proof)
-	wait.Flags().DurationVar(&a.timeout, "timeout", 30*time.Second, "for so long at most")
+	wait := add("wait TARGET", "Wait until a drain is proven: no node sends requests there, and none are in flight", cobra.ExactArgs(1), a.proof)
+	wait.Flags().DurationVar(&a.timeout, "timeout", 30*time.Second, "how long to wait at most")
 	return root
 }
 
-// target names a server, where nothing else is named.
+// target returns the target that arg names: a server, unless arg has a prefix such as zone/ or is the whole fleet.
 func target(arg string) string {
 	if strings.Contains(arg, "/") || arg == fleet.Everything {
 		return arg
@@ -146,7 +147,8 @@
 	return fleet.ServerTarget(arg)
 }
 
-// ask hands in an entry under a number of its own, so that it may be asked again without harm.
+// submit submits an entry to the agreement and prints the result. The entry has a number of its own, so that it is safe to
+// submit it again.
 func (a *asking) ask(c *cobra.Command, d *control.Door, e *fleetpb.Entry) error {
 	if e.Ask = a.number; e.Ask == "" {
 		e.Ask = rand.Text()
@@ -160,7 +162,7 @@
 	return a.tell(c.OutOrStdout(), "", r)
 }
 
-// tell prints a result and gives its exit code.
+// printResult prints a result, after prefix, and returns its exit code as an error.
 func (a *asking) tell(w io.Writer, before string, r *fleetpb.Result) error {
 	if a.json() {
 		if err := printJSON(w, r); err != nil {
@@ -190,7 +192,7 @@
 	return exitCode(1)
 }
 
-// machine is the agreed state, to be asked here.
+// agreedState fetches the fleet's agreed state, for queries in this process.
 func (a *asking) machine(ctx context.Context, d *control.Door) (*fleet.Machine, error) {
 	s, err := d.State(ctx)
 	if err != nil {
@@ -199,9 +201,10 @@
 	return fleet.From(s), nil
 }
 
+// proofPollInterval is how often the wait command fetches the state.
 const proofEvery = 50 * time.Millisecond
 
-// proof waits until a drain is proven.
+// waitForProof waits until a drain is proven, for the time of --timeout at most.
 func (a *asking) proof(c *cobra.Command, d *control.Door, args []string) error {
 	ctx, cancel := context.WithTimeout(c.Context(), a.timeout)
 	defer cancel()
@@ -235,6 +238,7 @@
 	}
 }
 
+// joinNames lists names, or says that there are none.
 func names(list []string) string {
 	if len(list) == 0 {
 		return "none"
--- a/cmd/starlingvalve/main.go
+++ b/cmd/starlingvalve/main.go
@@ -28,15 +28,18 @@
 	"starlingvalve/internal/supervise"
 )
 
-const gcPercent = 400 // the heap is small: fewer collections leave the one core to requests
+// gcPercent is higher than Go's default because the heap is small: fewer collections leave more of the single core to
+// requests.
+const gcPercent = 400
 
 func main() {
-	// Nothing may wait for whoever reads the log: it is written under locks that every request takes.
+	// Log lines are queued, so that a slow reader of the log blocks nothing: some are written under locks that every
+	// request takes.
 	log := logqueue.New(os.Stderr, 0, 0)
-	stdlog.SetOutput(log) // libraries
+	stdlog.SetOutput(log) // for libraries
 	err := command(log).Execute()
 	var code exitCode
-	if err != nil && !errors.As(err, &code) { // else all is said
+	if err != nil && !errors.As(err, &code) { // an exitCode's message has been printed already
 		fmt.Fprintln(log, "starlingvalve:", err)
 	}
 	log.Close()
@@ -45,10 +48,11 @@
 	}
 }
 
+// command creates the program's command line. The node and the supervisor log to log.
 func command(log io.Writer) *cobra.Command {
 	var files files
 	root := &cobra.Command{Use: "starlingvalve", Short: "A load-balancing proxy node and gateway between sites",
-		Long: "A load-balancing proxy node. GW_CONFIG names its configuration; GW_NAME, GW_LISTEN and GW_DISCOVERY go before the file.",
+		Long: "A load-balancing proxy node. GW_CONFIG names its configuration file; GW_NAME, GW_LISTEN and GW_DISCOVERY override the file.",
 		Args: cobra.NoArgs, SilenceErrors: true, SilenceUsage: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 		RunE: func(*cobra.Command, []string) error {
 			var level slog.Level
@@ -57,12 +61,12 @@
 			}
 			return run(files, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
 		}}
-	root.Flags().StringVar(&files.gateway, "gateway", "", "hand work to other sites as this `FILE` says (see deploy/gateway.toml)")
-	root.Flags().StringVar(&files.record, "record", "", "record what arrives as this `FILE` says (see deploy/record.toml)")
-	root.Flags().StringVar(&files.fleet, "fleet", "", "agree with other nodes on what may be out, as this `FILE` says (see deploy/fleet.toml)")
-	root.Flags().StringVar(&files.level, "log-level", "info", "log from this `LEVEL` on; debug has a line for each decision on a request")
+	root.Flags().StringVar(&files.gateway, "gateway", "", "exchange requests with other sites as configured in this `FILE` (see deploy/gateway.toml)")
+	root.Flags().StringVar(&files.record, "record", "", "record the requests that arrive as configured in this `FILE` (see deploy/record.toml)")
+	root.Flags().StringVar(&files.fleet, "fleet", "", "agree with other nodes on drains and budgets, as configured in this `FILE` (see deploy/fleet.toml)")
+	root.Flags().StringVar(&files.level, "log-level", "info", "lowest `LEVEL` to log; debug logs a line for each decision on a request")
 	root.AddCommand(
-		&cobra.Command{Use: "check FILE", Short: "Check all of a gateway, fleet, supervisor's, record or release file, certificates included", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "check FILE", Short: "Check a gateway, fleet, supervisor, record or release file, with the certificates that it names", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				if has(args[0], "node") {
 					f, err := control.Load(args[0], time.Now())
@@ -111,16 +115,16 @@
 	return root
 }
 
-// files are what the flags name: paths, where an empty one is not there, and the level of the log.
+// nodeFlags are the flags of the node: paths of files, empty if not given, and the lowest log level.
 type files struct{ gateway, record, fleet, level string }
 
-// has tells whether a file has a table: by these its kind is known.
+// hasTable reports whether a TOML file has a table of this name. The tables tell the kind of a file.
 func has(path, table string) bool {
 	text, err := os.ReadFile(path)
 	return err == nil && regexp.MustCompile(`(?m)^\s*\[`+table+`\]`).Match(text)
 }
 
-// dashes lets long flags have one dash, as in -gateway FILE.
+// normalizeDashes adds the second dash to the node's flags that have one, as in -gateway FILE.
 func dashes(args []string) []string {
 	out := append([]string(nil), args...)
 	for i, a := range out {
@@ -134,6 +138,7 @@
 	return out
 }
 
+// version returns the module's version, the revision of the source, and the version of Go.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -148,8 +153,9 @@
 	return v + " " + info.GoVersion
 }
 
+// runNode loads the configuration and runs a node until SIGTERM or SIGINT.
 func run(f files, log *slog.Logger) error {
-	reload := make(chan os.Signal, 1) // first of all: a SIGHUP that nothing catches ends the process
+	reload := make(chan os.Signal, 1) // before anything else, as a SIGHUP that is not caught ends the process
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/cmd/starlingvalve/release.go
+++ b/cmd/starlingvalve/release.go
@@ -24,8 +24,8 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// loadPlan reads a plan and checks all of it. An error is one line with file, line and key. Waves that don't name their nodes are filled from the
-// fleet, unless it is nil.
+// loadPlan reads the plan of a release from a file and checks it. An error is one line with file, line and key. Waves that
+// don't name their nodes get them from the fleet's state m. If m is nil, they get a placeholder.
 func loadPlan(path string, m *fleet.Machine) (*fleetpb.Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -73,12 +73,12 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if field, err := fleet.CheckPlan(p); err != nil {
-		return nil, fmt.Errorf("%s: by the nodes that there are: %s: %w", path, field, err)
+		return nil, fmt.Errorf("%s: with the nodes of the fleet: %s: %w", path, field, err)
 	}
 	return p, nil
 }
 
-// planned is the plan of a file, for the fleet as it is now.
+// planForFleet loads the plan of a file for the nodes that the fleet has now. It also returns the fleet's state.
 func (a *asking) planned(c *cobra.Command, d *control.Door, path string) (*fleet.Machine, *fleetpb.Plan, error) {
 	m, err := a.machine(c.Context(), d)
 	if err != nil {
@@ -88,10 +88,11 @@
 	return m, p, err
 }
 
+// releaseCommand creates the commands that plan, start and steer releases.
 func releaseCommand() *cobra.Command {
 	a := &asking{}
-	root, add := a.command("release", "Bring a fleet's nodes to another version, in waves")
-	add("plan FILE", "Check a plan, and tell what it would do", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	root, add := a.command("release", "Bring the nodes of a fleet to another version, in waves")
+	add("plan FILE", "Check a plan, and print what it would do", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		m, p, err := a.planned(c, d, args[0])
 		if err != nil {
 			return err
@@ -102,7 +103,7 @@
 		return a.tell(c.OutOrStdout(), "would be", m.ExplainPlan(p))
 	})
 	var again bool
-	start := add("start FILE", "Begin the release of a plan", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	start := add("start FILE", "Start the release of a plan", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		_, p, err := a.planned(c, d, args[0])
 		if err != nil {
 			return err
@@ -110,20 +111,20 @@
 		p.By, p.Again = a.by, again
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: p}})
 	})
-	start.Flags().BoolVar(&again, "again", false, "although this version was turned back before")
-	for verb, about := range map[string]string{"pause": "Turn no further node for now", "resume": "Go on", "halt": "Stop: what is out comes back as it was", "back": "Turn back to the version before"} {
+	start.Flags().BoolVar(&again, "again", false, "allow a version that was turned back before")
+	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now", "resume": "Continue a paused release", "halt": "Stop: nodes that are out return with the version that they had", "back": "Roll back to the previous version"} {
 		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 			return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0], Verb: verb, By: a.by, Why: a.why}}})
 		})
 	}
-	add("status", "The release that goes on or the last one, and each node's version", cobra.NoArgs, func(c *cobra.Command, d *control.Door, _ []string) error {
+	add("status", "Print the current or last release, and the version of each node", cobra.NoArgs, func(c *cobra.Command, d *control.Door, _ []string) error {
 		m, err := a.machine(c.Context(), d)
 		if err != nil {
 			return err
 		}
 		return a.releaseStatus(c, m.State())
 	})
-	add("report FILE.html", "Write a page of the release that goes on or the last one: what was out over time, against its budgets", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+	add("report FILE.html", "Write an HTML page of the current or last release: what was out of service over time, against its budgets", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 		m, err := a.machine(c.Context(), d)
 		if err != nil {
 			return err
@@ -156,10 +157,11 @@
 	return nil
 }
 
+// superviseCommand creates the command that supervises a node's process.
 func superviseCommand(log *slog.Logger) *cobra.Command {
 	var program string
 	c := &cobra.Command{Use: "supervise FILE", Short: "Keep a node running, and bring it to the versions that releases want", Args: cobra.ExactArgs(1),
-		Long: "Keep a node running, and bring it to the versions that releases want.\n\nThe node has this process's environment. SIGTERM ends both; if this process is killed, the node runs on and the next one takes it up.",
+		Long: "Keep a node running, and bring it to the versions that releases want.\n\nThe node has this process's environment. SIGTERM ends both. If this process is killed, the node keeps running and the next supervisor takes it over.",
 		RunE: func(c *cobra.Command, args []string) error {
 			f, err := supervise.Load(args[0], time.Now())
 			if err != nil {
@@ -172,7 +174,7 @@
 				}
 				version, err := programs.Add(program)
 				if err != nil {
-					return errors.Join(fmt.Errorf("%s is not taken in", program), err)
+					return errors.Join(fmt.Errorf("%s was not added", program), err)
 				}
 				fmt.Fprintln(c.OutOrStdout(), version)
 				return nil
@@ -181,6 +183,6 @@
 			defer stop()
 			return supervise.Run(ctx, f, log)
 		}}
-	c.Flags().StringVar(&program, "add", "", "take this `PROGRAM` in, print its version, and end")
+	c.Flags().StringVar(&program, "add", "", "add this `PROGRAM` to the stored programs, print its version, and exit")
 	return c
 }
