--- a/cmd/starlingvalve/crowd_test.go
+++ b/cmd/starlingvalve/crowd_test.go
@@ -14,13 +14,13 @@
 	"starlingvalve/internal/testkit"
 )
 
-// idleKind is what an idle client does with a connection before it rests on it.
+// idleKind is what an idle client does on a connection before it goes idle.
 type idleKind struct {
 	name string
 	open func(net.Conn) error
 }
 
-// idleKinds are the ways to hold a descriptor of a node with no request open, or none that is whole.
+// idleKinds are the ways in which a client occupies a descriptor of a node without a complete request in flight.
 var idleKinds = []idleKind{
 	{"no byte sent", func(net.Conn) error { return nil }},
 	{"half a head", func(c net.Conn) error {
@@ -40,21 +40,21 @@
 	}},
 }
 
-// crowd is a number of idle clients of one node, which take every connection that they can get: each one comes
-// again once the node has ended its connection.
+// idleClients are idle clients of one node, which occupy every connection that they can get: each one connects again after
+// the node has closed its connection.
 type crowd struct {
 	held  atomic.Int64 // connections that are open now
-	ended atomic.Int64 // connections that the node has ended, or refused
+	ended atomic.Int64 // connections that the node has closed or reset
 }
 
 const (
-	// idlePause is between the end of an idle client's connection and its next one: some hundred connections a
-	// second for all of them.
+	// idlePause is the time between the end of an idle client's connection and its next attempt. All clients together
+	// make several hundred connections per second.
 	idlePause = 300 * time.Millisecond
-	idleDial  = 2 * time.Second
+	idleDial  = 2 * time.Second // timeout for establishing a connection
 )
 
-// newCrowd starts idle clients, of all kinds in turn. They leave at the test's end.
+// startIdleClients starts idle clients, which use all idleKinds in turn. They stop when the test ends.
 func newCrowd(t *testing.T, listen string, clients int) *crowd {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -76,7 +76,7 @@
 	return w
 }
 
-// rest makes one connection and holds it until the node ends it, or ctx does.
+// holdConnection makes one connection and holds it until the node closes it or ctx ends.
 func (w *crowd) rest(ctx context.Context, listen string, kind idleKind) {
 	dialer := net.Dialer{Timeout: idleDial}
 	c, err := dialer.DialContext(ctx, "tcp", listen)
@@ -96,9 +96,9 @@
 	}
 }
 
-// fills waits until the crowd has had its fill: the node has ended as many connections as there are clients.
+// waitForEnded waits until the node has closed as many connections as there are clients, which shows that it is at its limit.
 func (w *crowd) fills(t *testing.T, clients int) {
 	t.Helper()
 	from := w.ended.Load()
-	testkit.Until(t, "the crowd does not fill the node", func() bool { return w.ended.Load()-from >= int64(clients) })
+	testkit.Until(t, "the idle clients do not fill the node", func() bool { return w.ended.Load()-from >= int64(clients) })
 }
--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -25,10 +25,10 @@
 	"starlingvalve/internal/testkit"
 )
 
-// asLimited gives the program, and nothing else, so many descriptors.
+// envDescriptorLimit is the environment variable with the limit of file descriptors that the program, and nothing else, gets.
 const asLimited = "STARLINGVALVE_TEST_DESCRIPTORS"
 
-// limited sets the limit of descriptors of this process, which is about to become the program.
+// applyDescriptorLimit sets the limit of file descriptors of this process, which is about to run as the program.
 func limited() {
 	text := os.Getenv(asLimited)
 	if text == "" {
@@ -39,41 +39,42 @@
 		err = unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: n, Max: n})
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "the limit of descriptors can't be set:", err)
+		fmt.Fprintln(os.Stderr, "can't set the limit of file descriptors:", err)
 		os.Exit(3)
 	}
 }
 
 const (
-	// toldWithin is the term: a change counts as told so long after discovery had it and could be reached.
+	// notifiedWithin is how long after discovery had a change and was reachable the node counts as notified of it.
 	toldWithin = 6 * time.Second
-	// operatorsWithin is the term of the second address.
+	// opsAnswerWithin is the time within which the operators' address has to answer.
 	operatorsWithin = time.Second
-	// drainGrace is the one of these tests' settings.
+	// drainGrace is how long after the notification of a drain requests may still be sent to the server, in the settings
+	// of these tests.
 	drainGrace = 500 * time.Millisecond
-	// logRate is how many lines a crowded node may write in a second.
+	// logRate is the number of log lines per second that a node at its limit of descriptors may write.
 	logRate = 10
-	// countEvery is how often a process's descriptors are counted.
+	// countInterval is how often a process's descriptors are counted.
 	countEvery = 2 * time.Millisecond
 )
 
-// descriptorNode is a node under a limit of descriptors, as a process, and those who ask it.
+// descriptorNode is a node that runs as one or more processes under a limit of file descriptors, and its clients.
 type descriptorNode struct {
 	t             *testing.T
 	config        string
 	listen        string
-	second        string // the operators' address of the process that was started last
+	second        string // the operators' address of the latest process
 	dir           string
 	limit         int
-	asked, unread int
+	asked, unread int // requests sent, and those of them that got no answer
 }
 
-// descriptorProcess is one process of the node.
+// descriptorProcess is a process of the node.
 type descriptorProcess struct {
 	*exec.Cmd
 	started time.Time
 	lines   atomic.Int64 // of its log
-	peak    atomic.Int64 // most descriptors that it has had
+	peak    atomic.Int64 // largest number of descriptors that it has had
 }
 
 // start starts a process and waits until it listens.
@@ -100,12 +101,12 @@
 	select {
 	case n.second = <-second:
 	case <-time.After(testkit.Patient):
-		n.t.Fatal("it does not start")
+		n.t.Fatal("the process does not start")
 	}
 	return p
 }
 
-// readLog counts the log's lines, and tells of the operators' address.
+// readLog counts the lines of the log, and sends the operators' address that it names.
 func (p *descriptorProcess) readLog(t *testing.T, log io.Reader, second chan<- string) {
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		p.lines.Add(1)
@@ -116,7 +117,7 @@
 	}
 }
 
-// count follows how many descriptors the process has, until ctx ends.
+// count records the peak number of the process's descriptors, until ctx ends.
 func (p *descriptorProcess) count(ctx context.Context) {
 	tick := time.NewTicker(countEvery)
 	defer tick.Stop()
@@ -129,7 +130,7 @@
 	}
 }
 
-// descriptorsOf counts what a process has open; 0: it has ended.
+// descriptorsOf returns the number of open descriptors of a process; 0: it has ended.
 func descriptorsOf(pid int) int {
 	names, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -138,7 +139,8 @@
 	return len(names)
 }
 
-// ask sends a request on a connection of its own. Whatever the node is short of, it has to be answered.
+// sendRequest sends a request on a new connection. The node has to answer it, with a result or a refusal, even if it is at
+// its limit of descriptors.
 func (n *descriptorNode) ask() {
 	n.asked++
 	c, err := net.DialTimeout("tcp", n.listen, testkit.Patient)
@@ -160,14 +162,15 @@
 	}
 }
 
-// reaches asks until each of these servers has had a request more, and gives when the first one and the last one had.
+// waitReached sends requests until each of these servers has got a further one. It returns when the first server was reached
+// and when the last.
 func (n *descriptorNode) reaches(servers []*fleetServer) (first, last time.Time) {
 	n.t.Helper()
 	before := map[*fleetServer]int{}
 	for _, s := range servers {
 		before[s], _ = s.requests()
 	}
-	testkit.Until(n.t, "not all servers are reached", func() bool {
+	testkit.Until(n.t, "not all servers get a request", func() bool {
 		n.ask()
 		missing := 0
 		for _, s := range servers {
@@ -183,33 +186,33 @@
 	return first, time.Now()
 }
 
-// operators has the second address answer, and holds it to its term.
+// checkOps checks that the operators' address answers within opsAnswerWithin.
 func (n *descriptorNode) operators() {
 	n.t.Helper()
 	began := time.Now()
 	client := http.Client{Timeout: testkit.Patient, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + n.second + "/stats")
 	if err != nil {
-		n.t.Error("second address:", err)
+		n.t.Error("operators' address:", err)
 		return
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
 	if took := time.Since(began); took > operatorsWithin || resp.StatusCode != http.StatusOK {
-		n.t.Errorf("second address: %s after %v, %v allowed", resp.Status, took, operatorsWithin)
+		n.t.Errorf("operators' address: %s after %v, %v allowed", resp.Status, took, operatorsWithin)
 	}
 }
 
-// crowdCase is one row of TestCrowdTakesNoDescriptorOfTheNode.
+// descriptorCase is a case of TestIdleClientsTakeNoDescriptorOfTheNode.
 type crowdCase struct {
-	limit, told int    // descriptors that the system gives, and that the settings say
-	mode        string // how lists come
-	silent      bool   // discovery takes connections while it is away, and says nothing
+	limit, told int    // descriptors that the system grants, and limits.sockets in the configuration
+	mode        string // membership_mode: how the node gets lists
+	silent      bool   // while discovery is down, it accepts connections and never answers; else nobody listens
 }
 
-// Idle clients fill what descriptors they can while discovery is down. What is the node's own goes on: discovery
-// is reached once it is back, servers are connected to, the operators' address answers, a reload and a replacement
-// work, and each request is answered.
+// While discovery is down, idle clients occupy all the descriptors that they can get. The node must keep enough for itself:
+// it reaches discovery when that is back, connects to servers, answers at the operators' address, can be reloaded and
+// replaced, and answers each request.
 func TestCrowdTakesNoDescriptorOfTheNode(t *testing.T) {
 	for _, c := range []crowdCase{
 		{256, 256, "pushed", false},
@@ -223,10 +226,10 @@
 	}
 }
 
-// run plays a case: down before the node has a list, back, down again with drains at the return, a reload, a
-// replacement.
+// run takes the node through discovery down before there is a list, up, down again with servers drained when it is back, a
+// reload to another discovery server, and a replacement of the process.
 func (c crowdCase) run(t *testing.T) {
-	const servers = 8 // all of them are in use: a smaller list has no subset
+	const servers = 8 // few enough for the node to use all of them, not a subset
 	d := newSwitched(t, c.silent)
 	n := c.node(t, d.addr)
 	p := n.start()
@@ -243,7 +246,7 @@
 	told := c.returns("drains at the return", n, d, after, append(entries(before, "draining"), entries(after, "ready")...))
 	for _, s := range before {
 		if _, last := s.requests(); last.After(told.Add(drainGrace)) {
-			t.Errorf("a request goes to a draining server %v after it was told", last.Sub(told))
+			t.Errorf("a request went to a draining server %v after the node was notified", last.Sub(told))
 		}
 	}
 
@@ -254,13 +257,13 @@
 	c.returns("reload", n, elsewhere, later, entries(later, "ready"))
 	c.replace(n, w, p, later, clients)
 	if n.unread > 0 {
-		t.Errorf("%d of %d requests have got no answer", n.unread, n.asked)
+		t.Errorf("%d of %d requests got no answer", n.unread, n.asked)
 	}
 }
 
-// node is the case's node, not yet started.
+// node creates the node of the case and does not start it.
 func (c crowdCase) node(t *testing.T, discovery string) *descriptorNode {
-	dir, err := os.MkdirTemp("", "sv") // a socket's path has to be short
+	dir, err := os.MkdirTemp("", "sv") // short, as the path of a Unix socket is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,15 +278,15 @@
 	return n
 }
 
-// fill has the crowd take all that it can get. If p is given it is stopped in the meantime, so that the whole
-// crowd stands in the listener's queue, and goes on with that; it has had no connection to a server yet, and may
-// not have touched what is kept for these.
+// saturate waits until the idle clients have occupied all connections that they can get. If p is not nil, it then suspends
+// that process until all clients wait in the listener's queue, and resumes it. Such a process has no connection to a server
+// yet, and must not have used the descriptors that are reserved for these.
 func (c crowdCase) fill(n *descriptorNode, w *crowd, p *descriptorProcess, clients int) {
 	n.t.Helper()
 	w.fills(n.t, clients)
 	if p != nil {
 		p.Process.Signal(syscall.SIGSTOP)
-		testkit.Until(n.t, "the crowd does not come", func() bool { return w.held.Load() >= int64(clients-1) })
+		testkit.Until(n.t, "the idle clients do not connect", func() bool { return w.held.Load() >= int64(clients-1) })
 		p.Process.Signal(syscall.SIGCONT)
 		w.fills(n.t, clients)
 		split, err := descriptors.Divide(c.limit, descriptors.Uses{Operators: ops.Descriptors})
@@ -293,15 +296,15 @@
 		most := int64(split.Node + split.Clients)
 		n.t.Logf("figure: %d descriptors in use, %d allowed without those for servers", p.peak.Load(), most)
 		if p.peak.Load() > most {
-			n.t.Errorf("idle clients have got the node to %d descriptors; %d of %d are for servers",
+			n.t.Errorf("idle clients made the node use %d descriptors; %d of %d are reserved for servers",
 				p.peak.Load(), split.Servers, c.limit)
 		}
 	}
 	n.operators()
 }
 
-// returns brings discovery back with a list, waits until its ready servers are reached, and gives when the node
-// was told.
+// restoreDiscovery brings discovery back with a list and waits until the list's ready servers get requests. It returns when
+// the node first requested the list, which is when it counts as notified.
 func (c crowdCase) returns(when string, n *descriptorNode, d *switched, ready []*fleetServer,
 	list []standin.Entry) (told time.Time) {
 	n.t.Helper()
@@ -311,15 +314,16 @@
 	n.operators()
 	n.t.Logf("figure: %s: discovery reached after %v, a server of the list after %v, all after %v, %d asked in all", when,
 		told.Sub(at), first.Sub(at), all.Sub(at), n.asked)
-	// Which server comes last is the module's choice: it prefers those that have answered fast. All have to be
-	// reached, in no term.
+	// The time limit is for the first server only. The module prefers servers that answered fast, so the last one may be
+	// reached much later, but all have to be reached.
 	if took := first.Sub(at); took > toldWithin {
 		n.t.Errorf("%s: the list was followed after %v, %v allowed", when, took, toldWithin)
 	}
 	return told
 }
 
-// replace has another process take over, and the first one end by itself. Both together stay within the limit.
+// replace starts a successor of the process and ends the old one with SIGTERM. Both together have to stay within the limit
+// of descriptors.
 func (c crowdCase) replace(n *descriptorNode, w *crowd, old *descriptorProcess, servers []*fleetServer, clients int) {
 	n.t.Helper()
 	next := n.start()
@@ -344,17 +348,17 @@
 	n.operators()
 	n.t.Logf("figure: replacement: %d descriptors at both processes", most)
 	if most > c.limit {
-		n.t.Errorf("both processes have had %d descriptors, %d allowed", most, c.limit)
+		n.t.Errorf("both processes had %d descriptors, %d allowed", most, c.limit)
 	}
 	for _, p := range []*descriptorProcess{old, next} {
 		seconds := time.Since(p.started).Seconds()
 		if lines := p.lines.Load(); float64(lines) > logRate*(1+seconds) {
-			n.t.Errorf("%d lines of log in %.1f s", lines, seconds)
+			n.t.Errorf("%d log lines in %.1f s", lines, seconds)
 		}
 	}
 }
 
-// reload puts another text into a process's configuration, and has it read.
+// reload writes config to the process's configuration file and makes the process read it.
 func (p *descriptorProcess) reload(t *testing.T, config string) {
 	t.Helper()
 	for _, v := range p.Env {
--- a/cmd/starlingvalve/endings_test.go
+++ b/cmd/starlingvalve/endings_test.go
@@ -19,15 +19,16 @@
 	"starlingvalve/internal/testkit"
 )
 
-// crossed is a node whose server says of each request that it came, and answers those that are to be held once it is let.
+// endingNode is a node whose server reports each request that arrives. The server answers those whose ids begin with "held"
+// only when releaseHeld is called, others at once.
 type crossed struct {
 	*replaceable
 	came chan string // ids
-	let  chan bool   // closed: held ones are answered
+	let  chan bool   // closed: held requests are answered
 	once sync.Once
 }
 
-// answer has held ones answered.
+// releaseHeld has the server answer the held requests.
 func (n *crossed) answer() { n.once.Do(func() { close(n.let) }) }
 
 func newCrossed(t *testing.T) *crossed {
@@ -42,8 +43,8 @@
 		}
 		return testkit.OK("x")
 	}))
-	t.Cleanup(n.answer)                // before the server's
-	dir, err := os.MkdirTemp("", "sv") // a socket's path has to be short
+	t.Cleanup(n.answer)                // runs before the server's cleanup
+	dir, err := os.MkdirTemp("", "sv") // short, as the path of a Unix socket is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +55,7 @@
 	return n
 }
 
-// open sends a request on a connection of its own; status waits for its answer.
+// open sends a request on a new connection; status waits for the answer and returns its status.
 func (n *crossed) open(id string) (c net.Conn, status func() int) {
 	n.t.Helper()
 	c, status = n.dial()
@@ -62,7 +63,7 @@
 	return c, status
 }
 
-// dial makes a connection; status waits for the next answer on it.
+// dial makes a connection; status waits for the next answer on it and returns its status.
 func (n *crossed) dial() (c net.Conn, status func() int) {
 	n.t.Helper()
 	c, err := net.Dial("tcp", n.listen)
@@ -84,47 +85,48 @@
 	}
 }
 
+// write sends a request without a body.
 func (n *crossed) write(c net.Conn, id string) {
 	fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Time-Left: 9\r\nContent-Length: 0\r\n\r\n", id)
 }
 
-// taken waits until a request has come to the server.
+// waitArrived waits until the next request arrives at the server, and checks its id.
 func (n *crossed) taken(id string) {
 	n.t.Helper()
 	select {
 	case got := <-n.came:
 		if got != id {
-			n.t.Fatalf("%s came to the server, want %s", got, id)
+			n.t.Fatalf("%s arrived at the server, want %s", got, id)
 		}
 	case <-time.After(testkit.Patient):
-		n.t.Fatalf("%s does not come to the server", id)
+		n.t.Fatalf("%s does not arrive at the server", id)
 	}
 }
 
-// ends waits for a process that was told to end: by itself, with 0.
+// waitExit waits until a process that got SIGTERM exits, and checks that its exit code is 0.
 func (n *crossed) ends(cmd *exec.Cmd) {
 	n.t.Helper()
 	hung := time.AfterFunc(testkit.Patient, func() { cmd.Process.Kill() })
 	defer hung.Stop()
 	if err := cmd.Wait(); err != nil {
-		n.t.Errorf("it ends with %v", err)
+		n.t.Errorf("the process ends with %v", err)
 	}
 }
 
-// drains waits until the node has taken up that it is to end: it is not ready any more.
+// waitDraining waits until the node has begun to drain, and so is not ready any more.
 func (n *crossed) drains() {
 	n.t.Helper()
-	testkit.Until(n.t, "it stays ready", func() bool {
+	testkit.Until(n.t, "the node stays ready", func() bool {
 		resp, err := http.Get("http://" + n.listen + "/health/ready")
 		if err != nil {
-			return true // it takes no connection any more
+			return true // the listener is closed
 		}
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusServiceUnavailable
 	})
 }
 
-// rewrite puts another text into a process's configuration, and has it read.
+// rewrite writes config to the process's configuration file and makes the process read it.
 func (n *crossed) rewrite(cmd *exec.Cmd, config string) {
 	n.t.Helper()
 	for _, v := range cmd.Env {
@@ -137,7 +139,8 @@
 	cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Whatever else comes beside the word to end, what was taken gets its one answer, and the process ends by itself.
+// Whatever signals and reloads come together with SIGTERM, each accepted request gets exactly one answer, and the process
+// exits by itself.
 func TestTermCrosses(t *testing.T) {
 	for name, cross := range map[string]func(*crossed, *exec.Cmd){
 		"alone": func(n *crossed, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGTERM) },
@@ -179,14 +182,15 @@
 					n.answer()
 				}
 				if len(n.came) > 0 {
-					t.Errorf("%s went out again", <-n.came)
+					t.Errorf("%s was sent again", <-n.came)
 				}
 			})
 		}
 	}
 }
 
-// A process told to end before it is ready, at any moment of its start, ends: by itself with 0, or by the signal as nothing has been set up yet.
+// A process that gets SIGTERM at any moment of its start ends: by itself with exit code 0, or by the signal if that comes before
+// the handler is installed.
 func TestTermBeforeReady(t *testing.T) {
 	t.Parallel()
 	n := newCrossed(t)
@@ -196,7 +200,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Duration(i) * 2 * time.Millisecond) // any moment will do
+		time.Sleep(time.Duration(i) * 2 * time.Millisecond) // a different moment of the start in each run
 		cmd.Process.Signal(syscall.SIGTERM)
 		hung := time.AfterFunc(testkit.Patient, func() { cmd.Process.Kill() })
 		err := cmd.Wait()
@@ -207,8 +211,8 @@
 	}
 }
 
-// The word to end comes to either process within a replacement. What the old one has taken is answered by it, what comes is served, and each process told to
-// end does so by itself.
+// SIGTERM comes to the old or the new process during a replacement. The old process answers the requests that it accepted, new
+// requests are served, and each process that gets SIGTERM exits by itself.
 func TestTermWithinReplacement(t *testing.T) {
 	for _, toSuccessor := range []bool{false, true} {
 		t.Run(fmt.Sprint("to the successor ", toSuccessor), func(t *testing.T) {
@@ -243,27 +247,27 @@
 			if toSuccessor {
 				n.ends(next)
 			}
-			_, second := n.open("held-second") // whoever is there takes it
+			_, second := n.open("held-second") // either process may accept it
 			n.taken("held-second")
 			n.answer()
 			if got := first(); got != 200 {
-				t.Errorf("what the old one had taken: %d", got)
+				t.Errorf("the request that the old process had accepted: status %d", got)
 			}
 			if got := second(); got != 200 {
-				t.Errorf("what came then: %d", got)
+				t.Errorf("the request after SIGTERM: status %d", got)
 			}
 			if toSuccessor {
 				got := 503
-				for i := 0; got == 503 && i < 20; i++ { // refused while the module takes its only server for slow: that one held two requests
+				for i := 0; got == 503 && i < 20; i++ { // may be refused while the only server counts as slow, as it held two requests
 					n.write(kept, fmt.Sprint("third", i))
 					got = first()
 				}
 				if got != 200 {
-					t.Errorf("on the kept connection: %d", got)
+					t.Errorf("on the kept connection: status %d", got)
 				}
 				for len(n.came) > 0 {
 					if id := <-n.came; !strings.HasPrefix(id, "third") {
-						t.Errorf("%s went out again", id)
+						t.Errorf("%s was sent again", id)
 					}
 				}
 			} else {
@@ -272,31 +276,32 @@
 			stays.Process.Signal(syscall.SIGTERM)
 			n.ends(stays)
 			if len(n.came) > 0 {
-				t.Errorf("%s went out again", <-n.came)
+				t.Errorf("%s was sent again", <-n.came)
 			}
 		})
 	}
 }
 
-// A process without a descriptor left refuses what it can't send, at once: its servers are not to blame for that. Who comes then waits in the listener's queue. Once
-// there are some, all goes on.
+// A process that has no descriptor left refuses at once the requests for which it can't open a connection, and does not count
+// that as failures of its servers. New clients wait in the listener's queue. When descriptors are available again, all
+// requests are served.
 func TestNoDescriptors(t *testing.T) {
 	t.Parallel()
 	n := newCrossed(t)
 	cmd := n.start()
 	kept, answer := n.dial()
 	io.WriteString(kept, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
-	if got := answer(); got != 200 { // it is one of those that have been accepted
+	if got := answer(); got != 200 { // an answer shows that this connection is accepted
 		t.Fatalf("status %d", got)
 	}
-	_, held := n.open("held") // it has the one connection to the server that there is
+	_, held := n.open("held") // it occupies the only connection to the server
 	n.taken("held")
 	var was unix.Rlimit
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &was); err != nil {
 		t.Fatal(err)
 	}
 	few := was
-	few.Cur = 3 // those that are open stay
+	few.Cur = 3 // open descriptors stay open
 	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
 		t.Fatal(err)
 	}
@@ -308,7 +313,7 @@
 			t.Errorf("short%d: status %d, want a refusal: it has not run", i, got)
 		}
 	}
-	if took := time.Since(began); took > testkit.Patient/4 { // a busy machine's
+	if took := time.Since(began); took > testkit.Patient/4 { // for a busy machine
 		t.Errorf("%d refusals took %v", short, took)
 	}
 	_, late := n.open("late")
@@ -317,14 +322,14 @@
 	}
 	n.write(kept, "again")
 	if got := answer(); got != 200 {
-		t.Errorf("once there are some again: %d", got)
+		t.Errorf("when descriptors are available again: status %d", got)
 	}
 	if got := late(); got != 200 {
-		t.Errorf("who came meanwhile: %d", got)
+		t.Errorf("the client that connected meanwhile: status %d", got)
 	}
 	n.answer()
 	if got := held(); got != 200 {
-		t.Errorf("what was out: %d", got)
+		t.Errorf("the request in flight: status %d", got)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	n.ends(cmd)
--- a/cmd/starlingvalve/release.go
+++ b/cmd/starlingvalve/release.go
@@ -112,7 +112,7 @@
 		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: p}})
 	})
 	start.Flags().BoolVar(&again, "again", false, "allow a version that was turned back before")
-	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now", "resume": "Continue a paused release", "halt": "Stop: nodes that are out return with the version that they had", "back": "Roll back to the previous version"} {
+	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now", "resume": "Continue a paused or halted release", "halt": "Stop the release: nodes that are out return as they were", "back": "Roll back to the previous version"} {
 		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
 			return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0], Verb: verb, By: a.by, Why: a.why}}})
 		})
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -17,7 +17,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// node is a running node.
+// testNode is a running node: its clients' address, a channel that stands for SIGHUP, and its end.
 type testNode struct {
 	addr  string
 	hup   chan os.Signal
@@ -25,6 +25,7 @@
 	ended chan error
 }
 
+// start starts a node that is stopped when the test ends.
 func start(t *testing.T, c *Config) *testNode {
 	t.Helper()
 	return startLogged(t, c, testkit.Quiet)
@@ -35,7 +36,8 @@
 	return startOn(t, c, listener(t), log)
 }
 
-// listener is one whose port the kernel chose. It is handed over to the node: a port that is chosen, freed and taken again may be another's in between.
+// newListener opens a listener at a port that the kernel chose. The node gets the listener itself, because a port that is
+// closed and opened again may be taken by another process in between.
 func listener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -45,7 +47,7 @@
 	return tcp
 }
 
-// startOn starts a node on a listener, in whose queue clients may wait already.
+// startOn starts a node on a listener. Clients may be waiting in the listener's queue already.
 func startOn(t *testing.T, c *Config, tcp *net.TCPListener, log *slog.Logger) *testNode {
 	t.Helper()
 	if c.Limits.Sockets == 0 {
@@ -63,6 +65,7 @@
 
 var ids atomic.Int64
 
+// classRequest is a request of a class with a new id, left seconds of patience and a body.
 func message(class, left, body string) string {
 	method, key := "GET", ""
 	if class != "read" {
@@ -75,7 +78,7 @@
 		method, class, ids.Add(1), key, left, len(body), body)
 }
 
-// ask sends text on a connection of its own and reads one answer.
+// roundTrip sends text on a new connection and reads one answer.
 func (n *testNode) ask(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.addr)
@@ -91,7 +94,7 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("the answer is cut short: %v", err)
+		t.Fatalf("the answer is incomplete: %v", err)
 	}
 	return resp, string(body)
 }
--- a/internal/app/askedlist_test.go
+++ b/internal/app/askedlist_test.go
@@ -16,27 +16,27 @@
 	"starlingvalve/internal/testkit"
 )
 
-// toldWithin is how long after discovery had a change and could be reached it counts as told.
+// notificationLimit is how long after discovery had a change and was reachable the node counts as notified of it.
 const toldWithin = 6 * time.Second
 
 const (
 	refusal      = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 	drainVersion = "9"
-	// drainList wants the addresses of its two servers, the first of which drains.
+	// drainList is a format for the addresses of two servers, the first of which drains.
 	drainList = `{"version":9,"full":true,"servers":[` +
 		`{"id":"s-00000001","addr":%q,"zone":"z","state":"draining","weight":1},{"id":"s-00000002","addr":%q,"zone":"z","state":"ready","weight":1}]}`
 )
 
-// downDiscovery is a discovery that is asked and can't be reached, until it is back.
+// downDiscovery is a discovery server that fails each list request until it is restored.
 type downDiscovery struct {
 	addr  netip.AddrPort
 	calls atomic.Int64
-	fails func(net.Conn) // what becomes of a call until then
+	fails func(net.Conn) // handles a request until then
 
 	mu     sync.Mutex
-	list   string    // once it is back
-	backAt time.Time // zero: it is down
-	toldAt time.Time // its first answer; zero: none
+	list   string    // the answer once it is restored
+	backAt time.Time // when it was restored; zero: it is down
+	toldAt time.Time // when it first answered; zero: not yet
 }
 
 func newDownDiscovery(t *testing.T, fails func(net.Conn)) *downDiscovery {
@@ -57,7 +57,7 @@
 		case text == "":
 			d.fails(c)
 			return
-		case r.URL.Query().Get("since") == drainVersion: // a watch, and nothing more changes
+		case r.URL.Query().Get("since") == drainVersion: // a watch from the newest version: it gets no answer
 			hold(c)
 			return
 		}
@@ -65,7 +65,7 @@
 	}
 }
 
-// answer is what a call is told, or nothing while discovery is down.
+// answer is the answer to a request, or nothing while discovery is down.
 func (d *downDiscovery) answer() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,30 +78,34 @@
 	return testkit.OK(d.list)
 }
 
+// restore makes discovery answer with this list from now on.
 func (d *downDiscovery) back(list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list, d.backAt = list, time.Now()
 }
 
-// took is the time from its return to its first answer.
+// timeToAnswer is the time from when discovery was restored to its first answer; answered is false if there
+// was none yet.
 func (d *downDiscovery) took() (took time.Duration, told bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.toldAt.Sub(d.backAt), !d.toldAt.IsZero()
 }
 
-// hold keeps a connection until the other side ends it.
+// holdOpen keeps a connection open until the other side closes it.
 func hold(c net.Conn) { io.Copy(io.Discard, c) }
 
-// refusedMost bounds the time for which requests may be refused as nothing vouches for the list. A call that is silently lost is noticed
-// 3 s after it began, and until then nobody knows whether discovery can be reached: across a reload the last sign that it can't may be
-// over 6 s old for a moment. A refusal or a reset shows at once.
+// maxRefused bounds the time for which requests may be refused because the node has no valid list, by the way in which
+// discovery fails; 0 if it is not in the map. A list request that gets no answer is noticed 3 s after it began. Until then
+// the node can't tell whether discovery is reachable, and across a reload its last evidence that discovery is down may be
+// over 6 s old for a moment. A refusal or a reset is noticed at once.
 var refusedMost = map[string]time.Duration{"silent": 1500 * time.Millisecond, "half an answer": 1500 * time.Millisecond}
 
-// Discovery that is asked is down from the node's start on, also where a reload moves it to, and is back with a drain at once, in the
-// worst moment: just after a call has failed, or begun for nothing. In a fleet of 300 nodes, too, the node follows within 6 s,
-// and nothing goes to the draining server beyond its grace.
+// Discovery is down when the node starts, and so is the one at the address that a reload gives. That one comes back with a
+// draining server in its list at the worst moment: just after a list request has failed or has begun in vain. Even with the
+// request rate of a fleet of 300 nodes, the node has to get the list within 6 s and send nothing to the draining server
+// after its grace.
 func TestAskedDiscoveryComesBack(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]func(net.Conn){
@@ -123,10 +127,10 @@
 			ready := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
 			first, second := newDownDiscovery(t, fails), newDownDiscovery(t, fails)
 			c := &Config{Settings: testkit.Settings(), Known: testkit.Known(draining, ready), Discovery: first.addr}
-			c.Settings.AskForList, c.Settings.Nodes, c.Settings.DrainGrace = true, 300, 2*time.Second // the grace also covers a machine that is late
+			c.Settings.AskForList, c.Settings.Nodes, c.Settings.DrainGrace = true, 300, 2*time.Second // the grace has to cover delays of a busy machine too
 			c.reread = func() (*Config, error) { return &Config{Discovery: second.addr}, nil }
 			n := start(t, c)
-			refusedFor := time.Duration(0) // as nothing vouched for the list
+			refusedFor := time.Duration(0) // because the node had no valid list
 			served := func(what string, until func() bool) {
 				t.Helper()
 				last := time.Now()
@@ -140,30 +144,30 @@
 					}
 					last = time.Now()
 					if time.Now().After(end) {
-						t.Fatal(what, ": waited in vain")
+						t.Fatal(what, ": timed out")
 					}
 				}
 			}
-			n.waitReady(t, http.StatusOK) // before a call has failed it is not known that discovery is down
+			n.waitReady(t, http.StatusOK) // until a list request has failed, the node does not know that discovery is down
 			served("down at the start", func() bool { return first.calls.Load() > 0 })
 			n.hup <- syscall.SIGHUP
 			served("down after the reload", func() bool { return second.calls.Load() > 0 })
 			second.back(fmt.Sprintf(drainList, draining, ready))
 			served("back", func() bool { _, told := second.took(); return told })
 			took, _ := second.took()
-			if t.Logf("told %v after the return", took); took > toldWithin {
-				t.Errorf("told %v after the return, %v at most", took, toldWithin)
+			if t.Logf("notified %v after discovery came back", took); took > toldWithin {
+				t.Errorf("notified %v after discovery came back, %v at most", took, toldWithin)
 			}
 			graceEnds := second.toldAt.Add(c.Settings.DrainGrace)
 			served("told", func() bool { return time.Now().After(graceEnds.Add(500 * time.Millisecond)) })
 			if last := time.Unix(0, lastAtDraining.Load()); last.After(graceEnds) {
-				t.Errorf("a request came to the draining server %v after it was told, %v at most", last.Sub(second.toldAt), c.Settings.DrainGrace)
+				t.Errorf("a request reached the draining server %v after the node was notified, %v at most", last.Sub(second.toldAt), c.Settings.DrainGrace)
 			}
 			if most := refusedMost[name]; refusedFor > most {
-				t.Errorf("requests were refused for %v, as nothing vouched for the list, %v at most", refusedFor, most)
+				t.Errorf("requests were refused for %v because there was no valid list, %v at most", refusedFor, most)
 			}
 			if lastAtDraining.Load() == 0 {
-				t.Error("the server that drains was never used: nothing is shown")
+				t.Error("the draining server got no request before: the test shows nothing")
 			}
 		})
 	}
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -17,6 +17,7 @@
 	"starlingvalve/internal/testkit"
 )
 
+// Requests and answers of each class pass through the node unchanged.
 func TestServesUnchanged(t *testing.T) {
 	t.Parallel()
 	want := strings.Repeat("\x00é\r\n", 4000)
@@ -41,8 +42,8 @@
 	}
 }
 
-// What is no request gets a 4xx or 5xx that is no refusal, nothing goes to a backend, and the connection is closed:
-// what comes after it may have stood inside a body.
+// Malformed input gets a 4xx or 5xx other than a refusal, nothing is sent to a server, and the connection is closed, because
+// what follows may be part of a body. Otherwise a request hidden in a body would be served (request smuggling).
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	var passed atomic.Int64
@@ -113,7 +114,7 @@
 		c.Close()
 	}
 	if passed.Load() > 0 {
-		t.Errorf("%d came to the backend", passed.Load())
+		t.Errorf("%d requests reached the server", passed.Load())
 	}
 	odd := post + head + "X-Weight-Hint: -1e400\r\nX-Facts: ,=,write\r\n" + none + end
 	if resp, _ := n.ask(t, odd); resp.StatusCode != 200 {
@@ -121,8 +122,8 @@
 	}
 }
 
-// Silent connections, heads and bodies without end are closed or answered within 3 s, and hundreds of them shut
-// nobody out; nor do connections that have asked once and stay.
+// Connections on which nothing comes, or a head or body that never ends, are closed or answered within 3 s. Even many of
+// them, and connections that stay open after a request, do not keep other clients from being served.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -145,17 +146,17 @@
 			}
 		})
 	}
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(50 * time.Millisecond) { // long before they would time out
+	for end := time.Now().Add(testkit.Patient); ; time.Sleep(50 * time.Millisecond) { // long before those connections would time out
 		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode == 200 {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("shut out")
+			t.Fatal("a client is not served beside the silent ones")
 		}
 	}
 	waiting.Wait()
 }
 
-// When the client goes, its attempt's connection is closed, so that the backend can stop.
+// When a client disconnects, the connection of its attempt is closed, so that the server can stop working on it.
 func TestClientGone(t *testing.T) {
 	t.Parallel()
 	came, gone := make(chan struct{}), make(chan struct{})
@@ -178,12 +179,12 @@
 	c.Close()
 	select {
 	case <-gone:
-	case <-time.After(5 * time.Second): // its patience is longer
-		t.Error("the attempt goes on")
+	case <-time.After(5 * time.Second): // less than the client's patience
+		t.Error("the attempt continues")
 	}
 }
 
-// An id that is open is not taken again: the module would never answer it, and it could run twice.
+// A second request with the id of an open one is rejected. Otherwise it would never be answered, and could run twice.
 func TestSameIDTwice(t *testing.T) {
 	t.Parallel()
 	came, let := make(chan struct{}, 9), make(chan struct{})
@@ -198,12 +199,12 @@
 	}
 	close(let)
 	if status := <-first; status != 200 || len(came) > 0 {
-		t.Errorf("status %d, %d more at the backend", status, len(came))
+		t.Errorf("status %d, %d more at the server", status, len(came))
 	}
 }
 
-// SIGTERM loses nothing: what is held is answered, what comes for a moment more is served, a connection that
-// clients have goes on until the last call, and then the node ends.
+// SIGTERM loses no request: those in flight are answered, new connections are accepted for a moment more, requests on open
+// connections are served until the end of the drain, and then the node ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	came, let := make(chan struct{}, 1), make(chan struct{})
@@ -248,7 +249,7 @@
 	defer kept.Close()
 	kept.SetDeadline(time.Now().Add(testkit.Patient))
 	r, served := bufio.NewReader(kept), 0
-	for { // past the time in which connections are accepted; the last answer closes
+	for { // continues after the listener has closed; the last answer closes the connection
 		io.WriteString(kept, message("read", "9.5", ""))
 		resp, err := http.ReadResponse(r, nil)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -278,7 +279,7 @@
 	}
 }
 
-// At its bounds a node refuses at once, and each connection that it has accepted gets an answer.
+// At its limit of open requests a node refuses others at once, and each accepted connection gets an answer.
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	let := make(chan struct{})
--- a/internal/app/config_test.go
+++ b/internal/app/config_test.go
@@ -7,6 +7,8 @@
 	"testing"
 )
 
+// A valid configuration is loaded, variables override the file except for discovery's address at a reload, and each invalid
+// one is an error of one line.
 func TestConfig(t *testing.T) {
 	t.Parallel()
 	const good = `{"name":"n0","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},
@@ -39,9 +41,9 @@
 		t.Errorf("%+v, %v", c, err)
 	}
 	if c, err = c.reread(); err != nil || c.Discovery.Port() != 81 {
-		t.Errorf("read again: %+v, %v; the file has what is new", c, err)
+		t.Errorf("after a reload: %+v, %v; want the address in the file", c, err)
 	}
 	if _, err := LoadConfig(func(string) string { return "" }, ""); err == nil {
-		t.Error("no GW_CONFIG is no error")
+		t.Error("no error without GW_CONFIG")
 	}
 }
--- a/internal/app/departed_first_test.go
+++ b/internal/app/departed_first_test.go
@@ -12,8 +12,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// late has a first attempt wait for its connection while the client leaves. The server's queue is full until then:
-// the handshake takes 1 s, when the system tries again.
+// disconnectDuringHandshake has a client disconnect while its first attempt waits for a connection to the server. The
+// server's listen queue is full until then, so that the handshake takes 1 s, after which the kernel sends the SYN again.
 func late(t *testing.T, d departure, class int) departed {
 	t.Helper()
 	s := testkit.Settings()
@@ -23,7 +23,7 @@
 	c := n.dial(t)
 	io.WriteString(c, request(s.Classes[class], departedID, "60"))
 	dialing(t, addr)
-	second := n.dial(t) // its handshake is begun after the other's
+	second := n.dial(t) // its handshake begins after the other's
 	io.WriteString(second, request(s.Classes[0], "stays", "60"))
 	closed := d.goes(c)
 	time.Sleep(d.after)
@@ -38,8 +38,8 @@
 	return departed{server, closed}
 }
 
-// A first attempt does not begin behind a handshake of 1 s once the client has left, whatever it has sent behind
-// its request, of each effect, and whether attempts can be called off or not.
+// A first attempt that waited 1 s for a handshake must not begin once its client has disconnected, whatever the client has
+// pipelined behind its request, for classes of each effect, and whether or not attempts may be canceled.
 func TestDepartedDuringHandshake(t *testing.T) {
 	t.Parallel()
 	for name, cancels := range map[string]bool{"cancels": true, "does not cancel": false} {
@@ -48,7 +48,7 @@
 			t.Run(fmt.Sprint(name, " ", class), func(t *testing.T) {
 				t.Parallel()
 				if stays := late(t, departure{change: change}, class); stays.server.count(departedID) == 0 {
-					t.Fatal("no attempt for a client that stays: the others show nothing")
+					t.Fatal("no attempt for a client that stays connected: the subtests show nothing")
 				}
 				for how, leave := range leave {
 					for _, what := range []string{"nothing", "1 MB"} {
@@ -68,8 +68,8 @@
 	}
 }
 
-// queue has a client wait in the listener's queue, as while its node is busy or has no descriptor left, and leave
-// there.
+// disconnectInListenQueue has a client connect, write text and disconnect before the node accepts its connection, as
+// happens while the node is busy or has no descriptor left.
 func queue(t *testing.T, d departure, text string) departed {
 	t.Helper()
 	server, clients := &attemptLog{}, listener(t)
@@ -84,9 +84,9 @@
 	closed := d.goes(c)
 	time.Sleep(d.after)
 	n := startOn(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)}, clients, testkit.Quiet)
-	n.waitReady(t, 200) // on a connection that was accepted after the other
+	n.waitReady(t, 200) // over a connection that is accepted after the client's
 	if d.leave == nil {
-		testkit.Until(t, "it is not served", func() bool { return server.count(departedID) > 0 })
+		testkit.Until(t, "the request is not served", func() bool { return server.count(departedID) > 0 })
 	}
 	n.stop()
 	<-n.ended
@@ -94,8 +94,8 @@
 	return departed{server, closed}
 }
 
-// Nothing is begun for a client that has left before its connection was accepted, and a body of such a one is not
-// completed.
+// No attempt begins for a client that disconnected before its connection was accepted, and a body of such a client is not
+// sent on to its end.
 func TestDepartedInListenQueue(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -109,7 +109,7 @@
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			if stays := queue(t, departure{}, text); stays.server.count(departedID) != 1 {
-				t.Fatal("no attempt for a client that stays: the others show nothing")
+				t.Fatal("no attempt for a client that stays connected: the test shows nothing")
 			}
 			var worst time.Duration
 			for _, leave := range leave {
@@ -122,7 +122,7 @@
 	}
 }
 
-// withBody gives a request that has none a body of that size.
+// withBody adds a body of size bytes to a request without one.
 func withBody(request string, size int) string {
 	return strings.Replace(request, "Length: 0", fmt.Sprint("Length: ", size), 1) + strings.Repeat("x", size)
 }
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -21,30 +21,31 @@
 )
 
 const (
-	// departedLimit is how long after its client has closed its connection an attempt, first or further, may still
-	// begin.
+	// disconnectLimit is how long after a client has closed its connection an attempt for it, the first or a later one,
+	// may still begin.
 	departedLimit = 100 * time.Millisecond
-	// beyondLimit is a time after which no attempt may begin.
+	// pastDisconnectLimit is a delay after which no attempt may begin.
 	beyondLimit = 150 * time.Millisecond
-	// punctualRuns is how often a run is made that shows nothing, as this process was so late itself that it may
-	// have broken the limit.
+	// maxLateRuns is how often a run is repeated that exceeded the limit while this process itself ran so late that it
+	// may have caused that.
 	punctualRuns = 10
-	// departedID is the request whose client leaves.
+	// leavingID is the id of the request whose client disconnects.
 	departedID = "left"
 )
 
-// arrival is one attempt as a server sees it.
+// arrival is an attempt as the server sees it.
 type arrival struct {
 	id    string
-	first time.Time // its first byte was read
-	whole time.Time // its last byte was; zero: it never came
+	first time.Time // when its first byte was read
+	whole time.Time // when its last byte was read; zero: never
 }
 
-// attemptLog is a server that notes when attempts arrive, and answers them.
+// attemptLog is a server that records when attempts arrive, and answers them.
 type attemptLog struct {
-	// answer is asked for the answer to the nth attempt of a request, from 0; "": the connection ends.
+	// answer returns the answer to the nth attempt of a request, counted from 0; "": the server closes the connection.
+	// If answer is nil, the answer is 200 with the id.
 	answer func(id string, nth int) string
-	bodies chan struct{} // bodies are read from when it is closed; nil: at once
+	bodies chan struct{} // request bodies are read once it is closed; nil: at once
 
 	mu       sync.Mutex
 	arrivals []arrival
@@ -55,7 +56,7 @@
 	defer c.Close()
 	r := bufio.NewReader(c)
 	if _, err := r.Peek(1); err != nil {
-		return // nobody's, as the one that fills the queue of a late listener
+		return // a connection without a request, as the one that fills a listen queue
 	}
 	l.conns.Add(1)
 	defer l.conns.Done()
@@ -88,8 +89,8 @@
 	}
 }
 
-// settle waits until all has been noted that a node wrote to this server at an address before the node ended:
-// connections are accepted in their order.
+// settle waits until everything has been recorded that a node, which has ended, wrote to this server at an address. It makes
+// a connection of its own for that, as connections are accepted in the order in which they were made.
 func (l *attemptLog) settle(t *testing.T, addr string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -106,7 +107,7 @@
 	l.conns.Wait()
 }
 
-// note adds an arrival. It gives its place, and how many of the same request came before.
+// note records an arrival. It returns its index, and how many attempts of the same request arrived before.
 func (l *attemptLog) note(a arrival) (place, nth int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,13 +120,14 @@
 	return len(l.arrivals) - 1, nth
 }
 
+// complete records that the last byte of the arrival at this index was read.
 func (l *attemptLog) complete(place int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.arrivals[place].whole = time.Now()
 }
 
-// count is the number of attempts of a request that have come whole.
+// count returns the number of attempts of a request that arrived whole.
 func (l *attemptLog) count(id string) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,15 +139,15 @@
 	return n
 }
 
-// begun tells whether the head of an attempt has come.
+// hasBegun reports whether the head of an attempt of this request has arrived.
 func (l *attemptLog) begun(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.ContainsFunc(l.arrivals, func(a arrival) bool { return a.id == id })
 }
 
-// latest is how long after a time the last attempt of a request began, by the server: its last byte had come then.
-// 0: none did.
+// lastAttemptAfter returns how long after the time closed the last byte of the last attempt of a request arrived, or 0 if
+// none arrived after it.
 func (l *attemptLog) latest(id string, closed time.Time) (after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,23 +159,24 @@
 	return after
 }
 
-// departure is a client that leaves while an attempt of its request, first or further, has yet to begin.
+// disconnect describes a client that disconnects while an attempt of its request, the first or a later one, has yet to
+// begin.
 type departure struct {
-	behind string                   // what it sends behind its request
-	piece  int                      // bytes of that which it writes at once; 0: all
-	leave  func(client)             // nil: it stays
-	after  time.Duration            // from its leaving until what keeps the attempt from beginning is over
-	change func(s *decide.Settings) // nil: nothing
+	behind string                   // what it pipelines behind its request
+	piece  int                      // bytes of that per write; 0: all in one
+	leave  func(client)             // how it disconnects; nil: it stays connected
+	after  time.Duration            // from the disconnect until the attempt is no longer kept from beginning
+	change func(s *decide.Settings) // changes to the node's settings; nil: none
 }
 
-// departed is what came of it.
+// disconnectOutcome is the server's record of the attempts, and when the client disconnected.
 type departed struct {
 	server *attemptLog
 	closed time.Time
 }
 
-// hiding are what a client has sent behind its request: the end of its connection can be read up to only where that
-// is little.
+// pipelinedKinds are what a client has sent behind its request. The node can read up to the end of the connection, and so
+// notice that the client has disconnected, only if that is little.
 var hiding = map[string]string{
 	"nothing": "",
 	"a byte":  "G",
@@ -182,7 +185,8 @@
 	"1 MB":    behind(testkit.Settings().Classes[0], 10*muchBehind),
 }
 
-// lateness starts to measure how late this process runs. The function that it gives ends that and tells the longest.
+// measureLateness starts to measure by how much timers of this process fire late. The returned function ends that and
+// returns the largest delay.
 func lateness() (longest func() time.Duration) {
 	const every = time.Millisecond
 	stop, result := make(chan struct{}), make(chan time.Duration)
@@ -202,8 +206,9 @@
 	return func() time.Duration { close(stop); return <-result }
 }
 
-// holdsLimit runs a departure, and again if the limit is broken while this process was late itself. It gives the
-// figure.
+// checkLimit runs a test of a disconnect and returns how long after it the last attempt began. If that exceeds
+// disconnectLimit, it runs the test again where this process itself was so late that it may be the cause, up to maxLateRuns
+// times in all, and reports an error otherwise.
 func holdsLimit(t *testing.T, run func() departed) (latest time.Duration) {
 	t.Helper()
 	return holdsLimitOf(t, func() time.Duration {
@@ -212,7 +217,7 @@
 	})
 }
 
-// holdsLimitOf does the same where run gives the figure.
+// checkLimitOf does the same with a run that returns the time itself.
 func holdsLimitOf(t *testing.T, run func() time.Duration) (latest time.Duration) {
 	t.Helper()
 	for range punctualRuns {
@@ -223,7 +228,7 @@
 		case latest <= departedLimit:
 			return latest
 		case latest-own > departedLimit:
-			t.Errorf("an attempt began %v after its client had left, %v is the limit; this process was %v late",
+			t.Errorf("an attempt began %v after its client had disconnected, the limit is %v; this process was %v late",
 				latest, departedLimit, own)
 			return latest
 		}
@@ -232,8 +237,8 @@
 	return latest
 }
 
-// further has a first attempt turned away, or its connection reset, some time after the client has left: another
-// attempt would follow at once.
+// disconnectBeforeRetry has a server reject a first attempt, or close its connection, some time after the client has
+// disconnected. A client that stays connected gets a second attempt at once.
 func further(t *testing.T, d departure, class int, turnedAway string) departed {
 	t.Helper()
 	s := testkit.Settings()
@@ -271,9 +276,9 @@
 	return departed{server, closed}
 }
 
-// goes has the client send what it sends behind its request, and leave. It gives the time, no later than that.
+// perform sends what the client pipelines and disconnects it. It returns a time just before the disconnect.
 func (d departure) goes(c client) time.Time {
-	c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)) // of what nobody reads, only so much goes out
+	c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)) // the node reads only part of it, and the write of the rest blocks
 	for text := d.behind; len(text) > 0; {
 		n := len(text)
 		if d.piece > 0 {
@@ -293,14 +298,14 @@
 
 const unprocessed = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// A further attempt does not begin once the client has left, whatever it has sent behind its request. Behind 1 MB
-// the system had not taken the end of the connection, and the attempt began when the one before it had ended,
-// however late.
+// A retry must not begin once the client has disconnected, whatever it has pipelined behind its request. Behind 1 MB of
+// unread data the node's kernel did not accept the end of the connection, and the retry began whenever the attempt before
+// it ended, however late.
 func TestDepartedBeforeFurther(t *testing.T) {
 	t.Parallel()
 	stays := further(t, departure{after: time.Millisecond}, 0, unprocessed)
 	if n := stays.server.count(departedID); n < 2 {
-		t.Fatalf("%d attempts for a client that stays: the others show nothing", n)
+		t.Fatalf("%d attempts for a client that stays connected: the subtests show nothing", n)
 	}
 	for how, leave := range leave {
 		for what, behind := range hiding {
@@ -318,8 +323,8 @@
 	}
 }
 
-// narrow is a listener whose connections take some 16 KB that nobody reads: what has come to a server's machine has
-// come, however late the server reads it.
+// smallBufferListener opens a listener whose connections buffer only some 16 KB that the server has not read. Data in that
+// buffer counts as arrived, however late the server reads it.
 func narrow(t *testing.T) net.Listener {
 	t.Helper()
 	const size = 16 << 10
@@ -334,8 +339,8 @@
 	return l
 }
 
-// uploading has a body whole on its way when its client leaves: its server does not read for a while, or its
-// connection comes up late.
+// disconnectDuringUpload has a client disconnect when it has sent its whole body, but the server has not: the server does
+// not read for a while or, if late is set, the connection to it is established late.
 func uploading(t *testing.T, d departure, size int, late bool) departed {
 	t.Helper()
 	s := testkit.Settings()
@@ -375,9 +380,9 @@
 	return departed{server, closed}
 }
 
-// A body whose client has left before its last byte went on is not completed, whether its server's connection comes
-// up late or its server takes it slowly, and whether attempts can be called off or not. It was, with what the
-// system held of it and all that the client had still to send.
+// If the client disconnects before the last byte of its body was sent to the server, the body must not be completed, whether
+// the server's connection is established late or the server reads slowly, and whether or not attempts may be canceled. It
+// used to be completed from the kernel's buffers and from what the client had yet to send.
 func TestDepartedWithinUpload(t *testing.T) {
 	t.Parallel()
 	for name, cancels := range map[string]bool{"cancels": true, "does not cancel": false} {
@@ -388,7 +393,7 @@
 					t.Parallel()
 					stays := uploading(t, departure{after: time.Millisecond, change: change}, size, late)
 					if n := stays.server.count(departedID); n != 1 {
-						t.Fatalf("%d attempts for a client that stays: the others show nothing", n)
+						t.Fatalf("%d attempts for a client that stays connected: the test shows nothing", n)
 					}
 					var worst time.Duration
 					for _, leave := range leave {
--- a/internal/app/discovery_test.go
+++ b/internal/app/discovery_test.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// registryOf is discovery as a test wants it: it answers call n with what says, and tells of each call.
+// registryOf starts a discovery server that answers request n, counted from 1, with what says returns for it.
 func registryOf(t *testing.T, says func(n int, query url.Values) string) netip.AddrPort {
 	var calls atomic.Int64
 	return netip.MustParseAddrPort(testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
@@ -23,11 +23,13 @@
 	})))
 }
 
+// jsonList is an answer of discovery with one server.
 func jsonList(version int, full bool, state, addr string) string {
 	return testkit.OK(fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s-00000001","addr":%q,"zone":"z","kind":"k","cell":1,"state":%q,"weight":1,"started_ms":0}]}`,
 		version, full, addr, state))
 }
 
+// waitReady waits until the node's readiness check answers with the status want.
 func (n *testNode) waitReady(t *testing.T, want int) {
 	t.Helper()
 	for end := time.Now().Add(testkit.Patient); ; time.Sleep(5 * time.Millisecond) {
@@ -36,13 +38,13 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("ready answers %d, want %d", resp.StatusCode, want)
+			t.Fatalf("the readiness check answers %d, want %d", resp.StatusCode, want)
 		}
 	}
 }
 
-// A list that makes no sense is a failed call and no crash; the module asks again, and the watch goes on from
-// the version it has. A drain is followed.
+// An invalid list counts as a failed request and does not crash the node: the node requests it again, and the watch
+// continues from the version that it has. A drained server then gets no more requests.
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
@@ -82,14 +84,15 @@
 		close(drain)
 		n.waitReady(t, 503)
 		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 503 || got.Load() != 1 {
-			t.Errorf("status %d, %d requests at a draining backend", resp.StatusCode, got.Load()-1)
+			t.Errorf("status %d, %d requests at a draining server", resp.StatusCode, got.Load()-1)
 		}
 		n.stop()
 	}
 }
 
-// On SIGHUP discovery is asked at its new address, for the whole list at once: the versions there need not go on from
-// the old ones, and the watch at the old address hangs. A bad file changes nothing. Reloads in a row do no harm.
+// After SIGHUP the node requests the full list at discovery's new address at once, because the versions there need not
+// continue the old ones, and although the watch at the old address hangs. An invalid file changes nothing, and several
+// reloads in a row do no harm.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
@@ -129,7 +132,7 @@
 		}
 		n.waitReady(t, 200)
 		if first, second := <-calls, <-calls; first != "" || second != "7" {
-			t.Errorf("pushed: %v: asked since %q and %q", pushed, first, second)
+			t.Errorf("pushed: %v: requested the list since %q and %q", pushed, first, second)
 		}
 		n.stop()
 		close(hang)
--- a/internal/app/enddeadlines_test.go
+++ b/internal/app/enddeadlines_test.go
@@ -12,16 +12,16 @@
 	"starlingvalve/internal/testkit"
 )
 
-// endWithSilent ends a node that has requests of all classes at a server that hangs, a connection on which nothing
-// ever came, one that rests, and one whose head stopped half way. It gives the time from the node's being told
-// until its exit, and by when that has to come.
+// endWithSilent stops a node that has requests of all classes at a server that hangs, a connection on which nothing ever
+// came, an idle one, and one with half a request head. It returns the time from the stop to the node's exit, and the time
+// after which the platform kills the node.
 func endWithSilent(t *testing.T, deadline time.Duration) (took, kill time.Duration) {
 	t.Helper()
 	s := within(deadline)
 	s.MayProbe = false
 	server := newHolding(t, "0", "1", "2")
 	conf := &Config{Settings: s, Known: testkit.Known(server.addr)}
-	held := new(bytes.Buffer) // is told if the node ends with connections held
+	held := new(bytes.Buffer) // gets a warning if the node exits with connections open
 	n := startLogged(t, conf, slog.New(slog.NewTextHandler(held, &slog.HandlerOptions{Level: slog.LevelWarn})))
 	n.waitReady(t, 200)
 	mute, resting, half := n.dial(t), n.dial(t), n.dial(t)
@@ -43,24 +43,24 @@
 	n.stop()
 	for i, c := range open {
 		if status, _, err := c.answer(t); status < http.StatusBadRequest || err != nil {
-			t.Errorf("%s: %d %v, want an answer that says that it failed", s.Classes[i].Name, status, err)
+			t.Errorf("%s: %d %v, want an answer with an error status", s.Classes[i].Name, status, err)
 		}
 	}
 	<-n.ended
 	took = time.Since(began)
 	if held.Len() > 0 {
-		t.Errorf("the exit waited for those that are silent: %s", held)
+		t.Errorf("the exit waited for silent connections: %s", held)
 	}
 	for name, c := range map[string]client{"mute": mute, "resting": resting} {
 		if text, err := io.ReadAll(c.r); len(text) > 0 || err != nil {
-			t.Errorf("%s: %q, %v; want an orderly end", name, text, err)
+			t.Errorf("%s: %q, %v; want an orderly close without data", name, text, err)
 		}
 	}
 	return took, conf.drainTime() + killMargin
 }
 
-// At the end of a node every request is answered, and the exit comes, before the node may be killed, whatever the
-// longest deadline is, and whoever is silent then.
+// A node that is stopped answers every request and exits before the platform kills it, whatever its longest deadline is and
+// whichever connections are silent then.
 func TestEndAtEachDeadline(t *testing.T) {
 	t.Parallel()
 	for _, milliseconds := range []int{150, 400, 1000, 2000, 3000, 5000, 8000} {
@@ -76,7 +76,7 @@
 					return
 				}
 				if took-own > kill {
-					t.Fatalf("ended after %v, killed after %v; this process was %v late", took, kill, own)
+					t.Fatalf("exited after %v, killed after %v; this process was %v late", took, kill, own)
 				}
 			}
 			t.Errorf("this process was late %d times", punctualRuns)
--- a/internal/app/endings_test.go
+++ b/internal/app/endings_test.go
@@ -19,9 +19,11 @@
 	"starlingvalve/internal/testkit"
 )
 
-// What ends a thing owes what is still due of it: docs/design/endings.md lists each such path, and the test here, or beside its package, that forces it.
+// Tests of what has to be completed when a connection, a request or the node ends: docs/design/endings.md lists each such
+// path and the test, here or in the package concerned, that takes it.
 
-// unlike are settings that have little in common: effects change places, deadlines are short and long, attempts can be called off or not.
+// settingsVariants are changes to the settings that differ much: swapped effects of classes, short and long deadlines,
+// attempts that may be canceled or not.
 var unlike = map[string]func(*decide.Settings){
 	"as they are": func(*decide.Settings) {},
 	"no cancelling, one attempt, effects swapped": func(s *decide.Settings) {
@@ -41,7 +43,7 @@
 	},
 }
 
-// within is settings whose classes all have this deadline.
+// settingsWithDeadline is settings whose classes all have this deadline.
 func within(deadline time.Duration) decide.Settings {
 	s := testkit.Settings()
 	for i := range s.Classes {
@@ -50,7 +52,7 @@
 	return s
 }
 
-// underAll runs a test under each of them.
+// forAllVariants runs a test as a subtest for each of settingsVariants.
 func underAll(t *testing.T, f func(t *testing.T, s decide.Settings)) {
 	t.Parallel()
 	for name, change := range unlike {
@@ -63,7 +65,7 @@
 	}
 }
 
-// request is one of a class as its effect wants it, with an id of its own.
+// request is a request of a class, with the method and the key that the effect of the class requires.
 func request(c decide.Class, id, left string) string {
 	method, key := "POST", ""
 	switch c.Effect {
@@ -92,6 +94,7 @@
 	return client{c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
+// answer reads the next answer.
 func (c client) answer(t *testing.T) (status int, body string, err error) {
 	t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
@@ -102,20 +105,21 @@
 	return resp.StatusCode, string(raw), err
 }
 
-// leave ends a client's connection in one of the ways that clients have.
+// disconnectKinds are the ways in which a client ends its connection.
 var leave = map[string]func(client){
 	"its direction ends": func(c client) { c.CloseWrite() },
 	"it closes":          func(c client) { c.Close() },
 	"it resets":          func(c client) { c.SetLinger(0); c.Close() },
 }
 
-// holding is a server that notes what comes and answers what it is told to: a request of the class held is kept until its connection ends.
+// holdingServer is a server that reports each request that arrives. It answers at once, except for the ids in held: such a
+// request stays unanswered until its connection ends.
 type holding struct {
 	addr  string
 	came  chan string // ids
-	ended chan string // ids of those whose connections have ended
+	ended chan string // held ids whose connections have ended
 	mu    sync.Mutex
-	held  map[string]bool // ids that are held
+	held  map[string]bool // ids to leave unanswered
 }
 
 func newHolding(t *testing.T, held ...string) *holding {
@@ -152,7 +156,8 @@
 	}
 }
 
-// queued is a listener whose queue is full: connections come up late, once it is let go.
+// newFullListener opens a listener whose queue is full. Connections to it are established only once letGo is called, which
+// accepts them and passes them to serve.
 func queued(t *testing.T) (addr string, letGo func(serve func(net.Conn))) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -167,7 +172,7 @@
 		t.Fatal(err)
 	}
 	addr = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
-	filler, err := net.Dial("tcp", addr) // a queue of none holds one
+	filler, err := net.Dial("tcp", addr) // a queue of length 0 holds one connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,15 +203,16 @@
 	}
 }
 
-// A client that leaves while its attempt waits for a connection has nothing sent on for it, whether the settings allow cancelling or not. Without cancelling,
-// the attempt wrote its request once its handshake was done: the first id came to the server, with nobody to answer.
+// If a client disconnects while its attempt waits for a connection to the server, nothing may be sent for it, whether or not
+// the settings allow attempts to be canceled. Without canceling, the attempt used to send the request once the handshake was
+// done, although nobody was left to get the answer.
 func TestLeftDuringHandshake(t *testing.T) {
 	underAll(t, func(t *testing.T, s decide.Settings) {
 		n, addr, letGo := lateNode(t, s)
 		first := n.dial(t)
 		io.WriteString(first, request(s.Classes[0], "left", "60"))
 		dialing(t, addr)
-		second := n.dial(t) // its handshake is begun after the other's
+		second := n.dial(t) // its handshake begins after the other's
 		io.WriteString(second, request(s.Classes[0], "stays", "9"))
 		first.Close()
 		server := newHolding(t)
@@ -218,7 +224,7 @@
 		<-n.ended
 		for len(server.came) > 0 {
 			if id := <-server.came; id == "left" {
-				t.Error("the request of the client that left came to the server")
+				t.Error("the request of the disconnected client reached the server")
 			}
 		}
 	})
@@ -230,14 +236,15 @@
 	return err
 }
 
-// ping asks for the node's health, so that what it was sent before has been taken up.
+// ping requests the node's health on c. Once it is answered, the node has read what c was sent before.
 func (c client) ping(t *testing.T) (int, string, error) {
 	io.WriteString(c, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
 	return c.answer(t)
 }
 
-// A client that leaves is noticed whatever it has sent behind the request that is open, and nothing of that is sent on. net/http reads one byte behind a request
-// and watches no more once it has that: the attempt went on to its end, and what was behind it was served to nobody.
+// A client that disconnects is noticed whatever it has pipelined behind its open request, and nothing of that is sent to a
+// server. net/http reads one byte behind a request and stops watching the connection once it has that byte: the attempt then
+// continued to its end, and the pipelined requests were served to nobody.
 func TestLeftBehindMore(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -259,13 +266,13 @@
 					end(c)
 					select {
 					case <-server.ended:
-					case <-time.After(testkit.Patient / 4): // its patience is longer
-						t.Fatal("its attempt goes on")
+					case <-time.After(testkit.Patient / 4): // less than the client's patience
+						t.Fatal("the attempt continues")
 					}
 					n.stop()
 					<-n.ended
 					if len(server.came) > 0 {
-						t.Errorf("%s came to the server after its client had left", <-server.came)
+						t.Errorf("%s reached the server after its client had disconnected", <-server.came)
 					}
 				})
 			}
@@ -273,7 +280,8 @@
 	}
 }
 
-// A second request behind one that is open is answered once that one is, in whatever pieces they came, also beyond what is read ahead.
+// Requests that are pipelined behind an open one are answered after it, in whatever pieces they arrive, also if they are
+// longer than what the node reads ahead.
 func TestBehindIsServed(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -307,8 +315,8 @@
 	}
 }
 
-// An answer that is passed on as it comes, and is no long one, ends with its request's time, so that its client can tell that it is not whole: one that
-// stops, and one that trickles for ever. It was waited for 8 s a piece.
+// An answer of unknown length that stalls, or trickles without end, is cut off when the request's time is over, so that the
+// client can tell that it is incomplete. The node used to wait 8 s for each next piece of it.
 func TestAnswerWithoutEnd(t *testing.T) {
 	t.Parallel()
 	for _, frame := range []string{"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", "Connection: close\r\n\r\nhello"} {
@@ -321,7 +329,7 @@
 					}
 					io.WriteString(c, "HTTP/1.1 200 OK\r\n"+frame)
 					for {
-						time.Sleep(20 * time.Millisecond) // its pace
+						time.Sleep(20 * time.Millisecond) // between pieces
 						if _, err := io.WriteString(c, more); err != nil {
 							return
 						}
@@ -341,14 +349,14 @@
 					t.Errorf("ended after %v", took)
 				}
 				if status == 200 && err == nil {
-					t.Errorf("a whole answer %q", body)
+					t.Errorf("the client got a complete answer %q", body)
 				}
 			})
 		}
 	}
 }
 
-// A long answer may take longer than its request's time: one that says its length whatever its pace, one that does not as long as it comes fast.
+// A long answer may take longer than its request's time: with a Content-Length at any pace, without one if it arrives fast.
 func TestLongAnswerAfterItsTime(t *testing.T) {
 	t.Parallel()
 	const size = 100 << 10
@@ -360,7 +368,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				first := 1 << 10 // of a length that is known, however little
+				first := 1 << 10 // with a known length, a small first part is enough
 				if name == "close" {
 					first = 60 << 10
 				}
@@ -369,7 +377,7 @@
 					select {
 					case <-over:
 						waiting = false
-					case <-time.After(20 * time.Millisecond): // its pace
+					case <-time.After(20 * time.Millisecond): // between pieces
 						if _, err := io.WriteString(c, "x"); err != nil {
 							return
 						}
@@ -382,7 +390,7 @@
 			n.waitReady(t, 200)
 			var c client
 			var resp *http.Response
-			for range 10 { // the machine may be late for its beginning
+			for range 10 { // on a busy machine the answer may begin too late
 				c = n.dial(t)
 				io.WriteString(c, message("read", "1.5", ""))
 				var err error
@@ -396,7 +404,7 @@
 			if resp.StatusCode != 200 {
 				t.Fatal(resp)
 			}
-			time.Sleep(1500 * time.Millisecond) // its time is over: the server's pace
+			time.Sleep(1500 * time.Millisecond) // until the request's time is over; the server keeps sending
 			close(over)
 			if body, err := io.ReadAll(resp.Body); err != nil || len(body) != size {
 				t.Errorf("%d bytes, %v", len(body), err)
@@ -405,11 +413,12 @@
 	}
 }
 
-// After SIGTERM all that was taken is answered before the node may be killed, whatever its own time, and the exit comes then: a hung server under it, a client that takes
-// nothing, a head that is half there, a long answer that has stopped.
+// After SIGTERM all requests in flight at a hung server are answered before the platform kills the node, however much time
+// the requests have left, and the node exits by then. Other tests have a client that reads nothing, half a request head, and
+// a long answer that has stalled.
 func TestEndWithAllOpen(t *testing.T) {
 	underAll(t, func(t *testing.T, s decide.Settings) {
-		for i := range s.Classes { // the clients' patience is longer than all of them
+		for i := range s.Classes { // less than the clients' patience
 			s.Classes[i].Deadline = min(s.Classes[i].Deadline, time.Second)
 		}
 		server := newHolding(t, "0", "1", "2")
@@ -428,20 +437,21 @@
 			status, _, err := open[i].answer(t)
 			want := http.StatusBadGateway
 			if class.Effect == decide.Safe || class.Effect == decide.Keyed && class.KeyScope == decide.ScopeAll {
-				want = http.StatusServiceUnavailable // to try again does no harm
+				want = http.StatusServiceUnavailable // a retry by the client has no second effect
 			}
 			if status != want || err != nil {
 				t.Errorf("%s: %d %v, want %d", class.Name, status, err, want)
 			}
 		}
 		<-n.ended
-		if took, kill := time.Since(began), c.drainTime()+killMargin; took > kill+testkit.Patient/4 { // a busy machine's
-			t.Errorf("ended after %v, killed after %v", took, kill)
+		if took, kill := time.Since(began), c.drainTime()+killMargin; took > kill+testkit.Patient/4 { // for a busy machine
+			t.Errorf("exited after %v, killed after %v", took, kill)
 		}
 	})
 }
 
-// An answer that has begun, and stops, is ended with the node, so that its client can tell that it is not whole; the exit does not wait for it.
+// An answer that has begun and stalled is cut off when the node ends, so that the client can tell that it is incomplete. The
+// exit does not wait for it.
 func TestEndWithinAnswer(t *testing.T) {
 	t.Parallel()
 	s := within(3 * time.Second)
@@ -456,22 +466,23 @@
 	n.waitReady(t, 200)
 	c := n.dial(t)
 	io.WriteString(c, message("order", "60", ""))
-	resp, err := http.ReadResponse(c.r, nil) // its beginning has been passed on
+	resp, err := http.ReadResponse(c.r, nil) // the beginning of the answer has arrived
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 	began := time.Now()
 	n.stop()
 	if body, err := io.ReadAll(resp.Body); err == nil {
-		t.Errorf("a whole answer %q", body)
+		t.Errorf("the client got a complete answer %q", body)
 	}
 	<-n.ended
-	if took, kill := time.Since(began), conf.drainTime()+killMargin; took > kill+2*time.Second { // a busy machine's
-		t.Errorf("ended after %v, killed after %v", took, kill)
+	if took, kill := time.Since(began), conf.drainTime()+killMargin; took > kill+2*time.Second { // for a busy machine
+		t.Errorf("exited after %v, killed after %v", took, kill)
 	}
 }
 
-// The end comes with a head half there on a connection that was used before: once it is whole, it is answered. net/http's Shutdown closed such a connection at once.
+// The node is stopped when half a request head has arrived on a connection that was used before. Once the head is complete,
+// the request is answered. Shutdown of net/http closed such a connection at once.
 func TestEndWithinHead(t *testing.T) {
 	t.Parallel()
 	for range 10 {
@@ -479,10 +490,11 @@
 			return
 		}
 	}
-	t.Error("the machine was too late ten times")
+	t.Error("the machine was too busy in all ten runs")
 }
 
-// endWithinHead tells whether it shows anything: a machine that was late lets a head stall, and such a one is ended.
+// endWithinHead returns false if the run shows nothing: on a busy machine the client may write the head so slowly that the
+// node counts it as stalled and closes the connection.
 func endWithinHead(t *testing.T) bool {
 	t.Helper()
 	s := within(time.Second)
@@ -497,11 +509,11 @@
 	}
 	began := time.Now()
 	moved, stalled := began, time.Duration(0)
-	io.WriteString(held, request(s.Classes[0], "held", "9")) // the drain goes on to its end
+	io.WriteString(held, request(s.Classes[0], "held", "9")) // keeps the drain going until its end
 	<-server.came
 	n.stop()
 	text := request(s.Classes[0], "half", "9")
-	// It is written a byte at a time, until the quiet connection is closed: that is the last call.
+	// The head is written byte by byte until the node closes the quiet connection, which is the last moment for new requests.
 	last := make(chan error, 1)
 	go func() {
 		_, err := quiet.r.ReadByte()
@@ -521,7 +533,7 @@
 		}
 	}
 	io.WriteString(half, text[sent:])
-	late := max(stalled, time.Since(moved)) > admit.StallLeast/2 || time.Since(began) > 1900*time.Millisecond // the quiet one's idle time is near
+	late := max(stalled, time.Since(moved)) > admit.StallLeast/2 || time.Since(began) > 1900*time.Millisecond // close to the idle timeout of the quiet connection
 	status, body, err := half.answer(t)
 	if late {
 		return false
@@ -532,8 +544,8 @@
 	return true
 }
 
-// Twenty restarts under load, on connections that clients keep: each request that was written whole gets one whole answer, or its connection was closed unread; no unsafe one
-// runs twice.
+// Twenty nodes are started and stopped under load on connections that clients keep open: each request gets one complete
+// answer, or its connection is closed and the request has not run. No unsafe request runs twice.
 func TestTwentyRestarts(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -568,7 +580,7 @@
 						if err == nil {
 							answered[id] = status
 						} else if ran[id] > 0 {
-							t.Errorf("%s has run, and its client has no answer: %v", id, err)
+							t.Errorf("%s has run, but its client got no answer: %v", id, err)
 						}
 						mu.Unlock()
 						if err != nil {
--- a/internal/app/gateway_test.go
+++ b/internal/app/gateway_test.go
@@ -16,7 +16,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// gatewayPair is the configuration of two sites that know each other; nothing listens yet.
+// gatewayPair creates the gateway configurations of two sites that are each other's peers. Nothing listens yet.
 func gatewayPair(t *testing.T) (a, b *gateway.Config) {
 	t.Helper()
 	var certs [2]tls.Certificate
@@ -47,8 +47,8 @@
 	return out[0], out[1]
 }
 
-// A hall with no servers has another serve what may cross; a keyed request stays, and is refused. Once the other site is
-// removed by SIGHUP, nothing crosses any more.
+// A site without servers hands its requests to another site. Keyed requests are never handed over, and are refused. After a
+// reload that removes the other site, nothing is handed over any more.
 func TestTwoSites(t *testing.T) {
 	t.Parallel()
 	var runs atomic.Int64
@@ -91,7 +91,7 @@
 	}
 }
 
-// SIGTERM on either side with a hand-off in flight: it is answered, and then the node ends.
+// If either node gets SIGTERM while a hand-off is in flight, the request is answered, and then the node exits.
 func TestEndWithHandoffInFlight(t *testing.T) {
 	t.Parallel()
 	for _, side := range []string{"near", "far"} {
@@ -112,12 +112,12 @@
 				if resp, _ := nodes["near"].ask(t, message("read", "9.5", "")); resp.StatusCode == 200 {
 					break
 				} else if time.Now().After(end) {
-					t.Fatal("nothing crosses")
+					t.Fatal("no request is handed over")
 				}
 			}
 			status := make(chan int, 1)
 			go func() {
-				for { // the far side may have no room for a moment
+				for { // the other site may have no headroom for a moment
 					resp, _ := nodes["near"].ask(t, message("order", "9.5", ""))
 					if resp.StatusCode != 503 {
 						status <- resp.StatusCode
@@ -128,7 +128,7 @@
 			}()
 			<-came
 			nodes[side].stop()
-			time.AfterFunc(700*time.Millisecond, func() { close(let) }) // past the time in which the listener stays open
+			time.AfterFunc(700*time.Millisecond, func() { close(let) }) // when the listener has closed already
 			if got := <-status; got != 200 {
 				t.Errorf("status %d", got)
 			}
@@ -138,7 +138,7 @@
 					t.Error(err)
 				}
 			case <-time.After(testkit.Patient):
-				t.Error("it does not end")
+				t.Error("the node does not exit")
 			}
 		})
 	}
--- a/internal/app/leak_test.go
+++ b/internal/app/leak_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// asLeakCheck has the test binary look for what its tests have left behind, once they have ended.
+	// envLeakCheck is the environment variable that makes the test binary check for leaks when its tests have ended.
 	asLeakCheck = "STARLINGVALVE_TEST_LEAKS"
-	// leakCheckWithin is how long such a process may take.
+	// leakCheckTimeout is how long such a process may take.
 	leakCheckWithin = 2 * time.Minute
 )
 
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-// leftBehind tells of goroutines, and of sockets and pipes that were not there before.
+// leftBehind returns an error that names goroutines that still run, or sockets and pipes that are not in before.
 func leftBehind(before map[string]bool) error {
 	if err := goleak.Find(); err != nil {
 		return err
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// socketsAndPipes names the sockets and pipes of this process.
+// socketsAndPipes returns the names of this process's open sockets and pipes.
 func socketsAndPipes() map[string]bool {
 	names := map[string]bool{}
 	files, _ := filepath.Glob("/proc/self/fd/*")
@@ -62,8 +62,8 @@
 	return names
 }
 
-// After twenty restarts under load no goroutine, socket or pipe of the nodes is left. The restarts run in a
-// process of their own, as other tests would run beside them here.
+// After twenty restarts under load no goroutine, socket or pipe of the nodes is left. The restarts run in a process of
+// their own, because other tests run concurrently in this one.
 func TestRestartsLeaveNothing(t *testing.T) {
 	t.Parallel()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^TestTwentyRestarts$", "-test.v",
--- a/internal/app/leaving_test.go
+++ b/internal/app/leaving_test.go
@@ -21,15 +21,15 @@
 	"starlingvalve/internal/testkit"
 )
 
-// landed waits until all that a client has written, and the end of its direction, have come to the node's machine.
+// waitDelivered waits until the node's kernel has acknowledged all that a client wrote and the end of its direction.
 func (c client) landed(t *testing.T) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	const finWait2, closed = 5, 7 // the end has been acknowledged; the node has answered, and closed
-	testkit.Until(t, "its end has not come", func() bool {
+	const finWait2, closed = 5, 7 // states of TCP: the end is acknowledged; the node has closed too
+	testkit.Until(t, "the end of the connection is not acknowledged", func() bool {
 		var info *unix.TCPInfo
 		raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
 		if err != nil {
@@ -39,7 +39,8 @@
 	})
 }
 
-// lateNode is a node whose server's connections come up late, once it is let go, and only then: it is not probed, nor given up.
+// nodeWithFullListener starts a node whose server accepts connections only once letGo is called. Until then the node neither
+// probes the server nor times out a connection attempt.
 func lateNode(t *testing.T, s decide.Settings) (n *testNode, addr string, letGo func(func(net.Conn))) {
 	t.Helper()
 	s.MayProbe, s.ConnectTimeout = false, testkit.Patient
@@ -49,7 +50,7 @@
 	return n, addr, letGo
 }
 
-// dialing waits until somebody is connecting to an address whose queue is full.
+// waitDialing waits until a connection attempt to an address with a full listen queue is under way.
 func dialing(t *testing.T, addr string) {
 	t.Helper()
 	at := netip.MustParseAddrPort(addr)
@@ -64,8 +65,9 @@
 	})
 }
 
-// A client that leaves is noticed before its request goes out, also where its end can't be read up to: behind more than is read ahead, or behind a body
-// that nobody reads while its attempt waits for a connection. Both were written to the server once the handshake was done.
+// A client that disconnects is noticed before its request is sent to the server, also if the node can't read up to the end of
+// the connection: because more is pipelined than the node reads ahead, or because a body is not read while the attempt waits
+// for a connection. Both requests used to be sent once the handshake was done.
 func TestLeftUnread(t *testing.T) {
 	for what, text := range map[string]func(c decide.Class) string{
 		"more than is read ahead behind it": func(c decide.Class) string { return request(c, "left", "60") + behind(c, muchBehind) },
@@ -79,7 +81,7 @@
 				first := n.dial(t)
 				io.WriteString(first, text(s.Classes[2]))
 				dialing(t, addr)
-				second := n.dial(t) // its handshake is begun after the other's
+				second := n.dial(t) // its handshake begins after the other's
 				io.WriteString(second, request(s.Classes[0], "stays", "9"))
 				first.CloseWrite()
 				first.landed(t)
@@ -89,13 +91,13 @@
 					t.Errorf("%d %q %v", status, body, err)
 				}
 				if status, _, err := first.answer(t); err == nil && status < 400 {
-					t.Errorf("the one that left: %d", status)
+					t.Errorf("the disconnected client got status %d", status)
 				}
 				n.stop()
 				<-n.ended
 				for len(server.came) > 0 {
 					if id := <-server.came; id != "stays" {
-						t.Errorf("%s came to the server", id)
+						t.Errorf("%s reached the server", id)
 					}
 				}
 			})
@@ -103,10 +105,11 @@
 	}
 }
 
-// muchBehind is requests of some 108 KB: more than a node reads ahead, and not more than the kernel takes besides.
+// manyPipelined is a number of pipelined requests that together have some 108 KB: more than a node reads ahead, but not more
+// than the kernel buffers in addition.
 const muchBehind = 690
 
-// behind is so many requests, behind0 and on.
+// pipelinedRequests is n requests with the ids behind0, behind1 and so on.
 func behind(c decide.Class, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -115,8 +118,8 @@
 	return b.String()
 }
 
-// Of what lies behind an open request nothing goes out once its client has left, however much it is. What was beyond the bound of what is read ahead was served to
-// nobody.
+// Once a client has disconnected, nothing that it pipelined behind its open request is sent to a server, however much it is.
+// Requests beyond what the node reads ahead used to be served to nobody.
 func TestLeftBehindMuch(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -144,11 +147,12 @@
 	n.stop()
 	<-n.ended
 	if len(came) > 0 {
-		t.Errorf("%d came to the server after their client had left, the first %s", len(came), <-came)
+		t.Errorf("%d reached the server after their client had disconnected, the first is %s", len(came), <-came)
 	}
 }
 
-// longNode is a node whose server's answer is long, and as the test says, with a client that has asked for it. held is told if the node ends with connections held.
+// longAnswerNode starts a node whose server runs serve, and a client that has sent a request to it. held gets a warning if the
+// node exits with connections open.
 func longNode(t *testing.T, deadline time.Duration, serve func(net.Conn)) (n *testNode, conf *Config, c client, held *bytes.Buffer) {
 	t.Helper()
 	s := within(deadline)
@@ -160,10 +164,11 @@
 	return n, conf, c, held
 }
 
-// A client that takes nothing of its long answer keeps the exit no longer than 2 s, in which a slow one takes the next piece.
+// A client that reads nothing of its long answer delays the exit by 2 s at most, the time in which a slow client reads the
+// next piece.
 func TestEndWithStalledClient(t *testing.T) {
 	t.Parallel()
-	const size = 24 << 20 // more than the kernel holds
+	const size = 24 << 20 // more than the kernel buffers
 	n, _, c, held := longNode(t, 1500*time.Millisecond, func(c net.Conn) {
 		if readRequest(c) == nil {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
@@ -176,18 +181,18 @@
 	n.stop()
 	<-n.ended
 	if held.Len() > 0 {
-		t.Errorf("the exit waited for it: %s", held)
+		t.Errorf("the exit waited for the client: %s", held)
 	}
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		return // cut within its head
+		return // cut off within the head
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-		t.Errorf("%d bytes look whole", n)
+		t.Errorf("%d bytes look like a complete answer", n)
 	}
 }
 
-// A long answer that goes on moving as the node's end is over is not cut: it is whole before the exit.
+// A long answer that is still being transferred when the drain time is over is not cut off: it is complete before the exit.
 func TestEndWithMovingAnswer(t *testing.T) {
 	t.Parallel()
 	const size = 1 << 20
@@ -201,7 +206,7 @@
 		end := time.Now().Add((<-stop).drainTime()) // the last answers of other requests have left by then
 		for until := end.Add(150 * time.Millisecond); sent < size-1000 && time.Now().Before(until); sent += 1000 {
 			c.Write(make([]byte, 1000))
-			time.Sleep(10 * time.Millisecond) // its pace
+			time.Sleep(10 * time.Millisecond) // between pieces
 		}
 		c.Write(make([]byte, size-sent))
 	})
@@ -217,7 +222,8 @@
 	<-n.ended
 }
 
-// The end comes within a body: its request has not been taken, and its client is told so, whether it is held whole or would be passed on. The exit does not wait for it.
+// The node is stopped when half a request body has arrived. The request is not accepted, and its client gets an error status,
+// whether such a body is buffered whole or streamed. The exit does not wait for the rest.
 func TestEndWithinBody(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{1000, 200 << 10} {
@@ -254,7 +260,7 @@
 				}
 				<-n.ended
 				if len(server.came) > 0 && size < 64<<10 {
-					t.Errorf("%s came to the server", <-server.came)
+					t.Errorf("%s reached the server", <-server.came)
 				}
 			})
 		}
--- a/internal/app/long_test.go
+++ b/internal/app/long_test.go
@@ -16,7 +16,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// long is a body of n bytes in which no piece is like another.
+// patternBody is a body of n bytes whose blocks of 1 KB all differ, so that misplaced data is noticed.
 func long(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
@@ -26,7 +26,7 @@
 	return b.Bytes()[:n]
 }
 
-// inChunks puts a body into chunks of so many bytes, with extensions and trailers.
+// chunkedBody encodes a body in chunks of size bytes, with chunk extensions and a trailer.
 func inChunks(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
@@ -37,6 +37,7 @@
 	return b.String() + "0\r\nX-Sum: 1\r\n\r\n"
 }
 
+// Long answers arrive unchanged, in each way in which the end of an answer is marked.
 func TestLongAnswers(t *testing.T) {
 	t.Parallel()
 	want := long(3<<20 + 17)
@@ -53,7 +54,7 @@
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 					return
 				}
-				for text := answer; text != ""; { // in pieces of odd sizes
+				for text := answer; text != ""; { // in pieces whose size is no multiple of a buffer's
 					n := min(len(text), 70_001)
 					io.WriteString(c, text[:n])
 					text = text[n:]
@@ -71,7 +72,7 @@
 	}
 }
 
-// A long answer that its server does not finish, or whose length is wrong, is never whole to the client.
+// A long answer that the server does not complete, or whose length is wrong, never looks complete to the client.
 func TestLongAnswerCut(t *testing.T) {
 	t.Parallel()
 	body := long(1 << 20)
@@ -103,16 +104,17 @@
 			io.WriteString(c, message("read", "9.5", ""))
 			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 			if err != nil {
-				return // it has been cut before its head: the client sees that too
+				return // cut off before its head, which the client notices too
 			}
 			if got, err := io.ReadAll(resp.Body); err == nil && resp.StatusCode == 200 {
-				t.Errorf("%d bytes look whole", len(got))
+				t.Errorf("%d bytes look like a complete answer", len(got))
 			}
 		})
 	}
 }
 
-// Long bodies go on as they come, in any form; short ones in chunks are held and have a length.
+// Long request bodies are streamed to the server, with a length or in chunks. Short ones in chunks are buffered, and sent with
+// a length.
 func TestLongBodies(t *testing.T) {
 	t.Parallel()
 	type got struct {
@@ -146,7 +148,8 @@
 	}
 }
 
-// A body whose last byte never went out has not run: the answer may be a refusal, and there is no second attempt with what is left of it.
+// A request whose body was never sent to the end has not run: it may be refused. There is no second attempt with the rest of
+// the body.
 func TestLongBodyServerBreaks(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
@@ -183,7 +186,7 @@
 	}
 }
 
-// A body that trickles or stalls ends in an error within the time of a bad client; one at the pace of a good client does not.
+// A body that arrives too slowly or stalls is rejected with status 408. One at the pace of a good client is accepted.
 func TestPaceOfBodies(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("done") }))
@@ -206,7 +209,7 @@
 				tick := time.NewTicker(50 * time.Millisecond)
 				defer tick.Stop()
 				for sent := 0; sent < size; {
-					piece := min(size-sent, max(0, int(time.Since(began).Seconds()*float64(pace))-sent)) // behind by a late tick, never for good
+					piece := min(size-sent, max(0, int(time.Since(began).Seconds()*float64(pace))-sent)) // a late tick is made up for
 					if _, err := c.Write(make([]byte, piece)); err != nil {
 						return
 					}
--- a/internal/app/servers_test.go
+++ b/internal/app/servers_test.go
@@ -15,11 +15,11 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
-// restWait is longer than connections to servers rest after an answer.
+// idleWait is longer than a connection to a server must be idle after an answer before it is used again.
 const restWait = 2 * reuse.Rest
 
-// A request on a connection that breaks goes out once: a library's own second try would be an attempt that the
-// module knows nothing of.
+// A request on a connection that breaks is sent only once. A retry by an HTTP library would be an attempt that the decision
+// module does not know about.
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
@@ -44,11 +44,11 @@
 		time.Sleep(restWait)
 	}
 	if got.Load() != 2 {
-		t.Errorf("the backend got %d requests, want 2", got.Load())
+		t.Errorf("the server got %d requests, want 2", got.Load())
 	}
 }
 
-// A connection that the backend has closed while it was idle is not written to.
+// A connection that the server closed while it was idle is not used for another request.
 func TestIdleClosedByBackend(t *testing.T) {
 	t.Parallel()
 	closed := make(chan struct{}, 9)
@@ -68,20 +68,19 @@
 	}
 }
 
-// A machine that says nothing holds up nobody: the answer comes by the client's patience.
+// A server that never answers does not block its clients: each gets an answer before its patience ends.
 func TestSilentBackend(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	for class, want := range map[string]int{"read": 503, "tag": 502, "order": 502} {
-		n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)}) // none has been taken for silent yet
+		n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)}) // a new node, which has no unresponsive server yet
 		if resp, _ := n.ask(t, message(class, "0.4", "")); resp.StatusCode != want {
 			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, want)
 		}
 	}
 }
 
-// What comes back from a backend, and what the module may make of it: an unsafe request is refused only if it
-// has never run.
+// The client's status for each kind of answer from a server. An unsafe request is refused only if it has not run.
 func TestOutcomesForClients(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/app/takeover_test.go
+++ b/internal/app/takeover_test.go
@@ -18,7 +18,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// A predecessor that has the socket for datagrams and does not hand it over keeps no successor from starting.
+// A successor starts also if the predecessor has a socket for datagrams at the same address and does not hand it over.
 func TestPredecessorWithoutPeers(t *testing.T) {
 	t.Parallel()
 	tcp, err := handover.ListenTCP(netip.MustParseAddrPort("127.0.0.1:0"))
@@ -48,14 +48,14 @@
 	}
 	defer s.clients.Close()
 	if s.from == nil || s.peers == nil {
-		t.Fatalf("taken over: %v, datagrams: %v", s.from != nil, s.peers != nil)
+		t.Fatalf("took over sockets: %v, has a socket for datagrams: %v", s.from != nil, s.peers != nil)
 	}
 	s.from.Close()
 	s.peers.Close()
 }
 
-// A list that is handed over from another discovery is not gone on from: its servers may be others, and a watch from its version may wait for good. The whole
-// list is asked for at once.
+// A successor whose configuration names another discovery server than its predecessor's requests the full list at once. The
+// handed list may have other servers, and a watch from its version might wait forever.
 func TestSuccessorOfElsewhere(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
