--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -13,20 +13,21 @@
 )
 
 const (
-	expiredNodes    = 300              // a fleet so large that calls to discovery are spread
-	crowdedAtReload = 10 * time.Second // calls wait for their turn in vain
-	crowdedAtStart  = 6 * time.Second  // so that a call which is out then, and one more, end before discovery is taken for down
-	drainedFor      = 5 * time.Second  // a server has been draining before a process starts by the list before
+	expiredNodes    = 300              // enough for the nodes to spread their list requests over time
+	crowdedAtReload = 10 * time.Second // how long discovery is overloaded, and requests time out in its queue
+	crowdedAtStart  = 6 * time.Second  // a pending list request and one more end before discovery counts as down
+	drainedFor      = 5 * time.Second  // how long a server has drained when the process starts with an older list
 )
 
-// drains has the first server drain.
+// drainFirstServer has discovery list the first server as draining.
 func (n *unwatched) drains(s *discovery.Service) discovery.Change {
 	e := standin.EntryOf(n.servers[0])
 	e.State = "draining"
 	return s.Set(e)
 }
 
-// lateSince counts the requests that came to the draining server after it counts as notified and has had its grace.
+// lateRequests counts the requests that reached the draining server after the grace that follows the latest time of the
+// node's notification.
 func (n *unwatched) lateSince(change discovery.Change) (late int) {
 	end := change.At.Add(discovery.FollowWithin + unwatchedGrace + unwatchedSlack)
 	for _, x := range n.servers[0].Log() {
@@ -34,11 +35,11 @@
 			late++
 		}
 	}
-	n.t.Logf("%d requests to the draining server later than %v after the drain", late, end.Sub(change.At))
+	n.t.Logf("%d requests reached the draining server later than %v after the drain", late, end.Sub(change.At))
 	return late
 }
 
-// moveTo has the process ask discovery at another address.
+// moveTo reloads the process with another address of discovery.
 func (n *unwatched) moveTo(c *discovery.Caller) {
 	n.t.Helper()
 	path := strings.TrimPrefix(n.cmd.Env[len(n.cmd.Env)-1], "GW_CONFIG=")
@@ -52,12 +53,11 @@
 	n.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Symptom: a few requests went to servers that drained, up to 0.64 s after the process counted as notified. Sequence: a
-// reload moved discovery, which ended the watch; the first call at the new address was put off by up to 3.9 s and waited
-// 2 s in vain, as others were asking too; the next one was put off again. The first answer came 8.6 s after the reload
-// ("answered: 9.0 v5, 18.7 v15"; reload at 10.1). A server began to drain at 10.84, the process counts as notified at
-// 16.84, and sent to it at 17.44 and 17.48. Cause: nothing bounded the time for which a list is used without a watch.
-// The same holds for a process that starts, by a list from before the drain, while discovery is crowded.
+// A node must not go on using an old list while discovery is overloaded. After a reload that moved discovery and so ended
+// the watch, the first list request was delayed by up to 3.9 s and then timed out after 2 s in discovery's queue, behind
+// those of other nodes, and the next one was delayed again: the first answer came 8.6 s after the reload. Requests went to a server that had begun to
+// drain up to 0.64 s after the node counted as notified, because nothing bounded the time for which a list is used without
+// a watch. The same holds for a process that starts with a list from before the drain.
 func TestNothingIsSentByAnExpiredList(t *testing.T) {
 	t.Run("reload", func(t *testing.T) {
 		t.Parallel()
@@ -83,15 +83,16 @@
 	})
 }
 
-// expires makes requests while discovery is crowded and for a while after, and judges them.
+// checkExpiredList makes requests while discovery is overloaded and until it answers again. No request may reach the
+// draining server too late, and the node has to serve again once it has a fresh list.
 func (n *unwatched) expires(s *discovery.Service, c *discovery.Caller, change discovery.Change, crowded time.Duration) {
 	n.t.Helper()
 	over := time.Now().Add(crowded)
-	n.requestsUntil("the crowd's end", func() bool { return time.Now().After(over) })
+	n.requestsUntil("the end of the overload", func() bool { return time.Now().After(over) })
 	s.SetFault(discovery.Fault{})
 	n.requestsUntil("an answer", func() bool { return len(c.Answers()) > 0 })
 	if late := n.lateSince(change); late > 0 {
-		n.t.Errorf("%d requests went to a server that drained by a list that nothing vouched for", late)
+		n.t.Errorf("%d requests went to a draining server by a list that was no longer valid", late)
 	}
 	before := len(n.servers[1].Log())
 	for end := time.Now().Add(testkit.Patient); len(n.servers[1].Log()) == before; n.requests() {
--- a/cmd/starlingvalve/main_test.go
+++ b/cmd/starlingvalve/main_test.go
@@ -18,7 +18,7 @@
 	"starlingvalve/internal/trace"
 )
 
-// The test binary is the program when this is set.
+// envAsProgram is the environment variable that makes the test binary run as the program.
 const asProgram = "STARLINGVALVE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -33,6 +33,7 @@
 	}
 }
 
+// programCommand returns a command that runs the program with this configuration, and the buffer that gets its log.
 func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -44,7 +45,8 @@
 	return cmd, &log
 }
 
-// begin starts the program, which ends within a minute, and gives the rest of its log and where it listens.
+// startProgram starts the program, and kills it after a minute at the latest. It returns the rest of its log after the first
+// line, and the address for clients that this line names.
 func begin(t *testing.T, cmd *exec.Cmd) (lines *bufio.Scanner, listen string) {
 	t.Helper()
 	cmd.Stderr = nil
@@ -56,7 +58,7 @@
 		t.Fatal(err)
 	}
 	guard := time.AfterFunc(time.Minute, func() { cmd.Process.Kill() })
-	t.Cleanup(func() { guard.Stop(); cmd.Process.Kill() }) // also where the test fails before it has ended the program
+	t.Cleanup(func() { guard.Stop(); cmd.Process.Kill() }) // also if the test fails before it has ended the program
 	lines = bufio.NewScanner(log)
 	lines.Scan()
 	_, rest, _ := strings.Cut(lines.Text(), "listen=")
@@ -64,6 +66,7 @@
 	return lines, listen
 }
 
+// An invalid configuration ends the program with exit code 1 and one line that names the fault.
 func TestBadConfiguration(t *testing.T) {
 	cmd, log := program(t, `{"name":"n0"}`)
 	cmd.Run()
@@ -72,7 +75,7 @@
 	}
 }
 
-// A gateway file is checked by `check`, and before the start, by the same words.
+// An invalid gateway file gives the same error from the command check and at the start of the node.
 func TestBadGatewayFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "gateway.toml")
 	if err := os.WriteFile(file, []byte("[site]\nnmae = \"hall-a\"\n"), 0o600); err != nil {
@@ -95,6 +98,7 @@
 	}
 }
 
+// SIGHUP does not end the program, SIGTERM ends it with exit code 0.
 func TestStartAndTerminate(t *testing.T) {
 	discovery, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -109,7 +113,7 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("after %q: %v, %v", lines.Text(), resp, err)
 	}
-	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} { // only one ends it
+	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} { // only SIGTERM ends it
 		cmd.Process.Signal(s)
 	}
 	for lines.Scan() {
@@ -119,8 +123,8 @@
 	}
 }
 
-// Whoever reads the log may stop. The log's lines were once written under the lock that every request takes, so that a
-// full pipe froze the node; and a node that is told to end must end.
+// The reader of the log may stop reading. Log lines were once written under the lock that every request takes, so that a
+// full pipe blocked the node. Requests must be answered, and SIGTERM must end the node.
 func TestUnreadLog(t *testing.T) {
 	var discovery [2]net.Listener
 	for i := range discovery {
@@ -154,7 +158,7 @@
 	_, rest, _ := strings.Cut(line, "listen=")
 	listen, _, _ := strings.Cut(rest, " ")
 
-	// From here on nobody reads, and the pipe is full once this write, which hangs until the pipe is closed, has filled it.
+	// From here on nobody reads the log. This write fills the pipe and blocks until the pipe is closed.
 	const setPipeSize, bytesThere, pipeSize = 1031, 0x541b, 4096 // F_SETPIPE_SZ, FIONREAD
 	if _, _, e := syscall.Syscall(syscall.SYS_FCNTL, r.Fd(), setPipeSize, pipeSize); e != 0 {
 		t.Fatal(e)
@@ -164,7 +168,7 @@
 	defer func() { r.Close(); <-filled }()
 	for there, deadline := int32(0), time.Now().Add(10*time.Second); there < pipeSize; {
 		if _, _, e := syscall.Syscall(syscall.SYS_IOCTL, r.Fd(), bytesThere, uintptr(unsafe.Pointer(&there))); e != 0 || time.Now().After(deadline) {
-			t.Fatal("the pipe does not fill:", there, e)
+			t.Fatal("the pipe does not fill up:", there, e)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -172,10 +176,10 @@
 	if err := os.WriteFile(path, []byte(config(1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd.Process.Signal(syscall.SIGHUP) // logged under the lock
+	cmd.Process.Signal(syscall.SIGHUP) // the reload logs under the lock
 	discovery[1].(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 	if c, err := discovery[1].Accept(); err != nil {
-		t.Error("discovery has not moved:", err)
+		t.Error("the node does not connect to the new address of discovery:", err)
 	} else {
 		defer c.Close()
 	}
@@ -192,7 +196,7 @@
 	}
 }
 
-// With a record file, what arrives is on disk once the node has ended, and no header of it is.
+// With a record file, all requests that arrived are on disk once the node has ended, without their headers.
 func TestRecordsWhatArrives(t *testing.T) {
 	discovery, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -224,7 +228,7 @@
 			t.Fatal(err)
 		}
 		resp.Body.Close()
-		if resp.StatusCode != http.StatusServiceUnavailable { // no server is listed
+		if resp.StatusCode != http.StatusServiceUnavailable { // the node has no servers
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
--- a/cmd/starlingvalve/much_test.go
+++ b/cmd/starlingvalve/much_test.go
@@ -23,14 +23,14 @@
 	manyClients = 200
 	manyWaves   = 8
 	muchBytes   = 1 << 20
-	muchMemory  = 48 // MB, the node's limit
-	// plainWork is what the server takes for a request that it does not hold.
+	muchMemory  = 48 // MB
+	// plainServiceTime is the time that the server takes for a request that it does not hold.
 	plainWork = 20 * time.Millisecond
-	// muchWait is how long a client tries to send all of it, if nobody reads.
+	// sendTimeout is how long a client tries to send its data while the node does not read it.
 	muchWait = 300 * time.Millisecond
 )
 
-// muchKinds are what clients send at once before they go.
+// uploadKinds are what clients send in one go before they disconnect.
 var muchKinds = map[string]string{
 	"requests behind one that is open": strings.Repeat(muchRequest("x", "Content-Length: 0\r\n\r\n"), muchBytes/100),
 	"bytes behind one that is open":    muchRequest("x", "Content-Length: 0\r\n\r\n") + strings.Repeat("\x00", muchBytes),
@@ -41,17 +41,17 @@
 	"a head without end": "POST /c HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("h", muchBytes),
 }
 
-// bodyOf is the end of a request's headers and so many bytes of its body of a length.
+// bodyOf is the last header, Content-Length with the given length, and the first bytes of the body.
 func bodyOf(length, bytes int) string {
 	return fmt.Sprintf("Content-Length: %d\r\n\r\n", length) + strings.Repeat("b", bytes)
 }
 
-// muchRequest is a request with this id, and what follows its own headers.
+// rawRequest is a request with this id; rest is the remaining headers and the body.
 func muchRequest(id, rest string) string {
 	return "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left: 9\r\n" + rest
 }
 
-// sendAndGo sends all of the text, or as much of it as is taken, and leaves: with a reset or without.
+// sendAndGo sends as much of the text as the node takes within sendTimeout, and disconnects, by a reset if that is set.
 func sendAndGo(t *testing.T, listen, text string, reset bool) {
 	c, err := net.DialTimeout("tcp", listen, testkit.Patient)
 	if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// plainProgram builds the program as it is run, without the race detector, which multiplies its memory.
+// plainProgram builds the program without the race detector, which would multiply its memory, and returns its path.
 func plainProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "starlingvalve")
@@ -76,7 +76,7 @@
 	return path
 }
 
-// memoryOf gives a figure of /proc/PID/status, in MB.
+// memoryOf returns a value of /proc/PID/status in MB.
 func memoryOf(t *testing.T, pid int, name string) float64 {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -91,12 +91,12 @@
 	return float64(kb) / 1024
 }
 
-// holding is a server that holds requests whose ids begin with held until they are let go, and answers others
-// after plainWork.
+// holdingServer is a server that holds requests whose ids begin with "held" until they are released, and answers others
+// after plainServiceTime.
 type holding struct {
 	addr string
 	mu   sync.Mutex
-	held chan bool // closed when they are let go
+	held chan bool // closed when the held requests are released
 }
 
 func newHolding(t *testing.T) *holding {
@@ -109,17 +109,18 @@
 		}
 		return testkit.OK("x")
 	}))
-	t.Cleanup(h.let) // before the server's
+	t.Cleanup(h.let) // runs before the server's cleanup
 	return h
 }
 
+// current returns the channel that is closed when the requests held now are released.
 func (h *holding) present() chan bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.held
 }
 
-// let lets all go that are held now.
+// release answers all requests that are held now.
 func (h *holding) let() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -127,8 +128,8 @@
 	h.held = make(chan bool)
 }
 
-// Two hundred clients at once send much to one node and go, again and again, while its server holds what it has
-// got. The node stays within its memory, nothing of them stays open, and it serves.
+// In several waves, 200 clients at once send much data to a node and disconnect, while its server holds the requests that it
+// has got. The node stays within its memory limit, keeps none of these requests open, and still serves others.
 func TestManySendMuchAndGo(t *testing.T) {
 	n := newReplaceable(t)
 	server := newHolding(t)
@@ -149,15 +150,15 @@
 			}
 		}
 		clients.Wait()
-		testkit.Until(t, "requests of clients that have left stay open", func() bool {
-			server.let() // again and again: some come late
+		testkit.Until(t, "requests of disconnected clients stay open", func() bool {
+			server.let() // repeatedly, as some requests arrive late
 			return n.figures()["gw.current"] == 0
 		})
 		pid := cmd.Process.Pid
 		t.Logf("figure: wave %d: %.1f MB resident at most, %.1f MB of its own now, %d descriptors", wave,
 			memoryOf(t, pid, "VmHWM"), memoryOf(t, pid, "RssAnon"), descriptorsOf(pid))
 	}
-	testkit.Until(t, "nothing is served", func() bool {
+	testkit.Until(t, "no request is served", func() bool {
 		resp, err := http.DefaultClient.Do(plainRequest(t, n.listen))
 		if err != nil {
 			return false
@@ -170,10 +171,10 @@
 	}
 }
 
-// plainRequests counts them: an id that is in use is refused.
+// plainRequests numbers the plain requests, as an id that is in use is refused.
 var plainRequests atomic.Int64
 
-// plainRequest is a request that the server answers at once.
+// plainRequest is a request that the server does not hold.
 func plainRequest(t *testing.T, listen string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+listen+"/c", nil)
--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -29,8 +29,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// The platform loads a library into the node's process, so the node has to be linked dynamically against the C library; and the
-// program that run starts has to become the node itself.
+// The platform preloads a library into the node's process, so the program has to be linked dynamically against the C
+// library. It does so for the process that the run command starts, which therefore has to exec the node itself.
 func TestDeployFile(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	for name, line := range map[string]string{"run": deploy.Run, "sim": deploy.Sim} {
 		if !regexp.MustCompile(`^exec bin/[a-z]+$`).MatchString(line) {
-			t.Errorf("%s = %q: want one exec of a program in bin, without a further command", name, line)
+			t.Errorf("%s = %q: want a single exec of a program in bin", name, line)
 		}
 	}
 	_, build, _ := strings.Cut(deploy.Build, "&& ")
@@ -57,11 +57,11 @@
 		t.Error(err)
 	}
 	if err := dynamic(staticProgram(t)); err == nil {
-		t.Error("a program that is linked statically passes")
+		t.Error("a statically linked program passes the check")
 	}
 }
 
-// dynamic tells what keeps a library from being loaded into a program's process before the program.
+// checkDynamic returns an error if no library can be preloaded into the program's process.
 func dynamic(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
@@ -81,6 +81,7 @@
 	return nil
 }
 
+// staticProgram builds a statically linked program and returns its path.
 func staticProgram(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -95,13 +96,15 @@
 	return filepath.Join(dir, "static")
 }
 
-// asBarred has the program killed at once when it calls what the platform refuses; asProbe has it try one of those first.
+// Environment variables of the program: envBlockedCalls has it killed at a system call that the platform blocks, and
+// envProbeCall names one of these that it tries first.
 const (
 	asBarred = "STARLINGVALVE_TEST_BARRED"
 	asProbe  = "STARLINGVALVE_TEST_PROBE"
 )
 
-// bar kills the process, by SIGSYS, at splice, sendfile, io_uring, fork and the start of another program, in all its threads.
+// blockCalls makes the kernel kill this process with SIGSYS when any of its threads calls splice, sendfile, io_uring_setup,
+// fork, or execve.
 func bar() error {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
@@ -109,11 +112,11 @@
 	const load, equal, set, give = unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K,
 		unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, unix.BPF_RET | unix.BPF_K
 	kill := unix.SockFilter{Code: give, K: 0x80000000} // SECCOMP_RET_KILL_PROCESS
-	filter := []unix.SockFilter{{Code: load, K: 0}}    // the call's number
+	filter := []unix.SockFilter{{Code: load, K: 0}}    // load the number of the system call
 	for _, call := range []uint32{unix.SYS_SPLICE, unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_EXECVE, unix.SYS_EXECVEAT} {
 		filter = append(filter, unix.SockFilter{Code: equal, K: call, Jf: 1}, kill)
 	}
-	// A clone that makes no thread is a fork. Its flags are the first argument.
+	// A clone that creates no thread is a fork. The flags are the first argument, at offset 16.
 	filter = append(filter, unix.SockFilter{Code: equal, K: unix.SYS_CLONE, Jf: 3}, unix.SockFilter{Code: load, K: 16},
 		unix.SockFilter{Code: set, K: unix.CLONE_THREAD, Jt: 1}, kill, unix.SockFilter{Code: give, K: 0x7fff0000}) // SECCOMP_RET_ALLOW
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
@@ -125,10 +128,10 @@
 	return nil
 }
 
-// barred runs the program in a process that is killed at what the platform refuses.
+// runWithBlockedCalls runs the program in this process, which is killed at system calls that the platform blocks.
 func barred() {
 	if err := bar(); err != nil {
-		fmt.Fprintln(os.Stderr, "the calls can't be barred:", err)
+		fmt.Fprintln(os.Stderr, "can't block the system calls:", err)
 		os.Exit(3)
 	}
 	switch os.Getenv(asProbe) {
@@ -142,7 +145,8 @@
 	main()
 }
 
-// Long bodies and answers in each form, kept and fresh connections, reload and the end pass with no call that the platform refuses.
+// Long bodies and answers in each encoding, kept and new connections, a reload and the exit work without any system call that
+// the platform blocks.
 func TestNoCallThatThePlatformRefuses(t *testing.T) {
 	for _, probe := range []string{"splice", "sendfile", "fork"} {
 		cmd, log := program(t, "{}")
@@ -152,7 +156,7 @@
 			t.Fatal(log)
 		}
 		if status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus); !ok || status.Signal() != syscall.SIGSYS {
-			t.Fatalf("%s is not barred: %v", probe, err)
+			t.Fatalf("%s is not blocked: %v", probe, err)
 		}
 	}
 	want := bytes.Repeat(fmt.Appendf(nil, "%x\n", sha256.Sum256(nil)), 1<<20/65)
@@ -194,7 +198,7 @@
 		case 1:
 			body = bytes.NewReader(want)
 		case 2:
-			body = io.MultiReader(bytes.NewReader(want)) // of no known length: in chunks
+			body = io.MultiReader(bytes.NewReader(want)) // without a known length, so it is sent in chunks
 		}
 		r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+listen+"/c", body)
 		if err != nil {
--- a/cmd/starlingvalve/replace_test.go
+++ b/cmd/starlingvalve/replace_test.go
@@ -23,7 +23,8 @@
 	"starlingvalve/internal/standin"
 )
 
-// reserved is a port of 127.0.0.1 that the kernel chose, kept for processes of this user that share it: nobody listens there yet.
+// reservedAddr returns an address of 127.0.0.1 with a port that the kernel chose. The port stays bound with SO_REUSEPORT, so
+// that only processes of this user can listen there. Nobody listens yet.
 func reserved(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -44,12 +45,12 @@
 	return fmt.Sprintf("127.0.0.1:%d", a.(*unix.SockaddrInet4).Port)
 }
 
-// replaceable is a node whose processes follow one another.
+// replaceableNode is a node whose processes replace one another.
 type replaceable struct {
 	t              *testing.T
 	config, dir    string
 	listen, second string
-	program        string // that is run; empty: the test binary
+	program        string // path of the program; empty: the test binary
 	server         *standin.Server
 }
 
@@ -73,7 +74,7 @@
 	return n
 }
 
-// start starts a process and waits until it can serve. It ends within two minutes.
+// start starts a process and waits until it is ready. The process is killed after two minutes.
 func (n *replaceable) start() *exec.Cmd {
 	n.t.Helper()
 	cmd, _ := program(n.t, n.config)
@@ -104,11 +105,12 @@
 			}
 		}
 	}
-	n.t.Fatal("not able to serve")
+	n.t.Fatal("the process does not become ready")
 	return nil
 }
 
-// load asks on kept and on fresh connections until ctx ends, and tells what was served and what went wrong.
+// load sends requests on kept and on new connections until ctx ends. It returns the number of requests served so far, the
+// errors, and a function that waits for the clients to end.
 func (n *replaceable) load(ctx context.Context) (served *atomic.Int64, wrong chan string, wait func()) {
 	served, wrong = new(atomic.Int64), make(chan string, 1000)
 	var asking sync.WaitGroup
@@ -138,7 +140,7 @@
 				switch resp.StatusCode {
 				case 200:
 					served.Add(1)
-				case 503: // the module knows little of a server that it has just met
+				case 503: // allowed, as a new process knows little of its server's capacity
 				default:
 					wrong <- fmt.Sprintf("%d.%d: status %d", i, k, resp.StatusCode)
 				}
@@ -155,6 +157,7 @@
 	return served, wrong, asking.Wait
 }
 
+// check reports the errors of load and each request that ran more than once.
 func (n *replaceable) check(wrong chan string) {
 	n.t.Helper()
 	close(wrong)
@@ -174,8 +177,8 @@
 	}
 }
 
-// Under load a process is replaced again and again: no connection is refused or reset, no request is lost or runs twice, and each old process
-// ends by itself, with 0.
+// A process is replaced 20 times under load: no connection is refused or reset, no request is lost or runs twice, and each
+// old process exits by itself with code 0.
 func TestReplacedUnderLoad(t *testing.T) {
 	n := newReplaceable(t)
 	old := n.start()
@@ -211,8 +214,8 @@
 	}
 }
 
-// A successor that dies gives the node back; a predecessor that is killed, or hangs, holds up nobody; nor does a socket file that is stale or
-// whose owner talks nonsense.
+// If a successor is killed, its predecessor continues to serve. A predecessor that is killed or hangs does not keep its
+// successor from serving, nor does a stale socket file, or one whose listener sends invalid messages.
 func TestReplacementGoesWrong(t *testing.T) {
 	n := newReplaceable(t)
 	ask := func(when string) {
@@ -239,11 +242,11 @@
 	old.Process.Kill()
 	old.Wait()
 	ask("the predecessor was killed")
-	next.Process.Kill() // its file stays, and nobody is there
+	next.Process.Kill() // its socket file stays without a listener
 	next.Wait()
 	next = n.start()
 	ask("a stale file")
-	next.Process.Signal(syscall.SIGSTOP) // its kernel still accepts at the socket
+	next.Process.Signal(syscall.SIGSTOP) // the kernel still accepts connections to its socket
 	beside := n.start()
 	next.Process.Kill()
 	next.Wait()
--- a/cmd/starlingvalve/stats_test.go
+++ b/cmd/starlingvalve/stats_test.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/standin"
 )
 
-// figures reads the second address.
+// readStats reads the statistics from the operators' address.
 func (n *replaceable) figures() map[string]int {
 	n.t.Helper()
 	resp, err := http.Get("http://" + n.second + "/stats")
@@ -34,8 +34,8 @@
 	return out
 }
 
-// Once all is quiet the figures are those of the clients and of the server's log: requests served, refused, malformed, left by their clients before and
-// within the answer, tried again. The counts never go down.
+// When no request is in flight any more, the statistics agree with the clients and the server's log: requests served,
+// refused, malformed, and abandoned by their clients, and attempts sent. Counters never decrease.
 func TestFiguresAreTrue(t *testing.T) {
 	n := newReplaceable(t)
 	n.server.SetWork(map[string]standin.Work{"c": {Time: 20 * time.Millisecond, Bytes: 100}})
@@ -71,7 +71,7 @@
 				}
 				fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: f%d.%d\r\nX-Time-Left: %s\r\nContent-Length: 0\r\n\r\n", i, k, left)
 				if k%10 == 7 {
-					c.Close() // it may be served all the same
+					c.Close() // the request may still be served
 					mu.Lock()
 					gone++
 					mu.Unlock()
@@ -113,11 +113,11 @@
 	for name, want := range ends {
 		got := f["gw.transactions.c."+name]
 		if sum += got - want; got < want {
-			t.Errorf("%s: %d, the clients have %d", name, got, want)
+			t.Errorf("%s: %d, the clients counted %d", name, got, want)
 		}
 	}
 	if sum > gone {
-		t.Errorf("%d ends more than the clients have, of whom %d left: %v, %v", sum, gone, f, ends)
+		t.Errorf("%d more results than the clients counted, of whom %d disconnected: %v, %v", sum, gone, f, ends)
 	}
 	if got := len(n.server.Log()); f["gw.sends"] != got {
 		t.Errorf("sends %d, the server got %d", f["gw.sends"], got)
--- a/cmd/starlingvalve/switched_test.go
+++ b/cmd/starlingvalve/switched_test.go
@@ -18,19 +18,20 @@
 	"starlingvalve/internal/testkit"
 )
 
-// switched is discovery at a fixed address that can be away: nobody listens there then, or somebody who says nothing.
+// switchableDiscovery is a discovery server at a fixed address that can be taken down: then nobody listens there, or
+// connections are accepted and never answered.
 type switched struct {
 	t      *testing.T
 	addr   string
-	silent bool // while it is away its connections are taken, and nothing is answered
+	silent bool // while it is down, it accepts connections and never answers
 
 	mu       sync.Mutex
 	listener net.Listener
 	server   *http.Server
 	open     map[net.Conn]bool
 	list     discoveryList
-	news     chan struct{} // closed at the next change
-	calls    []time.Time   // when each call came
+	news     chan struct{} // would be closed at a change of the list while it is up
+	calls    []time.Time   // when each list request arrived
 }
 
 type discoveryList struct {
@@ -39,7 +40,7 @@
 	Servers []standin.Entry `json:"servers"`
 }
 
-// newSwitched is discovery at an address of its own, away at first.
+// newSwitchableDiscovery creates a discovery server at an address of its own. It is down at first.
 func newSwitched(t *testing.T, silent bool) *switched {
 	d := &switched{t: t, addr: reserved(t), silent: silent, open: map[net.Conn]bool{}, news: make(chan struct{})}
 	t.Cleanup(d.end)
@@ -56,7 +57,7 @@
 	return l
 }
 
-// end closes all there is of it.
+// closeAll closes the server, its listener and all connections.
 func (d *switched) end() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,7 +75,7 @@
 	clear(d.open)
 }
 
-// away takes it away, with every connection to it.
+// takeDown takes discovery down and closes every connection to it.
 func (d *switched) away() {
 	d.end()
 	if !d.silent {
@@ -97,7 +98,7 @@
 	}()
 }
 
-// back has it serve this list from now on, as a newer one than any before.
+// bringBack has discovery serve this list from now on, with a higher version than before, and returns the time.
 func (d *switched) back(servers ...standin.Entry) (at time.Time) {
 	d.t.Helper()
 	d.end()
@@ -111,7 +112,7 @@
 	return time.Now()
 }
 
-// serve answers a call with the whole list, once there is one that its caller does not have.
+// serve answers a list request with the full list. A caller that has the current version waits, for timeout_ms at most.
 func (d *switched) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls = append(d.calls, time.Now())
@@ -129,10 +130,10 @@
 	json.NewEncoder(w).Encode(list)
 }
 
-// reached waits until the node has called since discovery came back, and gives when.
+// firstCall waits for the first list request since discovery came back and returns when it arrived.
 func (d *switched) reached() (first time.Time) {
 	d.t.Helper()
-	testkit.Until(d.t, "discovery is not called", func() bool {
+	testkit.Until(d.t, "discovery gets no list request", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if len(d.calls) > 0 {
@@ -143,7 +144,7 @@
 	return first
 }
 
-// sharedListener listens at an address that reserved keeps.
+// sharedListener listens at an address from reservedAddr.
 func sharedListener(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var failed error
@@ -156,7 +157,7 @@
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// fleetServer is a server that notes when requests came.
+// fleetServer is a server that records when requests arrive.
 type fleetServer struct {
 	standin.Entry
 	mu   sync.Mutex
@@ -177,7 +178,7 @@
 	return s
 }
 
-// requests gives how many have come, and the last one's time.
+// requests returns the number of requests that arrived, and when the last one did.
 func (s *fleetServer) requests() (n int, last time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +188,7 @@
 	return n, last
 }
 
-// newFleetServers starts so many servers, numbered from first on.
+// newFleetServers starts count servers, numbered from first on.
 func newFleetServers(t *testing.T, first, count int) (all []*fleetServer) {
 	for i := range count {
 		all = append(all, newFleetServer(t, first+i))
@@ -195,7 +196,7 @@
 	return all
 }
 
-// entries lists servers in a state.
+// entries lists servers, all in the given state.
 func entries(servers []*fleetServer, state string) (list []standin.Entry) {
 	for _, s := range servers {
 		e := s.Entry
--- a/cmd/starlingvalve/unwatched_test.go
+++ b/cmd/starlingvalve/unwatched_test.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	unwatchedGrace = 1500 * time.Millisecond // after a notification nothing more goes to a draining server
-	unwatchedSlack = 500 * time.Millisecond  // for a machine that is late
-	unwatchedWork  = 300 * time.Millisecond  // of discovery for one call: an answer comes slowly
-	unwatchedAfter = 5 * time.Second         // requests go on for so long after the drain
+	unwatchedGrace = 1500 * time.Millisecond // how long after a notification requests may still go to a draining server
+	unwatchedSlack = 500 * time.Millisecond  // added for delays of a busy machine
+	unwatchedWork  = 300 * time.Millisecond  // time that discovery takes for each list request: slow answers
+	unwatchedAfter = 5 * time.Second         // how long requests continue after the drain
 )
 
-// unwatched is a process before two servers and a discovery of which the test has hold.
+// onRequestNode is a node's process that requests its list from a discovery server which the test controls, and two servers.
 type unwatched struct {
 	t       *testing.T
 	service *discovery.Service
@@ -34,6 +34,7 @@
 	asked   int
 }
 
+// newOnRequestNode starts a node that is configured as one of this many nodes.
 func newUnwatched(t *testing.T, nodes int) *unwatched {
 	t.Helper()
 	n := prepareUnwatched(t, nodes)
@@ -41,7 +42,7 @@
 	return n
 }
 
-// prepareUnwatched is newUnwatched, but for the process, which begin starts.
+// prepareOnRequestNode does the same as newOnRequestNode without starting the process; begin starts it.
 func prepareUnwatched(t *testing.T, nodes int) *unwatched {
 	t.Helper()
 	n := &unwatched{t: t}
@@ -77,11 +78,13 @@
 	n.listen = listen
 }
 
+// discardLines reads the rest of a log, so that its writer does not block.
 func drain(lines *bufio.Scanner) {
 	for lines.Scan() {
 	}
 }
 
+// listenTo opens an address of a discovery service for this node.
 func (n *unwatched) listenTo(s *discovery.Service) *discovery.Caller {
 	n.t.Helper()
 	c, err := s.Listen("n0")
@@ -91,7 +94,7 @@
 	return c
 }
 
-// requests makes some requests at once, so that both servers are used, and waits for their answers.
+// requests makes several concurrent requests, so that both servers are used, and waits for their answers.
 func (n *unwatched) requests() {
 	const atOnce = 4
 	var open sync.WaitGroup
@@ -103,7 +106,7 @@
 	open.Wait()
 }
 
-// request makes one request. It need not be served: the process may have no server for it at the moment.
+// request makes one request. It need not be served, as the process may have no server for it at the moment.
 func (n *unwatched) request(id string) {
 	req, err := http.NewRequest(http.MethodGet, "http://"+n.listen+"/read", nil)
 	if err != nil {
@@ -120,18 +123,18 @@
 	resp.Body.Close()
 }
 
-// requestsUntil makes requests one after the other until something is so.
+// requestsUntil makes requests, one batch after the other, until done returns true.
 func (n *unwatched) requestsUntil(what string, done func() bool) {
 	n.t.Helper()
 	for end := time.Now().Add(testkit.Patient); !done(); time.Sleep(5 * time.Millisecond) {
 		if n.requests(); time.Now().After(end) {
-			n.t.Fatal("waited in vain:", what)
+			n.t.Fatal("timed out waiting for", what)
 		}
 	}
 }
 
-// drainAfter has a server drain right after the next answer of discovery that has this many before it, and makes
-// requests for a while. It tells how many requests came to that server later than it may be sent any.
+// drainAfter makes requests, and has the first server drain right after discovery has given more than this many answers. It
+// returns the number of requests that reached that server after the grace that follows the node's notification.
 func (n *unwatched) drainAfter(c *discovery.Caller, s *discovery.Service, answers int) (late int) {
 	n.t.Helper()
 	answered := make(chan struct{})
@@ -141,7 +144,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		for end := time.Now().Add(testkit.Patient); len(n.servers[0].Log()) == 0 && time.Now().Before(end); {
-			time.Sleep(time.Millisecond) // a process that starts sends nothing before that answer
+			time.Sleep(time.Millisecond) // a process that starts sends no request before that answer
 		}
 		e := standin.EntryOf(n.servers[0])
 		e.State = "draining"
@@ -156,7 +159,7 @@
 		}
 	})
 	if len(n.servers[0].Log()) == 0 {
-		n.t.Fatal("the server had no request before: nothing is shown")
+		n.t.Fatal("the server got no request before the drain: the test shows nothing")
 	}
 	over := time.Now().Add(unwatchedAfter)
 	n.requestsUntil("the end", func() bool { return time.Now().After(over) })
@@ -174,14 +177,13 @@
 		}
 		return late
 	}
-	n.t.Fatal("the process was never notified: nothing is shown")
+	n.t.Fatal("the process was never notified: the test shows nothing")
 	return 0
 }
 
-// A process has asked discovery, and the answer came slowly, as others were asking too. A server begins to drain right
-// after that answer. The process has to follow it, however it came to ask: at its start, after an outage that ended
-// its watch, and after a reload. It went on with its watch only 2.9 to 3.9 s later, and sent by the list before until
-// then.
+// A server begins to drain right after a slow answer of discovery, at the start of a process, after an outage that ended its
+// watch, or after a reload. The process has to notice the drain in time. It used to open its next watch only 2.9 to 3.9 s
+// after the answer, and until then used the list from before the drain.
 func TestDrainRightAfterSlowAnswer(t *testing.T) {
 	t.Run("start", func(t *testing.T) {
 		t.Parallel()
@@ -195,8 +197,8 @@
 		n := newUnwatched(t, 6)
 		n.requestsUntil("the first answer", func() bool { return len(n.caller.Answers()) > 0 })
 		n.service.SetFault(discovery.Fault{Down: true})
-		over := time.Now().Add(unwatchedAfter) // so long that no pause of the process lasts until its end
-		n.requestsUntil("the outage's end", func() bool { return time.Now().After(over) })
+		over := time.Now().Add(unwatchedAfter) // longer than any pause between the process's list requests
+		n.requestsUntil("the end of the outage", func() bool { return time.Now().After(over) })
 		answers := len(n.caller.Answers())
 		n.service.SetFault(discovery.Fault{})
 		if late := n.drainAfter(n.caller, n.service, answers); late > 0 {
--- a/internal/app/takeover.go
+++ b/internal/app/takeover.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// set changes the state by f, under the lock, and applies it.
+// update runs f, which changes the state, under the lock, and applies the new state.
 func (t *takeover) set(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
