--- a/cmd/starlingvalve/config.go
+++ b/cmd/starlingvalve/config.go
@@ -97,7 +97,8 @@
 	return d.Ask(ctx, e)
 }
 
-// printChange prints the result of a change. If wait is not 0, it then waits up to that long until the change is in force.
+// printChange prints the result of a change. If wait is not 0, it then waits up to that long until the change is in
+// force.
 func (a *asking) tellChange(c *cobra.Command, d *control.Door, r *fleetpb.Result, wait time.Duration) error {
 	w, result := c.OutOrStdout(), r.GetConfiguration()
 	switch {
@@ -136,8 +137,8 @@
 	return revision, nil
 }
 
-// waitInForce waits until every node has applied a revision or a newer one. If that takes longer than wait, it prints which
-// nodes lag.
+// waitInForce waits until every node has applied a revision or a newer one. If that takes longer than wait, it prints
+// which nodes lag.
 func (a *asking) waitInForce(c *cobra.Command, d *control.Door, revision uint64, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(c.Context(), wait)
 	defer cancel()
--- a/cmd/starlingvalve/crowd_test.go
+++ b/cmd/starlingvalve/crowd_test.go
@@ -40,8 +40,8 @@
 	}},
 }
 
-// idleClients are idle clients of one node, which occupy every connection that they can get: each one connects again after
-// the node has closed its connection.
+// idleClients are idle clients of one node, which occupy every connection that they can get: each one connects again
+// after the node has closed its connection.
 type crowd struct {
 	held  atomic.Int64 // connections that are open now
 	ended atomic.Int64 // connections that the node has closed or reset
@@ -96,7 +96,8 @@
 	}
 }
 
-// waitForEnded waits until the node has closed as many connections as there are clients, which shows that it is at its limit.
+// waitForEnded waits until the node has closed as many connections as there are clients, which shows that it is at
+// its limit.
 func (w *crowd) fills(t *testing.T, clients int) {
 	t.Helper()
 	from := w.ended.Load()
--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -25,7 +25,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// envDescriptorLimit is the environment variable with the limit of file descriptors that the program, and nothing else, gets.
+// envDescriptorLimit is the environment variable with the limit of file descriptors that the program, and nothing
+// else, gets.
 const asLimited = "STARLINGVALVE_TEST_DESCRIPTORS"
 
 // applyDescriptorLimit sets the limit of file descriptors of this process, which is about to run as the program.
@@ -49,8 +50,8 @@
 	toldWithin = 6 * time.Second
 	// opsAnswerWithin is the time within which the operators' address has to answer.
 	operatorsWithin = time.Second
-	// drainGrace is how long after the notification of a drain requests may still be sent to the server, in the settings
-	// of these tests.
+	// drainGrace is how long after the notification of a drain requests may still be sent to the server, in the
+	// settings of these tests.
 	drainGrace = 500 * time.Millisecond
 	// logRate is the number of log lines per second that a node at its limit of descriptors may write.
 	logRate = 10
@@ -139,8 +140,8 @@
 	return len(names)
 }
 
-// sendRequest sends a request on a new connection. The node has to answer it, with a result or a refusal, even if it is at
-// its limit of descriptors.
+// sendRequest sends a request on a new connection. The node has to answer it, with a result or a refusal, even if it
+// is at its limit of descriptors.
 func (n *descriptorNode) ask() {
 	n.asked++
 	c, err := net.DialTimeout("tcp", n.listen, testkit.Patient)
@@ -162,8 +163,8 @@
 	}
 }
 
-// waitReached sends requests until each of these servers has got a further one. It returns when the first server was reached
-// and when the last.
+// waitReached sends requests until each of these servers has got a further one. It returns when the first server was
+// reached and when the last.
 func (n *descriptorNode) reaches(servers []*fleetServer) (first, last time.Time) {
 	n.t.Helper()
 	before := map[*fleetServer]int{}
@@ -210,9 +211,9 @@
 	silent      bool   // while discovery is down, it accepts connections and never answers; else nobody listens
 }
 
-// While discovery is down, idle clients occupy all the descriptors that they can get. The node must keep enough for itself:
-// it reaches discovery when that is back, connects to servers, answers at the operators' address, can be reloaded and
-// replaced, and answers each request.
+// While discovery is down, idle clients occupy all the descriptors that they can get. The node must keep enough for
+// itself: it reaches discovery when that is back, connects to servers, answers at the operators' address, can be
+// reloaded and replaced, and answers each request.
 func TestCrowdTakesNoDescriptorOfTheNode(t *testing.T) {
 	for _, c := range []crowdCase{
 		{256, 256, "pushed", false},
@@ -226,8 +227,8 @@
 	}
 }
 
-// run takes the node through discovery down before there is a list, up, down again with servers drained when it is back, a
-// reload to another discovery server, and a replacement of the process.
+// run takes the node through discovery down before there is a list, up, down again with servers drained when it is
+// back, a reload to another discovery server, and a replacement of the process.
 func (c crowdCase) run(t *testing.T) {
 	const servers = 8 // few enough for the node to use all of them, not a subset
 	d := newSwitched(t, c.silent)
@@ -278,9 +279,9 @@
 	return n
 }
 
-// saturate waits until the idle clients have occupied all connections that they can get. If p is not nil, it then suspends
-// that process until all clients wait in the listener's queue, and resumes it. Such a process has no connection to a server
-// yet, and must not have used the descriptors that are reserved for these.
+// saturate waits until the idle clients have occupied all connections that they can get. If p is not nil, it then
+// suspends that process until all clients wait in the listener's queue, and resumes it. Such a process has no
+// connection to a server yet, and must not have used the descriptors that are reserved for these.
 func (c crowdCase) fill(n *descriptorNode, w *crowd, p *descriptorProcess, clients int) {
 	n.t.Helper()
 	w.fills(n.t, clients)
@@ -303,8 +304,8 @@
 	n.operators()
 }
 
-// restoreDiscovery brings discovery back with a list and waits until the list's ready servers get requests. It returns when
-// the node first requested the list, which is when it counts as notified.
+// restoreDiscovery brings discovery back with a list and waits until the list's ready servers get requests. It
+// returns when the node first requested the list, which is when it counts as notified.
 func (c crowdCase) returns(when string, n *descriptorNode, d *switched, ready []*fleetServer,
 	list []standin.Entry) (told time.Time) {
 	n.t.Helper()
@@ -314,16 +315,16 @@
 	n.operators()
 	n.t.Logf("figure: %s: discovery reached after %v, a server of the list after %v, all after %v, %d asked in all", when,
 		told.Sub(at), first.Sub(at), all.Sub(at), n.asked)
-	// The time limit is for the first server only. The module prefers servers that answered fast, so the last one may be
-	// reached much later, but all have to be reached.
+	// The time limit is for the first server only. The module prefers servers that answered fast, so the last one may
+	// be reached much later, but all have to be reached.
 	if took := first.Sub(at); took > toldWithin {
 		n.t.Errorf("%s: the list was followed after %v, %v allowed", when, took, toldWithin)
 	}
 	return told
 }
 
-// replace starts a successor of the process and ends the old one with SIGTERM. Both together have to stay within the limit
-// of descriptors.
+// replace starts a successor of the process and ends the old one with SIGTERM. Both together have to stay within the
+// limit of descriptors.
 func (c crowdCase) replace(n *descriptorNode, w *crowd, old *descriptorProcess, servers []*fleetServer, clients int) {
 	n.t.Helper()
 	next := n.start()
--- a/cmd/starlingvalve/endings_test.go
+++ b/cmd/starlingvalve/endings_test.go
@@ -19,8 +19,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// endingNode is a node whose server reports each request that arrives. The server answers those whose ids begin with "held"
-// only when releaseHeld is called, others at once.
+// endingNode is a node whose server reports each request that arrives. The server answers those whose ids begin with
+// "held" only when releaseHeld is called, others at once.
 type crossed struct {
 	*replaceable
 	came chan string // ids
@@ -139,8 +139,8 @@
 	cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// Whatever signals and reloads come together with SIGTERM, each accepted request gets exactly one answer, and the process
-// exits by itself.
+// Whatever signals and reloads come together with SIGTERM, each accepted request gets exactly one answer, and the
+// process exits by itself.
 func TestTermCrosses(t *testing.T) {
 	for name, cross := range map[string]func(*crossed, *exec.Cmd){
 		"alone": func(n *crossed, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGTERM) },
@@ -189,8 +189,8 @@
 	}
 }
 
-// A process that gets SIGTERM at any moment of its start ends: by itself with exit code 0, or by the signal if that comes before
-// the handler is installed.
+// A process that gets SIGTERM at any moment of its start ends: by itself with exit code 0, or by the signal if that
+// comes before the handler is installed.
 func TestTermBeforeReady(t *testing.T) {
 	t.Parallel()
 	n := newCrossed(t)
@@ -211,8 +211,8 @@
 	}
 }
 
-// SIGTERM comes to the old or the new process during a replacement. The old process answers the requests that it accepted, new
-// requests are served, and each process that gets SIGTERM exits by itself.
+// SIGTERM comes to the old or the new process during a replacement. The old process answers the requests that it
+// accepted, new requests are served, and each process that gets SIGTERM exits by itself.
 func TestTermWithinReplacement(t *testing.T) {
 	for _, toSuccessor := range []bool{false, true} {
 		t.Run(fmt.Sprint("to the successor ", toSuccessor), func(t *testing.T) {
@@ -258,7 +258,8 @@
 			}
 			if toSuccessor {
 				got := 503
-				for i := 0; got == 503 && i < 20; i++ { // may be refused while the only server counts as slow, as it held two requests
+				// Requests may be refused while the only server counts as slow, as it held two requests.
+				for i := 0; got == 503 && i < 20; i++ {
 					n.write(kept, fmt.Sprint("third", i))
 					got = first()
 				}
@@ -282,9 +283,9 @@
 	}
 }
 
-// A process that has no descriptor left refuses at once the requests for which it can't open a connection, and does not count
-// that as failures of its servers. New clients wait in the listener's queue. When descriptors are available again, all
-// requests are served.
+// A process that has no descriptor left refuses at once the requests for which it can't open a connection, and does
+// not count that as failures of its servers. New clients wait in the listener's queue. When descriptors are available
+// again, all requests are served.
 func TestNoDescriptors(t *testing.T) {
 	t.Parallel()
 	n := newCrossed(t)
--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -26,8 +26,8 @@
 	return s.Set(e)
 }
 
-// lateRequests counts the requests that reached the draining server after the grace that follows the latest time of the
-// node's notification.
+// lateRequests counts the requests that reached the draining server after the grace that follows the latest time of
+// the node's notification.
 func (n *unwatched) lateSince(change discovery.Change) (late int) {
 	end := change.At.Add(discovery.FollowWithin + unwatchedGrace + unwatchedSlack)
 	for _, x := range n.servers[0].Log() {
@@ -53,11 +53,12 @@
 	n.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// A node must not go on using an old list while discovery is overloaded. After a reload that moved discovery and so ended
-// the watch, the first list request was delayed by up to 3.9 s and then timed out after 2 s in discovery's queue, behind
-// those of other nodes, and the next one was delayed again: the first answer came 8.6 s after the reload. Requests went to a server that had begun to
-// drain up to 0.64 s after the node counted as notified, because nothing bounded the time for which a list is used without
-// a watch. The same holds for a process that starts with a list from before the drain.
+// A node must not go on using an old list while discovery is overloaded. After a reload that moved discovery and so
+// ended the watch, the first list request was delayed by up to 3.9 s and then timed out after 2 s in discovery's
+// queue, behind those of other nodes, and the next one was delayed again: the first answer came 8.6 s after the
+// reload. Requests went to a server that had begun to drain up to 0.64 s after the node counted as notified, because
+// nothing bounded the time for which a list is used without a watch. The same holds for a process that starts with a
+// list from before the drain.
 func TestNothingIsSentByAnExpiredList(t *testing.T) {
 	t.Run("reload", func(t *testing.T) {
 		t.Parallel()
--- a/cmd/starlingvalve/fleet.go
+++ b/cmd/starlingvalve/fleet.go
@@ -40,7 +40,7 @@
 // fleetCLI has the flags that all fleet commands share, and their methods.
 type asking struct {
 	socket, by, why, output string
-	number                  string        // identifies the request, so that repeating it has no second effect; empty: a random one
+	number                  string        // of the request, so that repeating it has no second effect; empty: random
 	queue, timeout          time.Duration // longest wait of a drain in the queue, and for the proof of one
 }
 
@@ -49,8 +49,8 @@
 const codesHelp = `Exit codes: 0 done, 1 wrong use or another error, 3 refused by a budget, 4 waiting in the queue,
 5 not proven (the nodes that have not confirmed are named), 6 the agreement is out of reach.`
 
-// command creates a command and a function that adds subcommands to it. A subcommand's run gets a client of the node's
-// socket, through which it reads or changes what the fleet agreed on.
+// command creates a command and a function that adds subcommands to it. A subcommand's run gets a client of the
+// node's socket, through which it reads or changes what the fleet agreed on.
 func (a *asking) command(use, short string) (root *cobra.Command, add func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, *control.Door, []string) error) *cobra.Command) {
 	root = &cobra.Command{Use: use, Short: short, Long: short + ", through the socket of any node.\n\n" + codesHelp,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
@@ -147,8 +147,8 @@
 	return fleet.ServerTarget(arg)
 }
 
-// submit submits an entry to the agreement and prints the result. The entry has a number of its own, so that it is safe to
-// submit it again.
+// submit submits an entry to the agreement and prints the result. The entry has a number of its own, so that it is
+// safe to submit it again.
 func (a *asking) ask(c *cobra.Command, d *control.Door, e *fleetpb.Entry) error {
 	if e.Ask = a.number; e.Ask == "" {
 		e.Ask = rand.Text()
--- a/cmd/starlingvalve/main_test.go
+++ b/cmd/starlingvalve/main_test.go
@@ -45,8 +45,8 @@
 	return cmd, &log
 }
 
-// startProgram starts the program, and kills it after a minute at the latest. It returns the rest of its log after the first
-// line, and the address for clients that this line names.
+// startProgram starts the program, and kills it after a minute at the latest. It returns the rest of its log after
+// the first line, and the address for clients that this line names.
 func begin(t *testing.T, cmd *exec.Cmd) (lines *bufio.Scanner, listen string) {
 	t.Helper()
 	cmd.Stderr = nil
@@ -113,7 +113,8 @@
 	if err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("after %q: %v, %v", lines.Text(), resp, err)
 	}
-	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} { // only SIGTERM ends it
+	// Only SIGTERM ends the program.
+	for _, s := range []syscall.Signal{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP} {
 		cmd.Process.Signal(s)
 	}
 	for lines.Scan() {
@@ -123,8 +124,8 @@
 	}
 }
 
-// The reader of the log may stop reading. Log lines were once written under the lock that every request takes, so that a
-// full pipe blocked the node. Requests must be answered, and SIGTERM must end the node.
+// The reader of the log may stop reading. Log lines were once written under the lock that every request takes, so
+// that a full pipe blocked the node. Requests must be answered, and SIGTERM must end the node.
 func TestUnreadLog(t *testing.T) {
 	var discovery [2]net.Listener
 	for i := range discovery {
--- a/cmd/starlingvalve/much_test.go
+++ b/cmd/starlingvalve/much_test.go
@@ -51,7 +51,8 @@
 	return "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left: 9\r\n" + rest
 }
 
-// sendAndGo sends as much of the text as the node takes within sendTimeout, and disconnects, by a reset if that is set.
+// sendAndGo sends as much of the text as the node takes within sendTimeout, and disconnects, by a reset if that is
+// set.
 func sendAndGo(t *testing.T, listen, text string, reset bool) {
 	c, err := net.DialTimeout("tcp", listen, testkit.Patient)
 	if err != nil {
@@ -91,8 +92,8 @@
 	return float64(kb) / 1024
 }
 
-// holdingServer is a server that holds requests whose ids begin with "held" until they are released, and answers others
-// after plainServiceTime.
+// holdingServer is a server that holds requests whose ids begin with "held" until they are released, and answers
+// others after plainServiceTime.
 type holding struct {
 	addr string
 	mu   sync.Mutex
@@ -128,8 +129,9 @@
 	h.held = make(chan bool)
 }
 
-// In several waves, 200 clients at once send much data to a node and disconnect, while its server holds the requests that it
-// has got. The node stays within its memory limit, keeps none of these requests open, and still serves others.
+// In several waves, 200 clients at once send much data to a node and disconnect, while its server holds the requests
+// that it has got. The node stays within its memory limit, keeps none of these requests open, and still serves
+// others.
 func TestManySendMuchAndGo(t *testing.T) {
 	n := newReplaceable(t)
 	server := newHolding(t)
--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -103,8 +103,8 @@
 	asProbe  = "STARLINGVALVE_TEST_PROBE"
 )
 
-// blockCalls makes the kernel kill this process with SIGSYS when any of its threads calls splice, sendfile, io_uring_setup,
-// fork, or execve.
+// blockCalls makes the kernel kill this process with SIGSYS when any of its threads calls splice, sendfile,
+// io_uring_setup, fork, or execve.
 func bar() error {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
@@ -145,8 +145,8 @@
 	main()
 }
 
-// Long bodies and answers in each encoding, kept and new connections, a reload and the exit work without any system call that
-// the platform blocks.
+// Long bodies and answers in each encoding, kept and new connections, a reload and the exit work without any system
+// call that the platform blocks.
 func TestNoCallThatThePlatformRefuses(t *testing.T) {
 	for _, probe := range []string{"splice", "sendfile", "fork"} {
 		cmd, log := program(t, "{}")
--- a/cmd/starlingvalve/release.go
+++ b/cmd/starlingvalve/release.go
@@ -24,8 +24,8 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// loadPlan reads the plan of a release from a file and checks it. An error is one line with file, line and key. Waves that
-// don't name their nodes get them from the fleet's state m. If m is nil, they get a placeholder.
+// loadPlan reads the plan of a release from a file and checks it. An error is one line with file, line and key. Waves
+// that don't name their nodes get them from the fleet's state m. If m is nil, they get a placeholder.
 func loadPlan(path string, m *fleet.Machine) (*fleetpb.Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/starlingvalve/replace_test.go
+++ b/cmd/starlingvalve/replace_test.go
@@ -23,8 +23,8 @@
 	"starlingvalve/internal/standin"
 )
 
-// reservedAddr returns an address of 127.0.0.1 with a port that the kernel chose. The port stays bound with SO_REUSEPORT, so
-// that only processes of this user can listen there. Nobody listens yet.
+// reservedAddr returns an address of 127.0.0.1 with a port that the kernel chose. The port stays bound with
+// SO_REUSEPORT, so that only processes of this user can listen there. Nobody listens yet.
 func reserved(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// load sends requests on kept and on new connections until ctx ends. It returns the number of requests served so far, the
-// errors, and a function that waits for the clients to end.
+// load sends requests on kept and on new connections until ctx ends. It returns the number of requests served so far,
+// the errors, and a function that waits for the clients to end.
 func (n *replaceable) load(ctx context.Context) (served *atomic.Int64, wrong chan string, wait func()) {
 	served, wrong = new(atomic.Int64), make(chan string, 1000)
 	var asking sync.WaitGroup
@@ -177,8 +177,8 @@
 	}
 }
 
-// A process is replaced 20 times under load: no connection is refused or reset, no request is lost or runs twice, and each
-// old process exits by itself with code 0.
+// A process is replaced 20 times under load: no connection is refused or reset, no request is lost or runs twice, and
+// each old process exits by itself with code 0.
 func TestReplacedUnderLoad(t *testing.T) {
 	n := newReplaceable(t)
 	old := n.start()
@@ -214,8 +214,8 @@
 	}
 }
 
-// If a successor is killed, its predecessor continues to serve. A predecessor that is killed or hangs does not keep its
-// successor from serving, nor does a stale socket file, or one whose listener sends invalid messages.
+// If a successor is killed, its predecessor continues to serve. A predecessor that is killed or hangs does not keep
+// its successor from serving, nor does a stale socket file, or one whose listener sends invalid messages.
 func TestReplacementGoesWrong(t *testing.T) {
 	n := newReplaceable(t)
 	ask := func(when string) {
--- a/cmd/starlingvalve/switched_test.go
+++ b/cmd/starlingvalve/switched_test.go
@@ -112,7 +112,8 @@
 	return time.Now()
 }
 
-// serve answers a list request with the full list. A caller that has the current version waits, for timeout_ms at most.
+// serve answers a list request with the full list. A caller that has the current version waits, for timeout_ms at
+// most.
 func (d *switched) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls = append(d.calls, time.Now())
--- a/cmd/starlingvalve/unwatched_test.go
+++ b/cmd/starlingvalve/unwatched_test.go
@@ -23,7 +23,8 @@
 	unwatchedAfter = 5 * time.Second         // how long requests continue after the drain
 )
 
-// onRequestNode is a node's process that requests its list from a discovery server which the test controls, and two servers.
+// onRequestNode is a node's process that requests its list from a discovery server which the test controls, and two
+// servers.
 type unwatched struct {
 	t       *testing.T
 	service *discovery.Service
@@ -133,8 +134,9 @@
 	}
 }
 
-// drainAfter makes requests, and has the first server drain right after discovery has given more than this many answers. It
-// returns the number of requests that reached that server after the grace that follows the node's notification.
+// drainAfter makes requests, and has the first server drain right after discovery has given more than this many
+// answers. It returns the number of requests that reached that server after the grace that follows the node's
+// notification.
 func (n *unwatched) drainAfter(c *discovery.Caller, s *discovery.Service, answers int) (late int) {
 	n.t.Helper()
 	answered := make(chan struct{})
@@ -181,9 +183,9 @@
 	return 0
 }
 
-// A server begins to drain right after a slow answer of discovery, at the start of a process, after an outage that ended its
-// watch, or after a reload. The process has to notice the drain in time. It used to open its next watch only 2.9 to 3.9 s
-// after the answer, and until then used the list from before the drain.
+// A server begins to drain right after a slow answer of discovery, at the start of a process, after an outage that
+// ended its watch, or after a reload. The process has to notice the drain in time. It used to open its next watch
+// only 2.9 to 3.9 s after the answer, and until then used the list from before the drain.
 func TestDrainRightAfterSlowAnswer(t *testing.T) {
 	t.Run("start", func(t *testing.T) {
 		t.Parallel()
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -35,15 +35,15 @@
 	// bodyMemoryShare is the share of the memory limit for request bodies that are being read or buffered.
 	bodyPart = 1.0 / 8
 
-	// The platform sends SIGKILL this long after SIGTERM: the longest deadline of any class, of which maxDrainDeadline
-	// counts at most, plus killAfter. The node sends its last answers killMargin before that.
+	// The platform sends SIGKILL this long after SIGTERM: the longest deadline of any class, of which
+	// maxDrainDeadline counts at most, plus killAfter. The node sends its last answers killMargin before that.
 	drainLongest = 3 * time.Second
 	killAfter    = 700 * time.Millisecond
 	killMargin   = 200 * time.Millisecond
 )
 
-// Run opens the node's sockets, or takes over its predecessor's, and serves until ctx ends and all requests accepted by
-// then are answered. Each signal on reload makes it read the configuration file again.
+// Run opens the node's sockets, or takes over its predecessor's, and serves until ctx ends and all requests accepted
+// by then are answered. Each signal on reload makes it read the configuration file again.
 func Run(ctx context.Context, c *Config, reload <-chan os.Signal, log *slog.Logger) error {
 	s, err := openSockets(c, log)
 	if err != nil {
@@ -74,8 +74,8 @@
 	parts      parts
 }
 
-// serve assembles a node on the given sockets and runs it until ctx ends and all requests accepted by then are answered.
-// It also returns, with an error, if the node can't start or its clients' listener fails.
+// serve assembles a node on the given sockets and runs it until ctx ends and all requests accepted by then are
+// answered. It also returns, with an error, if the node can't start or its clients' listener fails.
 func serve(ctx context.Context, c *Config, s *sockets, reload <-chan os.Signal, log *slog.Logger) error {
 	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -103,7 +103,8 @@
 		err = fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 		log.Info("draining")
-		a.parts.drain(time.Now().Add(c.drainTime()), &running) // a node without clients may still serve requests of another site
+		// A node without clients may still serve requests of another site.
+		a.parts.drain(time.Now().Add(c.drainTime()), &running)
 		log.Info("drained")
 	}
 	a.parts.last()
@@ -196,7 +197,8 @@
 // maxViolationsLogged bounds the log lines about broken rules. The statistics count all violations.
 const violationsLogged = 100
 
-// logViolation logs an attempt that was sent although it broke one of the guard's rules, up to maxViolationsLogged times.
+// logViolation logs an attempt that was sent although it broke one of the guard's rules, up to maxViolationsLogged
+// times.
 func (a *assembly) logViolation(r guard.Rule, t guard.Attempt) {
 	if a.violations.Add(1) > violationsLogged {
 		return
@@ -206,8 +208,8 @@
 
 func (a *assembly) add(p ...part) { a.parts = append(a.parts, p...) }
 
-// createLoop creates the event loop that runs the decision module, starting from the predecessor's learned state if that
-// is not nil, and the front that passes clients' requests to it.
+// createLoop creates the event loop that runs the decision module, starting from the predecessor's learned state if
+// that is not nil, and the front that passes clients' requests to it.
 func (a *assembly) decisions(ctx context.Context, learned *decide.Snapshot) error {
 	c, log := a.c, a.log
 	var messenger core.Messenger
@@ -233,8 +235,8 @@
 	return nil
 }
 
-// addRecorder passes each completed request to the recorder. The recorder stops only in the cleanup, when all accepted
-// requests have been answered and recorded.
+// addRecorder passes each completed request to the recorder. The recorder stops only in the cleanup, when all
+// accepted requests have been answered and recorded.
 func (a *assembly) record() {
 	keeper := recorder.New(a.c.Record, a.log)
 	a.handler.Seen = func(s *front.Seen) { keeper.Take(tryOf(s)) }
@@ -350,15 +352,15 @@
 	return t
 }
 
-// drainTime returns how long after SIGTERM the node may take to send its last answers: killMargin less than the time after
-// which the platform may kill the process.
+// drainTime returns how long after SIGTERM the node may take to send its last answers: killMargin less than the time
+// after which the platform may kill the process.
 func (c *Config) drainTime() time.Duration {
 	return min(c.Settings.LongestDeadline(), drainLongest) + killAfter - killMargin
 }
 
-// reloadOnSignal reads the configuration again at each signal on reload, until ctx ends. An invalid configuration changes
-// nothing. Of a valid one, discovery's address and the gateway's certificates, roots and removed sites take effect at
-// once, all else at the next start. The address of discovery in use is kept in source.
+// reloadOnSignal reads the configuration again at each signal on reload, until ctx ends. An invalid configuration
+// changes nothing. Of a valid one, discovery's address and the gateway's certificates, roots and removed sites take
+// effect at once, all else at the next start. The address of discovery in use is kept in source.
 func follow(ctx context.Context, c *Config, loop *core.Loop, g *gate, source *atomic.Pointer[netip.AddrPort], asked <-chan os.Signal, log *slog.Logger) {
 	at := c.Discovery
 	source.Store(new(at))
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -36,8 +36,8 @@
 	return startOn(t, c, listener(t), log)
 }
 
-// newListener opens a listener at a port that the kernel chose. The node gets the listener itself, because a port that is
-// closed and opened again may be taken by another process in between.
+// newListener opens a listener at a port that the kernel chose. The node gets the listener itself, because a port
+// that is closed and opened again may be taken by another process in between.
 func listener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
--- a/internal/app/askedlist_test.go
+++ b/internal/app/askedlist_test.go
@@ -96,16 +96,16 @@
 // holdOpen keeps a connection open until the other side closes it.
 func hold(c net.Conn) { io.Copy(io.Discard, c) }
 
-// maxRefused bounds the time for which requests may be refused because the node has no valid list, by the way in which
-// discovery fails; 0 if it is not in the map. A list request that gets no answer is noticed 3 s after it began. Until then
-// the node can't tell whether discovery is reachable, and across a reload its last evidence that discovery is down may be
-// over 6 s old for a moment. A refusal or a reset is noticed at once.
+// maxRefused bounds the time for which requests may be refused because the node has no valid list, by the way in
+// which discovery fails; 0 if it is not in the map. A list request that gets no answer is noticed 3 s after it began.
+// Until then the node can't tell whether discovery is reachable, and across a reload its last evidence that discovery
+// is down may be over 6 s old for a moment. A refusal or a reset is noticed at once.
 var refusedMost = map[string]time.Duration{"silent": 1500 * time.Millisecond, "half an answer": 1500 * time.Millisecond}
 
-// Discovery is down when the node starts, and so is the one at the address that a reload gives. That one comes back with a
-// draining server in its list at the worst moment: just after a list request has failed or has begun in vain. Even with the
-// request rate of a fleet of 300 nodes, the node has to get the list within 6 s and send nothing to the draining server
-// after its grace.
+// Discovery is down when the node starts, and so is the one at the address that a reload gives. That one comes back
+// with a draining server in its list at the worst moment: just after a list request has failed or has begun in vain.
+// Even with the request rate of a fleet of 300 nodes, the node has to get the list within 6 s and send nothing to the
+// draining server after its grace.
 func TestAskedDiscoveryComesBack(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]func(net.Conn){
@@ -127,7 +127,8 @@
 			ready := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
 			first, second := newDownDiscovery(t, fails), newDownDiscovery(t, fails)
 			c := &Config{Settings: testkit.Settings(), Known: testkit.Known(draining, ready), Discovery: first.addr}
-			c.Settings.AskForList, c.Settings.Nodes, c.Settings.DrainGrace = true, 300, 2*time.Second // the grace has to cover delays of a busy machine too
+			// The grace has to cover delays of a busy machine too.
+			c.Settings.AskForList, c.Settings.Nodes, c.Settings.DrainGrace = true, 300, 2*time.Second
 			c.reread = func() (*Config, error) { return &Config{Discovery: second.addr}, nil }
 			n := start(t, c)
 			refusedFor := time.Duration(0) // because the node had no valid list
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// Malformed input gets a 4xx or 5xx other than a refusal, nothing is sent to a server, and the connection is closed, because
-// what follows may be part of a body. Otherwise a request hidden in a body would be served (request smuggling).
+// Malformed input gets a 4xx or 5xx other than a refusal, nothing is sent to a server, and the connection is closed,
+// because what follows may be part of a body. Otherwise a request hidden in a body would be served (request
+// smuggling).
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	var passed atomic.Int64
@@ -122,8 +123,8 @@
 	}
 }
 
-// Connections on which nothing comes, or a head or body that never ends, are closed or answered within 3 s. Even many of
-// them, and connections that stay open after a request, do not keep other clients from being served.
+// Connections on which nothing comes, or a head or body that never ends, are closed or answered within 3 s. Even many
+// of them, and connections that stay open after a request, do not keep other clients from being served.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
@@ -146,7 +147,8 @@
 			}
 		})
 	}
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(50 * time.Millisecond) { // long before those connections would time out
+	// This has to succeed long before those connections time out.
+	for end := time.Now().Add(testkit.Patient); ; time.Sleep(50 * time.Millisecond) {
 		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode == 200 {
 			break
 		} else if time.Now().After(end) {
@@ -203,8 +205,8 @@
 	}
 }
 
-// SIGTERM loses no request: those in flight are answered, new connections are accepted for a moment more, requests on open
-// connections are served until the end of the drain, and then the node ends.
+// SIGTERM loses no request: those in flight are answered, new connections are accepted for a moment more, requests on
+// open connections are served until the end of the drain, and then the node ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	came, let := make(chan struct{}, 1), make(chan struct{})
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -39,7 +39,7 @@
 	Ops       netip.AddrPort // the operators' address; invalid: there is none
 	Handover  string         // path of the Unix socket for a successor process; empty: no handover
 	PeerListen,
-	PeersAll netip.AddrPort // PeerListen: own address for messages between nodes; PeersAll: one that reaches all nodes; invalid: none
+	PeersAll netip.AddrPort // own address for messages between nodes, and one that reaches all; invalid: none
 	Peers    []netip.AddrPort
 	Known    core.List // the last server list that this node had, from the configuration or from its predecessor
 	Settings decide.Settings
@@ -53,8 +53,8 @@
 
 // Minimum and default limits of a node, and a time limit of the platform.
 const (
-	// notifiedWithin is set by the platform: a node counts as notified of a change at this time after discovery had the
-	// change and was reachable, even if the node's calls to discovery failed.
+	// notifiedWithin is set by the platform: a node counts as notified of a change at this time after discovery had
+	// the change and was reachable, even if the node's calls to discovery failed.
 	notifiedWithin = 6 * time.Second
 	leastSockets   = descriptors.Least
 	leastMemoryMB  = 32
@@ -62,9 +62,9 @@
 	usualMemoryMB  = 192
 )
 
-// LoadConfig reads the configuration file that the variable GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_OPS
-// override the file. If gatewayFile is not empty, it is the file that configures how the node hands requests to other
-// sites.
+// LoadConfig reads the configuration file that the variable GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and
+// GW_OPS override the file. If gatewayFile is not empty, it is the file that configures how the node hands requests
+// to other sites.
 func LoadConfig(getenv func(string) string, gatewayFile string) (*Config, error) {
 	read := func(getenv func(string) string) (*Config, error) {
 		c, err := readConfig(getenv)
--- a/internal/app/config_test.go
+++ b/internal/app/config_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A valid configuration is loaded, variables override the file except for discovery's address at a reload, and each invalid
-// one is an error of one line.
+// A valid configuration is loaded, variables override the file except for discovery's address at a reload, and each
+// invalid one is an error of one line.
 func TestConfig(t *testing.T) {
 	t.Parallel()
 	const good = `{"name":"n0","listen":"127.0.0.1:80","discovery":"127.0.0.1:81","seed":"8c1f30d27a5be964","limits":{"cores":1,"memory_mb":192,"sockets":1024},
--- a/internal/app/departed_first_test.go
+++ b/internal/app/departed_first_test.go
@@ -13,7 +13,8 @@
 )
 
 // disconnectDuringHandshake has a client disconnect while its first attempt waits for a connection to the server. The
-// server's listen queue is full until then, so that the handshake takes 1 s, after which the kernel sends the SYN again.
+// server's listen queue is full until then, so that the handshake takes 1 s, after which the kernel sends the SYN
+// again.
 func late(t *testing.T, d departure, class int) departed {
 	t.Helper()
 	s := testkit.Settings()
@@ -38,8 +39,8 @@
 	return departed{server, closed}
 }
 
-// A first attempt that waited 1 s for a handshake must not begin once its client has disconnected, whatever the client has
-// pipelined behind its request, for classes of each effect, and whether or not attempts may be canceled.
+// A first attempt that waited 1 s for a handshake must not begin once its client has disconnected, whatever the
+// client has pipelined behind its request, for classes of each effect, and whether or not attempts may be canceled.
 func TestDepartedDuringHandshake(t *testing.T) {
 	t.Parallel()
 	for name, cancels := range map[string]bool{"cancels": true, "does not cancel": false} {
@@ -94,8 +95,8 @@
 	return departed{server, closed}
 }
 
-// No attempt begins for a client that disconnected before its connection was accepted, and a body of such a client is not
-// sent on to its end.
+// No attempt begins for a client that disconnected before its connection was accepted, and a body of such a client is
+// not sent on to its end.
 func TestDepartedInListenQueue(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -21,13 +21,13 @@
 )
 
 const (
-	// disconnectLimit is how long after a client has closed its connection an attempt for it, the first or a later one,
-	// may still begin.
+	// disconnectLimit is how long after a client has closed its connection an attempt for it, the first or a later
+	// one, may still begin.
 	departedLimit = 100 * time.Millisecond
 	// pastDisconnectLimit is a delay after which no attempt may begin.
 	beyondLimit = 150 * time.Millisecond
-	// maxLateRuns is how often a run is repeated that exceeded the limit while this process itself ran so late that it
-	// may have caused that.
+	// maxLateRuns is how often a run is repeated that exceeded the limit while this process itself ran so late that
+	// it may have caused that.
 	punctualRuns = 10
 	// leavingID is the id of the request whose client disconnects.
 	departedID = "left"
@@ -42,8 +42,8 @@
 
 // attemptLog is a server that records when attempts arrive, and answers them.
 type attemptLog struct {
-	// answer returns the answer to the nth attempt of a request, counted from 0; "": the server closes the connection.
-	// If answer is nil, the answer is 200 with the id.
+	// answer returns the answer to the nth attempt of a request, counted from 0; "": the server closes the
+	// connection. If answer is nil, the answer is 200 with the id.
 	answer func(id string, nth int) string
 	bodies chan struct{} // request bodies are read once it is closed; nil: at once
 
@@ -89,8 +89,8 @@
 	}
 }
 
-// settle waits until everything has been recorded that a node, which has ended, wrote to this server at an address. It makes
-// a connection of its own for that, as connections are accepted in the order in which they were made.
+// settle waits until everything has been recorded that a node, which has ended, wrote to this server at an address.
+// It makes a connection of its own for that, as connections are accepted in the order in which they were made.
 func (l *attemptLog) settle(t *testing.T, addr string) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -146,8 +146,8 @@
 	return slices.ContainsFunc(l.arrivals, func(a arrival) bool { return a.id == id })
 }
 
-// lastAttemptAfter returns how long after the time closed the last byte of the last attempt of a request arrived, or 0 if
-// none arrived after it.
+// lastAttemptAfter returns how long after the time closed the last byte of the last attempt of a request arrived, or
+// 0 if none arrived after it.
 func (l *attemptLog) latest(id string, closed time.Time) (after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,8 +159,8 @@
 	return after
 }
 
-// disconnect describes a client that disconnects while an attempt of its request, the first or a later one, has yet to
-// begin.
+// disconnect describes a client that disconnects while an attempt of its request, the first or a later one, has yet
+// to begin.
 type departure struct {
 	behind string                   // what it pipelines behind its request
 	piece  int                      // bytes of that per write; 0: all in one
@@ -175,8 +175,8 @@
 	closed time.Time
 }
 
-// pipelinedKinds are what a client has sent behind its request. The node can read up to the end of the connection, and so
-// notice that the client has disconnected, only if that is little.
+// pipelinedKinds are what a client has sent behind its request. The node can read up to the end of the connection,
+// and so notice that the client has disconnected, only if that is little.
 var hiding = map[string]string{
 	"nothing": "",
 	"a byte":  "G",
@@ -207,8 +207,8 @@
 }
 
 // checkLimit runs a test of a disconnect and returns how long after it the last attempt began. If that exceeds
-// disconnectLimit, it runs the test again where this process itself was so late that it may be the cause, up to maxLateRuns
-// times in all, and reports an error otherwise.
+// disconnectLimit, it runs the test again where this process itself was so late that it may be the cause, up to
+// maxLateRuns times in all, and reports an error otherwise.
 func holdsLimit(t *testing.T, run func() departed) (latest time.Duration) {
 	t.Helper()
 	return holdsLimitOf(t, func() time.Duration {
@@ -278,7 +278,8 @@
 
 // perform sends what the client pipelines and disconnects it. It returns a time just before the disconnect.
 func (d departure) goes(c client) time.Time {
-	c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond)) // the node reads only part of it, and the write of the rest blocks
+	// The node reads only part of a long text, and the write of the rest blocks.
+	c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 	for text := d.behind; len(text) > 0; {
 		n := len(text)
 		if d.piece > 0 {
@@ -298,9 +299,9 @@
 
 const unprocessed = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// A retry must not begin once the client has disconnected, whatever it has pipelined behind its request. Behind 1 MB of
-// unread data the node's kernel did not accept the end of the connection, and the retry began whenever the attempt before
-// it ended, however late.
+// A retry must not begin once the client has disconnected, whatever it has pipelined behind its request. Behind 1 MB
+// of unread data the node's kernel did not accept the end of the connection, and the retry began whenever the attempt
+// before it ended, however late.
 func TestDepartedBeforeFurther(t *testing.T) {
 	t.Parallel()
 	stays := further(t, departure{after: time.Millisecond}, 0, unprocessed)
@@ -323,8 +324,8 @@
 	}
 }
 
-// smallBufferListener opens a listener whose connections buffer only some 16 KB that the server has not read. Data in that
-// buffer counts as arrived, however late the server reads it.
+// smallBufferListener opens a listener whose connections buffer only some 16 KB that the server has not read. Data in
+// that buffer counts as arrived, however late the server reads it.
 func narrow(t *testing.T) net.Listener {
 	t.Helper()
 	const size = 16 << 10
@@ -339,8 +340,8 @@
 	return l
 }
 
-// disconnectDuringUpload has a client disconnect when it has sent its whole body, but the server has not: the server does
-// not read for a while or, if late is set, the connection to it is established late.
+// disconnectDuringUpload has a client disconnect when it has sent its whole body, but the server has not: the server
+// does not read for a while or, if late is set, the connection to it is established late.
 func uploading(t *testing.T, d departure, size int, late bool) departed {
 	t.Helper()
 	s := testkit.Settings()
@@ -380,9 +381,9 @@
 	return departed{server, closed}
 }
 
-// If the client disconnects before the last byte of its body was sent to the server, the body must not be completed, whether
-// the server's connection is established late or the server reads slowly, and whether or not attempts may be canceled. It
-// used to be completed from the kernel's buffers and from what the client had yet to send.
+// If the client disconnects before the last byte of its body was sent to the server, the body must not be completed,
+// whether the server's connection is established late or the server reads slowly, and whether or not attempts may be
+// canceled. It used to be completed from the kernel's buffers and from what the client had yet to send.
 func TestDepartedWithinUpload(t *testing.T) {
 	t.Parallel()
 	for name, cancels := range map[string]bool{"cancels": true, "does not cancel": false} {
--- a/internal/app/discovery_test.go
+++ b/internal/app/discovery_test.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// After SIGHUP the node requests the full list at discovery's new address at once, because the versions there need not
-// continue the old ones, and although the watch at the old address hangs. An invalid file changes nothing, and several
-// reloads in a row do no harm.
+// After SIGHUP the node requests the full list at discovery's new address at once, because the versions there need
+// not continue the old ones, and although the watch at the old address hangs. An invalid file changes nothing, and
+// several reloads in a row do no harm.
 func TestReload(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
--- a/internal/app/enddeadlines_test.go
+++ b/internal/app/enddeadlines_test.go
@@ -12,9 +12,9 @@
 	"starlingvalve/internal/testkit"
 )
 
-// endWithSilent stops a node that has requests of all classes at a server that hangs, a connection on which nothing ever
-// came, an idle one, and one with half a request head. It returns the time from the stop to the node's exit, and the time
-// after which the platform kills the node.
+// endWithSilent stops a node that has requests of all classes at a server that hangs, a connection on which nothing
+// ever came, an idle one, and one with half a request head. It returns the time from the stop to the node's exit, and
+// the time after which the platform kills the node.
 func endWithSilent(t *testing.T, deadline time.Duration) (took, kill time.Duration) {
 	t.Helper()
 	s := within(deadline)
@@ -59,8 +59,8 @@
 	return took, conf.drainTime() + killMargin
 }
 
-// A node that is stopped answers every request and exits before the platform kills it, whatever its longest deadline is and
-// whichever connections are silent then.
+// A node that is stopped answers every request and exits before the platform kills it, whatever its longest deadline
+// is and whichever connections are silent then.
 func TestEndAtEachDeadline(t *testing.T) {
 	t.Parallel()
 	for _, milliseconds := range []int{150, 400, 1000, 2000, 3000, 5000, 8000} {
--- a/internal/app/endings_test.go
+++ b/internal/app/endings_test.go
@@ -19,11 +19,11 @@
 	"starlingvalve/internal/testkit"
 )
 
-// Tests of what has to be completed when a connection, a request or the node ends: docs/design/endings.md lists each such
-// path and the test, here or in the package concerned, that takes it.
+// Tests of what has to be completed when a connection, a request or the node ends: docs/design/endings.md lists each
+// such path and the test, here or in the package concerned, that takes it.
 
-// settingsVariants are changes to the settings that differ much: swapped effects of classes, short and long deadlines,
-// attempts that may be canceled or not.
+// settingsVariants are changes to the settings that differ much: swapped effects of classes, short and long
+// deadlines, attempts that may be canceled or not.
 var unlike = map[string]func(*decide.Settings){
 	"as they are": func(*decide.Settings) {},
 	"no cancelling, one attempt, effects swapped": func(s *decide.Settings) {
@@ -112,8 +112,8 @@
 	"it resets":          func(c client) { c.SetLinger(0); c.Close() },
 }
 
-// holdingServer is a server that reports each request that arrives. It answers at once, except for the ids in held: such a
-// request stays unanswered until its connection ends.
+// holdingServer is a server that reports each request that arrives. It answers at once, except for the ids in held:
+// such a request stays unanswered until its connection ends.
 type holding struct {
 	addr  string
 	came  chan string // ids
@@ -156,8 +156,8 @@
 	}
 }
 
-// newFullListener opens a listener whose queue is full. Connections to it are established only once letGo is called, which
-// accepts them and passes them to serve.
+// newFullListener opens a listener whose queue is full. Connections to it are established only once letGo is called,
+// which accepts them and passes them to serve.
 func queued(t *testing.T) (addr string, letGo func(serve func(net.Conn))) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -203,9 +203,9 @@
 	}
 }
 
-// If a client disconnects while its attempt waits for a connection to the server, nothing may be sent for it, whether or not
-// the settings allow attempts to be canceled. Without canceling, the attempt used to send the request once the handshake was
-// done, although nobody was left to get the answer.
+// If a client disconnects while its attempt waits for a connection to the server, nothing may be sent for it, whether
+// or not the settings allow attempts to be canceled. Without canceling, the attempt used to send the request once the
+// handshake was done, although nobody was left to get the answer.
 func TestLeftDuringHandshake(t *testing.T) {
 	underAll(t, func(t *testing.T, s decide.Settings) {
 		n, addr, letGo := lateNode(t, s)
@@ -242,9 +242,9 @@
 	return c.answer(t)
 }
 
-// A client that disconnects is noticed whatever it has pipelined behind its open request, and nothing of that is sent to a
-// server. net/http reads one byte behind a request and stops watching the connection once it has that byte: the attempt then
-// continued to its end, and the pipelined requests were served to nobody.
+// A client that disconnects is noticed whatever it has pipelined behind its open request, and nothing of that is sent
+// to a server. net/http reads one byte behind a request and stops watching the connection once it has that byte: the
+// attempt then continued to its end, and the pipelined requests were served to nobody.
 func TestLeftBehindMore(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -280,8 +280,8 @@
 	}
 }
 
-// Requests that are pipelined behind an open one are answered after it, in whatever pieces they arrive, also if they are
-// longer than what the node reads ahead.
+// Requests that are pipelined behind an open one are answered after it, in whatever pieces they arrive, also if they
+// are longer than what the node reads ahead.
 func TestBehindIsServed(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -315,8 +315,8 @@
 	}
 }
 
-// An answer of unknown length that stalls, or trickles without end, is cut off when the request's time is over, so that the
-// client can tell that it is incomplete. The node used to wait 8 s for each next piece of it.
+// An answer of unknown length that stalls, or trickles without end, is cut off when the request's time is over, so
+// that the client can tell that it is incomplete. The node used to wait 8 s for each next piece of it.
 func TestAnswerWithoutEnd(t *testing.T) {
 	t.Parallel()
 	for _, frame := range []string{"Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", "Connection: close\r\n\r\nhello"} {
@@ -356,7 +356,8 @@
 	}
 }
 
-// A long answer may take longer than its request's time: with a Content-Length at any pace, without one if it arrives fast.
+// A long answer may take longer than its request's time: with a Content-Length at any pace, without one if it arrives
+// fast.
 func TestLongAnswerAfterItsTime(t *testing.T) {
 	t.Parallel()
 	const size = 100 << 10
@@ -413,9 +414,9 @@
 	}
 }
 
-// After SIGTERM all requests in flight at a hung server are answered before the platform kills the node, however much time
-// the requests have left, and the node exits by then. Other tests have a client that reads nothing, half a request head, and
-// a long answer that has stalled.
+// After SIGTERM all requests in flight at a hung server are answered before the platform kills the node, however much
+// time the requests have left, and the node exits by then. Other tests have a client that reads nothing, half a
+// request head, and a long answer that has stalled.
 func TestEndWithAllOpen(t *testing.T) {
 	underAll(t, func(t *testing.T, s decide.Settings) {
 		for i := range s.Classes { // less than the clients' patience
@@ -450,8 +451,8 @@
 	})
 }
 
-// An answer that has begun and stalled is cut off when the node ends, so that the client can tell that it is incomplete. The
-// exit does not wait for it.
+// An answer that has begun and stalled is cut off when the node ends, so that the client can tell that it is
+// incomplete. The exit does not wait for it.
 func TestEndWithinAnswer(t *testing.T) {
 	t.Parallel()
 	s := within(3 * time.Second)
@@ -481,8 +482,8 @@
 	}
 }
 
-// The node is stopped when half a request head has arrived on a connection that was used before. Once the head is complete,
-// the request is answered. Shutdown of net/http closed such a connection at once.
+// The node is stopped when half a request head has arrived on a connection that was used before. Once the head is
+// complete, the request is answered. Shutdown of net/http closed such a connection at once.
 func TestEndWithinHead(t *testing.T) {
 	t.Parallel()
 	for range 10 {
@@ -493,8 +494,8 @@
 	t.Error("the machine was too busy in all ten runs")
 }
 
-// endWithinHead returns false if the run shows nothing: on a busy machine the client may write the head so slowly that the
-// node counts it as stalled and closes the connection.
+// endWithinHead returns false if the run shows nothing: on a busy machine the client may write the head so slowly
+// that the node counts it as stalled and closes the connection.
 func endWithinHead(t *testing.T) bool {
 	t.Helper()
 	s := within(time.Second)
@@ -513,7 +514,8 @@
 	<-server.came
 	n.stop()
 	text := request(s.Classes[0], "half", "9")
-	// The head is written byte by byte until the node closes the quiet connection, which is the last moment for new requests.
+	// The head is written byte by byte until the node closes the quiet connection, which is the last moment for new
+	// requests.
 	last := make(chan error, 1)
 	go func() {
 		_, err := quiet.r.ReadByte()
@@ -533,7 +535,8 @@
 		}
 	}
 	io.WriteString(half, text[sent:])
-	late := max(stalled, time.Since(moved)) > admit.StallLeast/2 || time.Since(began) > 1900*time.Millisecond // close to the idle timeout of the quiet connection
+	// After 1.9 s the idle timeout of the quiet connection is near.
+	late := max(stalled, time.Since(moved)) > admit.StallLeast/2 || time.Since(began) > 1900*time.Millisecond
 	status, body, err := half.answer(t)
 	if late {
 		return false
@@ -544,8 +547,8 @@
 	return true
 }
 
-// Twenty nodes are started and stopped under load on connections that clients keep open: each request gets one complete
-// answer, or its connection is closed and the request has not run. No unsafe request runs twice.
+// Twenty nodes are started and stopped under load on connections that clients keep open: each request gets one
+// complete answer, or its connection is closed and the request has not run. No unsafe request runs twice.
 func TestTwentyRestarts(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -29,7 +29,8 @@
 	log     *slog.Logger
 }
 
-// openSiteGateway starts to connect to the other sites. It accepts no hand-offs from them before startServer is called.
+// openSiteGateway starts to connect to the other sites. It accepts no hand-offs from them before startServer is
+// called.
 func openGate(c *Config, log *slog.Logger) (*gate, error) {
 	g := &gate{config: c.Gateway, keeper: link.NewKeeper(c.Gateway.Identity), log: log}
 	var err error
@@ -65,8 +66,8 @@
 	g.dialer.Close()
 }
 
-// reload applies new certificates and roots and the removal of sites. New sites, addresses and limits take effect at the
-// next start.
+// reload applies new certificates and roots and the removal of sites. New sites, addresses and limits take effect at
+// the next start.
 func (g *gate) reload(next *gateway.Config) {
 	g.keeper.Set(next.Identity)
 	g.log.Info("gateway file read again", "file", next.Path, "sites", len(next.Identity.Peers))
--- a/internal/app/gateway_test.go
+++ b/internal/app/gateway_test.go
@@ -47,8 +47,8 @@
 	return out[0], out[1]
 }
 
-// A site without servers hands its requests to another site. Keyed requests are never handed over, and are refused. After a
-// reload that removes the other site, nothing is handed over any more.
+// A site without servers hands its requests to another site. Keyed requests are never handed over, and are refused.
+// After a reload that removes the other site, nothing is handed over any more.
 func TestTwoSites(t *testing.T) {
 	t.Parallel()
 	var runs atomic.Int64
--- a/internal/app/leak_test.go
+++ b/internal/app/leak_test.go
@@ -62,8 +62,8 @@
 	return names
 }
 
-// After twenty restarts under load no goroutine, socket or pipe of the nodes is left. The restarts run in a process of
-// their own, because other tests run concurrently in this one.
+// After twenty restarts under load no goroutine, socket or pipe of the nodes is left. The restarts run in a process
+// of their own, because other tests run concurrently in this one.
 func TestRestartsLeaveNothing(t *testing.T) {
 	t.Parallel()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^TestTwentyRestarts$", "-test.v",
--- a/internal/app/leaving_test.go
+++ b/internal/app/leaving_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// nodeWithFullListener starts a node whose server accepts connections only once letGo is called. Until then the node neither
-// probes the server nor times out a connection attempt.
+// nodeWithFullListener starts a node whose server accepts connections only once letGo is called. Until then the node
+// neither probes the server nor times out a connection attempt.
 func lateNode(t *testing.T, s decide.Settings) (n *testNode, addr string, letGo func(func(net.Conn))) {
 	t.Helper()
 	s.MayProbe, s.ConnectTimeout = false, testkit.Patient
@@ -65,9 +65,9 @@
 	})
 }
 
-// A client that disconnects is noticed before its request is sent to the server, also if the node can't read up to the end of
-// the connection: because more is pipelined than the node reads ahead, or because a body is not read while the attempt waits
-// for a connection. Both requests used to be sent once the handshake was done.
+// A client that disconnects is noticed before its request is sent to the server, also if the node can't read up to
+// the end of the connection: because more is pipelined than the node reads ahead, or because a body is not read while
+// the attempt waits for a connection. Both requests used to be sent once the handshake was done.
 func TestLeftUnread(t *testing.T) {
 	for what, text := range map[string]func(c decide.Class) string{
 		"more than is read ahead behind it": func(c decide.Class) string { return request(c, "left", "60") + behind(c, muchBehind) },
@@ -105,8 +105,8 @@
 	}
 }
 
-// manyPipelined is a number of pipelined requests that together have some 108 KB: more than a node reads ahead, but not more
-// than the kernel buffers in addition.
+// manyPipelined is a number of pipelined requests that together have some 108 KB: more than a node reads ahead, but
+// not more than the kernel buffers in addition.
 const muchBehind = 690
 
 // pipelinedRequests is n requests with the ids behind0, behind1 and so on.
@@ -118,8 +118,8 @@
 	return b.String()
 }
 
-// Once a client has disconnected, nothing that it pipelined behind its open request is sent to a server, however much it is.
-// Requests beyond what the node reads ahead used to be served to nobody.
+// Once a client has disconnected, nothing that it pipelined behind its open request is sent to a server, however much
+// it is. Requests beyond what the node reads ahead used to be served to nobody.
 func TestLeftBehindMuch(t *testing.T) {
 	t.Parallel()
 	s := testkit.Settings()
@@ -151,8 +151,8 @@
 	}
 }
 
-// longAnswerNode starts a node whose server runs serve, and a client that has sent a request to it. held gets a warning if the
-// node exits with connections open.
+// longAnswerNode starts a node whose server runs serve, and a client that has sent a request to it. held gets a
+// warning if the node exits with connections open.
 func longNode(t *testing.T, deadline time.Duration, serve func(net.Conn)) (n *testNode, conf *Config, c client, held *bytes.Buffer) {
 	t.Helper()
 	s := within(deadline)
@@ -164,8 +164,8 @@
 	return n, conf, c, held
 }
 
-// A client that reads nothing of its long answer delays the exit by 2 s at most, the time in which a slow client reads the
-// next piece.
+// A client that reads nothing of its long answer delays the exit by 2 s at most, the time in which a slow client
+// reads the next piece.
 func TestEndWithStalledClient(t *testing.T) {
 	t.Parallel()
 	const size = 24 << 20 // more than the kernel buffers
@@ -192,7 +192,8 @@
 	}
 }
 
-// A long answer that is still being transferred when the drain time is over is not cut off: it is complete before the exit.
+// A long answer that is still being transferred when the drain time is over is not cut off: it is complete before the
+// exit.
 func TestEndWithMovingAnswer(t *testing.T) {
 	t.Parallel()
 	const size = 1 << 20
@@ -222,8 +223,8 @@
 	<-n.ended
 }
 
-// The node is stopped when half a request body has arrived. The request is not accepted, and its client gets an error status,
-// whether such a body is buffered whole or streamed. The exit does not wait for the rest.
+// The node is stopped when half a request body has arrived. The request is not accepted, and its client gets an error
+// status, whether such a body is buffered whole or streamed. The exit does not wait for the rest.
 func TestEndWithinBody(t *testing.T) {
 	t.Parallel()
 	for _, size := range []int{1000, 200 << 10} {
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -10,8 +10,8 @@
 	"starlingvalve/internal/ops"
 )
 
-// divideDescriptors divides the file descriptors of this process among its uses: as many as limits.sockets says, or the
-// system's limit if that is lower.
+// divideDescriptors divides the file descriptors of this process among its uses: as many as limits.sockets says, or
+// the system's limit if that is lower.
 func splitOf(c *Config, log *slog.Logger) (descriptors.Split, error) {
 	limit := c.Limits.Sockets
 	var given unix.Rlimit
--- a/internal/app/long_test.go
+++ b/internal/app/long_test.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Long request bodies are streamed to the server, with a length or in chunks. Short ones in chunks are buffered, and sent with
-// a length.
+// Long request bodies are streamed to the server, with a length or in chunks. Short ones in chunks are buffered, and
+// sent with a length.
 func TestLongBodies(t *testing.T) {
 	t.Parallel()
 	type got struct {
@@ -148,8 +148,8 @@
 	}
 }
 
-// A request whose body was never sent to the end has not run: it may be refused. There is no second attempt with the rest of
-// the body.
+// A request whose body was never sent to the end has not run: it may be refused. There is no second attempt with the
+// rest of the body.
 func TestLongBodyServerBreaks(t *testing.T) {
 	t.Parallel()
 	var mu sync.Mutex
--- a/internal/app/parts.go
+++ b/internal/app/parts.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// part is one part of a node: the functions that start, drain and stop it, of which each may be nil. Parts start in the
-// order in which they were added. Each later step is done for all parts before the next step begins, in the order of the
-// fields.
+// part is one part of a node: the functions that start, drain and stop it, of which each may be nil. Parts start in
+// the order in which they were added. Each later step is done for all parts before the next step begins, in the order
+// of the fields.
 type part struct {
 	start func() error          // runs before the part's own run and all later parts; an error stops the node
 	run   func(context.Context) // runs in its own goroutine until ctx ends or close is called
 	leave func()                // called at SIGTERM, concurrently with the drains, which do not wait for it
-	drain func(end time.Time)   // accepts no new requests and completes those in flight by end; called for all parts concurrently
+	drain func(end time.Time)   // accepts nothing new, completes what is in flight by end; all parts concurrently
 	last  func()                // called when all parts are drained
 	close func()                // makes run return if it does not watch ctx; called after ctx has ended
 	after func()                // called when every run has returned, in reverse order; also if the node failed to start
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// drain drains all parts concurrently, by end, and waits for that. It also calls announceLeave of each part, which may
-// still run when drain returns and counts in running.
+// drain drains all parts concurrently, by end, and waits for that. It also calls announceLeave of each part, which
+// may still run when drain returns and counts in running.
 func (all parts) drain(end time.Time, running *sync.WaitGroup) {
 	var draining sync.WaitGroup
 	for _, p := range all {
--- a/internal/app/servers_test.go
+++ b/internal/app/servers_test.go
@@ -18,8 +18,8 @@
 // idleWait is longer than a connection to a server must be idle after an answer before it is used again.
 const restWait = 2 * reuse.Rest
 
-// A request on a connection that breaks is sent only once. A retry by an HTTP library would be an attempt that the decision
-// module does not know about.
+// A request on a connection that breaks is sent only once. A retry by an HTTP library would be an attempt that the
+// decision module does not know about.
 func TestNoHiddenResend(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int64
@@ -73,7 +73,8 @@
 	t.Parallel()
 	addr := testkit.Server(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	for class, want := range map[string]int{"read": 503, "tag": 502, "order": 502} {
-		n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)}) // a new node, which has no unresponsive server yet
+		// A new node for each class, to which no server is unresponsive yet.
+		n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 		if resp, _ := n.ask(t, message(class, "0.4", "")); resp.StatusCode != want {
 			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, want)
 		}
--- a/internal/app/takeover.go
+++ b/internal/app/takeover.go
@@ -23,8 +23,8 @@
 	upstream "starlingvalve/internal/upstream/http1"
 )
 
-// goMemoryShare is the share of the memory limit for Go's heap and stacks. The kernel's socket buffers and the program itself
-// use the rest.
+// goMemoryShare is the share of the memory limit for Go's heap and stacks. The kernel's socket buffers and the
+// program itself use the rest.
 const memoryPart = 0.6
 
 // readyPollInterval is how often a successor checks whether it can serve.
@@ -37,8 +37,8 @@
 	from    *handover.Predecessor // nil: this process replaces no other
 }
 
-// openSockets takes over the sockets of the running process of this node, if there is one. Otherwise, or if that fails, it
-// opens new ones, which share the addresses of a running process.
+// openSockets takes over the sockets of the running process of this node, if there is one. Otherwise, or if that
+// fails, it opens new ones, which share the addresses of a running process.
 func openSockets(c *Config, log *slog.Logger) (*sockets, error) {
 	s := &sockets{}
 	if c.Handover != "" {
@@ -69,7 +69,7 @@
 // handedState is the state that a process hands to its successor, as JSON under the names of the fields.
 type known struct {
 	List    core.List        // the full list of servers
-	Source  string           // address of the discovery server that the list is from; empty: unknown, as the predecessor sent none
+	Source  string           // address of the discovery server that the list is from; empty: unknown
 	Learned *decide.Snapshot // what the decision module learned about servers and classes; nil: not available
 }
 
@@ -113,8 +113,9 @@
 	return raw
 }
 
-// takeover limits a process to its share of the node's resources while another process of the same node, its predecessor
-// or its successor, runs too, and determines which of the two accepts clients and sends messages to other nodes.
+// takeover limits a process to its share of the node's resources while another process of the same node, its
+// predecessor or its successor, runs too, and determines which of the two accepts clients and sends messages to other
+// nodes.
 type takeover struct {
 	agreement *control.Control // nil: the node takes no part in a fleet's agreement
 	front     *http1.Front
@@ -167,8 +168,8 @@
 	t.apply()
 }
 
-// setDrained sets whether the fleet has drained this node. A drained node reports that it is not ready, and closes each
-// client's connection after its next answer.
+// setDrained sets whether the fleet has drained this node. A drained node reports that it is not ready, and closes
+// each client's connection after its next answer.
 func (t *takeover) drained(on bool) { t.set(func() { t.away = on }) }
 
 // stageChanged sets the stage of the replacement of this process by a successor.
@@ -177,8 +178,8 @@
 	t.log.Info("replacement", "stage", []string{handover.Alone: "none: this process serves", handover.Shared: "a successor prepares", handover.Succeeded: "a successor serves"}[now])
 }
 
-// replacePredecessor waits until this process can serve, notifies the predecessor, and uses all of the node's resources
-// once the predecessor has ended.
+// replacePredecessor waits until this process can serve, notifies the predecessor, and uses all of the node's
+// resources once the predecessor has ended.
 func (t *takeover) follow(ctx context.Context, p *handover.Predecessor) {
 	stop := context.AfterFunc(ctx, p.Close)
 	defer stop()
--- a/internal/app/takeover_test.go
+++ b/internal/app/takeover_test.go
@@ -18,7 +18,8 @@
 	"starlingvalve/internal/testkit"
 )
 
-// A successor starts also if the predecessor has a socket for datagrams at the same address and does not hand it over.
+// A successor starts also if the predecessor has a socket for datagrams at the same address and does not hand it
+// over.
 func TestPredecessorWithoutPeers(t *testing.T) {
 	t.Parallel()
 	tcp, err := handover.ListenTCP(netip.MustParseAddrPort("127.0.0.1:0"))
@@ -54,8 +55,8 @@
 	s.peers.Close()
 }
 
-// A successor whose configuration names another discovery server than its predecessor's requests the full list at once. The
-// handed list may have other servers, and a watch from its version might wait forever.
+// A successor whose configuration names another discovery server than its predecessor's requests the full list at
+// once. The handed list may have other servers, and a watch from its version might wait forever.
 func TestSuccessorOfElsewhere(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// reusePort lets a second process bind the same address. That is how a successor starts if sockets can't be handed over.
+// reusePort lets a second process bind the same address. That is how a successor starts if sockets can't be handed
+// over.
 var shared = net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		// If the platform refuses the option, a successor can't bind while the old process runs. All else works.
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -24,7 +24,7 @@
 type message struct {
 	Version     int             `json:"version"`
 	Name        string          `json:"name,omitempty"`    // from the successor: name of the node
-	Peers       bool            `json:"peers,omitempty"`   // from the predecessor: the second descriptor is the socket for datagrams
+	Peers       bool            `json:"peers,omitempty"`   // from the predecessor: the second descriptor is its datagram socket
 	State       json.RawMessage `json:"state,omitempty"`   // from the predecessor: its state
 	Serving     bool            `json:"serving,omitempty"` // from the successor: it serves from now on
 	Connections int             `json:"held,omitempty"`    // from the predecessor: number of its clients' connections
@@ -78,7 +78,8 @@
 	if size > messageLimit {
 		return nil, files, fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", size, messageLimit)
 	}
-	body, err := io.ReadAll(io.LimitReader(c, int64(size))) // allocates as data arrives, not by the length that the peer claims
+	// This allocates as data arrives, not by the length that the peer claims.
+	body, err := io.ReadAll(io.LimitReader(c, int64(size)))
 	if err != nil {
 		return nil, files, err
 	}
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -1,6 +1,6 @@
-// Package handover lets a new process of a node replace the running one without an interruption. The successor gets the
-// predecessor's listening sockets over a Unix socket, so that no connection is lost between the two, and a snapshot of
-// its state. Both keep that Unix connection open while they run, so each notices when the other ends.
+// Package handover lets a new process of a node replace the running one without an interruption. The successor gets
+// the predecessor's listening sockets over a Unix socket, so that no connection is lost between the two, and a
+// snapshot of its state. Both keep that Unix connection open while they run, so each notices when the other ends.
 //
 // predecessor.go is the side of the process that is replaced, successor.go that of the process that replaces it.
 package handover
@@ -19,7 +19,7 @@
 )
 
 const (
-	helloWait   = time.Second           // for a successor to send its first message, and to receive the sockets and the state
+	helloWait   = time.Second           // for a successor to send its first message and receive the sockets
 	startWait   = 10 * time.Second      // for a successor to serve once it has the sockets
 	reportEvery = 50 * time.Millisecond // how often a successor receives the number of this process's client connections
 )
@@ -43,8 +43,8 @@
 	log      *slog.Logger
 }
 
-// Listen opens a Unix socket at path for successors of this process. It replaces a file that is there already. The socket
-// is created under a temporary name and renamed, so that path always leads to a process that listens.
+// Listen opens a Unix socket at path for successors of this process. It replaces a file that is there already. The
+// socket is created under a temporary name and renamed, so that path always leads to a process that listens.
 func Listen(path string, o Offer, log *slog.Logger) (*Server, error) {
 	first := path + "." + strconv.Itoa(os.Getpid())
 	os.Remove(first)
@@ -134,15 +134,16 @@
 		return err
 	}
 	s.offer.Changed(Succeeded)
-	c.SetReadDeadline(time.Time{}) // the successor sends nothing more: read returns when its process ends and the kernel closes the socket
+	// The successor sends nothing more: read returns when its process ends and the kernel closes the socket.
+	c.SetReadDeadline(time.Time{})
 	_, files, err = read(c)
 	closeAll(files)
 	return err
 }
 
-// writeWithSockets sends a message with the descriptors of sockets, after those in fds. Each call holds one socket, so
-// that its descriptor stays valid, and calls itself for the others. (An os.File of a socket would not do: its Fd method
-// sets the socket to blocking mode, which both processes share.)
+// writeWithSockets sends a message with the descriptors of sockets, after those in fds. Each call holds one socket,
+// so that its descriptor stays valid, and calls itself for the others. (An os.File of a socket would not do: its Fd
+// method sets the socket to blocking mode, which both processes share.)
 func writeWithSockets(c *net.UnixConn, m *message, sockets []syscall.Conn, fds []int) error {
 	if len(sockets) == 0 {
 		return write(c, m, fds...)
--- a/internal/handover/stage.go
+++ b/internal/handover/stage.go
@@ -13,19 +13,19 @@
 	Succeeded
 )
 
-// Accepts reports whether this process accepts new connections. Once its successor serves, the successor accepts them,
-// from the same listen queue.
+// Accepts reports whether this process accepts new connections. Once its successor serves, the successor accepts
+// them, from the same listen queue.
 func (s Stage) Accepts() bool { return s != Succeeded }
 
 // MessagesPeers reports whether this process exchanges messages with other nodes. Only one of the two processes does.
 func (s Stage) Speaks() bool { return s != Succeeded }
 
-// ClosesConnections reports whether each client's connection is closed after its next answer, so that the client opens a
-// new one to the successor.
+// ClosesConnections reports whether each client's connection is closed after its next answer, so that the client
+// opens a new one to the successor.
 func (s Stage) Closes() bool { return s == Succeeded }
 
-// ResourceShare returns this process's share, between 0 and 1, of the node's connections to servers and of its memory.
-// While two processes run, each gets half, as both together have to stay within the node's limits.
+// ResourceShare returns this process's share, between 0 and 1, of the node's connections to servers and of its
+// memory. While two processes run, each gets half, as both together have to stay within the node's limits.
 func (s Stage) Part() float64 {
 	if s == Alone {
 		return 1
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -26,9 +26,9 @@
 // ErrNoPredecessor is returned by TakeOver if no process listens at the path.
 var ErrNoPredecessor = errors.New("no predecessor")
 
-// TakeOver connects to the process that listens at the Unix socket path and takes over its sockets and state. It fails
-// if the clients' listener is not bound to listen. The socket for datagrams is taken over only if it is bound to peers,
-// which may be invalid.
+// TakeOver connects to the process that listens at the Unix socket path and takes over its sockets and state. It
+// fails if the clients' listener is not bound to listen. The socket for datagrams is taken over only if it is bound
+// to peers, which may be invalid.
 func Ask(path, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
 	end := time.Now().Add(askWait)
 	d := net.Dialer{Deadline: end}
@@ -117,15 +117,16 @@
 // Close ends Run. To the predecessor it looks as if this process had ended.
 func (p *Predecessor) Close() { p.conn.Close() }
 
-// Path returns the path of the Unix socket at which the process of a node accepts its successor, in a directory that both
-// processes use. It is empty if handover is not possible: without a directory, a fixed port or a name that is valid in
-// a file name, or if the path is too long for a Unix socket.
+// Path returns the path of the Unix socket at which the process of a node accepts its successor, in a directory that
+// both processes use. It is empty if handover is not possible: without a directory, a fixed port or a name that is
+// valid in a file name, or if the path is too long for a Unix socket.
 func Path(dir, name string, listen netip.AddrPort) string {
 	if dir == "" || name == "" || name != clean(name) || listen.Port() == 0 {
 		return ""
 	}
 	path := fmt.Sprintf("%s/starlingvalve-%s-%s.sock", dir, name, strings.ReplaceAll(listen.String(), ":", "-"))
-	if len(path)+len(".")+20 > 107 { // 107 bytes fit a socket address; the file first has a suffix of "." and the process id, of up to 20 digits
+	// A socket address holds 107 bytes. The file is created with a suffix of "." and the process id, up to 20 digits.
+	if len(path)+len(".")+20 > 107 {
 		return ""
 	}
 	return path
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -17,8 +17,8 @@
 	ended  bool
 }
 
-// SetOpen opens or shuts the gate. deadline sets the read deadline of the socket: a deadline in the past interrupts a read
-// that is waiting.
+// SetOpen opens or shuts the gate. deadline sets the read deadline of the socket: a deadline in the past interrupts a
+// read that is waiting.
 func (g *Gate) Set(open bool, deadline func(time.Time) error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -51,8 +51,8 @@
 	return g.shut && !g.ended
 }
 
-// WaitAndRetry takes the error of a read. If a deadline caused the error, it waits until the gate is open or released and
-// returns true: read again. Otherwise it returns false at once.
+// WaitAndRetry takes the error of a read. If a deadline caused the error, it waits until the gate is open or released
+// and returns true: read again. Otherwise it returns false at once.
 func (g *Gate) Retry(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,4 +1,5 @@
-// Package tomlfile decodes configuration files in TOML strictly. Each error is one line of text with file, line and key.
+// Package tomlfile decodes configuration files in TOML strictly. Each error is one line of text with file, line and
+// key.
 package tomlfile
 
 import (
@@ -12,8 +13,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Decode decodes the text of a file, raw, into the value that into points to. Unknown keys and values of a wrong type are
-// errors. path is used in error messages only.
+// Decode decodes the text of a file, raw, into the value that into points to. Unknown keys and values of a wrong type
+// are errors. path is used in error messages only.
 func Decode(path string, raw []byte, into any) error {
 	d := toml.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -34,9 +35,9 @@
 	return fmt.Errorf("%s: %s", path, oneLine(err.Error()))
 }
 
-// KeyErrors returns a function that creates errors about keys of a text that Decode accepted. The error has the line of
-// the key, or of the innermost enclosing table that is in the text if the key is not. Keys in an array of tables are
-// named like "peer[0].name".
+// KeyErrors returns a function that creates errors about keys of a text that Decode accepted. The error has the line
+// of the key, or of the innermost enclosing table that is in the text if the key is not. Keys in an array of tables
+// are named like "peer[0].name".
 func Faults(path string, raw []byte) func(key, format string, args ...any) error {
 	lines := keyLines(raw)
 	return func(key, format string, args ...any) error {
@@ -52,8 +53,8 @@
 	}
 }
 
-// RelativeTo returns a function that resolves the paths named in the file at path: relative to the file's folder, unless
-// they are absolute.
+// RelativeTo returns a function that resolves the paths named in the file at path: relative to the file's folder,
+// unless they are absolute.
 func Beside(path string) func(name string) string {
 	return func(name string) string {
 		if filepath.IsAbs(name) {
@@ -66,8 +67,8 @@
 // oneLine replaces each run of white space in text by one space.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-// keyLines returns the line number of each key and each table in a well-formed file. Keys in an array of tables are named
-// like "peer[0].name".
+// keyLines returns the line number of each key and each table in a well-formed file. Keys in an array of tables are
+// named like "peer[0].name".
 func keyLines(raw []byte) map[string]int {
 	lines, count := map[string]int{}, map[string]int{}
 	p := unstable.Parser{}
