--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -313,7 +313,7 @@
 	told = d.reached()
 	first, all := n.reaches(ready)
 	n.operators()
-	n.t.Logf("figure: %s: discovery reached after %v, a server of the list after %v, all after %v, %d asked in all", when,
+	n.t.Logf("figure: %s: discovery reached after %v, a server of the list after %v, all after %v, %d requests in all", when,
 		told.Sub(at), first.Sub(at), all.Sub(at), n.asked)
 	// The time limit is for the first server only. The module prefers servers that answered fast, so the last one may
 	// be reached much later, but all have to be reached.
--- a/cmd/starlingvalve/fleet.go
+++ b/cmd/starlingvalve/fleet.go
@@ -262,7 +262,7 @@
 	}
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "epoch %d, %d servers; asked through %s, which %s\n", s.Epoch, len(s.Servers), here.Node, here.Voter)
+	fmt.Fprintf(w, "epoch %d, %d servers; read through %s, which %s\n", s.Epoch, len(s.Servers), here.Node, here.Voter)
 	at := func(ms int64) string { return time.UnixMilli(ms).Format(time.TimeOnly) }
 	for _, name := range slices.Sorted(maps.Keys(s.Nodes)) {
 		n, kind := s.Nodes[name], ""
