--- a/internal/app/parts.go
+++ b/internal/app/parts.go
@@ -20,6 +20,7 @@
 	after func()                // called when every run has returned, in reverse order; also if the node failed to start
 }
 
+// parts are the parts of a node in the order in which they start.
 type parts []part
 
 // start starts all parts in order and runs them. If one fails to start, it stops the others and waits for them.
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -39,12 +39,12 @@
 	offer    Offer
 	listener *net.UnixListener
 	path     string
-	own      os.FileInfo
+	own      os.FileInfo // of this process's socket file, to tell it from a successor's at the same path
 	log      *slog.Logger
 }
 
-// Listen opens a Unix socket at path for successors of this process. It replaces a file that is there already. The
-// socket is created under a temporary name and renamed, so that path always leads to a process that listens.
+// Listen opens a Unix socket at path for successors of this process. It replaces the file of another process there: the
+// socket is created under a temporary name and then renamed to path.
 func Listen(path string, o Offer, log *slog.Logger) (*Server, error) {
 	first := path + "." + strconv.Itoa(os.Getpid())
 	os.Remove(first)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause stops and resumes a goroutine that reads from a socket, without closing the socket.
+// Package pause stops and resumes a goroutine that reads from a socket or accepts connections, without closing the
+// socket.
 package pause
 
 import (
@@ -8,17 +9,17 @@
 	"time"
 )
 
-// Gate lets one goroutine read from a socket while it is open, and makes it wait while it is shut. The zero value is
-// open. Any goroutine may open or shut it.
+// Gate lets one goroutine, the reader, read from a socket or accept connections while it is open, and makes it wait
+// while it is shut. The zero value is open. Any goroutine may open or shut it.
 type Gate struct {
 	mu     sync.Mutex
 	change sync.Cond
 	shut   bool
-	ended  bool
+	ended  bool // the reader does not wait any more
 }
 
-// SetOpen opens or shuts the gate. deadline sets the read deadline of the socket: a deadline in the past interrupts a
-// read that is waiting.
+// SetOpen opens or shuts the gate. deadline is the function that sets the socket's deadline for reading or accepting: a
+// deadline in the past interrupts the call in which the reader waits.
 func (g *Gate) Set(open bool, deadline func(time.Time) error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -44,7 +45,7 @@
 	g.change.Broadcast()
 }
 
-// IsShut reports whether the gate is shut now and makes the reader wait.
+// IsShut reports whether the gate makes the reader wait now: it is shut and not released.
 func (g *Gate) Shut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
