--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause stops and resumes a goroutine that reads from a socket, without closing the socket.
+// Package pause stops and resumes a goroutine that reads from a socket or accepts connections, without closing the
+// socket.
 package pause
 
 import (
@@ -8,15 +9,17 @@
 	"time"
 )
 
-// Gate is open or shut. Its zero value is open. One goroutine reads; any may set it.
+// Gate lets one goroutine, the reader, read from a socket or accept connections while it is open, and makes it wait
+// while it is shut. The zero value is open. Any goroutine may open or shut it.
 type Gate struct {
 	mu     sync.Mutex
 	change sync.Cond
 	shut   bool
-	ended  bool
+	ended  bool // the reader does not wait any more
 }
 
-// Set opens or shuts the gate. deadline is the socket's: one in the past ends what the reader waits in.
+// SetOpen opens or shuts the gate. deadline is the function that sets the socket's deadline for reading or accepting: a
+// deadline in the past interrupts the call in which the reader waits.
 func (g *Gate) Set(open bool, deadline func(time.Time) error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -29,7 +32,7 @@
 	g.wake()
 }
 
-// End lets the reader go on to find its socket closed.
+// Release ends the wait of the reader for good, so that it reads again and gets the error of its closed socket.
 func (g *Gate) End() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,15 +45,15 @@
 	g.change.Broadcast()
 }
 
-// Shut tells whether the gate is shut now.
+// IsShut reports whether the gate makes the reader wait now: it is shut and not released.
 func (g *Gate) Shut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.shut && !g.ended
 }
 
-// Retry is asked with the error of a read. If the gate's deadline caused it, it waits until the gate opens or ends and tells to
-// read again.
+// WaitAndRetry takes the error of a read. If a deadline caused the error, it waits until the gate is open or released
+// and returns true: read again. Otherwise it returns false at once.
 func (g *Gate) Retry(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
