--- a/cmd/rig/agreement.go
+++ b/cmd/rig/agreement.go
@@ -167,17 +167,17 @@
 // idleLoop is a node's loop with nothing to do.
 type idleLoop struct{}
 
-// Hold does nothing.
-func (idleLoop) Hold(core.Held) {}
+// SetCordon does nothing.
+func (idleLoop) SetCordon(core.Cordon) {}
 
-// Left reports that no request is open at the servers held.
-func (idleLoop) Left(core.Held) (int, bool) { return 0, true }
+// OpenAttemptsAt reports that no request is open at the servers held.
+func (idleLoop) OpenAttemptsAt(core.Cordon) (int, bool) { return 0, true }
 
-// Open reports that no request is open.
-func (idleLoop) Open() (int, bool) { return 0, true }
+// OpenRequests reports that no request is open.
+func (idleLoop) OpenRequests() (int, bool) { return 0, true }
 
-// Suspects names no server.
-func (idleLoop) Suspects() []string { return nil }
+// EjectedServers names no server.
+func (idleLoop) EjectedServers() []string { return nil }
 
 // Away does nothing.
 func (idleLoop) Away(bool) {}
@@ -188,11 +188,11 @@
 // Resident is 0: the memory is not measured.
 func (idleLoop) Resident() uint64 { return 0 }
 
-// Able reports that the node can serve.
-func (idleLoop) Able() bool { return true }
+// CanServe reports that the node can serve.
+func (idleLoop) CanServe() bool { return true }
 
-// Listed is an empty list.
-func (idleLoop) Listed() core.List { return core.List{} }
+// ServerList is an empty list.
+func (idleLoop) ServerList() core.List { return core.List{} }
 
 // sessions has ever more nodes keep sessions, and proves drains among them.
 func (o *options) sessions(ctx context.Context, w *workshop, f *fleet, h *history, sizes []int, window time.Duration) error {
--- a/cmd/rig/soakplay.go
+++ b/cmd/rig/soakplay.go
@@ -208,7 +208,7 @@
 		if f, err := figures(n.ops); err != nil {
 			n.ended = append(n.ended, fmt.Sprintf("%s: no figures: %v", n.name, err))
 		} else {
-			for _, r := range guard.Each() {
+			for _, r := range guard.Rules() {
 				n.guard[r.String()] += f["gw.guard."+r.String()+".violated"]
 			}
 		}
@@ -238,7 +238,7 @@
 				continue
 			}
 			refused := 0
-			for _, r := range guard.Each() {
+			for _, r := range guard.Rules() {
 				refused += f["gw.guard."+r.String()+".refused"]
 			}
 			p.mu.Lock()
--- a/cmd/starlingvalve/config.go
+++ b/cmd/starlingvalve/config.go
@@ -21,12 +21,12 @@
 )
 
 // inForcePollInterval is how often --wait fetches the status.
-const inForceEvery = 100 * time.Millisecond
+const inForcePollInterval = 100 * time.Millisecond
 
 // configCommand creates the commands that read and change the fleet's configuration.
 func configCommand() *cobra.Command {
-	a := &asking{}
-	root, add := a.command("config", "Change and read the fleet's configuration: services, routes, tenants")
+	cli := &fleetCLI{}
+	root, add := cli.command("config", "Change and read the fleet's configuration: services, routes, tenants")
 	var wait time.Duration
 	waits := func(c *cobra.Command) {
 		c.Flags().DurationVar(&wait, "wait", 0,
@@ -34,30 +34,32 @@
 	}
 	waits(add("put FILE", "Apply all changes of a file, or none", cobra.ExactArgs(1),
 		func(c *cobra.Command, d *control.Door, args []string) error {
-			return a.putConfig(c, d, args[0], wait)
+			return cli.putConfig(c, d, args[0], wait)
 		}))
 	waits(add("rollback REVISION", "Restore all entries as of a revision", cobra.ExactArgs(1),
 		func(c *cobra.Command, d *control.Door, args []string) error {
-			return a.rollBackConfig(c, d, args[0], wait)
+			return cli.rollBackConfig(c, d, args[0], wait)
 		}))
-	add("get [KEY...]", "Print entries in the format of a file for put", cobra.ArbitraryArgs, a.getConfig)
-	add("diff FILE", "Print what put would change", cobra.ExactArgs(1), a.diffConfig)
-	var most uint32
+	add("get [KEY...]", "Print entries in the format of a file for put", cobra.ArbitraryArgs, cli.getConfig)
+	add("diff FILE", "Print what put would change", cobra.ExactArgs(1), cli.diffConfig)
+	var maxRevisions uint32
 	history := add("history", "Print who changed what, and why", cobra.NoArgs,
-		func(c *cobra.Command, d *control.Door, _ []string) error { return a.configHistory(c, d, most) })
-	history.Flags().Uint32Var(&most, "most", 20, "number of revisions to print, newest ones; 0: all that are kept")
+		func(c *cobra.Command, d *control.Door, _ []string) error {
+			return cli.configHistory(c, d, maxRevisions)
+		})
+	history.Flags().Uint32Var(&maxRevisions, "most", 20, "number of revisions to print, newest ones; 0: all that are kept")
 	add("status", "Print the revision in force, which nodes lag and why; exit code 5 while the newest is not in force", cobra.NoArgs,
 		func(c *cobra.Command, d *control.Door, _ []string) error {
 			s, err := configStatus(c.Context(), d)
 			if err != nil {
 				return err
 			}
-			return a.tellStatus(c.OutOrStdout(), s)
+			return cli.printStatus(c.OutOrStdout(), s)
 		})
 	return root
 }
 
-func (a *asking) putConfig(c *cobra.Command, d *control.Door, path string, wait time.Duration) error {
+func (a *fleetCLI) putConfig(c *cobra.Command, d *control.Door, path string, wait time.Duration) error {
 	f, err := configfile.Load(path)
 	if err != nil {
 		return err
@@ -67,14 +69,14 @@
 	if err != nil {
 		return err
 	}
-	if refusal := r.GetConfiguration().GetRefusal(); refusal != nil && !a.json() {
+	if refusal := r.GetConfiguration().GetRefusal(); refusal != nil && !a.jsonOutput() {
 		fmt.Fprintln(c.ErrOrStderr(), "starlingvalve:", f.Fault(refusal))
-		return codeOf(r)
+		return exitCodeOf(r)
 	}
-	return a.tellChange(c, d, r, wait)
+	return a.printChange(c, d, r, wait)
 }
 
-func (a *asking) rollBackConfig(c *cobra.Command, d *control.Door, revision string, wait time.Duration) error {
+func (a *fleetCLI) rollBackConfig(c *cobra.Command, d *control.Door, revision string, wait time.Duration) error {
 	to, err := parseRevision(revision)
 	if err != nil {
 		return err
@@ -84,12 +86,12 @@
 	if err != nil {
 		return err
 	}
-	return a.tellChange(c, d, r, wait)
+	return a.printChange(c, d, r, wait)
 }
 
 // changeConfig submits a change. It has a number of its own, so that it is safe to submit it again.
-func (a *asking) changeConfig(c *cobra.Command, d *control.Door, e *fleetpb.Entry) (*fleetpb.Result, error) {
-	if e.Ask = a.number; e.Ask == "" {
+func (a *fleetCLI) changeConfig(c *cobra.Command, d *control.Door, e *fleetpb.Entry) (*fleetpb.Result, error) {
+	if e.Ask = a.requestID; e.Ask == "" {
 		e.Ask = rand.Text()
 	}
 	ctx, cancel := context.WithTimeout(c.Context(), 30*time.Second)
@@ -99,26 +101,26 @@
 
 // printChange prints the result of a change. If wait is not 0, it then waits up to that long until the change is in
 // force.
-func (a *asking) tellChange(c *cobra.Command, d *control.Door, r *fleetpb.Result, wait time.Duration) error {
-	w, result := c.OutOrStdout(), r.GetConfiguration()
+func (a *fleetCLI) printChange(c *cobra.Command, d *control.Door, result *fleetpb.Result, wait time.Duration) error {
+	w, change := c.OutOrStdout(), result.GetConfiguration()
 	switch {
-	case a.json():
-		if err := printJSON(w, r); err != nil {
+	case a.jsonOutput():
+		if err := printJSON(w, result); err != nil {
 			return err
 		}
-	case result == nil || r.Reason != "":
-		fmt.Fprintf(w, "%s: %s\n", strings.ToLower(r.Code.String()), r.Reason)
+	case change == nil || result.Reason != "":
+		fmt.Fprintf(w, "%s: %s\n", strings.ToLower(result.Code.String()), result.Reason)
 	default:
-		fmt.Fprintf(w, "%s, revision %d\n", strings.ToLower(result.Code.String()), result.Revision)
+		fmt.Fprintf(w, "%s, revision %d\n", strings.ToLower(change.Code.String()), change.Revision)
 	}
-	if err := codeOf(r); err != nil || wait == 0 {
+	if err := exitCodeOf(result); err != nil || wait == 0 {
 		return err
 	}
-	return a.waitInForce(c, d, result.GetRevision(), wait)
+	return a.waitInForce(c, d, change.GetRevision(), wait)
 }
 
 // exitCodeOf returns the exit code of a result, as an error.
-func codeOf(r *fleetpb.Result) error {
+func exitCodeOf(r *fleetpb.Result) error {
 	switch r.Code {
 	case fleetpb.Result_DONE:
 		return nil
@@ -139,21 +141,21 @@
 
 // waitInForce waits until every node has applied a revision or a newer one. If that takes longer than wait, it prints
 // which nodes lag.
-func (a *asking) waitInForce(c *cobra.Command, d *control.Door, revision uint64, wait time.Duration) error {
+func (a *fleetCLI) waitInForce(c *cobra.Command, d *control.Door, revision uint64, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(c.Context(), wait)
 	defer cancel()
 	var last *configpb.Status
 	for began := time.Now(); ; {
-		s, err := configStatus(ctx, d)
+		status, err := configStatus(ctx, d)
 		if err == nil {
-			if last = s; s.Accounted && s.InForce >= revision {
+			if last = status; status.Accounted && status.InForce >= revision {
 				took := time.Since(began).Milliseconds()
-				fmt.Fprintf(c.OutOrStdout(), "in force at all %d nodes after %d ms\n", s.Sessions, took)
+				fmt.Fprintf(c.OutOrStdout(), "in force at all %d nodes after %d ms\n", status.Sessions, took)
 				return nil
 			}
 		}
 		select {
-		case <-time.After(inForceEvery):
+		case <-time.After(inForcePollInterval):
 			continue
 		case <-ctx.Done():
 		}
@@ -172,19 +174,19 @@
 }
 
 // printStatus prints a status. It returns the exit code exitUnproven unless the newest revision is in force.
-func (a *asking) tellStatus(w io.Writer, s *configpb.Status) error {
-	inForce := s.Accounted && s.InForce == s.Revision
-	if a.json() {
-		if err := printJSON(w, s); err != nil {
+func (a *fleetCLI) printStatus(w io.Writer, status *configpb.Status) error {
+	inForce := status.Accounted && status.InForce == status.Revision
+	if a.jsonOutput() {
+		if err := printJSON(w, status); err != nil {
 			return err
 		}
 	} else {
-		state := fmt.Sprintf("in force: %d", s.InForce)
-		if !s.Accounted {
+		state := fmt.Sprintf("in force: %d", status.InForce)
+		if !status.Accounted {
 			state = "in force: unknown, as no control machine has a report of some session"
 		}
-		fmt.Fprintf(w, "revision %d, %s; %d nodes\n", s.Revision, state, s.Sessions)
-		a.printLags(w, s)
+		fmt.Fprintf(w, "revision %d, %s; %d nodes\n", status.Revision, state, status.Sessions)
+		a.printLags(w, status)
 	}
 	if !inForce {
 		return exitCode(exitUnproven)
@@ -194,22 +196,22 @@
 
 // printLags prints a table of the control machines, of the nodes that lag and why, and of those that no machine has a
 // report of.
-func (a *asking) printLags(out io.Writer, s *configpb.Status) {
+func (a *fleetCLI) printLags(out io.Writer, s *configpb.Status) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	for _, m := range s.Machines {
-		if m.Report == nil {
-			fmt.Fprintf(w, "machine\t%s\tnot reached: %s\n", m.Name, m.Why)
+	for _, machine := range s.Machines {
+		if machine.Report == nil {
+			fmt.Fprintf(w, "machine\t%s\tnot reached: %s\n", machine.Name, machine.Why)
 			continue
 		}
-		fmt.Fprintf(w, "machine\t%s\trevision %d\t%d nodes\n", m.Name, m.Report.Applied, m.Report.Nodes)
-		for _, l := range m.Report.Lagging {
+		fmt.Fprintf(w, "machine\t%s\trevision %d\t%d nodes\n", machine.Name, machine.Report.Applied, machine.Report.Nodes)
+		for _, lagging := range machine.Report.Lagging {
 			why := "not acknowledged yet"
-			if r := l.Refusal; l.Refused > 0 {
-				reason := strings.Join(nonEmpty(r.GetEntry(), r.GetField(), r.GetReason()), ": ")
-				why = fmt.Sprintf("refused up to %d: %s", l.Refused, reason)
+			if refusal := lagging.Refusal; lagging.Refused > 0 {
+				reason := strings.Join(nonEmpty(refusal.GetEntry(), refusal.GetField(), refusal.GetReason()), ": ")
+				why = fmt.Sprintf("refused up to %d: %s", lagging.Refused, reason)
 			}
-			fmt.Fprintf(w, "lags\t%s\trevision %d\tat %s\t%s\n", l.Node, l.Applied, m.Name, why)
+			fmt.Fprintf(w, "lags\t%s\trevision %d\tat %s\t%s\n", lagging.Node, lagging.Applied, machine.Name, why)
 		}
 	}
 	for _, node := range s.Unheard {
@@ -221,12 +223,12 @@
 	return slices.DeleteFunc(list, func(s string) bool { return s == "" })
 }
 
-func (a *asking) getConfig(c *cobra.Command, d *control.Door, keys []string) error {
-	s, err := configSnapshot(c.Context(), d)
+func (a *fleetCLI) getConfig(c *cobra.Command, d *control.Door, keys []string) error {
+	snapshot, err := configSnapshot(c.Context(), d)
 	if err != nil {
 		return err
 	}
-	entries := s.GetEntries()
+	entries := snapshot.GetEntries()
 	if len(keys) > 0 {
 		known := map[string]*configpb.Entry{}
 		for _, e := range entries {
@@ -235,19 +237,19 @@
 		entries = nil
 		for _, key := range keys {
 			if known[key] == nil {
-				return fmt.Errorf("config: no entry %q at revision %d", key, s.GetRevision())
+				return fmt.Errorf("config: no entry %q at revision %d", key, snapshot.GetRevision())
 			}
 			entries = append(entries, known[key])
 		}
 	}
-	if a.json() {
-		return printJSON(c.OutOrStdout(), &configpb.Snapshot{Revision: s.GetRevision(), Entries: entries})
+	if a.jsonOutput() {
+		return printJSON(c.OutOrStdout(), &configpb.Snapshot{Revision: snapshot.GetRevision(), Entries: entries})
 	}
 	text, err := configfile.Render(entries)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "# revision %d\n%s", s.GetRevision(), text)
+	fmt.Fprintf(c.OutOrStdout(), "# revision %d\n%s", snapshot.GetRevision(), text)
 	return nil
 }
 
@@ -256,7 +258,7 @@
 	return answer.GetSnapshot(), err
 }
 
-func (a *asking) diffConfig(c *cobra.Command, d *control.Door, args []string) error {
+func (a *fleetCLI) diffConfig(c *cobra.Command, d *control.Door, args []string) error {
 	f, err := configfile.Load(args[0])
 	if err != nil {
 		return err
@@ -267,12 +269,12 @@
 	}
 	w := c.OutOrStdout()
 	list := f.Differences(s.GetEntries())
-	for _, x := range list {
-		if x.Before != nil {
-			fmt.Fprintf(w, "- %s %s\n", x.Key, oneLine(x.Before))
+	for _, difference := range list {
+		if difference.Before != nil {
+			fmt.Fprintf(w, "- %s %s\n", difference.Key, entryValue(difference.Before))
 		}
-		if x.After != nil {
-			fmt.Fprintf(w, "+ %s %s\n", x.Key, oneLine(x.After))
+		if difference.After != nil {
+			fmt.Fprintf(w, "+ %s %s\n", difference.Key, entryValue(difference.After))
 		}
 	}
 	fmt.Fprintf(w, "%d of %d entries differ from revision %d\n", len(list), len(f.Transaction.Changes), s.GetRevision())
@@ -280,7 +282,7 @@
 }
 
 // entryValue returns an entry's value as one line of JSON.
-func oneLine(e *configpb.Entry) string {
+func entryValue(e *configpb.Entry) string {
 	raw, err := protojson.Marshal(&configpb.Entry{Value: e.Value})
 	if err != nil {
 		return err.Error()
@@ -288,14 +290,14 @@
 	return string(raw)
 }
 
-func (a *asking) configHistory(c *cobra.Command, d *control.Door, most uint32) error {
-	query := &configpb.HistoryQuery{Most: most}
+func (a *fleetCLI) configHistory(c *cobra.Command, d *control.Door, maxRevisions uint32) error {
+	query := &configpb.HistoryQuery{Most: maxRevisions}
 	answer, err := d.Query(c.Context(), &configpb.Query{About: &configpb.Query_History{History: query}})
 	if err != nil {
 		return err
 	}
 	for _, r := range answer.GetHistory() {
-		if a.json() {
+		if a.jsonOutput() {
 			if err := printJSON(c.OutOrStdout(), r); err != nil {
 				return err
 			}
@@ -308,7 +310,7 @@
 }
 
 // maxKeysPrinted is how many changed keys the history prints for a revision.
-const keysTold = 5
+const maxKeysPrinted = 5
 
 // changedKeys lists the keys of the entries that a revision changed, up to maxKeysPrinted. Deleted ones have a minus.
 func changedKeys(r *configpb.Revision) string {
@@ -320,8 +322,8 @@
 			keys = append(keys, "-"+c.GetDelete())
 		}
 	}
-	if more := len(keys) - keysTold; more > 0 {
-		keys = append(keys[:keysTold], fmt.Sprintf("and %d more", more))
+	if more := len(keys) - maxKeysPrinted; more > 0 {
+		keys = append(keys[:maxKeysPrinted], fmt.Sprintf("and %d more", more))
 	}
 	return strings.Join(keys, ", ")
 }
--- a/cmd/starlingvalve/crowd_test.go
+++ b/cmd/starlingvalve/crowd_test.go
@@ -28,7 +28,7 @@
 		return err
 	}},
 	{"half a body", func(c net.Conn) error {
-		_, err := io.WriteString(c, muchRequest("half", "Content-Length: 9\r\n\r\nhalf"))
+		_, err := io.WriteString(c, rawRequest("half", "Content-Length: 9\r\n\r\nhalf"))
 		return err
 	}},
 	{"kept after an answer", func(c net.Conn) error {
@@ -42,7 +42,7 @@
 
 // idleClients are idle clients of one node, which occupy every connection that they can get: each one connects again
 // after the node has closed its connection.
-type crowd struct {
+type idleClients struct {
 	held  atomic.Int64 // connections that are open now
 	ended atomic.Int64 // connections that the node has closed or reset
 }
@@ -50,22 +50,22 @@
 const (
 	// idlePause is the time between the end of an idle client's connection and its next attempt. All clients together
 	// make several hundred connections per second.
-	idlePause = 300 * time.Millisecond
-	idleDial  = 2 * time.Second // timeout for establishing a connection
+	idlePause       = 300 * time.Millisecond
+	idleDialTimeout = 2 * time.Second // timeout for establishing a connection
 )
 
 // startIdleClients starts idle clients, which use all idleKinds in turn. They stop when the test ends.
-func newCrowd(t *testing.T, listen string, clients int) *crowd {
+func startIdleClients(t *testing.T, listen string, clients int) *idleClients {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	t.Cleanup(func() { stop(); running.Wait() })
-	w := &crowd{}
+	clientsRunning := &idleClients{}
 	for i := range clients {
 		kind := idleKinds[i%len(idleKinds)]
 		running.Go(func() {
 			for ctx.Err() == nil {
-				w.rest(ctx, listen, kind)
+				clientsRunning.holdConnection(ctx, listen, kind)
 				select {
 				case <-ctx.Done():
 				case <-time.After(idlePause):
@@ -73,23 +73,23 @@
 			}
 		})
 	}
-	return w
+	return clientsRunning
 }
 
 // holdConnection makes one connection and holds it until the node closes it or ctx ends.
-func (w *crowd) rest(ctx context.Context, listen string, kind idleKind) {
-	dialer := net.Dialer{Timeout: idleDial}
-	c, err := dialer.DialContext(ctx, "tcp", listen)
+func (w *idleClients) holdConnection(ctx context.Context, listen string, kind idleKind) {
+	dialer := net.Dialer{Timeout: idleDialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", listen)
 	if err != nil {
 		return
 	}
-	defer c.Close()
-	stop := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
+	defer conn.Close()
+	stop := context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
 	w.held.Add(1)
 	defer w.held.Add(-1)
-	if kind.open(c) == nil {
-		io.Copy(io.Discard, c)
+	if kind.open(conn) == nil {
+		io.Copy(io.Discard, conn)
 	}
 	if ctx.Err() == nil {
 		w.ended.Add(1)
@@ -98,7 +98,7 @@
 
 // waitForEnded waits until the node has closed as many connections as there are clients, which shows that it is at
 // its limit.
-func (w *crowd) fills(t *testing.T, clients int) {
+func (w *idleClients) waitForEnded(t *testing.T, clients int) {
 	t.Helper()
 	from := w.ended.Load()
 	testkit.Until(t, "the idle clients do not fill the node", func() bool { return w.ended.Load()-from >= int64(clients) })
--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -27,11 +27,11 @@
 
 // envDescriptorLimit is the environment variable with the limit of file descriptors that the program, and nothing
 // else, gets.
-const asLimited = "STARLINGVALVE_TEST_DESCRIPTORS"
+const envDescriptorLimit = "STARLINGVALVE_TEST_DESCRIPTORS"
 
 // applyDescriptorLimit sets the limit of file descriptors of this process, which is about to run as the program.
-func limited() {
-	text := os.Getenv(asLimited)
+func applyDescriptorLimit() {
+	text := os.Getenv(envDescriptorLimit)
 	if text == "" {
 		return
 	}
@@ -47,27 +47,27 @@
 
 const (
 	// notifiedWithin is how long after discovery had a change and was reachable the node counts as notified of it.
-	toldWithin = 6 * time.Second
+	notifiedWithin = 6 * time.Second
 	// opsAnswerWithin is the time within which the operators' address has to answer.
-	operatorsWithin = time.Second
+	opsAnswerWithin = time.Second
 	// drainGrace is how long after the notification of a drain requests may still be sent to the server, in the
 	// settings of these tests.
 	drainGrace = 500 * time.Millisecond
 	// logRate is the number of log lines per second that a node at its limit of descriptors may write.
 	logRate = 10
 	// countInterval is how often a process's descriptors are counted.
-	countEvery = 2 * time.Millisecond
+	countInterval = 2 * time.Millisecond
 )
 
 // descriptorNode is a node that runs as one or more processes under a limit of file descriptors, and its clients.
 type descriptorNode struct {
-	t             *testing.T
-	config        string
-	listen        string
-	second        string // the operators' address of the latest process
-	dir           string
-	limit         int
-	asked, unread int // requests sent, and those of them that got no answer
+	t                    *testing.T
+	config               string
+	listen               string
+	opsAddr              string // the operators' address of the latest process
+	dir                  string
+	limit                int
+	requests, unanswered int // requests sent, and those of them that got no answer
 }
 
 // descriptorProcess is a process of the node.
@@ -81,9 +81,9 @@
 // start starts a process and waits until it listens.
 func (n *descriptorNode) start() *descriptorProcess {
 	n.t.Helper()
-	cmd, _ := program(n.t, n.config)
+	cmd, _ := programCommand(n.t, n.config)
 	cmd.Stderr = nil
-	cmd.Env = append(cmd.Env, "TMPDIR="+n.dir, "GW_OPS=127.0.0.1:0", asLimited+"="+strconv.Itoa(n.limit))
+	cmd.Env = append(cmd.Env, "TMPDIR="+n.dir, "GW_OPS=127.0.0.1:0", envDescriptorLimit+"="+strconv.Itoa(n.limit))
 	log, err := cmd.StderrPipe()
 	if err != nil {
 		n.t.Fatal(err)
@@ -91,20 +91,20 @@
 	if err := cmd.Start(); err != nil {
 		n.t.Fatal(err)
 	}
-	p := &descriptorProcess{Cmd: cmd, started: time.Now()}
+	process := &descriptorProcess{Cmd: cmd, started: time.Now()}
 	guard := time.AfterFunc(2*time.Minute, func() { cmd.Process.Kill() })
 	ctx, stop := context.WithCancel(context.Background())
 	second := make(chan string, 1)
 	var watching sync.WaitGroup
 	n.t.Cleanup(func() { guard.Stop(); cmd.Process.Kill(); stop(); watching.Wait(); cmd.Wait() })
-	watching.Go(func() { p.readLog(n.t, log, second) })
-	watching.Go(func() { p.count(ctx) })
+	watching.Go(func() { process.readLog(n.t, log, second) })
+	watching.Go(func() { process.count(ctx) })
 	select {
-	case n.second = <-second:
+	case n.opsAddr = <-second:
 	case <-time.After(testkit.Patient):
 		n.t.Fatal("the process does not start")
 	}
-	return p
+	return process
 }
 
 // readLog counts the lines of the log, and sends the operators' address that it names.
@@ -120,7 +120,7 @@
 
 // count records the peak number of the process's descriptors, until ctx ends.
 func (p *descriptorProcess) count(ctx context.Context) {
-	tick := time.NewTicker(countEvery)
+	tick := time.NewTicker(countInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		p.peak.Store(max(p.peak.Load(), int64(descriptorsOf(p.Process.Pid))))
@@ -142,19 +142,19 @@
 
 // sendRequest sends a request on a new connection. The node has to answer it, with a result or a refusal, even if it
 // is at its limit of descriptors.
-func (n *descriptorNode) ask() {
-	n.asked++
-	c, err := net.DialTimeout("tcp", n.listen, testkit.Patient)
+func (n *descriptorNode) sendRequest() {
+	n.requests++
+	conn, err := net.DialTimeout("tcp", n.listen, testkit.Patient)
 	if err != nil {
 		n.t.Error(err)
 		return
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patient))
-	io.WriteString(c, muchRequest(fmt.Sprint("ask", n.asked), "Content-Length: 0\r\n\r\n"))
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	io.WriteString(conn, rawRequest(fmt.Sprint("ask", n.requests), "Content-Length: 0\r\n\r\n"))
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		n.unread++
+		n.unanswered++
 		return
 	}
 	io.Copy(io.Discard, resp.Body)
@@ -165,14 +165,14 @@
 
 // waitReached sends requests until each of these servers has got a further one. It returns when the first server was
 // reached and when the last.
-func (n *descriptorNode) reaches(servers []*fleetServer) (first, last time.Time) {
+func (n *descriptorNode) waitReached(servers []*fleetServer) (first, last time.Time) {
 	n.t.Helper()
 	before := map[*fleetServer]int{}
 	for _, s := range servers {
 		before[s], _ = s.requests()
 	}
 	testkit.Until(n.t, "not all servers get a request", func() bool {
-		n.ask()
+		n.sendRequest()
 		missing := 0
 		for _, s := range servers {
 			if got, _ := s.requests(); got == before[s] {
@@ -188,34 +188,34 @@
 }
 
 // checkOps checks that the operators' address answers within opsAnswerWithin.
-func (n *descriptorNode) operators() {
+func (n *descriptorNode) checkOps() {
 	n.t.Helper()
 	began := time.Now()
 	client := http.Client{Timeout: testkit.Patient, Transport: &http.Transport{DisableKeepAlives: true}}
-	resp, err := client.Get("http://" + n.second + "/stats")
+	resp, err := client.Get("http://" + n.opsAddr + "/stats")
 	if err != nil {
 		n.t.Error("operators' address:", err)
 		return
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	if took := time.Since(began); took > operatorsWithin || resp.StatusCode != http.StatusOK {
-		n.t.Errorf("operators' address: %s after %v, %v allowed", resp.Status, took, operatorsWithin)
+	if took := time.Since(began); took > opsAnswerWithin || resp.StatusCode != http.StatusOK {
+		n.t.Errorf("operators' address: %s after %v, %v allowed", resp.Status, took, opsAnswerWithin)
 	}
 }
 
 // descriptorCase is a case of TestIdleClientsTakeNoDescriptorOfTheNode.
-type crowdCase struct {
-	limit, told int    // descriptors that the system grants, and limits.sockets in the configuration
-	mode        string // membership_mode: how the node gets lists
-	silent      bool   // while discovery is down, it accepts connections and never answers; else nobody listens
+type descriptorCase struct {
+	limit, configured int    // descriptors that the system grants, and limits.sockets in the configuration
+	mode              string // membership_mode: how the node gets lists
+	unresponsive      bool   // while discovery is down, it accepts connections and never answers; else nobody listens
 }
 
 // While discovery is down, idle clients occupy all the descriptors that they can get. The node must keep enough for
 // itself: it reaches discovery when that is back, connects to servers, answers at the operators' address, can be
 // reloaded and replaced, and answers each request.
-func TestCrowdTakesNoDescriptorOfTheNode(t *testing.T) {
-	for _, c := range []crowdCase{
+func TestIdleClientsTakeNoDescriptorOfTheNode(t *testing.T) {
+	for _, c := range []descriptorCase{
 		{256, 256, "pushed", false},
 		{256, 256, "on_request", true},
 		{256, 1024, "pushed", true},
@@ -223,138 +223,138 @@
 		{256, 1024, "on_request", true},
 		{1024, 1024, "on_request", true},
 	} {
-		t.Run(fmt.Sprintf("%d of %d, %s, silent %v", c.limit, c.told, c.mode, c.silent), c.run)
+		t.Run(fmt.Sprintf("%d of %d, %s, silent %v", c.limit, c.configured, c.mode, c.unresponsive), c.run)
 	}
 }
 
 // run takes the node through discovery down before there is a list, up, down again with servers drained when it is
 // back, a reload to another discovery server, and a replacement of the process.
-func (c crowdCase) run(t *testing.T) {
+func (c descriptorCase) run(t *testing.T) {
 	const servers = 8 // few enough for the node to use all of them, not a subset
-	d := newSwitched(t, c.silent)
-	n := c.node(t, d.addr)
-	p := n.start()
+	discovery := newSwitchableDiscovery(t, c.unresponsive)
+	node := c.node(t, discovery.addr)
+	process := node.start()
 	clients := c.limit + c.limit/4
-	w := newCrowd(t, n.listen, clients)
-	c.fill(n, w, p, clients)
+	idle := startIdleClients(t, node.listen, clients)
+	c.saturate(node, idle, process, clients)
 
 	before := newFleetServers(t, 1, servers)
-	c.returns("no list yet", n, d, before, entries(before, "ready"))
+	c.restoreDiscovery("no list yet", node, discovery, before, entries(before, "ready"))
 
-	d.away()
-	c.fill(n, w, nil, clients)
+	discovery.takeDown()
+	c.saturate(node, idle, nil, clients)
 	after := newFleetServers(t, 101, servers)
-	told := c.returns("drains at the return", n, d, after, append(entries(before, "draining"), entries(after, "ready")...))
+	notified := c.restoreDiscovery("drains at the return", node, discovery, after, append(entries(before, "draining"), entries(after, "ready")...))
 	for _, s := range before {
-		if _, last := s.requests(); last.After(told.Add(drainGrace)) {
-			t.Errorf("a request went to a draining server %v after the node was notified", last.Sub(told))
+		if _, last := s.requests(); last.After(notified.Add(drainGrace)) {
+			t.Errorf("a request went to a draining server %v after the node was notified", last.Sub(notified))
 		}
 	}
 
-	elsewhere := newSwitched(t, c.silent)
-	n.config = strings.Replace(n.config, d.addr, elsewhere.addr, 1)
-	p.reload(t, n.config)
+	elsewhere := newSwitchableDiscovery(t, c.unresponsive)
+	node.config = strings.Replace(node.config, discovery.addr, elsewhere.addr, 1)
+	process.reload(t, node.config)
 	later := newFleetServers(t, 201, servers)
-	c.returns("reload", n, elsewhere, later, entries(later, "ready"))
-	c.replace(n, w, p, later, clients)
-	if n.unread > 0 {
-		t.Errorf("%d of %d requests got no answer", n.unread, n.asked)
+	c.restoreDiscovery("reload", node, elsewhere, later, entries(later, "ready"))
+	c.replace(node, idle, process, later, clients)
+	if node.unanswered > 0 {
+		t.Errorf("%d of %d requests got no answer", node.unanswered, node.requests)
 	}
 }
 
 // node creates the node of the case and does not start it.
-func (c crowdCase) node(t *testing.T, discovery string) *descriptorNode {
+func (c descriptorCase) node(t *testing.T, discovery string) *descriptorNode {
 	dir, err := os.MkdirTemp("", "sv") // short, as the path of a Unix socket is limited
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	n := &descriptorNode{t: t, listen: reserved(t), dir: dir, limit: c.limit}
+	n := &descriptorNode{t: t, listen: reservedAddr(t), dir: dir, limit: c.limit}
 	n.config = fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1",
 		"limits":{"cores":1,"memory_mb":64,"sockets":%d},"settings":{
 		"membership_mode":%q,"invariants":{"ask_within_ns":10000000000,"drain_grace_ns":%d},"balancers":1,
 		"caps":{"connect_timeout_ns":2000000000,"cancel":true,"max_attempts":2,"retry_after":true},
 		"classes":[{"name":"c","effect":"fragile","give_up_ns":3000000000,"aim_ns":2500000000}]}}`,
-		n.listen, discovery, c.told, c.mode, drainGrace.Nanoseconds())
+		n.listen, discovery, c.configured, c.mode, drainGrace.Nanoseconds())
 	return n
 }
 
 // saturate waits until the idle clients have occupied all connections that they can get. If p is not nil, it then
 // suspends that process until all clients wait in the listener's queue, and resumes it. Such a process has no
 // connection to a server yet, and must not have used the descriptors that are reserved for these.
-func (c crowdCase) fill(n *descriptorNode, w *crowd, p *descriptorProcess, clients int) {
-	n.t.Helper()
-	w.fills(n.t, clients)
-	if p != nil {
-		p.Process.Signal(syscall.SIGSTOP)
-		testkit.Until(n.t, "the idle clients do not connect", func() bool { return w.held.Load() >= int64(clients-1) })
-		p.Process.Signal(syscall.SIGCONT)
-		w.fills(n.t, clients)
-		split, err := descriptors.Divide(c.limit, descriptors.Uses{Operators: ops.Descriptors})
+func (c descriptorCase) saturate(node *descriptorNode, idle *idleClients, process *descriptorProcess, clients int) {
+	node.t.Helper()
+	idle.waitForEnded(node.t, clients)
+	if process != nil {
+		process.Process.Signal(syscall.SIGSTOP)
+		testkit.Until(node.t, "the idle clients do not connect", func() bool { return idle.held.Load() >= int64(clients-1) })
+		process.Process.Signal(syscall.SIGCONT)
+		idle.waitForEnded(node.t, clients)
+		split, err := descriptors.Divide(c.limit, descriptors.Uses{Operators: ops.MaxDescriptors})
 		if err != nil {
-			n.t.Fatal(err)
+			node.t.Fatal(err)
 		}
 		most := int64(split.Node + split.Clients)
-		n.t.Logf("figure: %d descriptors in use, %d allowed without those for servers", p.peak.Load(), most)
-		if p.peak.Load() > most {
-			n.t.Errorf("idle clients made the node use %d descriptors; %d of %d are reserved for servers",
-				p.peak.Load(), split.Servers, c.limit)
+		node.t.Logf("figure: %d descriptors in use, %d allowed without those for servers", process.peak.Load(), most)
+		if process.peak.Load() > most {
+			node.t.Errorf("idle clients made the node use %d descriptors; %d of %d are reserved for servers",
+				process.peak.Load(), split.Servers, c.limit)
 		}
 	}
-	n.operators()
+	node.checkOps()
 }
 
 // restoreDiscovery brings discovery back with a list and waits until the list's ready servers get requests. It
 // returns when the node first requested the list, which is when it counts as notified.
-func (c crowdCase) returns(when string, n *descriptorNode, d *switched, ready []*fleetServer,
-	list []standin.Entry) (told time.Time) {
-	n.t.Helper()
-	at := d.back(list...)
-	told = d.reached()
-	first, all := n.reaches(ready)
-	n.operators()
-	n.t.Logf("figure: %s: discovery reached after %v, a server of the list after %v, all after %v, %d requests in all", when,
-		told.Sub(at), first.Sub(at), all.Sub(at), n.asked)
+func (c descriptorCase) restoreDiscovery(when string, node *descriptorNode, discovery *switchableDiscovery, ready []*fleetServer,
+	list []standin.Entry) (notified time.Time) {
+	node.t.Helper()
+	at := discovery.bringBack(list...)
+	notified = discovery.firstCall()
+	first, all := node.waitReached(ready)
+	node.checkOps()
+	node.t.Logf("figure: %s: discovery reached after %v, a server of the list after %v, all after %v, %d requests in all", when,
+		notified.Sub(at), first.Sub(at), all.Sub(at), node.requests)
 	// The time limit is for the first server only. The module prefers servers that answered fast, so the last one may
 	// be reached much later, but all have to be reached.
-	if took := first.Sub(at); took > toldWithin {
-		n.t.Errorf("%s: the list was followed after %v, %v allowed", when, took, toldWithin)
+	if took := first.Sub(at); took > notifiedWithin {
+		node.t.Errorf("%s: the list was followed after %v, %v allowed", when, took, notifiedWithin)
 	}
-	return told
+	return notified
 }
 
 // replace starts a successor of the process and ends the old one with SIGTERM. Both together have to stay within the
 // limit of descriptors.
-func (c crowdCase) replace(n *descriptorNode, w *crowd, old *descriptorProcess, servers []*fleetServer, clients int) {
-	n.t.Helper()
-	next := n.start()
+func (c descriptorCase) replace(node *descriptorNode, idle *idleClients, old *descriptorProcess, servers []*fleetServer, clients int) {
+	node.t.Helper()
+	next := node.start()
 	ctx, stop := context.WithCancel(context.Background())
 	sum := make(chan int, 1)
 	go func() {
 		most := 0
 		for ctx.Err() == nil {
 			most = max(most, descriptorsOf(old.Process.Pid)+descriptorsOf(next.Process.Pid))
-			time.Sleep(countEvery)
+			time.Sleep(countInterval)
 		}
 		sum <- most
 	}()
-	w.fills(n.t, clients)
+	idle.waitForEnded(node.t, clients)
 	old.Process.Signal(syscall.SIGTERM)
 	if err := old.Wait(); err != nil {
-		n.t.Error("the old process:", err)
+		node.t.Error("the old process:", err)
 	}
 	stop()
 	most := <-sum
-	n.reaches(servers)
-	n.operators()
-	n.t.Logf("figure: replacement: %d descriptors at both processes", most)
+	node.waitReached(servers)
+	node.checkOps()
+	node.t.Logf("figure: replacement: %d descriptors at both processes", most)
 	if most > c.limit {
-		n.t.Errorf("both processes had %d descriptors, %d allowed", most, c.limit)
+		node.t.Errorf("both processes had %d descriptors, %d allowed", most, c.limit)
 	}
 	for _, p := range []*descriptorProcess{old, next} {
 		seconds := time.Since(p.started).Seconds()
 		if lines := p.lines.Load(); float64(lines) > logRate*(1+seconds) {
-			n.t.Errorf("%d log lines in %.1f s", lines, seconds)
+			node.t.Errorf("%d log lines in %.1f s", lines, seconds)
 		}
 	}
 }
--- a/cmd/starlingvalve/endings_test.go
+++ b/cmd/starlingvalve/endings_test.go
@@ -21,29 +21,29 @@
 
 // endingNode is a node whose server reports each request that arrives. The server answers those whose ids begin with
 // "held" only when releaseHeld is called, others at once.
-type crossed struct {
-	*replaceable
-	came chan string // ids
-	let  chan bool   // closed: held requests are answered
-	once sync.Once
+type endingNode struct {
+	*replaceableNode
+	arrived chan string // ids
+	release chan bool   // closed: held requests are answered
+	once    sync.Once
 }
 
 // releaseHeld has the server answer the held requests.
-func (n *crossed) answer() { n.once.Do(func() { close(n.let) }) }
+func (n *endingNode) releaseHeld() { n.once.Do(func() { close(n.release) }) }
 
-func newCrossed(t *testing.T) *crossed {
-	n := &crossed{replaceable: newReplaceable(t), came: make(chan string, 99), let: make(chan bool)}
+func newEndingNode(t *testing.T) *endingNode {
+	n := &endingNode{replaceableNode: newReplaceableNode(t), arrived: make(chan string, 99), release: make(chan bool)}
 	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
 		id := r.Header.Get("X-Correlation-Id")
 		if id == "" { // a probe
 			return testkit.OK("")
 		}
-		if n.came <- id; strings.HasPrefix(id, "held") {
-			<-n.let
+		if n.arrived <- id; strings.HasPrefix(id, "held") {
+			<-n.release
 		}
 		return testkit.OK("x")
 	}))
-	t.Cleanup(n.answer)                // runs before the server's cleanup
+	t.Cleanup(n.releaseHeld)           // runs before the server's cleanup
 	dir, err := os.MkdirTemp("", "sv") // short, as the path of a Unix socket is limited
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 }
 
 // open sends a request on a new connection; status waits for the answer and returns its status.
-func (n *crossed) open(id string) (c net.Conn, status func() int) {
+func (n *endingNode) open(id string) (c net.Conn, status func() int) {
 	n.t.Helper()
 	c, status = n.dial()
 	n.write(c, id)
@@ -64,18 +64,18 @@
 }
 
 // dial makes a connection; status waits for the next answer on it and returns its status.
-func (n *crossed) dial() (c net.Conn, status func() int) {
+func (n *endingNode) dial() (conn net.Conn, status func() int) {
 	n.t.Helper()
-	c, err := net.Dial("tcp", n.listen)
+	conn, err := net.Dial("tcp", n.listen)
 	if err != nil {
 		n.t.Fatal(err)
 	}
-	n.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testkit.Patient))
-	r := bufio.NewReader(c)
-	return c, func() int {
+	n.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	reader := bufio.NewReader(conn)
+	return conn, func() int {
 		n.t.Helper()
-		resp, err := http.ReadResponse(r, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			n.t.Errorf("no answer: %v", err)
 			return 0
@@ -86,15 +86,15 @@
 }
 
 // write sends a request without a body.
-func (n *crossed) write(c net.Conn, id string) {
+func (n *endingNode) write(c net.Conn, id string) {
 	fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %s\r\nX-Time-Left: 9\r\nContent-Length: 0\r\n\r\n", id)
 }
 
 // waitArrived waits until the next request arrives at the server, and checks its id.
-func (n *crossed) taken(id string) {
+func (n *endingNode) waitArrived(id string) {
 	n.t.Helper()
 	select {
-	case got := <-n.came:
+	case got := <-n.arrived:
 		if got != id {
 			n.t.Fatalf("%s arrived at the server, want %s", got, id)
 		}
@@ -104,7 +104,7 @@
 }
 
 // waitExit waits until a process that got SIGTERM exits, and checks that its exit code is 0.
-func (n *crossed) ends(cmd *exec.Cmd) {
+func (n *endingNode) waitExit(cmd *exec.Cmd) {
 	n.t.Helper()
 	hung := time.AfterFunc(testkit.Patient, func() { cmd.Process.Kill() })
 	defer hung.Stop()
@@ -114,7 +114,7 @@
 }
 
 // waitDraining waits until the node has begun to drain, and so is not ready any more.
-func (n *crossed) drains() {
+func (n *endingNode) waitDraining() {
 	n.t.Helper()
 	testkit.Until(n.t, "the node stays ready", func() bool {
 		resp, err := http.Get("http://" + n.listen + "/health/ready")
@@ -127,7 +127,7 @@
 }
 
 // rewrite writes config to the process's configuration file and makes the process read it.
-func (n *crossed) rewrite(cmd *exec.Cmd, config string) {
+func (n *endingNode) rewrite(cmd *exec.Cmd, config string) {
 	n.t.Helper()
 	for _, v := range cmd.Env {
 		if path, ok := strings.CutPrefix(v, "GW_CONFIG="); ok {
@@ -142,23 +142,23 @@
 // Whatever signals and reloads come together with SIGTERM, each accepted request gets exactly one answer, and the
 // process exits by itself.
 func TestTermCrosses(t *testing.T) {
-	for name, cross := range map[string]func(*crossed, *exec.Cmd){
-		"alone": func(n *crossed, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGTERM) },
-		"twice, and SIGINT": func(n *crossed, cmd *exec.Cmd) {
+	for name, cross := range map[string]func(*endingNode, *exec.Cmd){
+		"alone": func(n *endingNode, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGTERM) },
+		"twice, and SIGINT": func(n *endingNode, cmd *exec.Cmd) {
 			cmd.Process.Signal(syscall.SIGTERM)
-			n.drains()
+			n.waitDraining()
 			cmd.Process.Signal(syscall.SIGTERM)
 			cmd.Process.Signal(os.Interrupt)
 		},
-		"within a reload": func(n *crossed, cmd *exec.Cmd) {
+		"within a reload": func(n *endingNode, cmd *exec.Cmd) {
 			n.rewrite(cmd, strings.Replace(n.config, `"discovery":"127.0.0.1:`, `"discovery":"127.0.0.2:`, 1))
 			cmd.Process.Signal(syscall.SIGTERM)
 		},
-		"a bad configuration within it": func(n *crossed, cmd *exec.Cmd) {
+		"a bad configuration within it": func(n *endingNode, cmd *exec.Cmd) {
 			cmd.Process.Signal(syscall.SIGTERM)
 			n.rewrite(cmd, n.config[:len(n.config)/2])
 		},
-		"a good configuration within it": func(n *crossed, cmd *exec.Cmd) {
+		"a good configuration within it": func(n *endingNode, cmd *exec.Cmd) {
 			cmd.Process.Signal(syscall.SIGTERM)
 			n.rewrite(cmd, n.config)
 		},
@@ -166,23 +166,23 @@
 		for _, hung := range []bool{false, true} {
 			t.Run(fmt.Sprint(name, ", a hung server ", hung), func(t *testing.T) {
 				t.Parallel()
-				n := newCrossed(t)
-				cmd := n.start()
-				_, status := n.open("held")
-				n.taken("held")
-				cross(n, cmd)
+				node := newEndingNode(t)
+				cmd := node.start()
+				_, status := node.open("held")
+				node.waitArrived("held")
+				cross(node, cmd)
 				if !hung {
-					n.answer()
+					node.releaseHeld()
 				}
 				if got, want := status(), map[bool]int{false: 200, true: 502}[hung]; got != want {
 					t.Errorf("status %d, want %d", got, want)
 				}
-				n.ends(cmd)
+				node.waitExit(cmd)
 				if hung {
-					n.answer()
+					node.releaseHeld()
 				}
-				if len(n.came) > 0 {
-					t.Errorf("%s was sent again", <-n.came)
+				if len(node.arrived) > 0 {
+					t.Errorf("%s was sent again", <-node.arrived)
 				}
 			})
 		}
@@ -193,10 +193,10 @@
 // comes before the handler is installed.
 func TestTermBeforeReady(t *testing.T) {
 	t.Parallel()
-	n := newCrossed(t)
+	node := newEndingNode(t)
 	for i := range 12 {
-		cmd, _ := program(t, n.config)
-		cmd.Stderr, cmd.Env = nil, append(cmd.Env, "TMPDIR="+n.dir)
+		cmd, _ := programCommand(t, node.config)
+		cmd.Stderr, cmd.Env = nil, append(cmd.Env, "TMPDIR="+node.dir)
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -217,12 +217,12 @@
 	for _, toSuccessor := range []bool{false, true} {
 		t.Run(fmt.Sprint("to the successor ", toSuccessor), func(t *testing.T) {
 			t.Parallel()
-			n := newCrossed(t)
-			old := n.start()
-			kept, first := n.open("held")
-			n.taken("held")
-			next, _ := program(t, n.config)
-			next.Stderr, next.Env = nil, append(next.Env, "TMPDIR="+n.dir)
+			node := newEndingNode(t)
+			old := node.start()
+			kept, first := node.open("held")
+			node.waitArrived("held")
+			next, _ := programCommand(t, node.config)
+			next.Stderr, next.Env = nil, append(next.Env, "TMPDIR="+node.dir)
 			log, err := next.StderrPipe()
 			if err != nil {
 				t.Fatal(err)
@@ -239,17 +239,17 @@
 				for lines.Scan() {
 				}
 			}()
-			told, stays := old, next
+			signalled, remaining := old, next
 			if toSuccessor {
-				told, stays = next, old
+				signalled, remaining = next, old
 			}
-			told.Process.Signal(syscall.SIGTERM)
+			signalled.Process.Signal(syscall.SIGTERM)
 			if toSuccessor {
-				n.ends(next)
+				node.waitExit(next)
 			}
-			_, second := n.open("held-second") // either process may accept it
-			n.taken("held-second")
-			n.answer()
+			_, second := node.open("held-second") // either process may accept it
+			node.waitArrived("held-second")
+			node.releaseHeld()
 			if got := first(); got != 200 {
 				t.Errorf("the request that the old process had accepted: status %d", got)
 			}
@@ -260,24 +260,24 @@
 				got := 503
 				// Requests may be refused while the only server counts as slow, as it held two requests.
 				for i := 0; got == 503 && i < 20; i++ {
-					n.write(kept, fmt.Sprint("third", i))
+					node.write(kept, fmt.Sprint("third", i))
 					got = first()
 				}
 				if got != 200 {
 					t.Errorf("on the kept connection: status %d", got)
 				}
-				for len(n.came) > 0 {
-					if id := <-n.came; !strings.HasPrefix(id, "third") {
+				for len(node.arrived) > 0 {
+					if id := <-node.arrived; !strings.HasPrefix(id, "third") {
 						t.Errorf("%s was sent again", id)
 					}
 				}
 			} else {
-				n.ends(old)
+				node.waitExit(old)
 			}
-			stays.Process.Signal(syscall.SIGTERM)
-			n.ends(stays)
-			if len(n.came) > 0 {
-				t.Errorf("%s was sent again", <-n.came)
+			remaining.Process.Signal(syscall.SIGTERM)
+			node.waitExit(remaining)
+			if len(node.arrived) > 0 {
+				t.Errorf("%s was sent again", <-node.arrived)
 			}
 		})
 	}
@@ -288,50 +288,50 @@
 // again, all requests are served.
 func TestNoDescriptors(t *testing.T) {
 	t.Parallel()
-	n := newCrossed(t)
-	cmd := n.start()
-	kept, answer := n.dial()
+	node := newEndingNode(t)
+	cmd := node.start()
+	kept, answer := node.dial()
 	io.WriteString(kept, "GET /health/live HTTP/1.1\r\nHost: h\r\n\r\n")
 	if got := answer(); got != 200 { // an answer shows that this connection is accepted
 		t.Fatalf("status %d", got)
 	}
-	_, held := n.open("held") // it occupies the only connection to the server
-	n.taken("held")
-	var was unix.Rlimit
-	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &was); err != nil {
+	_, held := node.open("held") // it occupies the only connection to the server
+	node.waitArrived("held")
+	var oldLimit unix.Rlimit
+	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, nil, &oldLimit); err != nil {
 		t.Fatal(err)
 	}
-	few := was
-	few.Cur = 3 // open descriptors stay open
-	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
+	newLimit := oldLimit
+	newLimit.Cur = 3 // open descriptors stay open
+	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &newLimit, nil); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	const short = 8
-	for i := range short {
-		n.write(kept, fmt.Sprint("short", i))
+	const refusals = 8
+	for i := range refusals {
+		node.write(kept, fmt.Sprint("short", i))
 		if got := answer(); got != 503 {
 			t.Errorf("short%d: status %d, want a refusal: it has not run", i, got)
 		}
 	}
 	if took := time.Since(began); took > testkit.Patient/4 { // for a busy machine
-		t.Errorf("%d refusals took %v", short, took)
+		t.Errorf("%d refusals took %v", refusals, took)
 	}
-	_, late := n.open("late")
-	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &was, nil); err != nil {
+	_, late := node.open("late")
+	if err := unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &oldLimit, nil); err != nil {
 		t.Fatal(err)
 	}
-	n.write(kept, "again")
+	node.write(kept, "again")
 	if got := answer(); got != 200 {
 		t.Errorf("when descriptors are available again: status %d", got)
 	}
 	if got := late(); got != 200 {
 		t.Errorf("the client that connected meanwhile: status %d", got)
 	}
-	n.answer()
+	node.releaseHeld()
 	if got := held(); got != 200 {
 		t.Errorf("the request in flight: status %d", got)
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	n.ends(cmd)
+	node.waitExit(cmd)
 }
--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	expiredNodes    = 300              // enough for the nodes to spread their list requests over time
-	crowdedAtReload = 10 * time.Second // how long discovery is overloaded, and requests time out in its queue
-	crowdedAtStart  = 6 * time.Second  // a pending list request and one more end before discovery counts as down
-	drainedFor      = 5 * time.Second  // how long a server has drained when the process starts with an older list
+	expiredNodes       = 300              // enough for the nodes to spread their list requests over time
+	overloadedAtReload = 10 * time.Second // how long discovery is overloaded, and requests time out in its queue
+	overloadedAtStart  = 6 * time.Second  // a pending list request and one more end before discovery counts as down
+	drainedFor         = 5 * time.Second  // how long a server has drained when the process starts with an older list
 )
 
 // drainFirstServer has discovery list the first server as draining.
-func (n *unwatched) drains(s *discovery.Service) discovery.Change {
+func (n *onRequestNode) drainFirstServer(s *discovery.Service) discovery.Change {
 	e := standin.EntryOf(n.servers[0])
 	e.State = "draining"
 	return s.Set(e)
@@ -28,10 +28,10 @@
 
 // lateRequests counts the requests that reached the draining server after the grace that follows the latest time of
 // the node's notification.
-func (n *unwatched) lateSince(change discovery.Change) (late int) {
-	end := change.At.Add(discovery.FollowWithin + unwatchedGrace + unwatchedSlack)
-	for _, x := range n.servers[0].Log() {
-		if x.Got.After(end) {
+func (n *onRequestNode) lateRequests(change discovery.Change) (late int) {
+	end := change.At.Add(discovery.FollowWithin + onRequestDrainGrace + onRequestSlack)
+	for _, received := range n.servers[0].Log() {
+		if received.Got.After(end) {
 			late++
 		}
 	}
@@ -40,7 +40,7 @@
 }
 
 // moveTo reloads the process with another address of discovery.
-func (n *unwatched) moveTo(c *discovery.Caller) {
+func (n *onRequestNode) moveTo(c *discovery.Caller) {
 	n.t.Helper()
 	path := strings.TrimPrefix(n.cmd.Env[len(n.cmd.Env)-1], "GW_CONFIG=")
 	raw, err := os.ReadFile(path)
@@ -62,37 +62,37 @@
 func TestNothingIsSentByAnExpiredList(t *testing.T) {
 	t.Run("reload", func(t *testing.T) {
 		t.Parallel()
-		n := newUnwatched(t, expiredNodes)
-		n.requestsUntil("the first answer", func() bool { return len(n.caller.Answers()) > 0 })
-		_, entries := n.service.List()
-		other := discovery.New(unwatchedWork, entries...)
+		node := newOnRequestNode(t, expiredNodes)
+		node.requestsUntil("the first answer", func() bool { return len(node.caller.Answers()) > 0 })
+		_, entries := node.service.List()
+		other := discovery.New(onRequestCallTime, entries...)
 		t.Cleanup(other.Close)
 		other.SetFault(discovery.Fault{Crowded: true})
-		caller := n.listenTo(other)
+		caller := node.listenTo(other)
 		caller.Started(1)
-		n.moveTo(caller)
-		n.expires(other, caller, n.drains(other), crowdedAtReload)
+		node.moveTo(caller)
+		node.checkExpiredList(other, caller, node.drainFirstServer(other), overloadedAtReload)
 	})
 	t.Run("start", func(t *testing.T) {
 		t.Parallel()
-		n := prepareUnwatched(t, expiredNodes)
-		change := n.drains(n.service)
+		node := prepareOnRequestNode(t, expiredNodes)
+		change := node.drainFirstServer(node.service)
 		time.Sleep(drainedFor)
-		n.service.SetFault(discovery.Fault{Crowded: true})
-		n.begin()
-		n.expires(n.service, n.caller, change, crowdedAtStart)
+		node.service.SetFault(discovery.Fault{Crowded: true})
+		node.begin()
+		node.checkExpiredList(node.service, node.caller, change, overloadedAtStart)
 	})
 }
 
 // checkExpiredList makes requests while discovery is overloaded and until it answers again. No request may reach the
 // draining server too late, and the node has to serve again once it has a fresh list.
-func (n *unwatched) expires(s *discovery.Service, c *discovery.Caller, change discovery.Change, crowded time.Duration) {
+func (n *onRequestNode) checkExpiredList(service *discovery.Service, caller *discovery.Caller, change discovery.Change, crowded time.Duration) {
 	n.t.Helper()
 	over := time.Now().Add(crowded)
 	n.requestsUntil("the end of the overload", func() bool { return time.Now().After(over) })
-	s.SetFault(discovery.Fault{})
-	n.requestsUntil("an answer", func() bool { return len(c.Answers()) > 0 })
-	if late := n.lateSince(change); late > 0 {
+	service.SetFault(discovery.Fault{})
+	n.requestsUntil("an answer", func() bool { return len(caller.Answers()) > 0 })
+	if late := n.lateRequests(change); late > 0 {
 		n.t.Errorf("%d requests went to a draining server by a list that was no longer valid", late)
 	}
 	before := len(n.servers[1].Log())
--- a/cmd/starlingvalve/main.go
+++ b/cmd/starlingvalve/main.go
@@ -50,82 +50,82 @@
 
 // command creates the program's command line. The node and the supervisor log to log.
 func command(log io.Writer) *cobra.Command {
-	var files files
+	var flags nodeFlags
 	root := &cobra.Command{Use: "starlingvalve", Short: "A load-balancing proxy node and gateway between sites",
 		Long: "A load-balancing proxy node. GW_CONFIG names its configuration file; GW_NAME, GW_LISTEN and GW_DISCOVERY override the file.",
 		Args: cobra.NoArgs, SilenceErrors: true, SilenceUsage: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 		RunE: func(*cobra.Command, []string) error {
 			var level slog.Level
-			if err := level.UnmarshalText([]byte(files.level)); err != nil {
+			if err := level.UnmarshalText([]byte(flags.level)); err != nil {
 				return fmt.Errorf("-log-level: %w", err)
 			}
-			return run(files, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
+			return runNode(flags, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
 		}}
-	root.Flags().StringVar(&files.gateway, "gateway", "", "exchange requests with other sites as configured in this `FILE` (see deploy/gateway.toml)")
-	root.Flags().StringVar(&files.record, "record", "", "record the requests that arrive as configured in this `FILE` (see deploy/record.toml)")
-	root.Flags().StringVar(&files.fleet, "fleet", "", "agree with other nodes on drains and budgets, as configured in this `FILE` (see deploy/fleet.toml)")
-	root.Flags().StringVar(&files.level, "log-level", "info", "lowest `LEVEL` to log; debug logs a line for each decision on a request")
+	root.Flags().StringVar(&flags.gateway, "gateway", "", "exchange requests with other sites as configured in this `FILE` (see deploy/gateway.toml)")
+	root.Flags().StringVar(&flags.record, "record", "", "record the requests that arrive as configured in this `FILE` (see deploy/record.toml)")
+	root.Flags().StringVar(&flags.fleet, "fleet", "", "agree with other nodes on drains and budgets, as configured in this `FILE` (see deploy/fleet.toml)")
+	root.Flags().StringVar(&flags.level, "log-level", "info", "lowest `LEVEL` to log; debug logs a line for each decision on a request")
 	root.AddCommand(
 		&cobra.Command{Use: "check FILE", Short: "Check a gateway, fleet, supervisor, record or release file, with the certificates that it names", Args: cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
-				if has(args[0], "node") {
-					f, err := control.Load(args[0], time.Now())
+				if hasTable(args[0], "node") {
+					file, err := control.Load(args[0], time.Now())
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: node %s, %d voters, %d budgets\n", args[0], f.Name, len(f.Voters), len(f.Budgets))
+					fmt.Fprintf(c.OutOrStdout(), "%s: good: node %s, %d voters, %d budgets\n", args[0], file.Name, len(file.Voters), len(file.Budgets))
 					return nil
 				}
-				if has(args[0], "supervise") {
-					f, err := supervise.Load(args[0], time.Now())
+				if hasTable(args[0], "supervise") {
+					file, err := supervise.Load(args[0], time.Now())
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: supervises node %s\n", args[0], f.Fleet.Name)
+					fmt.Fprintf(c.OutOrStdout(), "%s: good: supervises node %s\n", args[0], file.Fleet.Name)
 					return nil
 				}
-				if has(args[0], "release") {
-					p, err := loadPlan(args[0], nil)
+				if hasTable(args[0], "release") {
+					plan, err := loadPlan(args[0], nil)
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: release %s, %d waves as it is written\n", args[0], p.Name, len(p.Waves))
+					fmt.Fprintf(c.OutOrStdout(), "%s: good: release %s, %d waves as it is written\n", args[0], plan.Name, len(plan.Waves))
 					return nil
 				}
-				if has(args[0], "record") {
-					r, err := recorder.Load(args[0])
+				if hasTable(args[0], "record") {
+					record, err := recorder.Load(args[0])
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: records to %s\n", args[0], r.Path)
+					fmt.Fprintf(c.OutOrStdout(), "%s: good: records to %s\n", args[0], record.Path)
 					return nil
 				}
-				g, err := gateway.Load(args[0], time.Now())
+				gatewayConfig, err := gateway.Load(args[0], time.Now())
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: good: site %s, %d other sites\n", args[0], g.Identity.Site, len(g.Identity.Peers))
+				fmt.Fprintf(c.OutOrStdout(), "%s: good: site %s, %d other sites\n", args[0], gatewayConfig.Identity.Site, len(gatewayConfig.Identity.Peers))
 				return nil
 			}},
 		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
 			fmt.Fprintln(c.OutOrStdout(), "starlingvalve", version())
 		}})
 	root.AddCommand(fleetCommand(), configCommand(), releaseCommand(), superviseCommand(slog.New(slog.NewTextHandler(log, nil))))
-	root.SetArgs(dashes(os.Args[1:]))
+	root.SetArgs(normalizeDashes(os.Args[1:]))
 	return root
 }
 
 // nodeFlags are the flags of the node: paths of files, empty if not given, and the lowest log level.
-type files struct{ gateway, record, fleet, level string }
+type nodeFlags struct{ gateway, record, fleet, level string }
 
-// hasTable reports whether a TOML file has a table of this name. The tables tell the kind of a file.
-func has(path, table string) bool {
+// hasTable reports whether a TOML file hasTable a table of this name. The tables tell the kind of a file.
+func hasTable(path, table string) bool {
 	text, err := os.ReadFile(path)
 	return err == nil && regexp.MustCompile(`(?m)^\s*\[`+table+`\]`).Match(text)
 }
 
 // normalizeDashes adds the second dash to the node's flags that have one, as in -gateway FILE.
-func dashes(args []string) []string {
+func normalizeDashes(args []string) []string {
 	out := append([]string(nil), args...)
 	for i, a := range out {
 		if a == "--" {
@@ -154,26 +154,26 @@
 }
 
 // runNode loads the configuration and runs a node until SIGTERM or SIGINT.
-func run(f files, log *slog.Logger) error {
+func runNode(flags nodeFlags, log *slog.Logger) error {
 	reload := make(chan os.Signal, 1) // before anything else, as a SIGHUP that is not caught ends the process
 	signal.Notify(reload, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	c, err := app.LoadConfig(os.Getenv, f.gateway)
+	config, err := app.LoadConfig(os.Getenv, flags.gateway)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	if f.record != "" {
-		if c.Record, err = recorder.Load(f.record); err != nil {
+	if flags.record != "" {
+		if config.Record, err = recorder.Load(flags.record); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
 	}
-	if f.fleet != "" {
-		if c.Fleet, err = control.Load(f.fleet, time.Now()); err != nil {
+	if flags.fleet != "" {
+		if config.Fleet, err = control.Load(flags.fleet, time.Now()); err != nil {
 			return fmt.Errorf("configuration: %w", err)
 		}
 	}
 	debug.SetGCPercent(gcPercent)
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
-	return app.Run(ctx, c, reload, log)
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(config.Limits.Cores))))
+	return app.Run(ctx, config, reload, log)
 }
--- a/cmd/starlingvalve/main_test.go
+++ b/cmd/starlingvalve/main_test.go
@@ -19,35 +19,35 @@
 )
 
 // envAsProgram is the environment variable that makes the test binary run as the program.
-const asProgram = "STARLINGVALVE_TEST_AS_PROGRAM"
+const envAsProgram = "STARLINGVALVE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
 	switch {
-	case os.Getenv(asProgram) == "":
+	case os.Getenv(envAsProgram) == "":
 		os.Exit(m.Run())
-	case os.Getenv(asBarred) != "":
-		barred()
+	case os.Getenv(envBlockedCalls) != "":
+		runWithBlockedCalls()
 	default:
-		limited()
+		applyDescriptorLimit()
 		main()
 	}
 }
 
-// programCommand returns a command that runs the program with this configuration, and the buffer that gets its log.
-func program(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
+// programCommand returns a command that runs the programCommand with this configuration, and the buffer that gets its log.
+func programCommand(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
 	cmd := exec.Command(os.Args[0])
-	cmd.Env, cmd.Stderr = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+path), &log
+	cmd.Env, cmd.Stderr = append(os.Environ(), envAsProgram+"=1", "GW_CONFIG="+path), &log
 	return cmd, &log
 }
 
 // startProgram starts the program, and kills it after a minute at the latest. It returns the rest of its log after
 // the first line, and the address for clients that this line names.
-func begin(t *testing.T, cmd *exec.Cmd) (lines *bufio.Scanner, listen string) {
+func startProgram(t *testing.T, cmd *exec.Cmd) (lines *bufio.Scanner, listen string) {
 	t.Helper()
 	cmd.Stderr = nil
 	log, err := cmd.StderrPipe()
@@ -68,7 +68,7 @@
 
 // An invalid configuration ends the program with exit code 1 and one line that names the fault.
 func TestBadConfiguration(t *testing.T) {
-	cmd, log := program(t, `{"name":"n0"}`)
+	cmd, log := programCommand(t, `{"name":"n0"}`)
 	cmd.Run()
 	if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), "listen") {
 		t.Errorf("exit code %d, log %q", code, log)
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	for _, args := range [][]string{{"check", file}, {"-gateway", file}, {"--gateway=" + file}} {
-		cmd, log := program(t, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{
+		cmd, log := programCommand(t, `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{
 			"caps":{"connect_timeout_ns":250000000},"classes":[{"name":"c","effect":"fragile"}]}}`)
 		cmd.Args = append(cmd.Args, args...)
 		cmd.Run()
@@ -90,7 +90,7 @@
 			t.Errorf("%q: exit code %d, log %q", args, code, log)
 		}
 	}
-	cmd, _ := program(t, "")
+	cmd, _ := programCommand(t, "")
 	cmd.Args = append(cmd.Args, "version")
 	cmd.Stderr = nil
 	if out, err := cmd.Output(); err != nil || !strings.HasPrefix(string(out), "starlingvalve ") {
@@ -105,9 +105,9 @@
 		t.Fatal(err)
 	}
 	defer discovery.Close()
-	cmd, _ := program(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
+	cmd, _ := programCommand(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
 		"caps":{"connect_timeout_ns":250000000},"classes":[{"name":"c","effect":"fragile"}]}}`, discovery.Addr()))
-	lines, listen := begin(t, cmd)
+	lines, listen := startProgram(t, cmd)
 	client := http.Client{Timeout: 20 * time.Second}
 	resp, err := client.Get("http://" + listen + "/health/live")
 	if err != nil || resp.StatusCode != http.StatusOK {
@@ -139,20 +139,20 @@
 		return fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
 		"caps":{"connect_timeout_ns":250000000},"classes":[{"name":"c","effect":"fragile","deadline_ns":1000000000}]}}`, discovery[i].Addr())
 	}
-	cmd, _ := program(t, config(0))
-	r, w, err := os.Pipe()
+	cmd, _ := programCommand(t, config(0))
+	logReader, logWriter, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	cmd.Stderr = w
+	defer logWriter.Close()
+	cmd.Stderr = logWriter
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	guard := time.AfterFunc(30*time.Second, func() { cmd.Process.Kill() })
 	defer guard.Stop()
 	defer cmd.Process.Kill()
-	line, err := bufio.NewReaderSize(r, 4096).ReadString('\n')
+	line, err := bufio.NewReaderSize(logReader, 4096).ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,15 +161,15 @@
 
 	// From here on nobody reads the log. This write fills the pipe and blocks until the pipe is closed.
 	const setPipeSize, bytesThere, pipeSize = 1031, 0x541b, 4096 // F_SETPIPE_SZ, FIONREAD
-	if _, _, e := syscall.Syscall(syscall.SYS_FCNTL, r.Fd(), setPipeSize, pipeSize); e != 0 {
-		t.Fatal(e)
+	if _, _, errno := syscall.Syscall(syscall.SYS_FCNTL, logReader.Fd(), setPipeSize, pipeSize); errno != 0 {
+		t.Fatal(errno)
 	}
 	filled := make(chan struct{})
-	go func() { defer close(filled); w.Write(make([]byte, 4*pipeSize)) }()
-	defer func() { r.Close(); <-filled }()
-	for there, deadline := int32(0), time.Now().Add(10*time.Second); there < pipeSize; {
-		if _, _, e := syscall.Syscall(syscall.SYS_IOCTL, r.Fd(), bytesThere, uintptr(unsafe.Pointer(&there))); e != 0 || time.Now().After(deadline) {
-			t.Fatal("the pipe does not fill up:", there, e)
+	go func() { defer close(filled); logWriter.Write(make([]byte, 4*pipeSize)) }()
+	defer func() { logReader.Close(); <-filled }()
+	for buffered, deadline := int32(0), time.Now().Add(10*time.Second); buffered < pipeSize; {
+		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, logReader.Fd(), bytesThere, uintptr(unsafe.Pointer(&buffered))); errno != 0 || time.Now().After(deadline) {
+			t.Fatal("the pipe does not fill up:", buffered, errno)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -209,15 +209,15 @@
 	if err := os.WriteFile(file, []byte("[record]\npath = \"traffic\"\nkey = \"00112233445566778899aabbccddeeff\"\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	check, log := program(t, "")
+	check, log := programCommand(t, "")
 	check.Args = append(check.Args, "check", file)
 	if out, err := check.Output(); err != nil || !strings.Contains(string(out), "good: records to") {
 		t.Errorf("check: %q, %v, %s", out, err, log)
 	}
-	cmd, _ := program(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
+	cmd, _ := programCommand(t, fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{
 		"caps":{"connect_timeout_ns":250000000},"classes":[{"name":"c","effect":"dedup","key_scope":"cell","dedup_window_ns":1000000000}]}}`, discovery.Addr()))
 	cmd.Args = append(cmd.Args, "-record", file)
-	lines, listen := begin(t, cmd)
+	lines, listen := startProgram(t, cmd)
 	for i, repeat := range []string{"", "1", ""} {
 		req, err := http.NewRequest("POST", "http://"+listen+"/c/orders", strings.NewReader("twelve bytes"))
 		if err != nil {
@@ -247,9 +247,9 @@
 	if err != nil || len(records) != 3 {
 		t.Fatalf("%+v, %v", records, err)
 	}
-	for i, r := range records {
-		if r.Class != "c" || r.Outcome != trace.Refused || r.Repeat != (i == 1) || r.Size != 12 || r.Patience != 500*time.Millisecond || (r.Order == records[0].Order) != (i < 2) || r.Tenant == 0 {
-			t.Errorf("%d: %+v", i, r)
+	for i, record := range records {
+		if record.Class != "c" || record.Outcome != trace.Refused || record.Repeat != (i == 1) || record.Size != 12 || record.Patience != 500*time.Millisecond || (record.Order == records[0].Order) != (i < 2) || record.Tenant == 0 {
+			t.Errorf("%d: %+v", i, record)
 		}
 	}
 }
--- a/cmd/starlingvalve/much_test.go
+++ b/cmd/starlingvalve/much_test.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	manyClients = 200
-	manyWaves   = 8
-	muchBytes   = 1 << 20
-	muchMemory  = 48 // MB
+	manyClients   = 200
+	manyWaves     = 8
+	uploadBytes   = 1 << 20
+	memoryLimitMB = 48 // MB
 	// plainServiceTime is the time that the server takes for a request that it does not hold.
-	plainWork = 20 * time.Millisecond
+	plainServiceTime = 20 * time.Millisecond
 	// sendTimeout is how long a client tries to send its data while the node does not read it.
-	muchWait = 300 * time.Millisecond
+	sendTimeout = 300 * time.Millisecond
 )
 
 // uploadKinds are what clients send in one go before they disconnect.
-var muchKinds = map[string]string{
-	"requests behind one that is open": strings.Repeat(muchRequest("x", "Content-Length: 0\r\n\r\n"), muchBytes/100),
-	"bytes behind one that is open":    muchRequest("x", "Content-Length: 0\r\n\r\n") + strings.Repeat("\x00", muchBytes),
-	"a body that is held":              muchRequest("x", bodyOf(60<<10, 60<<10)),
-	"a long body":                      muchRequest("x", bodyOf(8<<20, muchBytes)),
-	"a body in chunks": muchRequest("x", "Transfer-Encoding: chunked\r\n\r\n") +
-		strings.Repeat("400\r\n"+strings.Repeat("c", 1<<10)+"\r\n", muchBytes>>10),
-	"a head without end": "POST /c HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("h", muchBytes),
+var uploadKinds = map[string]string{
+	"requests behind one that is open": strings.Repeat(rawRequest("x", "Content-Length: 0\r\n\r\n"), uploadBytes/100),
+	"bytes behind one that is open":    rawRequest("x", "Content-Length: 0\r\n\r\n") + strings.Repeat("\x00", uploadBytes),
+	"a body that is held":              rawRequest("x", bodyOf(60<<10, 60<<10)),
+	"a long body":                      rawRequest("x", bodyOf(8<<20, uploadBytes)),
+	"a body in chunks": rawRequest("x", "Transfer-Encoding: chunked\r\n\r\n") +
+		strings.Repeat("400\r\n"+strings.Repeat("c", 1<<10)+"\r\n", uploadBytes>>10),
+	"a head without end": "POST /c HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("h", uploadBytes),
 }
 
 // bodyOf is the last header, Content-Length with the given length, and the first bytes of the body.
@@ -47,7 +47,7 @@
 }
 
 // rawRequest is a request with this id; rest is the remaining headers and the body.
-func muchRequest(id, rest string) string {
+func rawRequest(id, rest string) string {
 	return "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: " + id + "\r\nX-Time-Left: 9\r\n" + rest
 }
 
@@ -60,7 +60,7 @@
 		return
 	}
 	defer c.Close()
-	c.SetWriteDeadline(time.Now().Add(muchWait))
+	c.SetWriteDeadline(time.Now().Add(sendTimeout))
 	io.WriteString(c, text)
 	if reset {
 		c.(*net.TCPConn).SetLinger(0)
@@ -94,35 +94,35 @@
 
 // holdingServer is a server that holds requests whose ids begin with "held" until they are released, and answers
 // others after plainServiceTime.
-type holding struct {
+type holdingServer struct {
 	addr string
 	mu   sync.Mutex
 	held chan bool // closed when the held requests are released
 }
 
-func newHolding(t *testing.T) *holding {
-	h := &holding{held: make(chan bool)}
+func newHoldingServer(t *testing.T) *holdingServer {
+	h := &holdingServer{held: make(chan bool)}
 	h.addr = testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
 		if strings.HasPrefix(r.Header.Get("X-Correlation-Id"), "held") {
-			<-h.present()
+			<-h.current()
 		} else {
-			time.Sleep(plainWork)
+			time.Sleep(plainServiceTime)
 		}
 		return testkit.OK("x")
 	}))
-	t.Cleanup(h.let) // runs before the server's cleanup
+	t.Cleanup(h.release) // runs before the server's cleanup
 	return h
 }
 
 // current returns the channel that is closed when the requests held now are released.
-func (h *holding) present() chan bool {
+func (h *holdingServer) current() chan bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.held
 }
 
 // release answers all requests that are held now.
-func (h *holding) let() {
+func (h *holdingServer) release() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	close(h.held)
@@ -133,43 +133,43 @@
 // that it has got. The node stays within its memory limit, keeps none of these requests open, and still serves
 // others.
 func TestManySendMuchAndGo(t *testing.T) {
-	n := newReplaceable(t)
-	server := newHolding(t)
-	n.config = strings.Replace(n.config, n.server.Addr, server.addr, 1)
-	limits := fmt.Sprintf(`"memory_mb":%d,"sockets":512`, muchMemory)
-	n.config = strings.Replace(n.config, `"memory_mb":64,"sockets":384`, limits, 1)
-	n.program = plainProgram(t)
-	cmd := n.start()
+	node := newReplaceableNode(t)
+	server := newHoldingServer(t)
+	node.config = strings.Replace(node.config, node.server.Addr, server.addr, 1)
+	limits := fmt.Sprintf(`"memory_mb":%d,"sockets":512`, memoryLimitMB)
+	node.config = strings.Replace(node.config, `"memory_mb":64,"sockets":384`, limits, 1)
+	node.program = plainProgram(t)
+	cmd := node.start()
 	for wave := range manyWaves {
 		var clients sync.WaitGroup
 		sent := 0
-		for range manyClients / len(muchKinds) {
-			for _, text := range muchKinds {
+		for range manyClients / len(uploadKinds) {
+			for _, text := range uploadKinds {
 				sent++
 				id, reset := fmt.Sprintf("Id: held%d-%d", wave, sent), sent%2 == 0
 				own := strings.Replace(text, "Id: x", id, 1)
-				clients.Go(func() { sendAndGo(t, n.listen, own, reset) })
+				clients.Go(func() { sendAndGo(t, node.listen, own, reset) })
 			}
 		}
 		clients.Wait()
 		testkit.Until(t, "requests of disconnected clients stay open", func() bool {
-			server.let() // repeatedly, as some requests arrive late
-			return n.figures()["gw.current"] == 0
+			server.release() // repeatedly, as some requests arrive late
+			return node.readStats()["gw.current"] == 0
 		})
 		pid := cmd.Process.Pid
 		t.Logf("figure: wave %d: %.1f MB resident at most, %.1f MB of its own now, %d descriptors", wave,
 			memoryOf(t, pid, "VmHWM"), memoryOf(t, pid, "RssAnon"), descriptorsOf(pid))
 	}
 	testkit.Until(t, "no request is served", func() bool {
-		resp, err := http.DefaultClient.Do(plainRequest(t, n.listen))
+		resp, err := http.DefaultClient.Do(plainRequest(t, node.listen))
 		if err != nil {
 			return false
 		}
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	if most := memoryOf(t, cmd.Process.Pid, "VmHWM"); most > muchMemory {
-		t.Errorf("%.1f MB were resident, %d allowed", most, muchMemory)
+	if most := memoryOf(t, cmd.Process.Pid, "VmHWM"); most > memoryLimitMB {
+		t.Errorf("%.1f MB were resident, %d allowed", most, memoryLimitMB)
 	}
 }
 
--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -53,16 +53,16 @@
 	if text, err := cmd.CombinedOutput(); err != nil {
 		t.Fatalf("%s: %v\n%s", build, err, text)
 	}
-	if err := dynamic(filepath.Join(out, "starlingvalve")); err != nil {
+	if err := checkDynamic(filepath.Join(out, "starlingvalve")); err != nil {
 		t.Error(err)
 	}
-	if err := dynamic(staticProgram(t)); err == nil {
+	if err := checkDynamic(staticProgram(t)); err == nil {
 		t.Error("a statically linked program passes the check")
 	}
 }
 
 // checkDynamic returns an error if no library can be preloaded into the program's process.
-func dynamic(path string) error {
+func checkDynamic(path string) error {
 	f, err := elf.Open(path)
 	if err != nil {
 		return err
@@ -99,13 +99,13 @@
 // Environment variables of the program: envBlockedCalls has it killed at a system call that the platform blocks, and
 // envProbeCall names one of these that it tries first.
 const (
-	asBarred = "STARLINGVALVE_TEST_BARRED"
-	asProbe  = "STARLINGVALVE_TEST_PROBE"
+	envBlockedCalls = "STARLINGVALVE_TEST_BARRED"
+	envProbeCall    = "STARLINGVALVE_TEST_PROBE"
 )
 
 // blockCalls makes the kernel kill this process with SIGSYS when any of its threads calls splice, sendfile,
 // io_uring_setup, fork, or execve.
-func bar() error {
+func blockCalls() error {
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
 	}
@@ -129,12 +129,12 @@
 }
 
 // runWithBlockedCalls runs the program in this process, which is killed at system calls that the platform blocks.
-func barred() {
-	if err := bar(); err != nil {
+func runWithBlockedCalls() {
+	if err := blockCalls(); err != nil {
 		fmt.Fprintln(os.Stderr, "can't block the system calls:", err)
 		os.Exit(3)
 	}
-	switch os.Getenv(asProbe) {
+	switch os.Getenv(envProbeCall) {
 	case "splice":
 		unix.Splice(0, nil, 1, nil, 1, 0)
 	case "sendfile":
@@ -149,8 +149,8 @@
 // call that the platform blocks.
 func TestNoCallThatThePlatformRefuses(t *testing.T) {
 	for _, probe := range []string{"splice", "sendfile", "fork"} {
-		cmd, log := program(t, "{}")
-		cmd.Env = append(cmd.Env, asBarred+"=1", asProbe+"="+probe)
+		cmd, log := programCommand(t, "{}")
+		cmd.Env = append(cmd.Env, envBlockedCalls+"=1", envProbeCall+"="+probe)
 		err := cmd.Run()
 		if cmd.ProcessState.ExitCode() == 3 {
 			t.Fatal(log)
@@ -160,7 +160,7 @@
 		}
 	}
 	want := bytes.Repeat(fmt.Appendf(nil, "%x\n", sha256.Sum256(nil)), 1<<20/65)
-	var asked atomic.Int64
+	var requests atomic.Int64
 	addr := testkit.Server(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			req, err := http.ReadRequest(r)
@@ -170,7 +170,7 @@
 			if body, err := io.ReadAll(req.Body); err != nil || len(body) > 0 && !bytes.Equal(body, want) {
 				return
 			}
-			switch asked.Add(1) % 3 {
+			switch requests.Add(1) % 3 {
 			case 0:
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(want), want)
 			case 1:
@@ -181,11 +181,11 @@
 			}
 		}
 	})
-	n := newReplaceable(t)
-	n.config = strings.Replace(n.config, n.server.Addr, addr, 1)
-	cmd, _ := program(t, n.config)
-	cmd.Env = append(cmd.Env, asBarred+"=1", "TMPDIR="+n.dir)
-	lines, listen := begin(t, cmd)
+	node := newReplaceableNode(t)
+	node.config = strings.Replace(node.config, node.server.Addr, addr, 1)
+	cmd, _ := programCommand(t, node.config)
+	cmd.Env = append(cmd.Env, envBlockedCalls+"=1", "TMPDIR="+node.dir)
+	lines, listen := startProgram(t, cmd)
 	go func() {
 		for lines.Scan() {
 		}
--- a/cmd/starlingvalve/release.go
+++ b/cmd/starlingvalve/release.go
@@ -26,12 +26,12 @@
 
 // loadPlan reads the plan of a release from a file and checks it. An error is one line with file, line and key. Waves
 // that don't name their nodes get them from the fleet's state m. If m is nil, they get a placeholder.
-func loadPlan(path string, m *fleet.Machine) (*fleetpb.Plan, error) {
+func loadPlan(path string, machine *fleet.Machine) (*fleetpb.Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	var f struct {
+	var file struct {
 		Release struct {
 			Name        string `toml:"name"`
 			Version     string `toml:"version"`
@@ -45,42 +45,42 @@
 		} `toml:"release"`
 		Wave []fleet.Wave `toml:"wave"`
 	}
-	if err := tomlfile.Decode(path, raw, &f); err != nil {
+	if err := tomlfile.Decode(path, raw, &file); err != nil {
 		return nil, err
 	}
-	r := f.Release
-	p := &fleetpb.Plan{Name: r.Name, Version: r.Version, Before: r.Before, Why: r.Why, SoakMs: r.SoakMs, LimitMs: r.LimitMs, MostCrashes: r.MostCrashes, TurnBack: r.TurnBack, Health: r.Health}
-	for i, w := range f.Wave {
+	release := file.Release
+	plan := &fleetpb.Plan{Name: release.Name, Version: release.Version, Before: release.Before, Why: release.Why, SoakMs: release.SoakMs, LimitMs: release.LimitMs, MostCrashes: release.MostCrashes, TurnBack: release.TurnBack, Health: release.Health}
+	for i, w := range file.Wave {
 		if err := w.Check(); err != nil {
-			return nil, tomlfile.Faults(path, raw)(fmt.Sprintf("wave[%d].nodes", i), "%v", err)
+			return nil, tomlfile.KeyErrors(path, raw)(fmt.Sprintf("wave[%d].nodes", i), "%v", err)
 		}
 		nodes := w.Nodes
 		if len(nodes) == 0 {
 			nodes = []string{fmt.Sprintf("(of wave %d)", i+1)}
 		}
-		p.Waves = append(p.Waves, &fleetpb.Wave{Name: w.Name, Nodes: nodes, Mixed: w.Mixed})
+		plan.Waves = append(plan.Waves, &fleetpb.Wave{Name: w.Name, Nodes: nodes, Mixed: w.Mixed})
 	}
-	if field, err := fleet.CheckPlan(p); err != nil {
+	if field, err := fleet.CheckPlan(plan); err != nil {
 		if field[:min(4, len(field))] != "wave" {
 			field = "release." + field
 		}
-		return nil, tomlfile.Faults(path, raw)(field, "%v", err)
+		return nil, tomlfile.KeyErrors(path, raw)(field, "%v", err)
 	}
-	if m == nil {
-		return p, nil
+	if machine == nil {
+		return plan, nil
 	}
-	if p.Waves, err = m.Waves(f.Wave); err != nil {
+	if plan.Waves, err = machine.Waves(file.Wave); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if field, err := fleet.CheckPlan(p); err != nil {
+	if field, err := fleet.CheckPlan(plan); err != nil {
 		return nil, fmt.Errorf("%s: with the nodes of the fleet: %s: %w", path, field, err)
 	}
-	return p, nil
+	return plan, nil
 }
 
 // planForFleet loads the plan of a file for the nodes that the fleet has now. It also returns the fleet's state.
-func (a *asking) planned(c *cobra.Command, d *control.Door, path string) (*fleet.Machine, *fleetpb.Plan, error) {
-	m, err := a.machine(c.Context(), d)
+func (a *fleetCLI) planForFleet(c *cobra.Command, d *control.Door, path string) (*fleet.Machine, *fleetpb.Plan, error) {
+	m, err := a.agreedState(c.Context(), d)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -90,47 +90,47 @@
 
 // releaseCommand creates the commands that plan, start and steer releases.
 func releaseCommand() *cobra.Command {
-	a := &asking{}
-	root, add := a.command("release", "Bring the nodes of a fleet to another version, in waves")
+	cli := &fleetCLI{}
+	root, add := cli.command("release", "Bring the nodes of a fleet to another version, in waves")
 	add("plan FILE", "Check a plan, and print what it would do", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		m, p, err := a.planned(c, d, args[0])
+		machine, plan, err := cli.planForFleet(c, d, args[0])
 		if err != nil {
 			return err
 		}
-		for i, w := range p.Waves {
-			fmt.Fprintf(c.OutOrStdout(), "wave %d %s: %s\n", i+1, w.Name, names(w.Nodes))
+		for i, wave := range plan.Waves {
+			fmt.Fprintf(c.OutOrStdout(), "wave %d %s: %s\n", i+1, wave.Name, joinNames(wave.Nodes))
 		}
-		return a.tell(c.OutOrStdout(), "would be", m.ExplainPlan(p))
+		return cli.printResult(c.OutOrStdout(), "would be", machine.ExplainPlan(plan))
 	})
 	var again bool
 	start := add("start FILE", "Start the release of a plan", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		_, p, err := a.planned(c, d, args[0])
+		_, plan, err := cli.planForFleet(c, d, args[0])
 		if err != nil {
 			return err
 		}
-		p.By, p.Again = a.by, again
-		return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: p}})
+		plan.By, plan.Again = cli.by, again
+		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: plan}})
 	})
 	start.Flags().BoolVar(&again, "again", false, "allow a version that was turned back before")
 	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now", "resume": "Continue a paused or halted release", "halt": "Stop the release: nodes that are out return as they were", "back": "Roll back to the previous version"} {
 		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-			return a.ask(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0], Verb: verb, By: a.by, Why: a.why}}})
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0], Verb: verb, By: cli.by, Why: cli.why}}})
 		})
 	}
 	add("status", "Print the current or last release, and the version of each node", cobra.NoArgs, func(c *cobra.Command, d *control.Door, _ []string) error {
-		m, err := a.machine(c.Context(), d)
+		machine, err := cli.agreedState(c.Context(), d)
 		if err != nil {
 			return err
 		}
-		return a.releaseStatus(c, m.State())
+		return cli.releaseStatus(c, machine.State())
 	})
 	add("report FILE.html", "Write an HTML page of the current or last release: what was out of service over time, against its budgets", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		m, err := a.machine(c.Context(), d)
+		machine, err := cli.agreedState(c.Context(), d)
 		if err != nil {
 			return err
 		}
 		var page bytes.Buffer
-		if err := timeline.Write(&page, m.State()); err != nil {
+		if err := timeline.Write(&page, machine.State()); err != nil {
 			return err
 		}
 		return os.WriteFile(args[0], page.Bytes(), 0o644)
@@ -138,21 +138,21 @@
 	return root
 }
 
-func (a *asking) releaseStatus(c *cobra.Command, s *fleetpb.State) error {
-	if a.json() {
+func (a *fleetCLI) releaseStatus(c *cobra.Command, s *fleetpb.State) error {
+	if a.jsonOutput() {
 		return printJSON(c.OutOrStdout(), &fleetpb.State{Release: s.Release, Units: s.Units, Bad: s.Bad})
 	}
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	if r := s.Release; r != nil {
-		fmt.Fprintf(w, "release %s\t%s\twave %d of %d\t%s -> %s\t%s\n", r.Plan.Name, r.State, r.Wave+1, len(r.Plan.Waves), r.Plan.Before, r.Plan.Version, r.Cause)
-		for _, n := range slices.Sorted(maps.Keys(r.Turns)) {
-			fmt.Fprintf(w, "turn\t%s\tto %s\tepoch %d\n", n, r.Turns[n].Version, r.Turns[n].Epoch)
+	if release := s.Release; release != nil {
+		fmt.Fprintf(w, "release %s\t%s\twave %d of %d\t%s -> %s\t%s\n", release.Plan.Name, release.State, release.Wave+1, len(release.Plan.Waves), release.Plan.Before, release.Plan.Version, release.Cause)
+		for _, n := range slices.Sorted(maps.Keys(release.Turns)) {
+			fmt.Fprintf(w, "turn\t%s\tto %s\tepoch %d\n", n, release.Turns[n].Version, release.Turns[n].Epoch)
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(s.Units)) {
-		u := s.Units[n]
-		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\n", n, u.Version, u.State, time.UnixMilli(u.SinceMs).Format(time.TimeOnly))
+		unit := s.Units[n]
+		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\n", n, unit.Version, unit.State, time.UnixMilli(unit.SinceMs).Format(time.TimeOnly))
 	}
 	return nil
 }
@@ -163,12 +163,12 @@
 	c := &cobra.Command{Use: "supervise FILE", Short: "Keep a node running, and bring it to the versions that releases want", Args: cobra.ExactArgs(1),
 		Long: "Keep a node running, and bring it to the versions that releases want.\n\nThe node has this process's environment. SIGTERM ends both. If this process is killed, the node keeps running and the next supervisor takes it over.",
 		RunE: func(c *cobra.Command, args []string) error {
-			f, err := supervise.Load(args[0], time.Now())
+			file, err := supervise.Load(args[0], time.Now())
 			if err != nil {
 				return fmt.Errorf("configuration: %w", err)
 			}
 			if program != "" {
-				programs, err := supervise.OpenPrograms(f.Folder)
+				programs, err := supervise.OpenPrograms(file.Folder)
 				if err != nil {
 					return err
 				}
@@ -181,7 +181,7 @@
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
-			return supervise.Run(ctx, f, log)
+			return supervise.Run(ctx, file, log)
 		}}
 	c.Flags().StringVar(&program, "add", "", "add this `PROGRAM` to the stored programs, print its version, and exit")
 	return c
--- a/cmd/starlingvalve/replace_test.go
+++ b/cmd/starlingvalve/replace_test.go
@@ -25,7 +25,7 @@
 
 // reservedAddr returns an address of 127.0.0.1 with a port that the kernel chose. The port stays bound with
 // SO_REUSEPORT, so that only processes of this user can listen there. Nobody listens yet.
-func reserved(t *testing.T) string {
+func reservedAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -46,15 +46,15 @@
 }
 
 // replaceableNode is a node whose processes replace one another.
-type replaceable struct {
-	t              *testing.T
-	config, dir    string
-	listen, second string
-	program        string // path of the program; empty: the test binary
-	server         *standin.Server
+type replaceableNode struct {
+	t               *testing.T
+	config, dir     string
+	listen, opsAddr string
+	program         string // path of the program; empty: the test binary
+	server          *standin.Server
 }
 
-func newReplaceable(t *testing.T) *replaceable {
+func newReplaceableNode(t *testing.T) *replaceableNode {
 	t.Helper()
 	server, err := standin.NewServer(standin.ServerOptions{Name: "s"}, map[string]standin.Work{"c": {Time: 5 * time.Millisecond, Bytes: 100}})
 	if err != nil {
@@ -66,18 +66,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { discovery.Close() })
-	n := &replaceable{t: t, listen: reserved(t), server: server, dir: t.TempDir()}
-	n.config = fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":384},
+	node := &replaceableNode{t: t, listen: reservedAddr(t), server: server, dir: t.TempDir()}
+	node.config = fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":64,"sockets":384},
 		"known":{"version":1,"full":true,"servers":[{"id":"s-00000001","addr":%q,"zone":"z","state":"ready","weight":1}]},"settings":{
 		"caps":{"connect_timeout_ns":2000000000,"cancel":true,"max_attempts":2},"classes":[{"name":"c","effect":"fragile","deadline_ns":3000000000,"aim_ns":2500000000}]}}`,
-		n.listen, discovery.Addr(), server.Addr)
-	return n
+		node.listen, discovery.Addr(), server.Addr)
+	return node
 }
 
 // start starts a process and waits until it is ready. The process is killed after two minutes.
-func (n *replaceable) start() *exec.Cmd {
+func (n *replaceableNode) start() *exec.Cmd {
 	n.t.Helper()
-	cmd, _ := program(n.t, n.config)
+	cmd, _ := programCommand(n.t, n.config)
 	if n.program != "" {
 		cmd.Path, cmd.Args = n.program, []string{n.program}
 	}
@@ -92,13 +92,13 @@
 	}
 	guard := time.AfterFunc(2*time.Minute, func() { cmd.Process.Kill() })
 	lines := bufio.NewScanner(log)
-	for n.second = ""; n.second == "" && lines.Scan(); {
-		_, n.second, _ = strings.Cut(lines.Text(), "ops=")
+	for n.opsAddr = ""; n.opsAddr == "" && lines.Scan(); {
+		_, n.opsAddr, _ = strings.Cut(lines.Text(), "ops=")
 	}
 	go io.Copy(io.Discard, log) // until the process has ended
 	n.t.Cleanup(func() { guard.Stop(); cmd.Process.Kill(); cmd.Wait() })
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if resp, err := http.Get("http://" + n.second + "/healthcheck"); err == nil {
+		if resp, err := http.Get("http://" + n.opsAddr + "/healthcheck"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == 200 {
 				return cmd
@@ -111,14 +111,14 @@
 
 // load sends requests on kept and on new connections until ctx ends. It returns the number of requests served so far,
 // the errors, and a function that waits for the clients to end.
-func (n *replaceable) load(ctx context.Context) (served *atomic.Int64, wrong chan string, wait func()) {
+func (n *replaceableNode) load(ctx context.Context) (served *atomic.Int64, wrong chan string, wait func()) {
 	served, wrong = new(atomic.Int64), make(chan string, 1000)
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 12 {
-		asking.Go(func() {
+		clients.Go(func() {
 			var c net.Conn
 			var r *bufio.Reader
-			for k := 0; ctx.Err() == nil; k++ {
+			for number := 0; ctx.Err() == nil; number++ {
 				if c == nil {
 					var err error
 					if c, err = net.Dial("tcp", n.listen); err != nil {
@@ -128,10 +128,10 @@
 					c.SetDeadline(time.Now().Add(20 * time.Second))
 					r = bufio.NewReader(c)
 				}
-				fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %d.%d\r\nX-Time-Left: 3\r\nContent-Length: 0\r\n\r\n", i, k)
+				fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %d.%d\r\nX-Time-Left: 3\r\nContent-Length: 0\r\n\r\n", i, number)
 				resp, err := http.ReadResponse(r, nil)
 				if err != nil {
-					wrong <- fmt.Sprintf("%d.%d: %v", i, k, err)
+					wrong <- fmt.Sprintf("%d.%d: %v", i, number, err)
 					c.Close()
 					c = nil
 					continue
@@ -142,7 +142,7 @@
 					served.Add(1)
 				case 503: // allowed, as a new process knows little of its server's capacity
 				default:
-					wrong <- fmt.Sprintf("%d.%d: status %d", i, k, resp.StatusCode)
+					wrong <- fmt.Sprintf("%d.%d: status %d", i, number, resp.StatusCode)
 				}
 				if resp.Close || i%2 == 0 {
 					c.Close()
@@ -154,15 +154,15 @@
 			}
 		})
 	}
-	return served, wrong, asking.Wait
+	return served, wrong, clients.Wait
 }
 
 // check reports the errors of load and each request that ran more than once.
-func (n *replaceable) check(wrong chan string) {
+func (n *replaceableNode) check(wrong chan string) {
 	n.t.Helper()
 	close(wrong)
-	for w := range wrong {
-		n.t.Error(w)
+	for problem := range wrong {
+		n.t.Error(problem)
 	}
 	ran := map[string]int{}
 	for _, e := range n.server.Log() {
@@ -180,13 +180,13 @@
 // A process is replaced 20 times under load: no connection is refused or reset, no request is lost or runs twice, and
 // each old process exits by itself with code 0.
 func TestReplacedUnderLoad(t *testing.T) {
-	n := newReplaceable(t)
-	old := n.start()
+	node := newReplaceableNode(t)
+	old := node.start()
 	ctx, stop := context.WithCancel(t.Context())
-	served, wrong, wait := n.load(ctx)
+	served, wrong, wait := node.load(ctx)
 	for range 20 {
 		before := served.Load()
-		next := n.start()
+		next := node.start()
 		old.Process.Signal(syscall.SIGTERM)
 		if err := old.Wait(); err != nil {
 			t.Error("the old process:", err)
@@ -201,15 +201,15 @@
 	}
 	stop()
 	wait()
-	n.check(wrong)
-	if left, _ := filepath.Glob(filepath.Join(n.dir, "*.sock*")); len(left) != 1 {
+	node.check(wrong)
+	if left, _ := filepath.Glob(filepath.Join(node.dir, "*.sock*")); len(left) != 1 {
 		t.Errorf("socket files: %v", left)
 	}
 	old.Process.Signal(syscall.SIGTERM)
 	if err := old.Wait(); err != nil {
 		t.Error(err)
 	}
-	if left, _ := filepath.Glob(filepath.Join(n.dir, "*")); len(left) != 0 {
+	if left, _ := filepath.Glob(filepath.Join(node.dir, "*")); len(left) != 0 {
 		t.Errorf("left behind: %v", left)
 	}
 }
@@ -217,11 +217,11 @@
 // If a successor is killed, its predecessor continues to serve. A predecessor that is killed or hangs does not keep
 // its successor from serving, nor does a stale socket file, or one whose listener sends invalid messages.
 func TestReplacementGoesWrong(t *testing.T) {
-	n := newReplaceable(t)
+	node := newReplaceableNode(t)
 	ask := func(when string) {
 		t.Helper()
 		c := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-		req, _ := http.NewRequest(http.MethodPost, "http://"+n.listen+"/c", nil)
+		req, _ := http.NewRequest(http.MethodPost, "http://"+node.listen+"/c", nil)
 		req.Header.Set("X-Correlation-Id", strings.ReplaceAll(when, " ", "-"))
 		req.Header.Set("X-Time-Left", "3")
 		resp, err := c.Do(req)
@@ -233,28 +233,28 @@
 			t.Errorf("%s: status %d", when, resp.StatusCode)
 		}
 	}
-	old := n.start()
-	dead := n.start()
+	old := node.start()
+	dead := node.start()
 	dead.Process.Kill()
 	dead.Wait()
 	ask("the successor was killed")
-	next := n.start()
+	next := node.start()
 	old.Process.Kill()
 	old.Wait()
 	ask("the predecessor was killed")
 	next.Process.Kill() // its socket file stays without a listener
 	next.Wait()
-	next = n.start()
+	next = node.start()
 	ask("a stale file")
 	next.Process.Signal(syscall.SIGSTOP) // the kernel still accepts connections to its socket
-	beside := n.start()
+	beside := node.start()
 	next.Process.Kill()
 	next.Wait()
 	ask("the old one hung")
 	beside.Process.Kill()
 	beside.Wait()
 
-	files, _ := filepath.Glob(filepath.Join(n.dir, "*.sock"))
+	files, _ := filepath.Glob(filepath.Join(node.dir, "*.sock"))
 	if len(files) != 1 {
 		t.Fatalf("socket files: %v", files)
 	}
@@ -273,6 +273,6 @@
 			io.WriteString(c, []string{"\xff\xff\xff\xff{}", "\x00\x00\x00\x02{}", "\x00\x00\x00\x40{\"version\":1,\"state\":"}[i%3])
 		}
 	}()
-	n.start()
+	node.start()
 	ask("a hostile file")
 }
--- a/cmd/starlingvalve/stats_test.go
+++ b/cmd/starlingvalve/stats_test.go
@@ -16,9 +16,9 @@
 )
 
 // readStats reads the statistics from the operators' address.
-func (n *replaceable) figures() map[string]int {
+func (n *replaceableNode) readStats() map[string]int {
 	n.t.Helper()
-	resp, err := http.Get("http://" + n.second + "/stats")
+	resp, err := http.Get("http://" + n.opsAddr + "/stats")
 	if err != nil {
 		n.t.Fatal(err)
 	}
@@ -37,68 +37,68 @@
 // When no request is in flight any more, the statistics agree with the clients and the server's log: requests served,
 // refused, malformed, and abandoned by their clients, and attempts sent. Counters never decrease.
 func TestFiguresAreTrue(t *testing.T) {
-	n := newReplaceable(t)
-	n.server.SetWork(map[string]standin.Work{"c": {Time: 20 * time.Millisecond, Bytes: 100}})
-	n.server.Room = 6
-	process := n.start()
+	node := newReplaceableNode(t)
+	node.server.SetWork(map[string]standin.Work{"c": {Time: 20 * time.Millisecond, Bytes: 100}})
+	node.server.Room = 6
+	process := node.start()
 	var mu sync.Mutex
-	ends, gone := map[string]int{}, 0
+	results, disconnected := map[string]int{}, 0
 	end := func(status int) {
 		mu.Lock()
 		defer mu.Unlock()
 		switch status {
 		case 200:
-			ends["answered"]++
+			results["answered"]++
 		case 503:
-			ends["deferred"]++
+			results["deferred"]++
 		default:
-			ends["errored"]++
+			results["errored"]++
 		}
 	}
-	var asking sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 16 {
-		asking.Go(func() {
-			for k := range 40 {
-				c, err := net.Dial("tcp", n.listen)
+		clients.Go(func() {
+			for number := range 40 {
+				conn, err := net.Dial("tcp", node.listen)
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				c.SetDeadline(time.Now().Add(20 * time.Second))
+				conn.SetDeadline(time.Now().Add(20 * time.Second))
 				left := "3"
-				if k%10 == 3 {
+				if number%10 == 3 {
 					left = "soon" // malformed
 				}
-				fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: f%d.%d\r\nX-Time-Left: %s\r\nContent-Length: 0\r\n\r\n", i, k, left)
-				if k%10 == 7 {
-					c.Close() // the request may still be served
+				fmt.Fprintf(conn, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: f%d.%d\r\nX-Time-Left: %s\r\nContent-Length: 0\r\n\r\n", i, number, left)
+				if number%10 == 7 {
+					conn.Close() // the request may still be served
 					mu.Lock()
-					gone++
+					disconnected++
 					mu.Unlock()
 					continue
 				}
-				resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+				resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 				if err != nil {
-					t.Errorf("%d.%d: %v", i, k, err)
-					c.Close()
+					t.Errorf("%d.%d: %v", i, number, err)
+					conn.Close()
 					continue
 				}
 				io.Copy(io.Discard, resp.Body)
-				c.Close()
+				conn.Close()
 				end(resp.StatusCode)
 			}
 		})
 	}
 	quiet := make(chan struct{})
-	go func() { asking.Wait(); close(quiet) }()
-	last := n.figures()
+	go func() { clients.Wait(); close(quiet) }()
+	last := node.readStats()
 	for over := false; !over; {
 		select {
 		case <-quiet:
 			over = true
 		case <-time.After(20 * time.Millisecond):
 		}
-		now := n.figures()
+		now := node.readStats()
 		for name, v := range now {
 			if v < last[name] && name != "gw.current" && !strings.HasPrefix(name, "gw.cluster") && !strings.HasPrefix(name, "gw.list.") { // gauges
 				t.Errorf("%s went from %d to %d", name, last[name], v)
@@ -106,24 +106,24 @@
 		}
 		last = now
 	}
-	for deadline := time.Now().Add(20 * time.Second); n.figures()["gw.current"] > 0 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(20 * time.Second); node.readStats()["gw.current"] > 0 && time.Now().Before(deadline); {
 		time.Sleep(5 * time.Millisecond)
 	}
-	f, sum := n.figures(), 0
-	for name, want := range ends {
-		got := f["gw.transactions.c."+name]
+	stats, sum := node.readStats(), 0
+	for name, want := range results {
+		got := stats["gw.transactions.c."+name]
 		if sum += got - want; got < want {
 			t.Errorf("%s: %d, the clients counted %d", name, got, want)
 		}
 	}
-	if sum > gone {
-		t.Errorf("%d more results than the clients counted, of whom %d disconnected: %v, %v", sum, gone, f, ends)
+	if sum > disconnected {
+		t.Errorf("%d more results than the clients counted, of whom %d disconnected: %v, %v", sum, disconnected, stats, results)
 	}
-	if got := len(n.server.Log()); f["gw.sends"] != got {
-		t.Errorf("sends %d, the server got %d", f["gw.sends"], got)
+	if got := len(node.server.Log()); stats["gw.sends"] != got {
+		t.Errorf("sends %d, the server got %d", stats["gw.sends"], got)
 	}
-	if f["gw.current"] != 0 || f["gw.cluster_size"] != 1 || ends["answered"] == 0 || ends["errored"] == 0 {
-		t.Errorf("%v, %v", f, ends)
+	if stats["gw.current"] != 0 || stats["gw.cluster_size"] != 1 || results["answered"] == 0 || results["errored"] == 0 {
+		t.Errorf("%v, %v", stats, results)
 	}
 	process.Process.Kill()
 }
--- a/cmd/starlingvalve/switched_test.go
+++ b/cmd/starlingvalve/switched_test.go
@@ -20,17 +20,17 @@
 
 // switchableDiscovery is a discovery server at a fixed address that can be taken down: then nobody listens there, or
 // connections are accepted and never answered.
-type switched struct {
-	t      *testing.T
-	addr   string
-	silent bool // while it is down, it accepts connections and never answers
+type switchableDiscovery struct {
+	t            *testing.T
+	addr         string
+	unresponsive bool // while it is down, it accepts connections and never answers
 
 	mu       sync.Mutex
 	listener net.Listener
 	server   *http.Server
 	open     map[net.Conn]bool
 	list     discoveryList
-	news     chan struct{} // would be closed at a change of the list while it is up
+	changed  chan struct{} // would be closed at a change of the list while it is up
 	calls    []time.Time   // when each list request arrived
 }
 
@@ -41,14 +41,14 @@
 }
 
 // newSwitchableDiscovery creates a discovery server at an address of its own. It is down at first.
-func newSwitched(t *testing.T, silent bool) *switched {
-	d := &switched{t: t, addr: reserved(t), silent: silent, open: map[net.Conn]bool{}, news: make(chan struct{})}
-	t.Cleanup(d.end)
-	d.away()
+func newSwitchableDiscovery(t *testing.T, silent bool) *switchableDiscovery {
+	d := &switchableDiscovery{t: t, addr: reservedAddr(t), unresponsive: silent, open: map[net.Conn]bool{}, changed: make(chan struct{})}
+	t.Cleanup(d.closeAll)
+	d.takeDown()
 	return d
 }
 
-func (d *switched) listen() net.Listener {
+func (d *switchableDiscovery) listen() net.Listener {
 	d.t.Helper()
 	l, err := sharedListener(d.addr)
 	if err != nil {
@@ -58,7 +58,7 @@
 }
 
 // closeAll closes the server, its listener and all connections.
-func (d *switched) end() {
+func (d *switchableDiscovery) closeAll() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.server != nil {
@@ -76,9 +76,9 @@
 }
 
 // takeDown takes discovery down and closes every connection to it.
-func (d *switched) away() {
-	d.end()
-	if !d.silent {
+func (d *switchableDiscovery) takeDown() {
+	d.closeAll()
+	if !d.unresponsive {
 		return
 	}
 	l := d.listen()
@@ -99,9 +99,9 @@
 }
 
 // bringBack has discovery serve this list from now on, with a higher version than before, and returns the time.
-func (d *switched) back(servers ...standin.Entry) (at time.Time) {
+func (d *switchableDiscovery) bringBack(servers ...standin.Entry) (at time.Time) {
 	d.t.Helper()
-	d.end()
+	d.closeAll()
 	l := d.listen()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,10 +114,10 @@
 
 // serve answers a list request with the full list. A caller that has the current version waits, for timeout_ms at
 // most.
-func (d *switched) serve(w http.ResponseWriter, r *http.Request) {
+func (d *switchableDiscovery) serve(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls = append(d.calls, time.Now())
-	list, news := d.list, d.news
+	list, news := d.list, d.changed
 	d.mu.Unlock()
 	if since, err := strconv.Atoi(r.URL.Query().Get("since")); err == nil && since == list.Version {
 		wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
@@ -132,7 +132,7 @@
 }
 
 // firstCall waits for the first list request since discovery came back and returns when it arrived.
-func (d *switched) reached() (first time.Time) {
+func (d *switchableDiscovery) firstCall() (first time.Time) {
 	d.t.Helper()
 	testkit.Until(d.t, "discovery gets no list request", func() bool {
 		d.mu.Lock()
@@ -161,8 +161,8 @@
 // fleetServer is a server that records when requests arrive.
 type fleetServer struct {
 	standin.Entry
-	mu   sync.Mutex
-	came []time.Time
+	mu           sync.Mutex
+	requestTimes []time.Time
 }
 
 func newFleetServer(t *testing.T, number int) *fleetServer {
@@ -170,7 +170,7 @@
 	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
 		if r.Header.Get("X-Correlation-Id") != "" {
 			s.mu.Lock()
-			s.came = append(s.came, time.Now())
+			s.requestTimes = append(s.requestTimes, time.Now())
 			s.mu.Unlock()
 		}
 		return testkit.OK("x")
@@ -183,8 +183,8 @@
 func (s *fleetServer) requests() (n int, last time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n = len(s.came); n > 0 {
-		last = s.came[n-1]
+	if n = len(s.requestTimes); n > 0 {
+		last = s.requestTimes[n-1]
 	}
 	return n, last
 }
--- a/decide/api.go
+++ b/decide/api.go
@@ -78,13 +78,13 @@
 	MayCancel      bool          // CancelAttempt is allowed
 	MayProbe       bool          // Probe is allowed
 	MayMessage     bool          // SendMessage is allowed
-	TellShort      bool          // send overload notices to the site's other nodes: set if other sites hand off requests
+	NotifyOverload bool          // send overload notices to the site's other nodes: set if other sites hand off requests
 	HoldOffs       bool          // clients receive Refuse.HoldOff and wait for that time
 	MaxHoldOff     time.Duration // longest hold-off that clients observe
 	MarksRepeats   bool          // clients mark repeated tries
 	ConnectTimeout time.Duration
 	MinTick        time.Duration // shortest time between two events
-	AskForList     bool          // list updates come only after Subscribe or FetchList
+	ListOnRequest  bool          // list updates come only after Subscribe or FetchList
 	SizeKnown      bool          // Server.Size depends on the machine's size
 	SizeLive       bool          // Server.Size falls as the server's load rises
 	OverShareWorth float64       // part of its worth that a request over its tenant's share has
@@ -108,11 +108,11 @@
 	AnswerSlack time.Duration // a final answer so long after the deadline still counts
 	// Once discovery has a change and can be reached, the node counts as notified of the change after this time at
 	// the latest. From then on, requests sent against the change are faults. 0: there is no such bound.
-	NotifiedWithin time.Duration
-	AskWithin      time.Duration // without a subscription, longest time from one list request to the next
-	DrainGrace     time.Duration // sends to a draining server must have stopped after this time
-	ColdFrom       float64       // part of its capacity that a server has at its start, at least
-	ColdTime       time.Duration // time from a server's start until it has its full capacity
+	NotifiedWithin         time.Duration
+	MaxListRequestInterval time.Duration // without a subscription, longest time from one list request to the next
+	DrainGrace             time.Duration // sends to a draining server must have stopped after this time
+	ColdFrom               float64       // part of its capacity that a server has at its start, at least
+	ColdTime               time.Duration // time from a server's start until it has its full capacity
 	// A cold server collapses if it gets more than OverloadFactor times its capacity for OverloadTime.
 	OverloadFactor float64
 	OverloadTime   time.Duration
@@ -165,7 +165,7 @@
 	// Draining servers take no new requests and finish those they have.
 	Draining
 	// Removed servers are no longer in the list.
-	Gone
+	Removed
 )
 
 // Server is an entry of the server list.
@@ -195,7 +195,7 @@
 	// ListFailed has no entries: a list request failed or the subscription broke.
 	ListFailed
 	// ListStalled has no entries: the subscription sends nothing any more, and membership begins it anew.
-	ListSilent
+	ListStalled
 )
 
 // FailureCause is the cause of a ListFailed.
@@ -213,7 +213,7 @@
 	// CauseUnreachable means that discovery was not reached, refused a call at once, or sent no answer.
 	CauseUnreachable
 	// CauseOverloaded means that discovery has ended a call after a long wait for the call's turn.
-	CauseCrowded
+	CauseOverloaded
 	// CauseUseless means that discovery has answered, but with nothing that can be used.
 	CauseUseless
 )
@@ -244,16 +244,16 @@
 type (
 	// RequestArrived is a new request. The module must give it one final answer.
 	RequestArrived struct {
-		ID       RequestID
-		Class    string
-		Tenant   string
-		Key      string
-		Patience time.Duration // how long the client waits for this try
-		WorkHint time.Duration // expected work, if HasHint
-		HasHint  bool
-		Repeat   bool // the client has tried before
-		Write    bool
-		Foreign  bool // another site hands it off: it is served only from this site's headroom
+		ID        RequestID
+		Class     string
+		Tenant    string
+		Key       string
+		Patience  time.Duration // how long the client waits for this try
+		WorkHint  time.Duration // expected work, if HasHint
+		HasHint   bool
+		Repeat    bool // the client has tried before
+		Write     bool
+		HandedOff bool // another site hands it off: it is served only from this site's headroom
 		// A long body is still coming. All times count from its end, which BodyEnded reports.
 		Uploading bool
 	}
@@ -269,15 +269,15 @@
 	}
 	// AttemptEnded is the outcome of an attempt. Each Send gets one.
 	AttemptEnded struct {
-		ID      RequestID
-		Attempt int
-		Server  ServerID
-		Over    bool // the request has had its final answer
-		Elapsed time.Duration
-		Own     time.Duration // part of Elapsed that passed in the node itself: waiting for a CPU, and running
-		Code    OutcomeCode
-		Report  *Report // nil if none came
-		Spent   bool    // so much of an upload has been sent that another attempt can't be made
+		ID           RequestID
+		Attempt      int
+		Server       ServerID
+		RequestDone  bool // the request has had its final answer
+		Elapsed      time.Duration
+		NodeTime     time.Duration // part of Elapsed that passed in the node itself: waiting for a CPU, and running
+		Code         OutcomeCode
+		Report       *Report // nil if none came
+		BodyConsumed bool    // so much of an upload has been sent that another attempt can't be made
 	}
 	// BodyEnded means that the whole body of an upload has been written to the attempt's server.
 	BodyEnded struct {
@@ -287,16 +287,16 @@
 	}
 	// StreamStarted means that a streamed answer has begun.
 	StreamStarted struct {
-		ID      RequestID
-		Attempt int
-		Server  ServerID
-		Elapsed time.Duration
-		Own     time.Duration // as in AttemptEnded
+		ID       RequestID
+		Attempt  int
+		Server   ServerID
+		Elapsed  time.Duration
+		NodeTime time.Duration // as in AttemptEnded
 	}
 	// RequestAbandoned means that the client has gone. The request needs no answer any more.
 	RequestAbandoned struct{ ID RequestID }
 	// Shutdown means that the node shuts down: each open request gets its final answer now.
-	Ending struct{}
+	Shutdown struct{}
 	// ProbeEnded is the result of a Probe.
 	ProbeEnded struct {
 		Server  ServerID
@@ -319,7 +319,7 @@
 func (BodyEnded) event()        {}
 func (StreamStarted) event()    {}
 func (RequestAbandoned) event() {}
-func (Ending) event()           {}
+func (Shutdown) event()         {}
 func (ProbeEnded) event()       {}
 func (MessageReceived) event()  {}
 func (TimerFired) event()       {}
@@ -352,7 +352,7 @@
 		UsableFor time.Duration
 		// The number of requests that all nodes together may send the server within OverloadTime while it is in slow
 		// start; 0: it is not in slow start.
-		ColdMost int
+		SlowStartLimit int
 	}
 	// Refuse is a final answer which promises that a new try does no harm.
 	Refuse struct {
--- a/decide/asking.go
+++ b/decide/asking.go
@@ -11,78 +11,78 @@
 	// applyWithin is the longest time from the moment at which discovery can be reached again until a change is
 	// applied, however the node's earlier calls have ended. Settings.NotifiedWithin limits what may be sent by
 	// an old list in the meantime.
-	followWithin = 6 * time.Second
+	applyWithin = 6 * time.Second
 	// discoveryQueueTimeout is how long a call waits for its turn at discovery until discovery ends it.
-	queueWait = 2 * time.Second
+	discoveryQueueTimeout = 2 * time.Second
 	// requestMargin allows for the module's tick and the network time of the answer.
-	askMargin = 100 * time.Millisecond
+	requestMargin = 100 * time.Millisecond
 	// maxRetryInterval is the longest time from the beginning of a call that fails to that of the next one.
-	askMost = followWithin - queueWait - askMargin
+	maxRetryInterval = applyWithin - discoveryQueueTimeout - requestMargin
 
 	// minBackoff is the shortest backoff. Backoffs double with each failure, up to maxRequestInterval.
-	askFirst = 200 * time.Millisecond
+	minBackoff = 200 * time.Millisecond
 	// spreadPerNode, times the number of nodes, is the time over which the first calls of all nodes are spread.
-	askSpread = 40 * time.Millisecond
+	spreadPerNode = 40 * time.Millisecond
 	// successorSpread bounds the random delay of the first call of a process that takes over from another one.
 	// It is short because the process counts as notified soon of what discovery reports. Short delays do no
 	// harm, as only some nodes are replaced at a time.
-	succeedAsk = 500 * time.Millisecond
+	successorSpread = 500 * time.Millisecond
 	// backoffJitter is the part of a backoff that is random.
-	askJitter = 0.1
+	backoffJitter = 0.1
 
 	// maxOverloadedCalls is the number of calls in a row that may wait for their turn in vain before a node
 	// calls less often. A discovery that is down for some seconds may also let calls wait and then end them;
 	// once it is back, changes must be applied within applyWithin. This does not concern a node without a list:
 	// it has nothing to update.
-	crowdedCalls = 4
+	maxOverloadedCalls = 4
 	// maxOverloadBackoff bounds the backoff after further such calls. If all nodes called every
 	// maxRetryInterval, that could be more than discovery can answer, and every call would wait in vain.
-	crowdedMost = 16 * time.Second
+	maxOverloadBackoff = 16 * time.Second
 	// overloadBackoffGrowth is the factor from one such backoff to the next. The first one is firstSpread.
-	crowdedGrowth = 4
+	overloadBackoffGrowth = 4
 	// overloadBackoffJitter is the part of such a backoff that is random.
-	crowdedJitter = 0.5
+	overloadBackoffJitter = 0.5
 
 	// maxDownBackoff bounds the backoff while discovery seems to be down and lets calls wait. The node can't see
 	// when it is back, and several calls must fit into the time that is left from then on.
-	askDown = time.Second / 2
+	maxDownBackoff = time.Second / 2
 
 	// listRequestTimeout is longer than any call lasts. A call without an outcome after this time has failed.
-	answerLost = 30 * time.Second
+	listRequestTimeout = 30 * time.Second
 )
 
 // firstSpread is the time over which calls are spread that all nodes may make at the same moment.
-func (m *Module) firstAsk() time.Duration {
-	return min(max(askFirst, time.Duration(m.set.Nodes)*askSpread), m.longestAsk())
+func (m *Module) firstSpread() time.Duration {
+	return min(max(minBackoff, time.Duration(m.settings.Nodes)*spreadPerNode), m.maxRequestInterval())
 }
 
 // maxRequestInterval is the longest time from one call to the next. Without a watch, the settings may require
 // more frequent calls than maxRetryInterval.
-func (m *Module) longestAsk() time.Duration {
-	if m.set.AskWithin > 0 {
-		return min(askMost, m.set.AskWithin/2)
+func (m *Module) maxRequestInterval() time.Duration {
+	if m.settings.MaxListRequestInterval > 0 {
+		return min(maxRetryInterval, m.settings.MaxListRequestInterval/2)
 	}
-	return askMost
+	return maxRetryInterval
 }
 
 // resetBackoffs resets the backoffs, at the start and after a call that was answered.
-func (m *Module) resetAsk() {
-	m.askWait, m.crowdedWait, m.crowdedRow, m.uselessWait = m.firstAsk(), m.firstAsk(), 0, askFirst
+func (m *Module) resetBackoffs() {
+	m.failedBackoff, m.overloadBackoff, m.overloadedCalls, m.uselessBackoff = m.firstSpread(), m.firstSpread(), 0, minBackoff
 }
 
 // requestTimeLeft is how long the next call may be delayed so that its answer comes before the list
 // expires, even if the call waits for discoveryQueueTimeout. It is negative if it is too late for that.
-func (m *Module) timeLeft() time.Duration {
-	return m.usableUntil() - queueWait - askMargin - m.now
+func (m *Module) requestTimeLeft() time.Duration {
+	return m.usableUntil() - discoveryQueueTimeout - requestMargin - m.now
 }
 
 // firstRequestDelay returns the random delay of the first call of a process. If lists have a limited
 // lifetime, the process serves only once a call is answered, so the delay leaves time for a second call
 // within that lifetime.
-func (m *Module) spreadFirst() time.Duration {
-	spread := m.firstAsk()
-	if bound := m.bound(); bound > 0 {
-		spread = min(spread, max(askFirst, (bound-queueWait-askMargin)/2))
+func (m *Module) firstRequestDelay() time.Duration {
+	spread := m.firstSpread()
+	if bound := m.listLifetime(); bound > 0 {
+		spread = min(spread, max(minBackoff, (bound-discoveryQueueTimeout-requestMargin)/2))
 	}
 	return time.Duration(m.random() * float64(spread))
 }
@@ -90,77 +90,77 @@
 // spreadDelay returns the random delay of a call that all nodes may make at the same moment, as their
 // watches have broken or the list has moved to another source. It leaves time for a second call before the
 // list expires.
-func (m *Module) spreadAgain() time.Duration {
-	spread := min(m.firstAsk(), max(askFirst, m.timeLeft()/2))
+func (m *Module) spreadDelay() time.Duration {
+	spread := min(m.firstSpread(), max(minBackoff, m.requestTimeLeft()/2))
 	return time.Duration(m.random() * float64(spread))
 }
 
 // listRequestFailed sets the time of the next call after one has failed or a watch has broken.
-func (m *Module) askFailed(e ListUpdate) {
+func (m *Module) listRequestFailed(e ListUpdate) {
 	took := e.Took
-	if took == 0 && m.asking {
-		took = m.now - m.askedAt
+	if took == 0 && m.listRequested {
+		took = m.now - m.listRequestedAt
 	}
 	watched := m.subscribed
 	m.subscribed = false
-	m.listAge.fail(e.Cause, m.now-took, took >= hangsLeast || m.set.MayMessage, watched)
-	wait := m.waitAgain(e.Cause, took)
-	if left := m.timeLeft(); left > 0 {
+	m.listAge.fail(e.Cause, m.now-took, took >= minHang || m.settings.MayMessage, watched)
+	wait := m.retryDelay(e.Cause, took)
+	if left := m.requestTimeLeft(); left > 0 {
 		wait = min(wait, left)
 	}
-	m.askAt, m.asking = m.now+wait, false
+	m.nextListRequestAt, m.listRequested = m.now+wait, false
 }
 
 // retryDelay returns the random delay of the next call after a failure. took is how long the failed call
 // lasted, or 0 for a watch.
-func (m *Module) waitAgain(cause FailureCause, took time.Duration) time.Duration {
-	if cause == CauseCrowded && took >= hangsLeast {
-		return m.waitCrowded(took)
+func (m *Module) retryDelay(cause FailureCause, took time.Duration) time.Duration {
+	if cause == CauseOverloaded && took >= minHang {
+		return m.overloadRetryDelay(took)
 	}
 	switch {
 	case cause == CauseUseless: // discovery is not overloaded, and has an update
-		wait := m.partly(m.uselessWait, crowdedJitter)
-		m.uselessWait = min(2*m.uselessWait, m.longestAsk())
+		wait := m.shortenRandomly(m.uselessBackoff, overloadBackoffJitter)
+		m.uselessBackoff = min(2*m.uselessBackoff, m.maxRequestInterval())
 		return wait
-	case took == 0 && !m.asking: // a watch has broken, possibly those of all nodes
-		return m.spreadAgain()
+	case took == 0 && !m.listRequested: // a watch has broken, possibly those of all nodes
+		return m.spreadDelay()
 	default: // the backoff counts from the beginning of the call, which may have lasted for seconds
-		wait := max(m.partly(m.askWait, askJitter)-took, m.partly(askFirst, askJitter))
-		m.askWait = min(2*m.askWait, m.longestAsk())
+		wait := max(m.shortenRandomly(m.failedBackoff, backoffJitter)-took, m.shortenRandomly(minBackoff, backoffJitter))
+		m.failedBackoff = min(2*m.failedBackoff, m.maxRequestInterval())
 		return wait
 	}
 }
 
 // overloadRetryDelay is retryDelay after a call that waited for its turn at discovery in vain.
-func (m *Module) waitCrowded(took time.Duration) time.Duration {
-	m.crowdedRow++
-	bounded, row := m.bound() > 0, m.crowdedRow <= crowdedCalls
+func (m *Module) overloadRetryDelay(took time.Duration) time.Duration {
+	m.overloadedCalls++
+	bounded, row := m.listLifetime() > 0, m.overloadedCalls <= maxOverloadedCalls
 	switch {
 	case bounded && (m.listAge.down || row && m.listAge.confirmedAt == never):
 		// The node can't see when discovery is back, or this process can't serve before a call is answered.
-		return m.partly(min(m.firstAsk(), askDown), askJitter+crowdedJitter)
+		return m.shortenRandomly(min(m.firstSpread(), maxDownBackoff), backoffJitter+overloadBackoffJitter)
 	case row && len(m.known) > 0:
-		return max(m.partly(m.longestAsk(), crowdedJitter)-took, m.partly(askFirst, askJitter))
+		return max(m.shortenRandomly(m.maxRequestInterval(), overloadBackoffJitter)-took, m.shortenRandomly(minBackoff, backoffJitter))
 	default:
-		wait := m.partly(m.crowdedWait, crowdedJitter)
-		m.crowdedWait = min(crowdedGrowth*m.crowdedWait, crowdedMost)
+		wait := m.shortenRandomly(m.overloadBackoff, overloadBackoffJitter)
+		m.overloadBackoff = min(overloadBackoffGrowth*m.overloadBackoff, maxOverloadBackoff)
 		return wait
 	}
 }
 
 // shortenRandomly returns d less a random part of it, which is at most the given part.
-func (m *Module) partly(d time.Duration, part float64) time.Duration {
+func (m *Module) shortenRandomly(d time.Duration, part float64) time.Duration {
 	return time.Duration((1 - part*m.random()) * float64(d))
 }
 
 // requestList opens a watch if updates come only on request, there is none, and the next call is due.
-func (m *Module) ask() {
-	if m.asking && m.now-m.askedAt >= answerLost {
-		m.askFailed(ListUpdate{})
+func (m *Module) requestList() {
+	if m.listRequested && m.now-m.listRequestedAt >= listRequestTimeout {
+		m.listRequestFailed(ListUpdate{})
 	}
-	if !m.set.AskForList || m.subscribed || m.asking || m.now < m.askAt {
+	if !m.settings.ListOnRequest || m.subscribed || m.listRequested || m.now < m.nextListRequestAt {
 		return
 	}
-	m.asking, m.askedAt = true, m.now
-	m.do(Subscribe{On: true})
+	m.listRequested, m.listRequestedAt = true, m.now
+	m.emit(Subscribe{On: true})
 }
--- a/decide/asking_test.go
+++ b/decide/asking_test.go
@@ -8,39 +8,39 @@
 )
 
 // callRound is the time in which discovery can answer one call from every node.
-type allCalls time.Duration
+type callRound time.Duration
 
 // perCall is discovery's work for one call.
-func (a allCalls) each(nodes int) time.Duration { return time.Duration(a) / time.Duration(nodes) }
+func (a callRound) perCall(nodes int) time.Duration { return time.Duration(a) / time.Duration(nodes) }
 
 // runOutage simulates a fleet whose watches all end when discovery goes down, and a change of the list at the moment at
 // which discovery is reachable again. It returns how long each node took from then on to apply the change, in ascending
 // order. It waits for atMost; a node that has not applied the change by then counts with the time waited.
-func outage(nodes int, within time.Duration, d *queuedDiscovery, down, most time.Duration, seed int64) []time.Duration {
-	f := newAskingFleet(nodes, within, seed)
-	f.now, f.discovery, f.changeAt = time.Second, d, time.Hour
-	for i := range f.nodes {
-		f.start(i)
+func runOutage(nodes int, maxListRequestInterval time.Duration, discovery *queuedDiscovery, down, atMost time.Duration, seed int64) []time.Duration {
+	fleet := newSubscribingFleet(nodes, maxListRequestInterval, seed)
+	fleet.now, fleet.discovery, fleet.changeAt = time.Second, discovery, time.Hour
+	for i := range fleet.nodes {
+		fleet.start(i)
 	}
-	f.run(20 * time.Second)
-	d.downFrom, d.backAt, f.changeAt = f.now, f.now+down, f.now+down
-	for i := range f.nodes {
-		f.broken(i, false)
+	fleet.run(20 * time.Second)
+	discovery.downFrom, discovery.backAt, fleet.changeAt = fleet.now, fleet.now+down, fleet.now+down
+	for i := range fleet.nodes {
+		fleet.breakWatch(i, false)
 	}
-	d.calls, d.late, d.refused = 0, 0, 0
-	f.run(d.backAt)
-	for f.now < d.backAt+most && slices.ContainsFunc(f.nodes, func(n askingNode) bool { return n.followed == 0 }) {
-		f.run(f.now + time.Second)
+	discovery.calls, discovery.expired, discovery.refused = 0, 0, 0
+	fleet.run(discovery.backAt)
+	for fleet.now < discovery.backAt+atMost && slices.ContainsFunc(fleet.nodes, func(node subscribingNode) bool { return node.followedAt == 0 }) {
+		fleet.run(fleet.now + time.Second)
 	}
-	var took []time.Duration
-	for _, n := range f.nodes {
-		if n.followed == 0 {
-			n.followed = f.now
+	var followTimes []time.Duration
+	for _, node := range fleet.nodes {
+		if node.followedAt == 0 {
+			node.followedAt = fleet.now
 		}
-		took = append(took, n.followed-d.backAt)
+		followTimes = append(followTimes, node.followedAt-discovery.backAt)
 	}
-	slices.Sort(took)
-	return took
+	slices.Sort(followTimes)
+	return followTimes
 }
 
 // Guards against long waits between list requests. Every node must apply a change within 6 s of the moment at which
@@ -49,24 +49,24 @@
 // MaxListRequestInterval allowed it, that took 10 s and more.
 func TestChangeIsFollowedInTime(t *testing.T) {
 	t.Parallel()
-	const most = 15 * time.Second
+	const atMost = 15 * time.Second
 	faults := []struct {
 		discoveryFault
 		down time.Duration
-	}{{faultRefused, 0}, {faultRefused, 8 * time.Second}, {faultReset, 8 * time.Second}, {faultSilent, 8 * time.Second}, {faultMixed, 8 * time.Second}}
+	}{{faultRefused, 0}, {faultRefused, 8 * time.Second}, {faultReset, 8 * time.Second}, {faultUnresponsive, 8 * time.Second}, {faultMixed, 8 * time.Second}}
 	for _, c := range []struct {
 		nodes      int
 		within     time.Duration
-		all        allCalls
+		all        callRound
 		chargesAll bool
 	}{
-		{1, 10 * time.Second, allCalls(100 * time.Millisecond), true},
-		{3, time.Minute, allCalls(300 * time.Millisecond), true},
-		{30, 10 * time.Second, allCalls(2 * time.Second), true},
-		{300, 10 * time.Second, allCalls(2 * time.Second), true},
-		{300, time.Minute, allCalls(2 * time.Second), true},
-		{300, 10 * time.Second, allCalls(2 * time.Second), false},
-		{300, 10 * time.Second, allCalls(5 * time.Second), false},
+		{1, 10 * time.Second, callRound(100 * time.Millisecond), true},
+		{3, time.Minute, callRound(300 * time.Millisecond), true},
+		{30, 10 * time.Second, callRound(2 * time.Second), true},
+		{300, 10 * time.Second, callRound(2 * time.Second), true},
+		{300, time.Minute, callRound(2 * time.Second), true},
+		{300, 10 * time.Second, callRound(2 * time.Second), false},
+		{300, 10 * time.Second, callRound(5 * time.Second), false},
 	} {
 		t.Run(fmt.Sprint(c.nodes, " nodes ", c.within, " ", time.Duration(c.all), " each call charged: ", c.chargesAll), func(t *testing.T) {
 			t.Parallel()
@@ -74,12 +74,12 @@
 			calls := 0
 			for seed := range int64(2) {
 				for _, fault := range faults {
-					d := &queuedDiscovery{chargesAll: c.chargesAll, perCall: c.all.each(c.nodes), overbook: 3, fault: fault.discoveryFault}
-					took := outage(c.nodes, c.within, d, fault.down, most, seed)
-					if last := took[c.nodes-1]; last > followWithin {
-						t.Errorf("seed %d, %s for %v: %v until all nodes have applied a change, %v at most", seed, fault.discoveryFault, fault.down, last, followWithin)
+					discovery := &queuedDiscovery{chargesWatches: c.chargesAll, workPerCall: c.all.perCall(c.nodes), overbook: 3, fault: fault.discoveryFault}
+					took := runOutage(c.nodes, c.within, discovery, fault.down, atMost, seed)
+					if last := took[c.nodes-1]; last > applyWithin {
+						t.Errorf("seed %d, %s for %v: %v until all nodes have applied a change, %v at most", seed, fault.discoveryFault, fault.down, last, applyWithin)
 					}
-					worst, calls = max(worst, took[c.nodes-1]), max(calls, d.calls/c.nodes)
+					worst, calls = max(worst, took[c.nodes-1]), max(calls, discovery.calls/c.nodes)
 				}
 			}
 			t.Logf("worst %v, %d calls a node at most", worst, calls)
@@ -91,66 +91,66 @@
 // capacity. Nine in ten of them must have a list within 10 s, also where their configuration holds none.
 func TestRestartedAreReadyInTime(t *testing.T) {
 	t.Parallel()
-	restarted(t, []restartCase{
-		{"with a list", true, allCalls(8 * time.Second), 3, 8 * time.Second, 20 * time.Second},
-		{"no list, roomy", false, allCalls(2 * time.Second), 1, 0, 20 * time.Second},
-		{"no list, short", false, allCalls(5 * time.Second), 3, 0, 20 * time.Second},
-		{"no list, shortest", false, allCalls(8 * time.Second), 1, 0, 20 * time.Second},
-		{"no list, down for 3 s", false, allCalls(4 * time.Second), 3, 3 * time.Second, 20 * time.Second},
+	checkRestarts(t, []restartCase{
+		{"with a list", true, callRound(8 * time.Second), 3, 8 * time.Second, 20 * time.Second},
+		{"no list, roomy", false, callRound(2 * time.Second), 1, 0, 20 * time.Second},
+		{"no list, short", false, callRound(5 * time.Second), 3, 0, 20 * time.Second},
+		{"no list, shortest", false, callRound(8 * time.Second), 1, 0, 20 * time.Second},
+		{"no list, down for 3 s", false, callRound(4 * time.Second), 3, 3 * time.Second, 20 * time.Second},
 	})
 }
 
 // The same where discovery queues three times as many calls as it can answer in time.
 func TestRestartedAreReadyThoughOverbooked(t *testing.T) {
 	t.Parallel()
-	restarted(t, []restartCase{
-		{"no list, shortest, overbooked", false, allCalls(8 * time.Second), 3, 0, time.Minute},
+	checkRestarts(t, []restartCase{
+		{"no list, shortest, overbooked", false, callRound(8 * time.Second), 3, 0, time.Minute},
 	})
 }
 
 // restartCase is a fleet most of whose processes are restarted at once.
 type restartCase struct {
-	name     string
-	known    bool // a process starts with the list of its configuration
-	all      allCalls
-	overbook float64       // as queuedDiscovery's
-	down     time.Duration // outage from the restart on; processes without a list can serve only after it
-	settle   time.Duration // from the first start of the fleet to the restart
+	name        string
+	listKnown   bool // a process starts with the list of its configuration
+	callRound   callRound
+	overbook    float64       // as queuedDiscovery's
+	down        time.Duration // outage from the restart on; processes without a list can serve only after it
+	startupTime time.Duration // from the first start of the fleet to the restart
 }
 
 // checkRestarts runs each case and checks that nine in ten of the restarted processes have a list in time.
-func restarted(t *testing.T, cases []restartCase) {
+func checkRestarts(t *testing.T, cases []restartCase) {
 	const nodes, killed, readyWithin = 300, 210, 10 * time.Second
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range int64(2) {
-				f := newAskingFleet(nodes, 10*time.Second, seed)
-				f.now, f.changeAt = time.Second, time.Hour
-				f.discovery = &queuedDiscovery{perCall: c.all.each(nodes), overbook: c.overbook, fault: faultMixed}
-				for i := range f.nodes {
-					f.start(i)
+				fleet := newSubscribingFleet(nodes, 10*time.Second, seed)
+				fleet.now, fleet.changeAt = time.Second, time.Hour
+				fleet.discovery = &queuedDiscovery{workPerCall: c.callRound.perCall(nodes), overbook: c.overbook, fault: faultMixed}
+				for i := range fleet.nodes {
+					fleet.start(i)
 				}
-				f.run(c.settle)
-				f.known = c.known
-				f.discovery.downFrom, f.discovery.backAt = f.now, f.now+c.down
-				began := f.now
+				fleet.run(c.startupTime)
+				fleet.listKnown = c.listKnown
+				fleet.discovery.downFrom, fleet.discovery.backAt = fleet.now, fleet.now+c.down
+				startedAt := fleet.now
 				for i := range killed {
-					f.start(i)
+					fleet.start(i)
 				}
-				f.run(began + 15*time.Second)
-				var took []time.Duration
-				for _, n := range f.nodes[:killed] {
-					if n.serves == 0 {
-						n.serves = f.now
+				fleet.run(startedAt + 15*time.Second)
+				var readyTimes []time.Duration
+				for _, node := range fleet.nodes[:killed] {
+					if node.listSince == 0 {
+						node.listSince = fleet.now
 					}
-					took = append(took, n.serves-began)
+					readyTimes = append(readyTimes, node.listSince-startedAt)
 				}
-				slices.Sort(took)
-				if at := took[killed*9/10-1]; at > readyWithin {
+				slices.Sort(readyTimes)
+				if at := readyTimes[killed*9/10-1]; at > readyWithin {
 					t.Errorf("seed %d: nine in ten are ready after %v, %v at most", seed, at, readyWithin)
 				}
-				t.Logf("%s: nine in ten after %v, all after %v", c.name, took[killed*9/10-1], took[killed-1])
+				t.Logf("%s: nine in ten after %v, all after %v", c.name, readyTimes[killed*9/10-1], readyTimes[killed-1])
 			}
 		})
 	}
@@ -159,42 +159,42 @@
 // Guards against a discovery that stays overloaded for ever. It needs 8 s for one call from each node, and works on calls
 // that have timed out in its queue. All nodes get the list all the same after a while, as those whose calls time out make
 // fewer and fewer of them.
-func TestCrowdedDiscoveryServesAll(t *testing.T) {
+func TestOverloadedDiscoveryServesAll(t *testing.T) {
 	t.Parallel()
-	const most = time.Minute
+	const atMost = time.Minute
 	for seed := range int64(1) {
-		d := &queuedDiscovery{perCall: allCalls(8 * time.Second).each(300), overbook: 3, fault: faultRefused}
-		took := outage(300, 10*time.Second, d, 8*time.Second, most, seed)
-		if last := took[len(took)-1]; last > most*2/3 {
+		discovery := &queuedDiscovery{workPerCall: callRound(8 * time.Second).perCall(300), overbook: 3, fault: faultRefused}
+		followTimes := runOutage(300, 10*time.Second, discovery, 8*time.Second, atMost, seed)
+		if last := followTimes[len(followTimes)-1]; last > atMost*2/3 {
 			t.Errorf("seed %d: all are served after %v", seed, last)
 		}
-		t.Logf("half after %v, nine in ten after %v, all after %v; %d calls, %d of them timed out in the queue", took[149], took[269], took[299], d.calls, d.late)
+		t.Logf("half after %v, nine in ten after %v, all after %v; %d calls, %d of them timed out in the queue", followTimes[149], followTimes[269], followTimes[299], discovery.calls, discovery.expired)
 	}
 }
 
 // A watch has stalled, and the call that was to renew it has timed out after 3 s. The wait before the next call
 // counts from the beginning of that call, not from its end, as discovery may have been back just after the call began.
-func TestSilentRenewalCountsFromItsBeginning(t *testing.T) {
+func TestStalledWatchRenewalCountsFromItsBeginning(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(100) {
-		f := newAskingFleet(300, 10*time.Second, seed)
-		f.now, f.changeAt = time.Second, time.Hour
-		f.start(0)
-		m := f.nodes[0].module
-		asks := func() bool {
-			f.now += 25 * time.Millisecond
-			return slices.ContainsFunc(m.Handle(f.now, TimerFired{}), func(a Action) bool { _, ok := a.(Subscribe); return ok })
+		fleet := newSubscribingFleet(300, 10*time.Second, seed)
+		fleet.now, fleet.changeAt = time.Second, time.Hour
+		fleet.start(0)
+		module := fleet.nodes[0].module
+		requestsList := func() bool {
+			fleet.now += 25 * time.Millisecond
+			return slices.ContainsFunc(module.Handle(fleet.now, TimerFired{}), func(a Action) bool { _, ok := a.(Subscribe); return ok })
 		}
-		for !asks() {
+		for !requestsList() {
 		}
-		m.Handle(f.now, ListUpdate{Kind: ListFull, Entries: readyServers()})
-		f.now += time.Minute
-		began := f.now - silentCallLimit
-		m.Handle(f.now, ListUpdate{Kind: ListFailed, Took: silentCallLimit})
-		for !asks() && f.now < began+time.Minute {
+		module.Handle(fleet.now, ListUpdate{Kind: ListFull, Entries: readyServers()})
+		fleet.now += time.Minute
+		began := fleet.now - unansweredCallLimit
+		module.Handle(fleet.now, ListUpdate{Kind: ListFailed, Took: unansweredCallLimit})
+		for !requestsList() && fleet.now < began+time.Minute {
 		}
-		if took := f.now - began; took > askMost+askMargin {
-			t.Fatalf("seed %d: next list request %v after the call had begun, %v at most", seed, took, askMost)
+		if took := fleet.now - began; took > maxRetryInterval+requestMargin {
+			t.Fatalf("seed %d: next list request %v after the call had begun, %v at most", seed, took, maxRetryInterval)
 		}
 	}
 }
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -11,12 +11,12 @@
 // be short enough to be read in one go. The operators' limit on the lines of all files together no longer holds (incident
 // 44).
 func TestModuleLimits(t *testing.T) {
-	const linesMost, columnsMost = 1200, 110
+	const maxLines, maxColumns = 1200, 110
 	files, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
-	narrow := map[string]bool{"decide.go": true, "asking.go": true, "listage.go": true, "vouch.go": true}
+	narrowFiles := map[string]bool{"decide.go": true, "asking.go": true, "listage.go": true, "vouch.go": true}
 	read := 0
 	for _, file := range files {
 		if strings.HasSuffix(file, "_test.go") {
@@ -28,22 +28,22 @@
 			t.Fatal(err)
 		}
 		lines := 0
-		for i, l := range strings.Split(string(text), "\n") {
-			if strings.TrimSpace(l) != "" {
+		for i, line := range strings.Split(string(text), "\n") {
+			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if n := len([]rune(l)); narrow[file] && n > columnsMost {
+			if n := len([]rune(line)); narrowFiles[file] && n > maxColumns {
 				t.Errorf("%s: line %d is %d characters long", file, i+1, n)
 			}
 		}
-		if lines > linesMost {
-			t.Errorf("%s: %d non-blank lines, %d at most", file, lines, linesMost)
+		if lines > maxLines {
+			t.Errorf("%s: %d non-blank lines, %d at most", file, lines, maxLines)
 		}
 		if file == "decide.go" && !strings.Contains(string(text[:400]), "api.go") {
 			t.Error("the interface's file must be named at the top")
 		}
 	}
-	if read < len(narrow) {
+	if read < len(narrowFiles) {
 		t.Errorf("%d files read", read)
 	}
 }
--- a/decide/listage.go
+++ b/decide/listage.go
@@ -17,21 +17,21 @@
 	// discovery is unreachable, and no other node's report that it answers. After that time the process takes
 	// discovery for down and uses the list of its configuration: a process that starts during an outage in
 	// which calls hang must serve.
-	startPatience = 9700 * time.Millisecond
+	startWait = 9700 * time.Millisecond
 	// maxStartWait is the longest time from a process's start until it serves, whatever it receives.
-	startMost = 29 * time.Second
+	maxStartWait = 29 * time.Second
 	// stalledWatchTime is what is left of the list's lifetime when a stalled watch is noticed. That happens one
 	// second after its wait for a message is over; the node counts as notified of missed changes two seconds
 	// after the wait.
-	silentLeft = time.Second
+	stalledWatchTime = time.Second
 	// handedListTime is how long a process that takes over from another one may use the list it was handed.
 	// After that, the new process also counts as notified of what the other one has learned in the meantime.
-	succeedLeft = 2 * time.Second
+	handedListTime = 2 * time.Second
 
 	// minHang is the shortest time that a call waits while discovery is down and lets calls wait. A call that is
 	// refused sooner reached a discovery that is up and overloaded. Where nodes exchange messages, and none has
 	// reported that discovery is up, it may also be down.
-	hangsLeast = 300 * time.Millisecond
+	minHang = 300 * time.Millisecond
 
 	never   = Time(math.MinInt64 / 4)
 	forever = Time(math.MaxInt64 / 4)
@@ -44,49 +44,49 @@
 	unreachableAt Time // when discovery was last found to be unreachable
 	down          bool // discovery has gone down, and has not answered since
 	downAt        Time
-	answeringAt   Time // when discovery last answered any node, also with something that can't be used
-	silent        bool // the open watch sends nothing any more, and is begun anew
+	answeredAnyAt Time // when discovery last answered any node, also with something that can't be used
+	watchStalled  bool // the open watch sends nothing any more, and is begun anew
 }
 
 func newListAge() listAge {
-	return listAge{confirmedAt: never, answeredAt: never, unreachableAt: never, answeringAt: never}
+	return listAge{confirmedAt: never, answeredAt: never, unreachableAt: never, answeredAnyAt: never}
 }
 
 // confirm records an answer of discovery, by which the list is up to date.
 func (a *listAge) confirm(now Time) {
-	*a = listAge{confirmedAt: now, answeredAt: now, unreachableAt: never, answeringAt: a.answeringAt}
+	*a = listAge{confirmedAt: now, answeredAt: now, unreachableAt: never, answeredAnyAt: a.answeredAnyAt}
 }
 
 // answeredOther records that discovery answered another node at a time. If it was taken for down or
 // unreachable, it is back, and the list's lifetime no longer counts from the outage: when that ended is not
 // known.
-func (a *listAge) answersOthers(at Time) {
-	a.answeringAt = max(a.answeringAt, at)
+func (a *listAge) answeredOther(at Time) {
+	a.answeredAnyAt = max(a.answeredAnyAt, at)
 	if a.down && at > a.downAt+downMargin || !a.down && at > a.unreachableAt {
 		a.down, a.unreachableAt = false, never
 	}
 }
 
 // watchStalls records that the open watch is begun anew, and that the list may be used for the time left.
-func (a *listAge) fallSilent(now Time, bound, left time.Duration) {
-	a.silent, a.confirmedAt = true, now+left-bound
+func (a *listAge) watchStalls(now Time, bound, left time.Duration) {
+	a.watchStalled, a.confirmedAt = true, now+left-bound
 }
 
 // fail records that a call that began at a time has failed, or, with watched, that the open watch has broken.
 // stillDown says that a call which waited in vain does not show that a discovery taken for down is back.
 func (a *listAge) fail(cause FailureCause, began Time, stillDown, watched bool) {
-	if watched && !a.silent {
+	if watched && !a.watchStalled {
 		a.confirmedAt = began
 	}
-	a.silent = false
+	a.watchStalled = false
 	switch cause {
 	case CauseWentDown:
 		a.down, a.downAt, a.unreachableAt = true, began, began
 	case CauseUnreachable, CauseUnknown: // calls fail at once: one that waits later shows that discovery is back
 		a.down, a.unreachableAt = false, max(a.unreachableAt, began)
 	case CauseUseless:
-		a.down, a.answeringAt = false, began
-	case CauseCrowded:
+		a.down, a.answeredAnyAt = false, began
+	case CauseOverloaded:
 		if a.down && stillDown { // a discovery that is down lets calls wait until it is back
 			a.unreachableAt = max(a.unreachableAt, began)
 		}
@@ -94,26 +94,26 @@
 }
 
 // listLifetime is how long the list may be used after discovery had no newer one; 0: without limit.
-func (m *Module) bound() time.Duration {
-	if !m.set.AskForList || m.set.NotifiedWithin == 0 {
+func (m *Module) listLifetime() time.Duration {
+	if !m.settings.ListOnRequest || m.settings.NotifiedWithin == 0 {
 		return 0
 	}
-	if m.set.AskWithin > 0 {
-		return min(m.set.NotifiedWithin, m.set.AskWithin)
+	if m.settings.MaxListRequestInterval > 0 {
+		return min(m.settings.NotifiedWithin, m.settings.MaxListRequestInterval)
 	}
-	return m.set.NotifiedWithin
+	return m.settings.NotifiedWithin
 }
 
 // usableUntil is the time from which nothing may be sent by the list, unless an answer of discovery comes
 // first.
 func (m *Module) usableUntil() Time {
-	bound, a := m.bound(), &m.listAge
+	bound, a := m.listLifetime(), &m.listAge
 	vouched := max(a.confirmedAt, a.unreachableAt)
 	switch {
-	case bound == 0, m.subscribed && !a.silent:
+	case bound == 0, m.subscribed && !a.watchStalled:
 		return forever
-	case vouched == never && m.now-max(m.startAt, a.answeringAt) >= startPatience,
-		vouched == never && m.now-m.startAt >= startMost:
+	case vouched == never && m.now-max(m.startAt, a.answeredAnyAt) >= startWait,
+		vouched == never && m.now-m.startAt >= maxStartWait:
 		return forever
 	case vouched == never:
 		return never
@@ -122,4 +122,4 @@
 }
 
 // ListUsable tells whether requests may be sent by the list now.
-func (m *Module) Usable() bool { return m.now < m.usableUntil() }
+func (m *Module) ListUsable() bool { return m.now < m.usableUntil() }
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -25,63 +25,63 @@
 )
 
 const (
-	listBound    = 6 * time.Second        // from a change, with discovery reachable, until a process counts as notified
-	listGrace    = 550 * time.Millisecond // for which requests may still go to a draining server after that
-	listStep     = 25 * time.Millisecond  // of virtual time
-	listAsk      = 100 * time.Millisecond // between two clients' requests at a process
-	mostWork     = 400 * time.Millisecond // of discovery for one call, at its usual speed
-	takenForDown = 9 * time.Second        // a process that has had no answer for so long may take discovery for down
+	notifyBound      = 6 * time.Second        // from a change, with discovery reachable, until a process counts as notified
+	listSendGrace    = 550 * time.Millisecond // for which requests may still go to a draining server after that
+	listWorldStep    = 25 * time.Millisecond  // of virtual time
+	clientInterval   = 100 * time.Millisecond // between two clients' requests at a process
+	maxCallWork      = 400 * time.Millisecond // of discovery for one call, at its usual speed
+	assumedDownAfter = 9 * time.Second        // a process that has had no answer for so long may take discovery for down
 )
 
 // listWorld is a model of discovery, and the nodes whose processes request the list from it. Discovery works through its
 // calls in turn.
 type listWorld struct {
-	now       time.Duration
-	random    *rand.Rand
-	nodes     []listNode
-	perCall   time.Duration // discovery's work for one call, at its usual speed
-	slower    float64       // factor on that work
-	roomy     bool          // discovery has capacity enough that its queue stays short
-	wasteful  bool          // it also works on calls that have already timed out in its queue
-	freeAt    time.Duration // when it has worked through its queue
-	down      bool
-	cutTill   time.Duration // until then answers break off
-	upAt      time.Duration // end of the present outage
-	backAt    time.Duration // end of the latest outage that is over; 0: there has been none
-	peers     bool          // nodes may send one another messages, some of which are lost
-	messages  []listMessage
-	refuses   bool            // while it is down it refuses calls at once
-	hangs     bool            // while it is down calls wait in its queue until they time out
-	drainedAt []time.Duration // when each server began to drain; 0: it is ready
-	ends      []listCallEnd   // calls under way
+	now               time.Duration
+	random            *rand.Rand
+	nodes             []listNode
+	workPerCall       time.Duration // discovery's work for one call, at its usual speed
+	slowdown          float64       // factor on that work
+	queueStaysShort   bool          // discovery has capacity enough that its queue stays short
+	worksOnExpired    bool          // it also works on calls that have already timed out in its queue
+	freeAt            time.Duration // when it has worked through its queue
+	down              bool
+	truncatedUntil    time.Duration // until then answers break off
+	outageEndsAt      time.Duration // end of the present outage
+	lastOutageEndedAt time.Duration // end of the latest outage that is over; 0: there has been none
+	peerMessages      bool          // nodes may send one another messages, some of which are lost
+	messages          []listMessage
+	refusesWhileDown  bool            // while it is down it refuses calls at once
+	hangsWhileDown    bool            // while it is down calls wait in its queue until they time out
+	drainingSince     []time.Duration // when each server began to drain; 0: it is ready
+	openCalls         []discoveryCall // calls under way
 
-	sent, refused, late int    // requests of clients; late: those sent by an expired list
-	firstLate           string // describes the first of these
+	sent, refused, expiredSends int    // requests of clients; late: those sent by an expired list
+	firstExpiredSend            string // describes the first of these
 }
 
 // listNode is a node and the process that it runs.
 type listNode struct {
-	module     *Module
-	life       int           // of its connections to discovery: ends of calls of an earlier generation are dropped
-	startedAt  time.Duration // of this process
-	answered   bool          // this process has had an answer from discovery
-	calling    bool          // a list request is under way
-	watching   bool          // a watch is open
-	silentTill time.Duration // until then its calls get no answer
-	reachable  time.Duration // since then discovery has been reachable from this node
-	list       []Server      // the last list that discovery sent
-	notified   []time.Duration // when an answer notified it that a server drains, by server; 0: none has
-	asked      int           // requests of clients so far
+	module           *Module
+	generation       int             // of its connections to discovery: ends of calls of an earlier generation are dropped
+	startedAt        time.Duration   // of this process
+	hasAnswer        bool            // this process has had an answer from discovery
+	calling          bool            // a list request is under way
+	watching         bool            // a watch is open
+	unreachableUntil time.Duration   // until then its calls get no answer
+	reachableSince   time.Duration   // since then discovery has been reachable from this node
+	list             []Server        // the last list that discovery sent
+	notifiedAt       []time.Duration // when an answer notified it that a server drains, by server; 0: none has
+	requests         int             // requests of clients so far
 }
 
 // discoveryCall is a list request at discovery, with the outcome that it will have.
-type listCallEnd struct {
-	began time.Duration
-	at    time.Duration
-	node  int
-	life  int
-	cause FailureCause // if it is not answered
-	ok    bool         // it is answered
+type discoveryCall struct {
+	began      time.Duration
+	endsAt     time.Duration
+	node       int
+	generation int
+	cause      FailureCause // if it is not answered
+	answered   bool         // it is answered
 }
 
 // listMessage is a message from one node to another.
@@ -92,20 +92,20 @@
 
 // newListWorld starts a fleet of nodes. A round is the time in which discovery can answer one call of each.
 func newListWorld(nodes int, round time.Duration, peers bool, seed int64) *listWorld {
-	w := &listWorld{now: time.Second, random: rand.New(rand.NewSource(seed)), nodes: make([]listNode, nodes), perCall: min(round/time.Duration(nodes), mostWork), slower: 1}
-	w.wasteful, w.peers, w.roomy = seed%2 == 0, peers, round <= time.Second
-	w.drainedAt = make([]time.Duration, max(16, nodes/2))
+	w := &listWorld{now: time.Second, random: rand.New(rand.NewSource(seed)), nodes: make([]listNode, nodes), workPerCall: min(round/time.Duration(nodes), maxCallWork), slowdown: 1}
+	w.worksOnExpired, w.peerMessages, w.queueStaysShort = seed%2 == 0, peers, round <= time.Second
+	w.drainingSince = make([]time.Duration, max(16, nodes/2))
 	for i := range w.nodes {
-		w.nodes[i].list, w.nodes[i].notified = w.list(), make([]time.Duration, len(w.drainedAt))
-		w.start(i)
+		w.nodes[i].list, w.nodes[i].notifiedAt = w.currentList(), make([]time.Duration, len(w.drainingSince))
+		w.startProcess(i)
 	}
 	return w
 }
 
 // currentList is the list as discovery has it now.
-func (w *listWorld) list() []Server {
-	list := make([]Server, len(w.drainedAt))
-	for i, at := range w.drainedAt {
+func (w *listWorld) currentList() []Server {
+	list := make([]Server, len(w.drainingSince))
+	for i, at := range w.drainingSince {
 		list[i] = Server{ID: ServerID(i + 1), Zone: "a", Kind: "k", State: Ready, Size: 1}
 		if at > 0 {
 			list[i].State = Draining
@@ -115,149 +115,149 @@
 }
 
 // startProcess starts a new process of a node, with the list that the one before had.
-func (w *listWorld) start(i int) {
-	n := &w.nodes[i]
-	s := fleetSettings(i % 3)
-	s.Nodes, s.Self, s.AskForList, s.AskWithin, s.MayMessage, s.MayProbe, s.NotifiedWithin = len(w.nodes), i, true, 10*time.Second, w.peers, false, listBound
-	n.module, n.startedAt, n.answered = New(s, w.random.Int63()), w.now, false
-	n.calling, n.watching = false, false
-	n.life++
-	for k, server := range n.list { // what the earlier process was notified of is in this one's list
-		if n.notified[k] = 0; server.State != Ready {
-			n.notified[k] = w.now
+func (w *listWorld) startProcess(i int) {
+	node := &w.nodes[i]
+	settings := fleetSettings(i % 3)
+	settings.Nodes, settings.Self, settings.ListOnRequest, settings.MaxListRequestInterval, settings.MayMessage, settings.MayProbe, settings.NotifiedWithin = len(w.nodes), i, true, 10*time.Second, w.peerMessages, false, notifyBound
+	node.module, node.startedAt, node.hasAnswer = New(settings, w.random.Int63()), w.now, false
+	node.calling, node.watching = false, false
+	node.generation++
+	for index, server := range node.list { // what the earlier process was notified of is in this one's list
+		if node.notifiedAt[index] = 0; server.State != Ready {
+			node.notifiedAt[index] = w.now
 		}
 	}
-	w.handle(i, ListUpdate{Kind: ListCached, Entries: n.list})
+	w.handle(i, ListUpdate{Kind: ListCached, Entries: node.list})
 }
 
 // handle passes an event to a node's module and executes the actions that it returns.
-func (w *listWorld) handle(i int, e Event) {
-	n := &w.nodes[i]
+func (w *listWorld) handle(i int, event Event) {
+	node := &w.nodes[i]
 	var begin bool
-	for _, a := range n.module.Handle(w.now, e) {
+	for _, a := range node.module.Handle(w.now, event) {
 		switch a := a.(type) {
 		case Subscribe:
-			begin = a.On && !n.calling && !n.watching
+			begin = a.On && !node.calling && !node.watching
 		case Send:
-			w.sentTo(i, a)
+			w.checkSend(i, a)
 		case Refuse:
 			w.refused++
 		case SendMessage:
-			w.say(i, a)
+			w.sendMessage(i, a)
 		}
 	}
 	if begin {
-		w.call(i)
+		w.beginCall(i)
 	}
 }
 
 // sendMessage delivers a readiness query or report to another node in the next step. One in eight is lost.
-func (w *listWorld) say(from int, m SendMessage) {
-	if !m.ToAll && m.To != from && (m.Data[0] == vouchAsk || m.Data[0] == vouchAnswer) && w.random.Intn(8) > 0 {
-		w.messages = append(w.messages, listMessage{from, m.To, m.Data})
+func (w *listWorld) sendMessage(from int, message SendMessage) {
+	if !message.ToAll && message.To != from && (message.Data[0] == queryMark || message.Data[0] == readinessMark) && w.random.Intn(8) > 0 {
+		w.messages = append(w.messages, listMessage{from, message.To, message.Data})
 	}
 }
 
 // checkSend checks that a request is not sent to a server of which the node counts as notified that it drains. A process
 // that has had no answer for assumedDownAfter may use the list of its configuration.
-func (w *listWorld) sentTo(i int, a Send) {
-	n := &w.nodes[i]
+func (w *listWorld) checkSend(i int, send Send) {
+	node := &w.nodes[i]
 	w.sent++
-	if at, bound := w.boundAt(n, int(a.Server)-1); bound && w.now > at+listGrace && (n.answered || w.now < n.startedAt+takenForDown) {
-		if w.late++; w.firstLate == "" {
-			w.firstLate = fmt.Sprintf("node %d, started at %v, sends to server %d at %v, %v after it counted as notified", i, n.startedAt, a.Server, w.now, w.now-at)
+	if at, bound := w.notifiedSince(node, int(send.Server)-1); bound && w.now > at+listSendGrace && (node.hasAnswer || w.now < node.startedAt+assumedDownAfter) {
+		if w.expiredSends++; w.firstExpiredSend == "" {
+			w.firstExpiredSend = fmt.Sprintf("node %d, started at %v, sends to server %d at %v, %v after it counted as notified", i, node.startedAt, send.Server, w.now, w.now-at)
 		}
 	}
 }
 
 // notifiedSince is the time since when a node counts as notified that a server drains, and whether there is one: that of
 // the answer which said so, else notifyBound after the server began to drain and discovery was reachable.
-func (w *listWorld) boundAt(n *listNode, server int) (time.Duration, bool) {
-	at := w.drainedAt[server]
+func (w *listWorld) notifiedSince(node *listNode, server int) (time.Duration, bool) {
+	at := w.drainingSince[server]
 	if at == 0 {
 		return 0, false
 	}
-	if told := n.notified[server]; told > 0 {
-		return told, true
+	if notifiedAt := node.notifiedAt[server]; notifiedAt > 0 {
+		return notifiedAt, true
 	}
-	if w.down || w.now < n.silentTill {
+	if w.down || w.now < node.unreachableUntil {
 		return 0, false
 	}
-	return max(at, w.backAt, n.reachable) + listBound, true
+	return max(at, w.lastOutageEndedAt, node.reachableSince) + notifyBound, true
 }
 
 // beginCall begins a node's list request and determines its outcome as things are now.
-func (w *listWorld) call(i int) {
-	n := &w.nodes[i]
-	n.calling = true
-	end := listCallEnd{began: w.now, node: i, life: n.life}
+func (w *listWorld) beginCall(i int) {
+	node := &w.nodes[i]
+	node.calling = true
+	call := discoveryCall{began: w.now, node: i, generation: node.generation}
 	switch {
-	case w.now < n.silentTill:
-		end.at, end.cause = w.now+silentCallLimit, CauseUnreachable
-	case w.down && w.hangs:
-		end.at, end.cause = w.now+discoveryTimeout, CauseCrowded
-	case w.down && w.refuses:
-		end.at, end.cause = w.now+quickFailure, CauseCrowded
+	case w.now < node.unreachableUntil:
+		call.endsAt, call.cause = w.now+unansweredCallLimit, CauseUnreachable
+	case w.down && w.hangsWhileDown:
+		call.endsAt, call.cause = w.now+discoveryTimeout, CauseOverloaded
+	case w.down && w.refusesWhileDown:
+		call.endsAt, call.cause = w.now+quickFailure, CauseOverloaded
 	case w.down:
-		end.at, end.cause = w.now+quickFailure, CauseUnreachable
+		call.endsAt, call.cause = w.now+quickFailure, CauseUnreachable
 	default:
-		end.at, end.ok = w.turn()
-		end.cause = CauseCrowded
-		if end.ok && w.now < w.cutTill {
-			end.ok, end.cause = false, CauseUseless
+		call.endsAt, call.answered = w.enqueueCall()
+		call.cause = CauseOverloaded
+		if call.answered && w.now < w.truncatedUntil {
+			call.answered, call.cause = false, CauseUseless
 		}
 	}
-	w.ends = append(w.ends, end)
+	w.openCalls = append(w.openCalls, call)
 }
 
 // enqueueCall adds a call to discovery's queue. It returns when the call ends, and whether that is with an answer.
-func (w *listWorld) turn() (time.Duration, bool) {
-	work := time.Duration(float64(w.perCall) * w.slower)
-	answer := max(w.now, w.freeAt) + work
-	inTime := answer-w.now <= discoveryTimeout
-	if inTime || w.wasteful && answer-w.now <= 2*discoveryTimeout {
-		w.freeAt = answer
-	}
-	if answer-w.now > 2*discoveryTimeout {
+func (w *listWorld) enqueueCall() (time.Duration, bool) {
+	work := time.Duration(float64(w.workPerCall) * w.slowdown)
+	answerAt := max(w.now, w.freeAt) + work
+	inTime := answerAt-w.now <= discoveryTimeout
+	if inTime || w.worksOnExpired && answerAt-w.now <= 2*discoveryTimeout {
+		w.freeAt = answerAt
+	}
+	if answerAt-w.now > 2*discoveryTimeout {
 		return w.now + quickFailure, false
 	}
 	if !inTime {
 		return w.now + discoveryTimeout, false
 	}
-	return answer, true
+	return answerAt, true
 }
 
 // endCall ends a node's call with its outcome, unless an outage or a lost connection has overtaken it.
-func (w *listWorld) ended(c listCallEnd) {
-	n := &w.nodes[c.node]
-	if n.life != c.life {
+func (w *listWorld) endCall(call discoveryCall) {
+	node := &w.nodes[call.node]
+	if node.generation != call.generation {
 		return
 	}
-	n.calling = false
+	node.calling = false
 	switch {
-	case w.now < n.silentTill:
-		c.ok, c.cause = false, CauseUnreachable
-	case c.ok && w.down:
-		c.ok, c.cause = false, CauseCrowded
+	case w.now < node.unreachableUntil:
+		call.answered, call.cause = false, CauseUnreachable
+	case call.answered && w.down:
+		call.answered, call.cause = false, CauseOverloaded
 	}
-	if !c.ok {
-		w.handle(c.node, ListUpdate{Kind: ListFailed, Cause: c.cause, Took: w.now - c.began})
+	if !call.answered {
+		w.handle(call.node, ListUpdate{Kind: ListFailed, Cause: call.cause, Took: w.now - call.began})
 		return
 	}
-	n.watching = true
-	w.tell(c.node)
+	node.watching = true
+	w.deliverList(call.node)
 }
 
 // deliverList sends a node the list as discovery has it now.
-func (w *listWorld) tell(i int) {
-	n := &w.nodes[i]
-	n.list, n.answered = w.list(), true
-	for k, at := range w.drainedAt {
-		if n.notified[k] == 0 && at > 0 {
-			n.notified[k] = w.now
+func (w *listWorld) deliverList(i int) {
+	node := &w.nodes[i]
+	node.list, node.hasAnswer = w.currentList(), true
+	for index, at := range w.drainingSince {
+		if node.notifiedAt[index] == 0 && at > 0 {
+			node.notifiedAt[index] = w.now
 		}
 	}
-	w.handle(i, ListUpdate{Kind: ListFull, Entries: n.list})
+	w.handle(i, ListUpdate{Kind: ListFull, Entries: node.list})
 }
 
 // breakWatch ends a node's watch, or its call, with a failure.
@@ -267,37 +267,37 @@
 		return
 	}
 	n.watching, n.calling = false, false
-	n.life++
+	n.generation++
 	w.handle(i, ListUpdate{Kind: ListFailed, Cause: cause})
 }
 
 // drainSome has up to an eighth of the servers begin to drain, and sends the change to all nodes with a watch. No server
 // becomes ready again, so that each drain is checked to the end of the run. At least half of the servers stay ready.
-func (w *listWorld) change() {
+func (w *listWorld) drainSome() {
 	drained := 0
-	for _, at := range w.drainedAt {
+	for _, at := range w.drainingSince {
 		if at > 0 {
 			drained++
 		}
 	}
-	for range min(len(w.drainedAt)/8, len(w.drainedAt)/2-drained) {
-		if k := w.random.Intn(len(w.drainedAt)); w.drainedAt[k] == 0 {
-			w.drainedAt[k] = w.now
+	for range min(len(w.drainingSince)/8, len(w.drainingSince)/2-drained) {
+		if index := w.random.Intn(len(w.drainingSince)); w.drainingSince[index] == 0 {
+			w.drainingSince[index] = w.now
 		}
 	}
 	for i := range w.nodes {
-		switch n := &w.nodes[i]; {
-		case w.down || !n.watching || w.now < n.silentTill:
-		case w.now < w.cutTill:
+		switch node := &w.nodes[i]; {
+		case w.down || !node.watching || w.now < node.unreachableUntil:
+		case w.now < w.truncatedUntil:
 			w.breakWatch(i, CauseBroken)
 		default:
-			w.tell(i)
+			w.deliverList(i)
 		}
 	}
 }
 
 // causeEvent has an event of a kind happen: to discovery, or to a random part of the nodes.
-func (w *listWorld) event(kind string) {
+func (w *listWorld) causeEvent(kind string) {
 	some := func(f func(i int)) {
 		part := []float64{0.05, 0.3, 1}[w.random.Intn(3)]
 		for i := range w.nodes {
@@ -308,29 +308,29 @@
 	}
 	switch kind {
 	case "restart":
-		some(w.start)
+		some(w.startProcess)
 	case "reload":
 		some(func(i int) { w.breakWatch(i, CauseMoved) })
 	case "broken":
 		some(func(i int) { w.breakWatch(i, CauseBroken) })
 	case "slow":
-		w.slower = 1 + w.random.Float64()
+		w.slowdown = 1 + w.random.Float64()
 	case "back to speed":
-		w.slower = 1
+		w.slowdown = 1
 	case "change":
-		w.change()
+		w.drainSome()
 	case "cut":
-		w.cutTill = w.now + time.Duration(w.random.Intn(10))*time.Second
+		w.truncatedUntil = w.now + time.Duration(w.random.Intn(10))*time.Second
 	case "down":
-		if !w.down && (w.peers || w.roomy) {
+		if !w.down && (w.peerMessages || w.queueStaysShort) {
 			w.goDown()
 		}
 	case "silent": // only where no watch is open: that one has stalled is noticed only after a wait
 		some(func(i int) {
-			n := &w.nodes[i]
-			if !n.watching {
-				n.silentTill = w.now + time.Duration(w.random.Intn(4))*time.Second
-				n.reachable = n.silentTill
+			node := &w.nodes[i]
+			if !node.watching {
+				node.unreachableUntil = w.now + time.Duration(w.random.Intn(4))*time.Second
+				node.reachableSince = node.unreachableUntil
 			}
 		})
 	}
@@ -338,21 +338,21 @@
 
 // goDown begins an outage of discovery of one to nine seconds, which ends all watches and calls.
 func (w *listWorld) goDown() {
-	w.down, w.hangs, w.refuses = true, w.random.Intn(3) == 0, w.random.Intn(2) == 0
-	w.upAt = w.now + time.Second + time.Duration(w.random.Intn(8))*time.Second
+	w.down, w.hangsWhileDown, w.refusesWhileDown = true, w.random.Intn(3) == 0, w.random.Intn(2) == 0
+	w.outageEndsAt = w.now + time.Second + time.Duration(w.random.Intn(8))*time.Second
 	for i := range w.nodes {
 		w.breakWatch(i, CauseWentDown)
 	}
 }
 
 // run simulates a period of time with a random sequence of events.
-func (w *listWorld) play(length time.Duration) {
+func (w *listWorld) run(length time.Duration) {
 	kinds := []string{"restart", "reload", "reload", "broken", "slow", "back to speed", "change", "change", "silent", "cut", "down"}
 	end := w.now + length
 	next := w.now + 3*time.Second
-	for ; w.now < end; w.now += listStep {
+	for ; w.now < end; w.now += listWorldStep {
 		if w.now >= next {
-			w.event(kinds[w.random.Intn(len(kinds))])
+			w.causeEvent(kinds[w.random.Intn(len(kinds))])
 			next = w.now + time.Duration(w.random.Intn(2500))*time.Millisecond
 		}
 		w.step()
@@ -361,38 +361,38 @@
 
 // step simulates what happens in one step: ends of outages and calls, messages, and each node's tick and client requests.
 func (w *listWorld) step() {
-	if w.down && w.now >= w.upAt {
-		w.down, w.backAt = false, w.now
-	}
-	due := w.ends
-	w.ends = nil
-	for _, c := range due {
-		if c.at <= w.now {
-			w.ended(c)
+	if w.down && w.now >= w.outageEndsAt {
+		w.down, w.lastOutageEndedAt = false, w.now
+	}
+	due := w.openCalls
+	w.openCalls = nil
+	for _, call := range due {
+		if call.endsAt <= w.now {
+			w.endCall(call)
 		} else {
-			w.ends = append(w.ends, c)
+			w.openCalls = append(w.openCalls, call)
 		}
 	}
-	said := w.messages
+	messages := w.messages
 	w.messages = nil
-	for _, m := range said {
-		w.handle(m.to, MessageReceived{From: m.from, Data: m.data})
+	for _, message := range messages {
+		w.handle(message.to, MessageReceived{From: message.from, Data: message.data})
 	}
 	for i := range w.nodes {
 		w.handle(i, TimerFired{})
-		if (int(w.now/listStep)+i)%int(listAsk/listStep) == 0 {
-			w.request(i)
+		if (int(w.now/listWorldStep)+i)%int(clientInterval/listWorldStep) == 0 {
+			w.sendRequest(i)
 		}
 	}
 }
 
 // sendRequest has a client's request arrive at a node. The server that gets it answers at once.
-func (w *listWorld) request(i int) {
-	n := &w.nodes[i]
-	n.asked++
-	id := RequestID(fmt.Sprint(i, "-", n.asked))
+func (w *listWorld) sendRequest(i int) {
+	node := &w.nodes[i]
+	node.requests++
+	id := RequestID(fmt.Sprint(i, "-", node.requests))
 	var sent []Send
-	for _, a := range n.module.Handle(w.now, RequestArrived{ID: id, Class: "safe", Patience: time.Second}) {
+	for _, a := range node.module.Handle(w.now, RequestArrived{ID: id, Class: "safe", Patience: time.Second}) {
 		switch a := a.(type) {
 		case Send:
 			sent = append(sent, a)
@@ -401,22 +401,22 @@
 		}
 	}
 	for _, a := range sent {
-		w.sentTo(i, a)
-		w.handle(i, AttemptEnded{ID: id, Server: a.Server, Over: true, Elapsed: 5 * time.Millisecond, Code: OK})
+		w.checkSend(i, a)
+		w.handle(i, AttemptEnded{ID: id, Server: a.Server, RequestDone: true, Elapsed: 5 * time.Millisecond, Code: OK})
 	}
 }
 
 // runListWorlds simulates worlds of a kind with several seeds. None may send by an expired list, and at least half of all
 // requests must be sent to a server.
-func playLists(t *testing.T, nodes int, round time.Duration, peers bool) {
+func runListWorlds(t *testing.T, nodes int, round time.Duration, peers bool) {
 	sent, refused := 0, 0
 	for seed := range int64(min(20, 300/nodes+1)) {
-		w := newListWorld(nodes, round, peers, 100*int64(nodes)+seed)
-		w.play(25 * time.Second)
-		if w.late > 0 {
-			t.Errorf("seed %d: %d requests by an expired list, the first: %s", seed, w.late, w.firstLate)
+		world := newListWorld(nodes, round, peers, 100*int64(nodes)+seed)
+		world.run(25 * time.Second)
+		if world.expiredSends > 0 {
+			t.Errorf("seed %d: %d requests by an expired list, the first: %s", seed, world.expiredSends, world.firstExpiredSend)
 		}
-		sent, refused = sent+w.sent, refused+w.refused
+		sent, refused = sent+world.sent, refused+world.refused
 	}
 	if sent == 0 || refused > sent {
 		t.Errorf("%d requests sent, %d refused", sent, refused)
@@ -439,7 +439,7 @@
 			for _, peers := range []bool{false, true} {
 				t.Run(fmt.Sprint(nodes, " nodes, ", round, " for a call of each, peers ", peers), func(t *testing.T) {
 					t.Parallel()
-					playLists(t, nodes, round, peers)
+					runListWorlds(t, nodes, round, peers)
 				})
 			}
 		}
@@ -452,33 +452,33 @@
 func TestSuccessorDoesNotOutliveWhatItWasHanded(t *testing.T) {
 	t.Parallel()
 	settings := fleetSettings(0)
-	settings.AskForList, settings.NotifiedWithin, settings.MayMessage = true, listBound, false
+	settings.ListOnRequest, settings.NotifiedWithin, settings.MayMessage = true, notifyBound, false
 	list := readyServers()
-	before, after := New(settings, 1), New(settings, 2)
+	predecessor, successor := New(settings, 1), New(settings, 2)
 	now := time.Second
-	before.Handle(now, ListUpdate{Kind: ListCached, Entries: list})
-	for !before.subscribed {
-		now += listStep
-		before.Handle(now, TimerFired{})
-		if before.asking {
-			before.Handle(now, ListUpdate{Kind: ListFull, Entries: list})
+	predecessor.Handle(now, ListUpdate{Kind: ListCached, Entries: list})
+	for !predecessor.subscribed {
+		now += listWorldStep
+		predecessor.Handle(now, TimerFired{})
+		if predecessor.listRequested {
+			predecessor.Handle(now, ListUpdate{Kind: ListFull, Entries: list})
 		}
 	}
-	after.Handle(now, ListUpdate{Kind: ListCached, Entries: list})
-	if after.Usable() {
+	successor.Handle(now, ListUpdate{Kind: ListCached, Entries: list})
+	if successor.ListUsable() {
 		t.Error("the list of the configuration is used before anything confirms it")
 	}
-	if err := after.Restore(now, before.Snapshot(now)); err != nil {
+	if err := successor.Restore(now, predecessor.Snapshot(now)); err != nil {
 		t.Fatal(err)
 	}
-	if !after.Usable() {
+	if !successor.ListUsable() {
 		t.Error("the list that was handed over is not used")
 	}
-	for end := now + 2*time.Second; now < end; now += listStep {
-		after.Handle(now, TimerFired{})
+	for end := now + 2*time.Second; now < end; now += listWorldStep {
+		successor.Handle(now, TimerFired{})
 	}
 	for i := range 10 {
-		for _, a := range after.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "safe", Patience: time.Second}) {
+		for _, a := range successor.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "safe", Patience: time.Second}) {
 			if s, ok := a.(Send); ok {
 				t.Errorf("sent to server %d, 2 s after the list was handed over", s.Server)
 			}
--- a/decide/pools.go
+++ b/decide/pools.go
@@ -18,80 +18,80 @@
 
 // pool is a set of servers with access by index. Adding and removing take constant time.
 type pool struct {
-	by   int
-	list []*server
+	grouping int
+	servers  []*serverRecord
 }
 
 // add moves a server to the pool from any other pool of the same grouping.
-func (p *pool) put(s *server) {
-	if s.in[p.by] == p {
+func (p *pool) add(s *serverRecord) {
+	if s.pools[p.grouping] == p {
 		return
 	}
-	leave(s, p.by)
-	s.in[p.by], s.slot[p.by] = p, len(p.list)
-	p.list = append(p.list, s)
+	removeFromPool(s, p.grouping)
+	s.pools[p.grouping], s.poolIndex[p.grouping] = p, len(p.servers)
+	p.servers = append(p.servers, s)
 }
 
 // removeFromPool removes a server from its pool of a grouping, if it is in one.
-func leave(s *server, by int) {
-	p := s.in[by]
+func removeFromPool(s *serverRecord, by int) {
+	p := s.pools[by]
 	if p == nil {
 		return
 	}
-	at, last := s.slot[by], len(p.list)-1
-	p.list[at] = p.list[last]
-	p.list[at].slot[by] = at
-	p.list[last] = nil
-	p.list, s.in[by] = p.list[:last], nil
+	at, last := s.poolIndex[by], len(p.servers)-1
+	p.servers[at] = p.servers[last]
+	p.servers[at].poolIndex[by] = at
+	p.servers[last] = nil
+	p.servers, s.pools[by] = p.servers[:last], nil
 }
 
 // timeHeap is a binary heap of servers by the time at which each is due. A server is in at most one heap.
-type alarms struct{ list []*server }
+type timeHeap struct{ servers []*serverRecord }
 
 // schedule sets the time at which a server is due, and moves it here from any other heap.
-func (h *alarms) set(s *server, at Time) {
-	if s.alarms != h {
-		unset(s)
-		s.alarms, s.alarmSlot, s.alarmAt = h, len(h.list), at
-		h.list = append(h.list, s)
-		h.up(s.alarmSlot)
+func (h *timeHeap) schedule(s *serverRecord, at Time) {
+	if s.heap != h {
+		unschedule(s)
+		s.heap, s.heapIndex, s.dueAt = h, len(h.servers), at
+		h.servers = append(h.servers, s)
+		h.siftUp(s.heapIndex)
 		return
 	}
-	s.alarmAt = at
-	h.down(h.up(s.alarmSlot))
+	s.dueAt = at
+	h.siftDown(h.siftUp(s.heapIndex))
 }
 
 // unschedule removes a server from the heap that it is in, if any.
-func unset(s *server) {
-	h := s.alarms
+func unschedule(s *serverRecord) {
+	h := s.heap
 	if h == nil {
 		return
 	}
-	at, last := s.alarmSlot, len(h.list)-1
+	at, last := s.heapIndex, len(h.servers)-1
 	h.swap(at, last)
-	h.list[last] = nil
-	h.list, s.alarms = h.list[:last], nil
+	h.servers[last] = nil
+	h.servers, s.heap = h.servers[:last], nil
 	if at < last {
-		h.down(h.up(at))
+		h.siftDown(h.siftUp(at))
 	}
 }
 
 // due returns the server with the earliest time if that is not after now, else nil.
-func (h *alarms) due(now Time) *server {
-	if len(h.list) == 0 || h.list[0].alarmAt > now {
+func (h *timeHeap) due(now Time) *serverRecord {
+	if len(h.servers) == 0 || h.servers[0].dueAt > now {
 		return nil
 	}
-	return h.list[0]
+	return h.servers[0]
 }
 
-func (h *alarms) swap(i, j int) {
-	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.list[i].alarmSlot, h.list[j].alarmSlot = i, j
+func (h *timeHeap) swap(i, j int) {
+	h.servers[i], h.servers[j] = h.servers[j], h.servers[i]
+	h.servers[i].heapIndex, h.servers[j].heapIndex = i, j
 }
 
 // siftUp moves the server at an index up to its place in the heap and returns its new index.
-func (h *alarms) up(i int) int {
-	for i > 0 && h.list[i].alarmAt < h.list[(i-1)/2].alarmAt {
+func (h *timeHeap) siftUp(i int) int {
+	for i > 0 && h.servers[i].dueAt < h.servers[(i-1)/2].dueAt {
 		h.swap(i, (i-1)/2)
 		i = (i - 1) / 2
 	}
@@ -99,11 +99,11 @@
 }
 
 // siftDown moves the server at an index down to its place in the heap.
-func (h *alarms) down(i int) {
+func (h *timeHeap) siftDown(i int) {
 	for {
 		least := i
-		for c := 2*i + 1; c <= 2*i+2 && c < len(h.list); c++ {
-			if h.list[c].alarmAt < h.list[least].alarmAt {
+		for c := 2*i + 1; c <= 2*i+2 && c < len(h.servers); c++ {
+			if h.servers[c].dueAt < h.servers[least].dueAt {
 				least = c
 			}
 		}
@@ -116,34 +116,34 @@
 }
 
 // ring holds the ready servers by their ring keys, an order that all nodes share.
-type ring []*server
+type ring []*serverRecord
 
-func byPlace(a, b *server) int { return cmp.Compare(a.place, b.place) }
+func byRingKey(a, b *serverRecord) int { return cmp.Compare(a.ringKey, b.ringKey) }
 
 const fewChanges = 32 // up to this number of changes are made one by one; more are cheaper to merge in one pass
 
 // update removes the servers that left and inserts those that have come, each only once. The result may use the same
 // array as the old ring.
-func (r ring) change(left, come []*server) ring {
+func (r ring) update(left, come []*serverRecord) ring {
 	if len(left)+len(come) <= fewChanges {
 		for _, s := range left {
-			if i, ok := slices.BinarySearchFunc(r, s, byPlace); ok {
+			if i, ok := slices.BinarySearchFunc(r, s, byRingKey); ok {
 				r = slices.Delete(r, i, i+1)
 			}
 		}
 		for _, s := range come {
-			i, _ := slices.BinarySearchFunc(r, s, byPlace)
+			i, _ := slices.BinarySearchFunc(r, s, byRingKey)
 			r = slices.Insert(r, i, s)
 		}
 		return r
 	}
-	slices.SortFunc(come, byPlace)
+	slices.SortFunc(come, byRingKey)
 	out := make(ring, 0, len(r)+len(come))
 	for _, s := range r {
-		if !s.ringed {
+		if !s.inRing {
 			continue
 		}
-		for len(come) > 0 && come[0].place < s.place {
+		for len(come) > 0 && come[0].ringKey < s.ringKey {
 			out, come = append(out, come[0]), come[1:]
 		}
 		out = append(out, s)
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -9,13 +9,13 @@
 	"starlingvalve/decide"
 )
 
-const testRate = 60 // arrivals a second
+const arrivalsPerSecond = 60 // arrivals a second
 
 // runWorld simulates a world and returns it with the violations that its checker has found.
-func play(seed int64, length time.Duration, mutate func(*world, []decide.Action) []decide.Action) *world {
+func runWorld(seed int64, length time.Duration, mutate func(*world, []decide.Action) []decide.Action) *world {
 	w := newWorld(seed)
-	w.capacity, w.mutate = testRate/3, mutate
-	w.run(length, testRate, true)
+	w.capacity, w.mutate = arrivalsPerSecond/3, mutate
+	w.run(length, arrivalsPerSecond, true)
 	w.run(12*time.Second, 0, false) // let all deadlines pass
 	return w
 }
@@ -23,9 +23,9 @@
 // Whatever legal order events come in, under whatever settings, the module's actions break no rule.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 60; seed++ {
-		w := play(seed, 15*time.Second, nil)
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.broken), strings.Join(w.broken[:min(5, len(w.broken))], "\n"))
+		w := runWorld(seed, 15*time.Second, nil)
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 		}
 	}
 }
@@ -36,8 +36,8 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, seed int64) {
-		if w := play(seed, 5*time.Second, nil); len(w.broken) > 0 {
-			t.Fatal(w.broken[0])
+		if w := runWorld(seed, 5*time.Second, nil); len(w.violations) > 0 {
+			t.Fatal(w.violations[0])
 		}
 	})
 }
@@ -45,9 +45,9 @@
 // Two worlds with the same seed: the same events, in the same order, give the same actions. The module is deterministic.
 func TestSameEventsSameActions(t *testing.T) {
 	w := newWorld(7)
-	w.run(10*time.Second, testRate, false)
+	w.run(10*time.Second, arrivalsPerSecond, false)
 	again := newWorld(7)
-	again.run(10*time.Second, testRate, false)
+	again.run(10*time.Second, arrivalsPerSecond, false)
 	if len(w.actions) < 500 || len(w.actions) != len(again.actions) {
 		t.Fatalf("%d and %d steps", len(w.actions), len(again.actions))
 	}
@@ -61,7 +61,7 @@
 // The checker of world_test.go finds each kind of violation: the module's actions are altered so that they break one rule
 // at a time, and the checker must report that rule.
 func TestCheckerCatches(t *testing.T) {
-	each := func(change func(*world, decide.Action) []decide.Action) func(*world, []decide.Action) []decide.Action {
+	perAction := func(change func(*world, decide.Action) []decide.Action) func(*world, []decide.Action) []decide.Action {
 		return func(w *world, in []decide.Action) (out []decide.Action) {
 			for _, a := range in {
 				out = append(out, change(w, a)...)
@@ -69,9 +69,9 @@
 			return out
 		}
 	}
-	other := func(w *world, s decide.Send) decide.Send {
-		for _, id := range w.ids {
-			if l := w.servers[id]; id != s.Server && l.drainTold == 0 {
+	otherServer := func(w *world, s decide.Send) decide.Send {
+		for _, id := range w.serverIDs {
+			if l := w.servers[id]; id != s.Server && l.drainNotifiedAt == 0 {
 				s.Server = id
 				return s
 			}
@@ -104,8 +104,8 @@
 		}},
 		{"drains or is gone", func(w *world, a decide.Action) []decide.Action {
 			if s, ok := a.(decide.Send); ok {
-				for _, id := range w.ids {
-					if w.servers[id].drainTold > 0 {
+				for _, id := range w.serverIDs {
+					if w.servers[id].drainNotifiedAt > 0 {
 						s.Server = id
 					}
 				}
@@ -115,19 +115,19 @@
 		}},
 		{"unsafe request sent again", func(w *world, a decide.Action) []decide.Action {
 			if s, ok := a.(decide.Send); ok {
-				return []decide.Action{a, other(w, s)}
+				return []decide.Action{a, otherServer(w, s)}
 			}
 			return []decide.Action{a}
 		}},
 		{"two attempts out", func(w *world, a decide.Action) []decide.Action {
 			if s, ok := a.(decide.Send); ok {
-				return []decide.Action{a, other(w, s)}
+				return []decide.Action{a, otherServer(w, s)}
 			}
 			return []decide.Action{a}
 		}},
 		{"outside its group or window", func(w *world, a decide.Action) []decide.Action {
 			if s, ok := a.(decide.Send); ok {
-				return []decide.Action{a, other(w, s)}
+				return []decide.Action{a, otherServer(w, s)}
 			}
 			return []decide.Action{a}
 		}},
@@ -139,7 +139,7 @@
 		}},
 		{"for a request that is over", func(w *world, a decide.Action) []decide.Action {
 			if r, ok := a.(decide.Refuse); ok {
-				return []decide.Action{a, decide.Send{ID: r.ID, Server: w.ids[0]}}
+				return []decide.Action{a, decide.Send{ID: r.ID, Server: w.serverIDs[0]}}
 			}
 			return []decide.Action{a}
 		}},
@@ -151,8 +151,8 @@
 		}},
 		{"its budget is", func(w *world, a decide.Action) []decide.Action {
 			if s, ok := a.(decide.Send); ok {
-				for _, id := range w.ids {
-					if l := w.servers[id]; l.startTold && l.drainTold == 0 && w.now-l.StartedAt < 2*time.Second {
+				for _, id := range w.serverIDs {
+					if l := w.servers[id]; l.startNotified && l.drainNotifiedAt == 0 && w.now-l.StartedAt < 2*time.Second {
 						s.Server = id
 					}
 				}
@@ -167,7 +167,7 @@
 			return []decide.Action{a}
 		}},
 		{"forbidden probe", func(w *world, a decide.Action) []decide.Action {
-			return []decide.Action{a, decide.Probe{Server: w.ids[0]}}
+			return []decide.Action{a, decide.Probe{Server: w.serverIDs[0]}}
 		}},
 		{"forbidden message", func(w *world, a decide.Action) []decide.Action {
 			return []decide.Action{a, decide.SendMessage{ToAll: true}}
@@ -175,8 +175,8 @@
 	} {
 		found := false
 		for seed := int64(1); seed <= 25 && !found; seed++ {
-			w := play(seed, 10*time.Second, each(c.change))
-			found = strings.Contains(fmt.Sprint(w.broken), c.want)
+			w := runWorld(seed, 10*time.Second, perAction(c.change))
+			found = strings.Contains(fmt.Sprint(w.violations), c.want)
 		}
 		if !found {
 			t.Errorf("the checker did not report %q of a module that was altered to cause it", c.want)
