--- a/decide/scale_test.go
+++ b/decide/scale_test.go
@@ -13,53 +13,53 @@
 // structures that serve this must agree with a scan over all servers.
 
 // largeFleetSettings are lowTrafficSettings for one node, with a keyed and an unsafe class beside the two safe ones.
-func bigSettings() Settings {
-	s := sparseSettings(1)
-	s.Classes = append(s.Classes,
+func largeFleetSettings() Settings {
+	settings := lowTrafficSettings(1)
+	settings.Classes = append(settings.Classes,
 		Class{Name: "tag", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Keyed, KeyScope: ScopeCell, DedupWindow: 8 * time.Second},
 		Class{Name: "order", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Unsafe})
-	return s
+	return settings
 }
 
 // fullServerList is a list of so many servers in 3 zones and 100 cells.
-func bigList(servers int) ListUpdate {
-	l := ListUpdate{Kind: ListFull}
+func fullServerList(servers int) ListUpdate {
+	list := ListUpdate{Kind: ListFull}
 	for i := range servers {
-		l.Entries = append(l.Entries, Server{ID: ServerID(i + 1), Zone: fmt.Sprint("z", i%3), Cell: i % 100})
+		list.Entries = append(list.Entries, Server{ID: ServerID(i + 1), Zone: fmt.Sprint("z", i%3), Cell: i % 100})
 	}
-	return l
+	return list
 }
 
 // checkConsistency compares the module's ring, pools and heaps with the fields of the servers, and returns the first
 // difference.
-func (m *Module) consistent() error {
+func (m *Module) checkConsistency() error {
 	ready := 0
 	for id, s := range m.known {
 		if s.ID != id {
 			return fmt.Errorf("server %d is known as %d", s.ID, id)
 		}
-		if s.ringed != (s.State == Ready) {
-			return fmt.Errorf("server %d: state %d, in the ring %v", id, s.State, s.ringed)
+		if s.inRing != (s.State == Ready) {
+			return fmt.Errorf("server %d: state %d, in the ring %v", id, s.State, s.inRing)
 		}
-		if s.ringed {
+		if s.inRing {
 			ready++
-			if i, ok := slices.BinarySearchFunc(m.ring, s, byPlace); !ok || m.ring[i] != s {
+			if i, ok := slices.BinarySearchFunc(m.ring, s, byRingKey); !ok || m.ring[i] != s {
 				return fmt.Errorf("server %d is not in the ring", id)
 			}
-			if s.in[byCell] != m.cells[s.Cell] || s.in[byZone] != m.zones[s.Zone] {
+			if s.pools[byCell] != m.cells[s.Cell] || s.pools[byZone] != m.zones[s.Zone] {
 				return fmt.Errorf("server %d is not in its groups", id)
 			}
-		} else if s.in[byMode] != nil || s.in[byCell] != nil || s.in[byZone] != nil || s.alarms != nil || s.near {
+		} else if s.pools[byMode] != nil || s.pools[byCell] != nil || s.pools[byZone] != nil || s.heap != nil || s.inSubset {
 			return fmt.Errorf("server %d is no longer ready and still in a pool, a heap or the subset", id)
 		}
-		if held := s.in[byMode] != nil || s.alarms != nil; s.near != held {
-			return fmt.Errorf("server %d: in the subset %v, in a pool or a heap %v", id, s.near, held)
+		if held := s.pools[byMode] != nil || s.heap != nil; s.inSubset != held {
+			return fmt.Errorf("server %d: in the subset %v, in a pool or a heap %v", id, s.inSubset, held)
 		}
-		if s.suspect && s.near && s.alarms != &m.trials {
+		if s.ejected && s.inSubset && s.heap != &m.trials {
 			return fmt.Errorf("ejected server %d waits for no trial", id)
 		}
-		for by, p := range s.in {
-			if p != nil && p.list[s.slot[by]] != s {
+		for by, p := range s.pools {
+			if p != nil && p.servers[s.poolIndex[by]] != s {
 				return fmt.Errorf("server %d: wrong slot in pool %d", id, by)
 			}
 		}
@@ -67,23 +67,23 @@
 	if ready != len(m.ring) {
 		return fmt.Errorf("%d ready, %d in the ring", ready, len(m.ring))
 	}
-	if !slices.IsSortedFunc(m.ring, byPlace) {
+	if !slices.IsSortedFunc(m.ring, byRingKey) {
 		return fmt.Errorf("the ring is out of order")
 	}
-	for _, h := range []*alarms{&m.wake, &m.trials} {
-		for i, s := range h.list {
-			if s.alarms != h || s.alarmSlot != i || i > 0 && h.list[(i-1)/2].alarmAt > s.alarmAt {
+	for _, heap := range []*timeHeap{&m.wakeups, &m.trials} {
+		for i, s := range heap.servers {
+			if s.heap != heap || s.heapIndex != i || i > 0 && heap.servers[(i-1)/2].dueAt > s.dueAt {
 				return fmt.Errorf("a heap is out of order at %d", i)
 			}
 		}
 	}
 	for cell, p := range m.cells {
-		if len(p.list) == 0 {
+		if len(p.servers) == 0 {
 			return fmt.Errorf("the empty pool of cell %d has not been removed", cell)
 		}
 	}
-	if !m.stale && len(m.near) != min(len(m.ring), int(m.size)) {
-		return fmt.Errorf("a subset of %d servers, want %d of %d", len(m.near), int(m.size), len(m.ring))
+	if !m.subsetStale && len(m.subset) != min(len(m.ring), int(m.subsetSize)) {
+		return fmt.Errorf("a subset of %d servers, want %d of %d", len(m.subset), int(m.subsetSize), len(m.ring))
 	}
 	return nil
 }
@@ -92,70 +92,70 @@
 // request goes to a server that the list does not have as ready.
 func TestPoolsAgreeWithAScan(t *testing.T) {
 	for seed := range uint64(40) {
-		r := rand.New(rand.NewPCG(seed, 1))
-		m := New(bigSettings(), int64(seed))
+		random := rand.New(rand.NewPCG(seed, 1))
+		module := New(largeFleetSettings(), int64(seed))
 		now, id := time.Hour, 0
-		type out struct {
+		type openAttempt struct {
 			s Send
 			n int
 		}
-		var outs []out
-		legs := map[RequestID]int{}
+		var openAttempts []openAttempt
+		attempts := map[RequestID]int{}
 		state := map[ServerID]ServerState{}
 		change := func() {
-			l := ListUpdate{Kind: ListKind(r.IntN(3))}
-			if l.Kind != ListChanges {
+			list := ListUpdate{Kind: ListKind(random.IntN(3))}
+			if list.Kind != ListChanges {
 				clear(state)
 			}
-			for range r.IntN([]int{3, 40, 400}[r.IntN(3)]) {
-				s := Server{ID: ServerID(1 + r.IntN(300)), Zone: fmt.Sprint(r.IntN(3)), Cell: r.IntN(9), State: ServerState(r.IntN(3))}
-				if r.IntN(4) == 0 {
-					s.StartedAt = now - time.Duration(r.IntN(10))*time.Second
+			for range random.IntN([]int{3, 40, 400}[random.IntN(3)]) {
+				s := Server{ID: ServerID(1 + random.IntN(300)), Zone: fmt.Sprint(random.IntN(3)), Cell: random.IntN(9), State: ServerState(random.IntN(3))}
+				if random.IntN(4) == 0 {
+					s.StartedAt = now - time.Duration(random.IntN(10))*time.Second
 				}
-				if l.Kind == ListFull || l.Kind == ListCached {
+				if list.Kind == ListFull || list.Kind == ListCached {
 					s.State = Ready
 				}
-				l.Entries = append(l.Entries, s)
+				list.Entries = append(list.Entries, s)
 				state[s.ID] = s.State
 			}
-			m.Handle(now, l)
+			module.Handle(now, list)
 		}
 		change()
-		act := func(actions []Action) {
+		recordSends := func(actions []Action) {
 			for _, a := range actions {
 				if s, ok := a.(Send); ok {
 					if st, known := state[s.Server]; !known || st != Ready {
 						t.Fatalf("seed %d: sent to server %d in state %v (known: %v)", seed, s.Server, st, known)
 					}
-					outs = append(outs, out{s, legs[s.ID]})
-					legs[s.ID]++
+					openAttempts = append(openAttempts, openAttempt{s, attempts[s.ID]})
+					attempts[s.ID]++
 				}
 			}
 		}
 		for step := range 3000 {
-			now += time.Duration(r.IntN(20)) * time.Millisecond
-			switch k := r.IntN(100); {
+			now += time.Duration(random.IntN(20)) * time.Millisecond
+			switch k := random.IntN(100); {
 			case k < 45:
 				id++
-				act(m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)), Class: []string{"dear", "cheap", "tag", "order"}[r.IntN(4)],
+				recordSends(module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)), Class: []string{"dear", "cheap", "tag", "order"}[random.IntN(4)],
 					Patience: 2 * time.Second}))
-			case k < 85 && len(outs) > 0:
-				i := r.IntN(len(outs))
-				o := outs[i]
-				outs = slices.Delete(outs, i, i+1)
+			case k < 85 && len(openAttempts) > 0:
+				i := random.IntN(len(openAttempts))
+				o := openAttempts[i]
+				openAttempts = slices.Delete(openAttempts, i, i+1)
 				code := OK
-				if r.IntN(3) == 0 {
-					code = OutcomeCode(r.IntN(int(Moot) + 1))
+				if random.IntN(3) == 0 {
+					code = OutcomeCode(random.IntN(int(Moot) + 1))
 				}
-				act(m.Handle(now, AttemptEnded{ID: o.s.ID, Attempt: o.n, Server: o.s.Server, Over: code == OK, Code: code,
-					Elapsed: time.Duration(r.IntN(300)) * time.Millisecond, Own: time.Duration(r.IntN(9)) * time.Millisecond}))
+				recordSends(module.Handle(now, AttemptEnded{ID: o.s.ID, Attempt: o.n, Server: o.s.Server, RequestDone: code == OK, Code: code,
+					Elapsed: time.Duration(random.IntN(300)) * time.Millisecond, NodeTime: time.Duration(random.IntN(9)) * time.Millisecond}))
 			case k < 97:
-				act(m.Handle(now, TimerFired{}))
+				recordSends(module.Handle(now, TimerFired{}))
 			default:
 				change()
 			}
 			if step%7 == 0 {
-				if err := m.consistent(); err != nil {
+				if err := module.checkConsistency(); err != nil {
 					t.Fatalf("seed %d, step %d: %v", seed, step, err)
 				}
 			}
@@ -167,45 +167,45 @@
 // consistent, nothing is kept of removed servers, and what was learned of the other servers stays.
 func TestFlappingList(t *testing.T) {
 	const servers = 10_000
-	m := New(bigSettings(), 1)
+	module := New(largeFleetSettings(), 1)
 	now := time.Hour
-	full := bigList(servers)
-	m.Handle(now, full)
-	m.known[1].strikes = 2
+	full := fullServerList(servers)
+	module.Handle(now, full)
+	module.known[1].consecutiveFailures = 2
 	for round := range 20 {
-		l := ListUpdate{Kind: ListChanges}
+		list := ListUpdate{Kind: ListChanges}
 		for _, s := range full.Entries[servers/3:][:servers/3] {
 			if round%2 == 0 {
-				s.State = Gone
+				s.State = Removed
 			}
-			l.Entries = append(l.Entries, s)
+			list.Entries = append(list.Entries, s)
 		}
-		m.Handle(now, l)
+		module.Handle(now, list)
 		for range 20 {
 			now += 25 * time.Millisecond
-			m.Handle(now, TimerFired{})
+			module.Handle(now, TimerFired{})
 		}
-		if err := m.consistent(); err != nil {
+		if err := module.checkConsistency(); err != nil {
 			t.Fatal(err)
 		}
-		if want := servers - (1-round%2)*(servers/3); len(m.ring) != want || len(m.known) != want {
-			t.Fatalf("round %d: %d ready, %d known, want %d", round, len(m.ring), len(m.known), want)
+		if want := servers - (1-round%2)*(servers/3); len(module.ring) != want || len(module.known) != want {
+			t.Fatalf("round %d: %d ready, %d known, want %d", round, len(module.ring), len(module.known), want)
 		}
 	}
-	if m.known[1].strikes != 2 {
+	if module.known[1].consecutiveFailures != 2 {
 		t.Error("what was learned of a server that stayed has been forgotten")
 	}
 }
 
 // A full list that comes again unchanged changes nothing, and the subset is not chosen anew.
 func TestUnchangedListDisturbsNothing(t *testing.T) {
-	m := New(bigSettings(), 1)
-	l := bigList(1000)
+	m := New(largeFleetSettings(), 1)
+	l := fullServerList(1000)
 	m.Handle(time.Hour, l)
 	m.Handle(time.Hour, TimerFired{})
-	near, choices := slices.Clone(m.near), m.choices
+	near, choices := slices.Clone(m.subset), m.subsetChoices
 	m.Handle(time.Hour+time.Second, l)
-	if !slices.Equal(near, m.near) || m.choices != choices || m.stale {
+	if !slices.Equal(near, m.subset) || m.subsetChoices != choices || m.subsetStale {
 		t.Error("an unchanged list was taken for a change")
 	}
 }
@@ -214,9 +214,9 @@
 // at the same moment.
 func TestRoundingDiffersBetweenNodes(t *testing.T) {
 	same, sum := 0, 0.0
-	a, b := New(bigSettings(), 1), New(bigSettings(), 2)
-	a.Handle(time.Hour, bigList(200))
-	b.Handle(time.Hour, bigList(200))
+	a, b := New(largeFleetSettings(), 1), New(largeFleetSettings(), 2)
+	a.Handle(time.Hour, fullServerList(200))
+	b.Handle(time.Hour, fullServerList(200))
 	for id := ServerID(1); id <= 200; id++ {
 		x, y := a.dither(a.known[id]), b.dither(b.known[id])
 		if sum += x; math.Abs(x-y) < 0.01 {
@@ -230,59 +230,59 @@
 
 // Guards against one log line for each server when a whole fleet fails at once.
 func TestLogOfAFleetIsLimited(t *testing.T) {
-	m := New(bigSettings(), 1)
-	m.Handle(time.Hour, bigList(5000))
+	m := New(largeFleetSettings(), 1)
+	m.Handle(time.Hour, fullServerList(5000))
 	lines := 0
 	for _, s := range m.known {
-		m.out = m.out[:0]
+		m.actions = m.actions[:0]
 		m.now = time.Hour
-		m.accuse(s, "test")
-		lines += len(m.out)
+		m.eject(s, "test")
+		lines += len(m.actions)
 	}
-	if lines == 0 || lines > notesAtOnce {
+	if lines == 0 || lines > logBurst {
 		t.Errorf("%d lines", lines)
 	}
 }
 
 // Clients and settings may name thousands of classes and tenants. The module stores only those of the settings.
 func TestManyClassesAndTenants(t *testing.T) {
-	s := bigSettings()
+	s := largeFleetSettings()
 	for i := range 1000 {
 		s.Classes = append(s.Classes, Class{Name: fmt.Sprint("path", i), Worth: 1, Aim: time.Second, Effect: Safe})
 	}
 	for i := range 10_000 {
 		s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Quota: 1})
 	}
-	m := New(s, 1)
+	module := New(s, 1)
 	now := time.Hour
-	m.Handle(now, bigList(12))
-	classes, tenants := len(m.classes), len(m.tenants)
+	module.Handle(now, fullServerList(12))
+	classes, tenants := len(module.classes), len(module.tenants)
 	for i := range 20_000 {
 		id := RequestID(fmt.Sprint(i))
-		for _, a := range m.Handle(now, RequestArrived{ID: id, Class: fmt.Sprint("path", i%3000), Tenant: fmt.Sprint("t", i), Key: fmt.Sprint(i),
+		for _, a := range module.Handle(now, RequestArrived{ID: id, Class: fmt.Sprint("path", i%3000), Tenant: fmt.Sprint("t", i), Key: fmt.Sprint(i),
 			Patience: time.Second}) {
 			if s, ok := a.(Send); ok {
-				m.Handle(now, AttemptEnded{ID: id, Server: s.Server, Over: true, Elapsed: time.Millisecond})
+				module.Handle(now, AttemptEnded{ID: id, Server: s.Server, RequestDone: true, Elapsed: time.Millisecond})
 			}
 		}
 		if now += time.Millisecond; i%25 == 0 {
-			m.Handle(now, TimerFired{})
+			module.Handle(now, TimerFired{})
 		}
 	}
-	m.Handle(now+time.Second, TimerFired{})
-	if len(m.classes) != classes || len(m.tenants) != tenants || len(m.order) != classes+1 || len(m.requests) > 0 || len(m.open) > 0 {
-		t.Errorf("%d classes, %d tenants, %d requests, %d open", len(m.classes), len(m.tenants), len(m.requests), len(m.open))
+	module.Handle(now+time.Second, TimerFired{})
+	if len(module.classes) != classes || len(module.tenants) != tenants || len(module.classList) != classes+1 || len(module.requests) > 0 || len(module.openRequests) > 0 {
+		t.Errorf("%d classes, %d tenants, %d requests, %d open", len(module.classes), len(module.tenants), len(module.requests), len(module.openRequests))
 	}
 }
 
 // runDecisions simulates n requests with their outcomes, 100 microseconds apart, with a tick at every 250th.
-func decisions(m *Module, n int, now *Time) {
+func runDecisions(m *Module, n int, now *Time) {
 	for i := range n {
 		id := RequestID("r")
 		*now += 100 * time.Microsecond
 		for _, a := range m.Handle(*now, RequestArrived{ID: id, Class: "cheap", Patience: time.Second}) {
 			if s, ok := a.(Send); ok {
-				m.Handle(*now, AttemptEnded{ID: id, Server: s.Server, Over: true, Elapsed: time.Millisecond})
+				m.Handle(*now, AttemptEnded{ID: id, Server: s.Server, RequestDone: true, Elapsed: time.Millisecond})
 			}
 		}
 		if i%250 == 0 {
@@ -292,10 +292,10 @@
 }
 
 // warmedUpModule is a module that has served several requests at each of its servers.
-func warm(servers int) (*Module, Time) {
-	m, now := New(bigSettings(), 1), time.Hour
-	m.Handle(now, bigList(servers))
-	decisions(m, 3*servers+20_000, &now)
+func warmedUpModule(servers int) (*Module, Time) {
+	m, now := New(largeFleetSettings(), 1), time.Hour
+	m.Handle(now, fullServerList(servers))
+	runDecisions(m, 3*servers+20_000, &now)
 	return m, now
 }
 
@@ -303,8 +303,8 @@
 // one.
 func TestDecisionAllocates(t *testing.T) {
 	for _, servers := range []int{12, 1000, 10_000} {
-		m, now := warm(servers)
-		if n := testing.AllocsPerRun(2000, func() { decisions(m, 1, &now) }); n > 6 {
+		m, now := warmedUpModule(servers)
+		if n := testing.AllocsPerRun(2000, func() { runDecisions(m, 1, &now) }); n > 6 {
 			t.Errorf("%d servers: %v allocations a decision", servers, n)
 		}
 	}
@@ -313,27 +313,27 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, servers := range []int{12, 100, 1000, 10_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			m, now := warm(servers)
+			m, now := warmedUpModule(servers)
 			b.ReportAllocs()
 			b.ResetTimer()
-			decisions(m, b.N, &now)
+			runDecisions(m, b.N, &now)
 		})
 	}
 }
 
 func BenchmarkListChange(b *testing.B) {
-	m, now := warm(10_000)
+	m, now := warmedUpModule(10_000)
 	b.ReportAllocs()
 	for i := range b.N {
 		now += time.Microsecond
 		m.Handle(now, ListUpdate{Kind: ListChanges, Entries: []Server{{ID: ServerID(1 + i/2%10_000), Zone: "z0",
-			State: []ServerState{Gone, Ready}[i%2]}}})
+			State: []ServerState{Removed, Ready}[i%2]}}})
 	}
 }
 
 func BenchmarkFullList(b *testing.B) {
-	m, now := warm(10_000)
-	l := bigList(10_000)
+	m, now := warmedUpModule(10_000)
+	l := fullServerList(10_000)
 	b.ReportAllocs()
 	for range b.N {
 		now += time.Microsecond
--- a/decide/shared.go
+++ b/decide/shared.go
@@ -10,88 +10,88 @@
 
 const (
 	// Nodes per server from which on their own counts show too little, so that they share their counts.
-	sharedNodes = 8.0
+	minSharedNodes = 8.0
 	// subsetSendInterval, in seconds, where nodes share their counts and so also learn of a server from others.
-	sharedTime = 0.15
+	sharedSendInterval = 0.15
 	// Probes for each arrival. They show the number of a server's slots: the requests that it works on at once.
-	probePart = 0.01
+	probesPerArrival = 0.01
 	// Probes per second while no server has shown its slots.
-	probeFirst = 1.0
+	slotsUnknownProbeRate = 1.0
 	// Probes per second of a node without traffic.
-	probeLeast = 0.1
+	minProbeRate = 0.1
 	// Mean interval between two reports of a node's counts to the others: far shorter than an answer takes.
-	countsEvery = 150 * time.Millisecond
+	countsInterval = 150 * time.Millisecond
 	// One of this number of reports gives all of a node's counts, the others only those that have changed.
-	wholeEvery = 8
+	fullCountsEvery = 8
 	// A node that has reported nothing for this time counts as having no requests at the servers.
-	countsLife = 2 * time.Second
+	countsLifetime = 2 * time.Second
 	// A probe without a result after this time does not prevent another one.
-	probeWait = 1500 * time.Millisecond
+	probeTimeout = 1500 * time.Millisecond
 	// Weight of a new measurement in a server's smoothed number of slots.
 	slotGain = 0.05
 	// Queue lengths, in waiting requests per slot; negative ones are free slots. Up to lowQueue a server takes all
 	// requests, beyond highQueue only those that are worth most, beyond blockQueue none.
-	calmQueue  = -0.4
-	fullQueue  = 0.1
+	lowQueue   = -0.4
+	highQueue  = 0.1
 	blockQueue = 0.9
 	// Drop fraction for each waiting request per slot beyond the target, and for each second of that.
-	shedGain  = 0.3
-	shedReset = 0.1
+	shedProportionalGain = 0.3
+	shedIntegralGain     = 0.1
 )
 
 // sharesLoad tells whether the nodes go by the counts of all of them: each server is used by so many that a node's own
 // part of its load is small, and the nodes may probe and exchange messages.
-func (m *Module) shared() bool {
-	return m.set.MayProbe && m.set.MayMessage && m.set.ReportVia != ReportNone && len(m.ring) > 0 &&
-		float64(m.set.Nodes)*math.Min(m.size, float64(len(m.ring))) >= sharedNodes*float64(len(m.ring))
+func (m *Module) sharesLoad() bool {
+	return m.settings.MayProbe && m.settings.MayMessage && m.settings.ReportVia != ReportNone && len(m.ring) > 0 &&
+		float64(m.settings.Nodes)*math.Min(m.subsetSize, float64(len(m.ring))) >= minSharedNodes*float64(len(m.ring))
 }
 
 // probeServer probes a server of the subset if a probe is due. Of two random servers it chooses the one that will show
 // more of its slots: one whose slots are not known, else the one with more requests.
-func (m *Module) scout() {
-	if !m.shared() || len(m.near) == 0 {
+func (m *Module) probeServer() {
+	if !m.sharesLoad() || len(m.subset) == 0 {
 		return
 	}
-	rate := math.Max(probeLeast, probePart*m.rate)
+	rate := math.Max(minProbeRate, probesPerArrival*m.arrivalRate)
 	if m.slots == 0 {
-		rate = math.Max(rate, probeFirst)
+		rate = math.Max(rate, slotsUnknownProbeRate)
 	}
-	if (m.now-m.probedAt).Seconds()*rate < 0.5+m.dice {
+	if (m.now-m.lastProbeAt).Seconds()*rate < 0.5+m.probeJitter {
 		return
 	}
-	m.probedAt, m.dice = m.now, m.random()
-	s, t := m.near[int(m.random()*float64(len(m.near)))], m.near[int(m.random()*float64(len(m.near)))]
+	m.lastProbeAt, m.probeJitter = m.now, m.random()
+	s, t := m.subset[int(m.random()*float64(len(m.subset)))], m.subset[int(m.random()*float64(len(m.subset)))]
 	if (t.slots == 0) != (s.slots == 0) && t.slots == 0 || (t.slots == 0) == (s.slots == 0) && t.n+m.othersAt(t) > s.n+m.othersAt(s) {
 		s = t
 	}
-	if s.asked && m.now-s.askedAt < probeWait || s.suspect {
+	if s.probing && m.now-s.probedAt < probeTimeout || s.ejected {
 		return
 	}
-	s.asked, s.askedAt = true, m.now
-	m.do(Probe{Server: s.ID})
+	s.probing, s.probedAt = true, m.now
+	m.emit(Probe{Server: s.ID})
 }
 
 // probeEnded learns a server's slots from the result of a probe, and sends them to the other nodes that use the server.
-func (m *Module) probed(e ProbeEnded) {
+func (m *Module) probeEnded(e ProbeEnded) {
 	s := m.known[e.Server]
 	if s == nil {
 		return
 	}
-	s.asked = false
+	s.probing = false
 	if e.Code != OK || e.Report == nil || !e.Report.HasInFlight || !(e.Report.InFlight >= 0) {
 		return
 	}
 	// While requests wait, all slots are in use: their number is that of the requests that don't wait.
-	if held, queue := math.Min(e.Report.InFlight, reportCap), e.Report.Queue; e.Report.HasQueue && queue >= 1 && queue < held {
+	if held, queue := math.Min(e.Report.InFlight, maxReportedRequests), e.Report.Queue; e.Report.HasQueue && queue >= 1 && queue < held {
 		first := m.slots == 0 // the first number of any server: all nodes need it
 		m.learnSlots(s, held-queue)
-		if word := slotsWord(s.ID, held-queue); m.shared() && (first || m.whole) {
-			m.do(SendMessage{ToAll: true, Data: word})
-		} else if m.shared() {
-			place := m.placeOf(s)
+		if word := slotsReport(s.ID, held-queue); m.sharesLoad() && (first || m.subsetIsRing) {
+			m.emit(SendMessage{ToAll: true, Data: word})
+		} else if m.sharesLoad() {
+			place := m.ringIndex(s)
 			m.eachPeer(func(j int, meets func(int) bool) {
 				if meets(place) {
-					m.do(SendMessage{To: j, Data: word})
+					m.emit(SendMessage{To: j, Data: word})
 				}
 			})
 		}
@@ -99,12 +99,12 @@
 }
 
 // learnSlots updates the smoothed number of slots of a server and of the mean server.
-func (m *Module) learnSlots(s *server, slots float64) {
+func (m *Module) learnSlots(s *serverRecord, slots float64) {
 	slots = math.Max(1, slots)
 	if m.slots == 0 {
 		m.slots = slots
 	}
-	if m.slots += classGain * (slots - m.slots); s.slots == 0 {
+	if m.slots += fleetGain * (slots - m.slots); s.slots == 0 {
 		s.slots = m.slots
 	}
 	s.slots += slotGain * (slots - s.slots)
@@ -112,7 +112,7 @@
 
 // slotsOf is the number of requests that a server works on at once: its own, or that of the mean server if its own is
 // not known, or 0 if no server has shown any.
-func (m *Module) slotsOf(s *server) float64 {
+func (m *Module) slotsOf(s *serverRecord) float64 {
 	if s.slots > 0 {
 		return s.slots
 	}
@@ -120,34 +120,34 @@
 }
 
 // judgedByCounts tells whether a server's load is taken from the counts of all nodes.
-func (m *Module) counted(s *server) bool { return m.shared() && m.slotsOf(s) > 0 }
+func (m *Module) judgedByCounts(s *serverRecord) bool { return m.sharesLoad() && m.slotsOf(s) > 0 }
 
 // waitingPerSlot is the number of requests that wait for each slot of a server, by the counts of all nodes. It is
 // negative if slots are free.
-func (m *Module) waiting(s *server) float64 { return (s.n+m.othersAt(s))/m.slotsOf(s) - 1 }
+func (m *Module) waitingPerSlot(s *serverRecord) float64 { return (s.n+m.othersAt(s))/m.slotsOf(s) - 1 }
 
 // updateShed renews the drop fraction that applies while no server is in Normal mode. It is a PI controller: the drop
 // fraction is proportional to how far the mean queue is beyond its target, half of highQueue, plus the integral of that
 // over time. All nodes see about the same queues, and so shed about the same.
-func (m *Module) balance() {
+func (m *Module) updateShed() {
 	sum, count := 0.0, 0.0
-	for _, s := range m.near {
-		if !s.suspect && m.counted(s) {
-			sum, count = sum+math.Max(0, math.Min(2*blockQueue, m.waiting(s))), count+1
+	for _, s := range m.subset {
+		if !s.ejected && m.judgedByCounts(s) {
+			sum, count = sum+math.Max(0, math.Min(2*blockQueue, m.waitingPerSlot(s))), count+1
 		}
 	}
 	if count == 0 {
-		m.shed = 0
+		m.persistentShed = 0
 		return
 	}
-	over := sum/count - fullQueue/2
-	m.shed = math.Max(0, math.Min(1, m.shed+shedReset*over*(m.now-m.periodAt).Seconds()))
-	m.shedNow = math.Max(0, math.Min(1, m.shed+shedGain*over))
+	over := sum/count - highQueue/2
+	m.persistentShed = math.Max(0, math.Min(1, m.persistentShed+shedIntegralGain*over*(m.now-m.periodAt).Seconds()))
+	m.totalShed = math.Max(0, math.Min(1, m.persistentShed+shedProportionalGain*over))
 }
 
 // speedOf is a server's speed relative to the others by its size, or 1 if the size does not show it.
-func (m *Module) speedOf(s *server) float64 {
-	if m.set.SizeKnown && !m.set.SizeLive && s.Size > 0 {
+func (m *Module) speedOf(s *serverRecord) float64 {
+	if m.settings.SizeKnown && !m.settings.SizeLive && s.Size > 0 {
 		return s.Size
 	}
 	return 1
--- a/decide/shared_test.go
+++ b/decide/shared_test.go
@@ -11,37 +11,37 @@
 	return Settings{Nodes: 80, Self: self, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, MaxAttempts: 4, MayOverlap: true,
 		MayCancel: true, MayProbe: true, MayMessage: true, ReportVia: ReportProbe, ReportFields: []string{"inflight", "queue"},
 		HoldOffs: true, MaxHoldOff: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, MinTick: time.Millisecond,
-		AskWithin: 10 * time.Second, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second,
+		MaxListRequestInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second,
 		OverloadFactor: 2.5, OverloadTime: time.Second,
 		Classes: []Class{{Name: "dear", Worth: 12, Aim: 800 * time.Millisecond, Deadline: 1600 * time.Millisecond, Effect: Safe},
 			{Name: "cheap", Worth: 1, Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Effect: Safe}}}
 }
 
 // newFleetNode makes the module of one of so many nodes, with a list of so many servers.
-func nodeOf(nodes, self, servers int) *Module {
-	s := fleetSettings(self)
-	s.Nodes = nodes
-	m := New(s, int64(self)+1)
+func newFleetNode(nodes, self, servers int) *Module {
+	settings := fleetSettings(self)
+	settings.Nodes = nodes
+	module := New(settings, int64(self)+1)
 	var list []Server
 	for i := range servers {
 		list = append(list, Server{ID: ServerID(i + 1), Zone: "a", Kind: "k", Cell: i % 4, State: Ready, Size: 1})
 	}
-	m.Handle(time.Second, ListUpdate{Kind: ListCached, Entries: list})
-	return m
+	module.Handle(time.Second, ListUpdate{Kind: ListCached, Entries: list})
+	return module
 }
 
 // newSharingNode makes the module of one of 80 nodes, and checks that such nodes go by one another's load reports.
-func fleetNode(t *testing.T, self, servers int) *Module {
+func newSharingNode(t *testing.T, self, servers int) *Module {
 	t.Helper()
-	m := nodeOf(80, self, servers)
-	if !m.shared() {
+	module := newFleetNode(80, self, servers)
+	if !module.sharesLoad() {
 		t.Fatal("80 nodes do not use one another's load reports")
 	}
-	return m
+	return module
 }
 
 // messageData returns the datagrams among some actions.
-func toldBy(actions []Action) (data [][]byte) {
+func messageData(actions []Action) (data [][]byte) {
 	for _, a := range actions {
 		if s, ok := a.(SendMessage); ok {
 			data = append(data, s.Data)
@@ -53,70 +53,70 @@
 // A node without requests of its own at a server stops sending to it once the other nodes' load reports show that it is
 // full, and begins again when they show that it is not. Reports of a node that has sent none for countsLifetime lapse.
 func TestOthersCountsFillServer(t *testing.T) {
-	m := fleetNode(t, 0, 8)
+	module := newSharingNode(t, 0, 8)
 	now := time.Second
-	tell := func(from, n int) {
-		o := fleetNode(t, from, 8)
-		data := []byte{countMark}
+	report := func(from, n int) {
+		other := newSharingNode(t, from, 8)
+		data := []byte{fullCountsMark}
 		for i := range 8 {
-			tag := o.known[ServerID(i+1)].tag()
+			tag := other.known[ServerID(i+1)].tag()
 			data = append(data, byte(tag>>8), byte(tag), byte(n))
 		}
-		m.Handle(now, MessageReceived{From: from, Data: data})
+		module.Handle(now, MessageReceived{From: from, Data: data})
 	}
 	served := func() bool {
 		now += time.Millisecond
-		for _, a := range m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(now)), Class: "dear", Patience: time.Second}) {
+		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(now)), Class: "dear", Patience: time.Second}) {
 			if _, ok := a.(Send); ok {
 				return true
 			}
 		}
 		return false
 	}
-	m.Handle(now, MessageReceived{From: 7, Data: slotsWord(1, 6)})
+	module.Handle(now, MessageReceived{From: 7, Data: slotsReport(1, 6)})
 	if !served() {
 		t.Fatal("an idle fleet serves nothing")
 	}
-	tell(1, 15)
-	tell(2, 10)
+	report(1, 15)
+	report(2, 10)
 	if served() {
 		t.Error("served at servers of 6 slots that have 25 requests each")
 	}
-	tell(2, 0)
-	tell(1, 1)
+	report(2, 0)
+	report(1, 1)
 	if !served() {
 		t.Error("refused at servers that have one request each")
 	}
-	tell(3, 40)
+	report(3, 40)
 	if served() {
 		t.Error("served at servers that have 41 requests each")
 	}
-	now += countsLife + time.Second
-	m.Handle(now, TimerFired{})
+	now += countsLifetime + time.Second
+	module.Handle(now, TimerFired{})
 	if !served() {
 		t.Error("refused because of an old report of a node that has sent none since")
 	}
 }
 
 // Datagrams that are truncated or malformed, or whose sender is unknown or the node itself, change nothing.
-func TestWrongWords(t *testing.T) {
-	m := fleetNode(t, 0, 8)
-	tag := m.known[1].tag()
+func TestMalformedMessages(t *testing.T) {
+	module := newSharingNode(t, 0, 8)
+	tag := module.known[1].tag()
 	for _, e := range []MessageReceived{
-		{From: -1, Data: []byte{countMark, byte(tag >> 8), byte(tag), 200}}, {From: 80, Data: []byte{countMark, byte(tag >> 8), byte(tag), 200}},
-		{From: 0, Data: []byte{countMark, byte(tag >> 8), byte(tag), 200}}, {From: 3, Data: []byte{countMark, byte(tag >> 8), byte(tag)}},
-		{From: 3, Data: nil}, {From: 3, Data: []byte{slotsMark}}, {From: 3, Data: slotsWord(99, 3)},
+		{From: -1, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}}, {From: 80, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}},
+		{From: 0, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}}, {From: 3, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag)}},
+		{From: 3, Data: nil}, {From: 3, Data: []byte{slotsReportMark}}, {From: 3, Data: slotsReport(99, 3)},
 	} {
-		m.Handle(2*time.Second, e)
-		if m.known[1].others != 0 || m.slots != 0 {
+		module.Handle(2*time.Second, e)
+		if module.known[1].othersInFlight != 0 || module.slots != 0 {
 			t.Errorf("%+v changed what the module knows", e)
 		}
 	}
 }
 
 // A node reports its requests in flight within a second, and reports once that it has none any more.
-func TestNodeTellsWhatItHas(t *testing.T) {
-	a, b := fleetNode(t, 0, 8), fleetNode(t, 1, 8)
+func TestNodeReportsItsLoad(t *testing.T) {
+	a, b := newSharingNode(t, 0, 8), newSharingNode(t, 1, 8)
 	now := 2 * time.Second
 	var sent Send
 	for _, x := range a.Handle(now, RequestArrived{ID: "r", Class: "dear", Patience: time.Second}) {
@@ -124,37 +124,37 @@
 			sent = s
 		}
 	}
-	pass := func() (words int) {
+	exchange := func() (messages int) {
 		for range 40 {
 			now += 25 * time.Millisecond
-			for _, data := range toldBy(a.Handle(now, TimerFired{})) {
-				words++
+			for _, data := range messageData(a.Handle(now, TimerFired{})) {
+				messages++
 				b.Handle(now, MessageReceived{From: 0, Data: data})
 			}
 		}
-		return words
+		return messages
 	}
-	pass()
-	if got := b.known[sent.Server].others; got != 1 {
+	exchange()
+	if got := b.known[sent.Server].othersInFlight; got != 1 {
 		t.Fatalf("the other node counts %v requests; want 1", got)
 	}
-	a.Handle(now, AttemptEnded{ID: "r", Server: sent.Server, Over: true, Elapsed: time.Second, Code: OK})
-	pass()
-	if got := b.known[sent.Server].others; got != 0 {
+	a.Handle(now, AttemptEnded{ID: "r", Server: sent.Server, RequestDone: true, Elapsed: time.Second, Code: OK})
+	exchange()
+	if got := b.known[sent.Server].othersInFlight; got != 0 {
 		t.Errorf("the other node counts %v requests; want 0", got)
 	}
-	if words := pass(); words > 0 {
-		t.Errorf("%d messages of a node without requests", words)
+	if messages := exchange(); messages > 0 {
+		t.Errorf("%d messages of a node without requests", messages)
 	}
 }
 
 // Of eight load reports, one is complete and the others hold only what has changed. Whichever of the eight is lost each
 // time, the other nodes know within two seconds what a node has in flight.
-func TestLostWordsAreMended(t *testing.T) {
+func TestLostLoadReportsAreRepaired(t *testing.T) {
 	for lost := range 8 {
-		a, b := fleetNode(t, 0, 8), fleetNode(t, 1, 8)
+		a, b := newSharingNode(t, 0, 8), newSharingNode(t, 1, 8)
 		now := 2 * time.Second
-		words, bytes, open := 0, 0, map[RequestID]Send{}
+		messages, bytes, open := 0, 0, map[RequestID]Send{}
 		for i := range 200 {
 			now += 25 * time.Millisecond
 			id := RequestID(fmt.Sprint(i))
@@ -168,23 +168,23 @@
 					open[s.ID] = s
 				}
 			}
-			for _, data := range toldBy(actions) {
-				if words, bytes = words+1, bytes+len(data); words%8 != lost {
+			for _, data := range messageData(actions) {
+				if messages, bytes = messages+1, bytes+len(data); messages%8 != lost {
 					b.Handle(now, MessageReceived{From: 0, Data: data})
 				}
 			}
 			if old := open[RequestID(fmt.Sprint(i-10))]; old.ID != "" {
 				delete(open, old.ID)
-				a.Handle(now, AttemptEnded{ID: old.ID, Server: old.Server, Over: true, Elapsed: 250 * time.Millisecond, Code: OK})
+				a.Handle(now, AttemptEnded{ID: old.ID, Server: old.Server, RequestDone: true, Elapsed: 250 * time.Millisecond, Code: OK})
 			}
 		}
 		for id, s := range b.known {
-			if s.others != a.known[id].n {
-				t.Errorf("every eighth message lost, from the %dth: server %d has %v, the other node counts %v", lost, id, a.known[id].n, s.others)
+			if s.othersInFlight != a.known[id].n {
+				t.Errorf("every eighth message lost, from the %dth: server %d has %v, the other node counts %v", lost, id, a.known[id].n, s.othersInFlight)
 			}
 		}
-		if words < 20 || bytes > 30*words {
-			t.Errorf("%d messages of %d bytes in 5 s", words, bytes)
+		if messages < 20 || bytes > 30*messages {
+			t.Errorf("%d messages of %d bytes in 5 s", messages, bytes)
 		}
 	}
 }
@@ -192,35 +192,35 @@
 // Guards against list requests of a whole fleet at the same moment: they all go to one service, where most would time out
 // in its queue. The nodes of a large fleet spread their first requests over seconds, and those whose request has failed
 // spread the next ones, too. Three nodes send theirs within the first second.
-func TestAsksAreSpread(t *testing.T) {
-	most := func(nodes int, fail bool) (perSecond int) {
-		asks := map[int]int{}
+func TestListRequestsAreSpread(t *testing.T) {
+	busiestSecond := func(nodes int, fail bool) (perSecond int) {
+		requests := map[int]int{}
 		for self := range nodes {
-			s := fleetSettings(self)
-			s.Nodes, s.AskForList = nodes, true
-			m := New(s, int64(self)+1)
-			m.Handle(0, ListUpdate{Kind: ListCached, Entries: []Server{{ID: 1, State: Ready, Size: 1}}})
+			settings := fleetSettings(self)
+			settings.Nodes, settings.ListOnRequest = nodes, true
+			module := New(settings, int64(self)+1)
+			module.Handle(0, ListUpdate{Kind: ListCached, Entries: []Server{{ID: 1, State: Ready, Size: 1}}})
 			for now := time.Duration(0); now < 12*time.Second; now += 25 * time.Millisecond {
-				for _, a := range m.Handle(now, TimerFired{}) {
+				for _, a := range module.Handle(now, TimerFired{}) {
 					if _, ok := a.(Subscribe); ok {
-						asks[int(now/time.Second)]++
-						m.Handle(now, ListUpdate{Kind: map[bool]ListKind{true: ListFailed, false: ListChanges}[fail]})
+						requests[int(now/time.Second)]++
+						module.Handle(now, ListUpdate{Kind: map[bool]ListKind{true: ListFailed, false: ListChanges}[fail]})
 					}
 				}
 			}
 		}
-		for _, n := range asks {
+		for _, n := range requests {
 			perSecond = max(perSecond, n)
 		}
 		return perSecond
 	}
-	if n := most(80, false); n > 40 {
+	if n := busiestSecond(80, false); n > 40 {
 		t.Errorf("%d of 80 nodes request the list within a second", n)
 	}
-	if n := most(80, true); n > 45 {
+	if n := busiestSecond(80, true); n > 45 {
 		t.Errorf("%d list requests per second of 80 nodes whose requests fail", n)
 	}
-	if n := most(3, false); n != 3 {
+	if n := busiestSecond(3, false); n != 3 {
 		t.Errorf("%d of 3 nodes request the list in the first second", n)
 	}
 }
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -56,23 +56,23 @@
 // Snapshot returns what the module has learned. It does not change the module.
 func (m *Module) Snapshot(now Time) Snapshot {
 	age := func(t Time) time.Duration { return now - t }
-	s := Snapshot{Version: SnapshotVersion, Answers: m.answers, Mean: m.mean, Recent: m.recent, Least: m.least, Peak: m.peak, FleetRate: m.fleetRate,
-		EvenRate: m.evenRate, Arrivals: m.arrivals, Share: m.share, N1: m.n1, N2: m.n2, Worth: m.worth, Slots: m.slots, Size: m.size, Learned: m.learned,
-		Started: age(m.startAt), Arrived: age(m.arrivedAt), FirstAnswer: age(m.firstAt), Answerd: age(m.answeredAt)}
+	s := Snapshot{Version: SnapshotVersion, Answers: m.answers, Mean: m.mean, Recent: m.recentMean, Least: m.leastMean, Peak: m.peakRate, FleetRate: m.fleetRate,
+		EvenRate: m.evenRate, Arrivals: m.arrivals, Share: m.share, N1: m.n1, N2: m.n2, Worth: m.meanWorth, Slots: m.slots, Size: m.subsetSize, Learned: m.learned,
+		Started: age(m.startAt), Arrived: age(m.arrivedAt), FirstAnswer: age(m.firstAnswerAt), Answerd: age(m.answeredAt)}
 	switch {
-	case m.subscribed && !m.listAge.silent:
+	case m.subscribed && !m.listAge.watchStalled:
 		s.ListAge = 1
 	case m.listAge.confirmedAt != never:
 		s.ListAge = max(1, age(m.listAge.confirmedAt))
 	}
-	for _, c := range m.order {
-		s.Classes = append(s.Classes, ClassSnapshot{Name: c.Name, Count: c.count, Latency: c.latency, Ambient: c.ambient, Base: c.base, Relative: c.relative, At: age(c.at)})
+	for _, c := range m.classList {
+		s.Classes = append(s.Classes, ClassSnapshot{Name: c.Name, Count: c.count, Latency: c.latency, Ambient: c.fleetLatency, Base: c.baseLatency, Relative: c.relativeCost, At: age(c.answeredAt)})
 	}
 	for _, v := range m.ring {
-		s.Servers = append(s.Servers, ServerSnapshot{ID: v.ID, StartedAt: v.StartedAt, Excess: v.excess, Rate: v.rate, Last: v.last, Room: v.room, Slots: v.slots,
-			Since: age(v.since), LatencyAt: age(v.latencyAt), RateAt: age(v.rateAt), RoomAt: age(v.roomAt), Strikes: v.strikes, Suspect: v.suspect,
-			Broken: v.broken, Cold: v.cold, TrialWait: v.trialWait, TrialAt: age(v.trialAt), ColdSince: age(v.coldSince), Imposed: v.imposed,
-			ImposedUntil: age(v.imposedUntil), FullAt: age(v.fullAt), Backoff: v.backoff})
+		s.Servers = append(s.Servers, ServerSnapshot{ID: v.ID, StartedAt: v.StartedAt, Excess: v.excess, Rate: v.rate, Last: v.lastLatency, Room: v.provenLoad, Slots: v.slots,
+			Since: age(v.listedAt), LatencyAt: age(v.latencyAt), RateAt: age(v.rateAt), RoomAt: age(v.provenLoadAt), Strikes: v.consecutiveFailures, Suspect: v.ejected,
+			Broken: v.connectFailed, Cold: v.cold, TrialWait: v.trialWait, TrialAt: age(v.trialAt), ColdSince: age(v.coldSince), Imposed: v.imposed,
+			ImposedUntil: age(v.imposedUntil), FullAt: age(v.fullAt), Backoff: v.fullBackoff})
 	}
 	return s
 }
@@ -92,7 +92,7 @@
 	}
 	for _, v := range s.Servers {
 		amounts = append(amounts, v.Rate, v.Last, v.Room, v.Slots, math.Abs(v.Excess))
-		waits = append(waits, v.TrialWait, v.Backoff, v.TrialAt+trialLast*2, v.ImposedUntil+trialLast*2)
+		waits = append(waits, v.TrialWait, v.Backoff, v.TrialAt+maxTrialWait*2, v.ImposedUntil+maxTrialWait*2)
 		if v.Imposed < Normal || v.Imposed > Blocking || v.Strikes < 0 {
 			return fmt.Errorf("snapshot: server %d has mode %d and %d failures", v.ID, v.Imposed, v.Strikes)
 		}
@@ -122,28 +122,28 @@
 	}
 	at := func(age time.Duration) Time { return now - age }
 	m.now = now
-	m.answers, m.mean, m.recent, m.least, m.peak, m.fleetRate, m.evenRate = s.Answers, s.Mean, s.Recent, s.Least, s.Peak, s.FleetRate, s.EvenRate
-	m.arrivals, m.share, m.n1, m.n2, m.worth, m.slots, m.learned = s.Arrivals, s.Share, s.N1, s.N2, s.Worth, s.Slots, s.Learned
-	m.startAt, m.arrivedAt, m.firstAt, m.answeredAt = at(s.Started), at(s.Arrived), at(s.FirstAnswer), at(s.Answerd)
-	m.size = math.Max(s.Size, subsetLeast)
+	m.answers, m.mean, m.recentMean, m.leastMean, m.peakRate, m.fleetRate, m.evenRate = s.Answers, s.Mean, s.Recent, s.Least, s.Peak, s.FleetRate, s.EvenRate
+	m.arrivals, m.share, m.n1, m.n2, m.meanWorth, m.slots, m.learned = s.Arrivals, s.Share, s.N1, s.N2, s.Worth, s.Slots, s.Learned
+	m.startAt, m.arrivedAt, m.firstAnswerAt, m.answeredAt = at(s.Started), at(s.Arrived), at(s.FirstAnswer), at(s.Answerd)
+	m.subsetSize = math.Max(s.Size, minSubsetSize)
 	for _, k := range s.Classes {
 		c := m.classes[k.Name]
 		if k.Name == "" {
-			c = m.other
+			c = m.unknownClass
 		}
 		if c != nil {
-			c.count, c.latency, c.ambient, c.base, c.relative, c.at = k.Count, k.Latency, k.Ambient, k.Base, k.Relative, at(k.At)
+			c.count, c.latency, c.fleetLatency, c.baseLatency, c.relativeCost, c.answeredAt = k.Count, k.Latency, k.Ambient, k.Base, k.Relative, at(k.At)
 		}
 	}
 	for _, k := range s.Servers {
 		v := m.known[k.ID]
-		if v == nil || !v.ringed || v.StartedAt != k.StartedAt {
+		if v == nil || !v.inRing || v.StartedAt != k.StartedAt {
 			continue
 		}
-		v.excess, v.rate, v.last, v.room, v.slots, v.strikes = k.Excess, k.Rate, k.Last, k.Room, k.Slots, k.Strikes
-		v.since, v.latencyAt, v.rateAt, v.roomAt = at(k.Since), at(k.LatencyAt), at(k.RateAt), at(k.RoomAt)
-		v.suspect, v.broken, v.trialWait, v.trialAt = k.Suspect, k.Broken, k.TrialWait, at(k.TrialAt)
-		v.imposed, v.imposedUntil, v.fullAt, v.backoff = k.Imposed, at(k.ImposedUntil), at(k.FullAt), k.Backoff
+		v.excess, v.rate, v.lastLatency, v.provenLoad, v.slots, v.consecutiveFailures = k.Excess, k.Rate, k.Last, k.Room, k.Slots, k.Strikes
+		v.listedAt, v.latencyAt, v.rateAt, v.provenLoadAt = at(k.Since), at(k.LatencyAt), at(k.RateAt), at(k.RoomAt)
+		v.ejected, v.connectFailed, v.trialWait, v.trialAt = k.Suspect, k.Broken, k.TrialWait, at(k.TrialAt)
+		v.imposed, v.imposedUntil, v.fullAt, v.fullBackoff = k.Imposed, at(k.ImposedUntil), at(k.FullAt), k.Backoff
 		if v.cold, v.coldSince = k.Cold, at(k.ColdSince); v.cold {
 			v.tokens, v.tokensAt = 0, now // the other process may have used the tokens
 		}
@@ -151,13 +151,13 @@
 	// What the other process learns from now on does not reach this one, which counts as notified of it soon. So the
 	// list may be used for handedListTime at most.
 	if s.ListAge > 0 {
-		m.listAge.confirm(now - max(s.ListAge, m.bound()-succeedLeft))
+		m.listAge.confirm(now - max(s.ListAge, m.listLifetime()-handedListTime))
 	}
-	m.askAt = min(m.askAt, now+time.Duration(m.random()*float64(succeedAsk)))
-	m.stale = true
-	m.choose()
-	for _, v := range m.near {
-		m.place(v)
+	m.nextListRequestAt = min(m.nextListRequestAt, now+time.Duration(m.random()*float64(successorSpread)))
+	m.subsetStale = true
+	m.chooseSubset()
+	for _, v := range m.subset {
+		m.placeInPool(v)
 	}
 	m.survey(false)
 	return nil
--- a/decide/transfer.go
+++ b/decide/transfer.go
@@ -6,23 +6,23 @@
 // begun. The attempt stays outstanding until its end all the same, and its request open.
 
 // load counts an attempt in its server's n.
-func (m *Module) load(a *attempt) {
-	a.loads = true
+func (m *Module) load(a *attemptRecord) {
+	a.counted = true
 	a.server.n++
 }
 
 // unload stops counting an attempt in its server's n.
-func (m *Module) unload(a *attempt) {
-	if a.loads {
-		a.loads = false
+func (m *Module) unload(a *attemptRecord) {
+	if a.counted {
+		a.counted = false
 		a.server.n--
 	}
 }
 
 // await records that a server has received a whole request, and that its answer is due.
-func (m *Module) await(s *server) {
+func (m *Module) await(s *serverRecord) {
 	if s.unanswered++; s.unanswered == 1 {
-		s.muteSince = m.now
+		s.unansweredSince = m.now
 	}
 }
 
@@ -38,7 +38,7 @@
 	a.sent = m.now
 	m.await(a.server)
 	m.load(a)
-	m.place(a.server)
+	m.placeInPool(a.server)
 }
 
 // streamStarted handles the beginning of a streamed answer. It ends the latency of the attempt: the rest is transfer.
@@ -50,7 +50,7 @@
 	r.started = true
 	a := &r.attempts[e.Attempt]
 	a.server.unanswered = 0
-	m.learn(a.server, r.class, e.Elapsed, e.Own)
+	m.learn(a.server, r.class, e.Elapsed, e.NodeTime)
 	m.unload(a)
-	m.place(a.server)
+	m.placeInPool(a.server)
 }
--- a/decide/vouch.go
+++ b/decide/vouch.go
@@ -12,88 +12,88 @@
 // server, and a server that this node's own list has as draining is not used.
 
 const (
-	vouchAsk    = 'q' // first byte of a readiness query
-	vouchAnswer = 'v' // first byte of a readiness report
-	vouchIDs    = 60  // servers in one datagram, at most
-	vouchHead   = 2   // bytes of a query before its server ids: the mark and the query's number
-	vouchAged   = 4   // bytes of a report before its server ids: the mark, the query's number and the age
-	vouchUnit   = 10 * time.Millisecond // unit of that age
-	vouchPeers  = 2 // nodes to which one query is sent
+	queryMark           = 'q'                   // first byte of a readiness query
+	readinessMark       = 'v'                   // first byte of a readiness report
+	maxQueryServers     = 60                    // servers in one datagram, at most
+	queryHeaderSize     = 2                     // bytes of a query before its server ids: the mark and the query's number
+	readinessHeaderSize = 4                     // bytes of a report before its server ids: the mark, the query's number and the age
+	readinessAgeUnit    = 10 * time.Millisecond // unit of that age
+	peersPerQuery       = 2                     // nodes to which one query is sent
 
-	vouchEvery     = 250 * time.Millisecond // mean interval between two queries
-	vouchEveryDown = time.Second            // the same while discovery seems to be down
-	vouchAhead     = 2 * time.Second        // queries begin so long before the list expires
-	vouchOldest    = 4 * time.Second        // greatest age of knowledge that a node still reports
-	vouchSettled   = 7 * time.Second        // a reported server has been ready, and watched, for this time
+	queryInterval     = 250 * time.Millisecond // mean interval between two queries
+	queryIntervalDown = time.Second            // the same while discovery seems to be down
+	queryAhead        = 2 * time.Second        // queries begin so long before the list expires
+	maxReadinessAge   = 4 * time.Second        // greatest age of knowledge that a node still reports
+	minReadyTime      = 7 * time.Second        // a reported server has been ready, and watched, for this time
 	// Discovery is back if it has answered some node this long after it went down.
 	downMargin = 50 * time.Millisecond
 )
 
 // serverUsable tells whether a server may be used now: by the list, or by another node's readiness report.
-func (m *Module) usableServer(s *server) bool {
-	return m.Usable() || s.vouched && m.now < s.vouchedAt+m.bound()
+func (m *Module) serverUsable(s *serverRecord) bool {
+	return m.ListUsable() || s.peerConfirmed && m.now < s.peerConfirmedAt+m.listLifetime()
 }
 
 // serverUsableFor is how long a server may still be used, and thus an attempt may wait for its connection;
 // 0: without limit.
-func (m *Module) usableServerFor(s *server) time.Duration {
+func (m *Module) serverUsableFor(s *serverRecord) time.Duration {
 	until := m.usableUntil()
 	if until >= forever {
 		return 0
 	}
-	if s.vouched {
-		until = max(until, s.vouchedAt+m.bound())
+	if s.peerConfirmed {
+		until = max(until, s.peerConfirmedAt+m.listLifetime())
 	}
 	return max(until-m.now, 1)
 }
 
 // HasUsableServers tells whether there may be a server that may be used: by the list, or by a readiness
 // report.
-func (m *Module) UsableServers() bool {
-	return m.Usable() || m.now < m.vouchedUntil
+func (m *Module) HasUsableServers() bool {
+	return m.ListUsable() || m.now < m.peerConfirmedUntil
 }
 
 // placeByListAge updates the pools after a change of what may be used by the age of the list.
-func (m *Module) placeByAge() {
-	if usable := m.Usable(); usable != m.placedUsable || !usable {
+func (m *Module) placeByListAge() {
+	if usable := m.ListUsable(); usable != m.placedUsable || !usable {
 		m.placedUsable = usable
-		for _, s := range m.near {
-			m.place(s)
+		for _, s := range m.subset {
+			m.placeInPool(s)
 		}
 	}
 }
 
 // noticeUsable updates the pools if time alone has made the list usable since the last tick.
 func (m *Module) noticeUsable() {
-	if !m.placedUsable && m.Usable() {
-		m.placeByAge()
+	if !m.placedUsable && m.ListUsable() {
+		m.placeByListAge()
 	}
 }
 
 // queryPeers sends readiness queries for servers of the subset to other nodes while the list is about to
 // expire or has expired.
-func (m *Module) askPeers() {
-	if m.bound() == 0 || !m.set.MayMessage || m.set.Nodes < 2 || m.now < m.vouchAskAt {
+func (m *Module) queryPeers() {
+	if m.listLifetime() == 0 || !m.settings.MayMessage || m.settings.Nodes < 2 || m.now < m.nextQueryAt {
 		return
 	}
-	if !m.listAge.down && m.usableUntil()-m.now > vouchAhead {
+	if !m.listAge.down && m.usableUntil()-m.now > queryAhead {
 		return
 	}
-	every := vouchEvery
+	every := queryInterval
 	if m.listAge.down {
-		every = vouchEveryDown
+		every = queryIntervalDown
 	}
-	m.vouchAskAt = m.now + m.jitter(every)
-	m.vouchAskedAt = m.now
-	m.vouchNumber++
-	data := []byte{vouchAsk, m.vouchNumber}
-	start := int(m.random() * float64(len(m.near)))
-	for i := range min(len(m.near), vouchIDs) {
-		data = binary.BigEndian.AppendUint32(data, uint32(m.near[(start+i)%len(m.near)].ID))
+	m.nextQueryAt = m.now + m.jitter(every)
+	m.queriedAt = m.now
+	m.queryNumber++
+	data := []byte{queryMark, m.queryNumber}
+	start := int(m.random() * float64(len(m.subset)))
+	for i := range min(len(m.subset), maxQueryServers) {
+		data = binary.BigEndian.AppendUint32(data, uint32(m.subset[(start+i)%len(m.subset)].ID))
 	}
-	for range vouchPeers {
-		to := (m.set.Self + 1 + int(m.random()*float64(m.set.Nodes-1))) % m.set.Nodes
-		m.do(SendMessage{To: to, Data: data})
+	for range peersPerQuery {
+		to := (m.settings.Self + 1 + int(m.random()*float64(m.settings.Nodes-1))) % m.settings.Nodes
+		m.emit(SendMessage{To: to, Data: data})
 	}
 }
 
@@ -103,44 +103,44 @@
 // notified that a server is back before it counts as notified of the drain before that. An answer must be
 // recent, as a watch that sends nothing may have stalled. Otherwise the report says only that discovery
 // answers some node, if that is known.
-func (m *Module) heardVouchAsk(from int, data []byte) {
+func (m *Module) answerReadinessQuery(from int, data []byte) {
 	a := &m.listAge
-	at := a.answeringAt
-	listed := m.subscribed && !a.silent && m.now-a.answeredAt <= vouchOldest
+	at := a.answeredAnyAt
+	listed := m.subscribed && !a.watchStalled && m.now-a.answeredAt <= maxReadinessAge
 	if listed {
 		at = a.answeredAt
 	}
-	if m.bound() == 0 || !m.set.MayMessage || m.now-at > vouchOldest {
+	if m.listLifetime() == 0 || !m.settings.MayMessage || m.now-at > maxReadinessAge {
 		return
 	}
-	answer := []byte{vouchAnswer, data[1]}
-	answer = binary.BigEndian.AppendUint16(answer, uint16((m.now-at+vouchUnit-1)/vouchUnit))
-	listed = listed && m.now-m.subscribedAt >= vouchSettled
-	for ids := data[vouchHead:]; listed && len(ids) >= 4; ids = ids[4:] {
+	answer := []byte{readinessMark, data[1]}
+	answer = binary.BigEndian.AppendUint16(answer, uint16((m.now-at+readinessAgeUnit-1)/readinessAgeUnit))
+	listed = listed && m.now-m.subscribedAt >= minReadyTime
+	for ids := data[queryHeaderSize:]; listed && len(ids) >= 4; ids = ids[4:] {
 		s := m.known[ServerID(binary.BigEndian.Uint32(ids))]
-		if s != nil && s.State == Ready && m.now-s.readySince >= vouchSettled {
+		if s != nil && s.State == Ready && m.now-s.readySince >= minReadyTime {
 			answer = append(answer, ids[:4]...)
 		}
 	}
-	m.do(SendMessage{To: from, Data: answer})
+	m.emit(SendMessage{To: from, Data: answer})
 }
 
 // applyReadiness applies a report that answers the latest query. The time for which the report holds is the
 // time of the query less the reported age. This is the earliest possible time, however long the messages
 // took.
-func (m *Module) heardVouch(data []byte) {
-	if m.bound() == 0 || data[1] != m.vouchNumber || m.vouchAskedAt == 0 {
+func (m *Module) applyReadiness(data []byte) {
+	if m.listLifetime() == 0 || data[1] != m.queryNumber || m.queriedAt == 0 {
 		return
 	}
-	at := m.vouchAskedAt - time.Duration(binary.BigEndian.Uint16(data[vouchHead:]))*vouchUnit
-	m.listAge.answersOthers(at)
-	for ids := data[vouchAged:]; len(ids) >= 4; ids = ids[4:] {
+	at := m.queriedAt - time.Duration(binary.BigEndian.Uint16(data[queryHeaderSize:]))*readinessAgeUnit
+	m.listAge.answeredOther(at)
+	for ids := data[readinessHeaderSize:]; len(ids) >= 4; ids = ids[4:] {
 		s := m.known[ServerID(binary.BigEndian.Uint32(ids))]
-		if s == nil || s.vouched && s.vouchedAt >= at {
+		if s == nil || s.peerConfirmed && s.peerConfirmedAt >= at {
 			continue
 		}
-		s.vouched, s.vouchedAt = true, at
-		m.vouchedUntil = max(m.vouchedUntil, at+m.bound())
-		m.place(s)
+		s.peerConfirmed, s.peerConfirmedAt = true, at
+		m.peerConfirmedUntil = max(m.peerConfirmedUntil, at+m.listLifetime())
+		m.placeInPool(s)
 	}
 }
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -12,8 +12,8 @@
 // The wait after an error doubles from minWait up to maxWait. Without a wait the loop would spin on a machine that has
 // run out of a resource.
 const (
-	waitFirst = time.Millisecond
-	waitMost  = 100 * time.Millisecond
+	minWait = time.Millisecond
+	maxWait = 100 * time.Millisecond
 )
 
 // Retry is the backoff state of one goroutine that accepts connections. Its zero value is ready to use.
@@ -25,7 +25,7 @@
 	if errors.Is(err, net.ErrClosed) {
 		return false
 	}
-	r.wait = min(max(2*r.wait, waitFirst), waitMost)
+	r.wait = min(max(2*r.wait, minWait), maxWait)
 	time.Sleep(r.wait)
 	return true
 }
--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -26,12 +26,12 @@
 					if !r.After(err) {
 						t.Fatal("the error ends the server")
 					}
-					if want := min(waitFirst<<n, waitMost); time.Since(began) != want {
+					if want := min(minWait<<n, maxWait); time.Since(began) != want {
 						t.Errorf("error %d: waited %v, want %v", n, time.Since(began), want)
 					}
 				}
 				r.Reset()
-				if began := time.Now(); !r.After(err) || time.Since(began) != waitFirst {
+				if began := time.Now(); !r.After(err) || time.Since(began) != minWait {
 					t.Errorf("after a connection: waited %v", time.Since(began))
 				}
 			})
--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -13,9 +13,9 @@
 
 const (
 	// NothingRead: nothing has been read from it since it was accepted.
-	Mute State = iota
+	NothingRead State = iota
 	// ReadingHead: a part of a request's head has been read.
-	Writing
+	ReadingHead
 	// Idle: its requests have been answered, and nothing has been read since.
 	Idle
 	// Busy: a request is in flight. A busy connection is never closed for another.
@@ -25,23 +25,23 @@
 
 // How long a connection must have been without progress before it may be closed for a new one.
 const (
-	MuteLeast  = 250 * time.Millisecond // in state NothingRead: a client with a request sends it at once
-	StallLeast = 700 * time.Millisecond // in state ReadingHead: well-behaved clients take 2 s for the whole head
-	IdleLeast  = 2 * time.Second        // in state Idle: clients may rely on it
+	NothingReadTimeout = 250 * time.Millisecond // in state NothingRead: a client with a request sends it at once
+	StalledHeadTimeout = 700 * time.Millisecond // in state ReadingHead: well-behaved clients take 2 s for the whole head
+	IdleTimeout        = 2 * time.Second        // in state Idle: clients may rely on it
 )
 
 // pressureShare is the part of the limit from which on answers close their connections. Many clients send one request
 // only and hold a connection that others need. The requests in flight of well-behaved clients take less than this part.
-const closePart = 0.5
+const pressureShare = 0.5
 
 // Conn is one connection. Owner is set by the caller, in order to find what belongs to a connection that Victim
 // returns.
 type Conn struct {
 	Owner any
 
-	state   State
-	last    time.Duration // when something was last read, or the state was entered
-	element *list.Element // in the list of its state; nil: the connection has been removed
+	state        State
+	lastProgress time.Duration // when something was last read, or the state was entered
+	listElement  *list.Element // in the list of its state; nil: the connection has been removed
 }
 
 // State is what the connection is doing.
@@ -49,68 +49,68 @@
 
 // LastProgress is when something was last read from the connection, or its state was entered, on the clock of the set's
 // caller.
-func (c *Conn) Last() time.Duration { return c.last }
+func (c *Conn) LastProgress() time.Duration { return c.lastProgress }
 
 // ConnSet is the set of all open client connections of a node, which has a limit. It is not safe for concurrent use.
 // Times are readings of the caller's clock, which must not go back.
-type Room struct {
-	limit   int
-	count   int
-	byState [stateCount]list.List // of *Conn, the one longest without progress first
+type ConnSet struct {
+	limit int
+	count int
+	lists [stateCount]list.List // of *Conn, the one longest without progress first
 }
 
 // New returns an empty set with a limit.
-func New(limit int) *Room { return &Room{limit: limit} }
+func New(limit int) *ConnSet { return &ConnSet{limit: limit} }
 
 // SetLimit changes the limit. Connections beyond it stay in the set.
-func (r *Room) SetLimit(n int) { r.limit = n }
+func (r *ConnSet) SetLimit(n int) { r.limit = n }
 
 // Count is the number of connections.
-func (r *Room) Count() int { return r.count }
+func (r *ConnSet) Count() int { return r.count }
 
 // Full reports whether the limit is reached, so that a Victim has to be closed for a new connection.
-func (r *Room) Full() bool { return r.count >= r.limit }
+func (r *ConnSet) Full() bool { return r.count >= r.limit }
 
 // UnderPressure reports whether so many connections are open that answers should close theirs.
-func (r *Room) Crowded() bool { return float64(r.count) >= closePart*float64(r.limit) }
+func (r *ConnSet) UnderPressure() bool { return float64(r.count) >= pressureShare*float64(r.limit) }
 
 // Add adds a new connection, in state NothingRead.
-func (r *Room) Enter(c *Conn, now time.Duration) {
+func (r *ConnSet) Add(c *Conn, now time.Duration) {
 	r.count++
-	r.move(c, Mute, now)
+	r.move(c, NothingRead, now)
 }
 
 // SetState sets the state of a connection and counts as progress, also if the state stays the same. It has no effect on
 // a connection that has been removed.
-func (r *Room) Set(c *Conn, s State, now time.Duration) {
-	if c.element != nil {
-		r.byState[c.state].Remove(c.element)
+func (r *ConnSet) SetState(c *Conn, s State, now time.Duration) {
+	if c.listElement != nil {
+		r.lists[c.state].Remove(c.listElement)
 		r.move(c, s, now)
 	}
 }
 
-func (r *Room) move(c *Conn, s State, now time.Duration) {
-	c.state, c.last = s, now
-	c.element = r.byState[s].PushBack(c)
+func (r *ConnSet) move(c *Conn, s State, now time.Duration) {
+	c.state, c.lastProgress = s, now
+	c.listElement = r.lists[s].PushBack(c)
 }
 
 // Remove removes a connection. Further calls have no effect.
-func (r *Room) Leave(c *Conn) {
-	if c.element != nil {
-		r.byState[c.state].Remove(c.element)
-		c.element = nil
+func (r *ConnSet) Remove(c *Conn) {
+	if c.listElement != nil {
+		r.lists[c.state].Remove(c.listElement)
+		c.listElement = nil
 		r.count--
 	}
 }
 
 // Victim returns the connection to close for a new one: one from which nothing has been read before an idle one, and
 // either of these before one whose head has stalled. It returns nil if none has been without progress for long enough.
-func (r *Room) Victim(now time.Duration) *Conn {
+func (r *ConnSet) Victim(now time.Duration) *Conn {
 	for _, of := range []struct {
 		s     State
 		least time.Duration
-	}{{Mute, MuteLeast}, {Idle, IdleLeast}, {Writing, StallLeast}} {
-		if e := r.byState[of.s].Front(); e != nil && now-e.Value.(*Conn).last >= of.least {
+	}{{NothingRead, NothingReadTimeout}, {Idle, IdleTimeout}, {ReadingHead, StalledHeadTimeout}} {
+		if e := r.lists[of.s].Front(); e != nil && now-e.Value.(*Conn).lastProgress >= of.least {
 			return e.Value.(*Conn)
 		}
 	}
@@ -118,14 +118,14 @@
 }
 
 // WithoutRequest returns the connections on which no request is in flight.
-func (r *Room) Unused() []*Conn { return r.inStates(Mute, Writing, Idle) }
+func (r *ConnSet) WithoutRequest() []*Conn { return r.inStates(NothingRead, ReadingHead, Idle) }
 
 // WithRequest returns the connections on which a request is in flight.
-func (r *Room) Used() []*Conn { return r.inStates(Busy) }
+func (r *ConnSet) WithRequest() []*Conn { return r.inStates(Busy) }
 
-func (r *Room) inStates(states ...State) (out []*Conn) {
+func (r *ConnSet) inStates(states ...State) (out []*Conn) {
 	for _, s := range states {
-		for e := r.byState[s].Front(); e != nil; e = e.Next() {
+		for e := r.lists[s].Front(); e != nil; e = e.Next() {
 			out = append(out, e.Value.(*Conn))
 		}
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -11,17 +11,17 @@
 
 // Thousands of connections that send nothing never displace a client that sends its head slowly, nor one whose request
 // is in flight. At the limit the node would otherwise cut off the clients that it is to serve.
-func TestCrowd(t *testing.T) {
+func TestSilentConnectionsDisplaceNoOthers(t *testing.T) {
 	r := New(64)
 	slow, busy := &Conn{}, &Conn{}
-	r.Enter(slow, 0)
-	r.Enter(busy, 0)
-	r.Set(busy, Busy, 0)
+	r.Add(slow, 0)
+	r.Add(busy, 0)
+	r.SetState(busy, Busy, 0)
 	refused := 0
 	for i := range 3000 {
 		now := time.Duration(i+1) * 5 * ms // 200 a second
 		if i%60 == 0 {
-			r.Set(slow, Writing, now) // a piece each 300 ms
+			r.SetState(slow, ReadingHead, now) // a piece each 300 ms
 		}
 		for r.Full() {
 			v := r.Victim(now)
@@ -32,10 +32,10 @@
 			if v == slow || v == busy {
 				t.Fatalf("after %v the wrong connection is closed: it is in state %v", now, v.state)
 			}
-			r.Leave(v)
+			r.Remove(v)
 		}
 		if !r.Full() {
-			r.Enter(&Conn{}, now)
+			r.Add(&Conn{}, now)
 		}
 	}
 	if refused > 0 {
@@ -46,23 +46,23 @@
 // A connection becomes a victim only after the timeout of its state, in the order of the states, and a busy one never.
 func TestOrder(t *testing.T) {
 	r := New(4)
-	mute, idle, stalled, busy := &Conn{}, &Conn{}, &Conn{}, &Conn{}
-	for _, c := range []*Conn{mute, idle, stalled, busy} {
-		r.Enter(c, 0)
+	silent, idle, stalled, busy := &Conn{}, &Conn{}, &Conn{}, &Conn{}
+	for _, c := range []*Conn{silent, idle, stalled, busy} {
+		r.Add(c, 0)
 	}
-	r.Set(idle, Idle, 0)
-	r.Set(stalled, Writing, 0)
-	r.Set(busy, Busy, 0)
+	r.SetState(idle, Idle, 0)
+	r.SetState(stalled, ReadingHead, 0)
+	r.SetState(busy, Busy, 0)
 	for _, step := range []struct {
 		at   time.Duration
 		want *Conn
-	}{{MuteLeast - 1, nil}, {MuteLeast, mute}, {StallLeast, stalled}, {IdleLeast, idle}, {time.Hour, nil}} {
+	}{{NothingReadTimeout - 1, nil}, {NothingReadTimeout, silent}, {StalledHeadTimeout, stalled}, {IdleTimeout, idle}, {time.Hour, nil}} {
 		got := r.Victim(step.at)
 		if got != step.want {
 			t.Errorf("at %v: %v, want %v", step.at, got, step.want)
 		}
 		if got != nil {
-			r.Leave(got)
+			r.Remove(got)
 		}
 	}
 }
@@ -78,23 +78,23 @@
 			switch what := rapid.IntRange(0, 4).Draw(t, "what"); {
 			case what == 0 || len(all) == 0:
 				c := &Conn{}
-				r.Enter(c, now)
+				r.Add(c, now)
 				all = append(all, c)
 			case what == 1:
-				r.Leave(rapid.SampledFrom(all).Draw(t, "c"))
+				r.Remove(rapid.SampledFrom(all).Draw(t, "c"))
 			case what == 2:
 				if v := r.Victim(now); v != nil {
-					if v.state == Busy || v.element == nil {
+					if v.state == Busy || v.listElement == nil {
 						t.Fatalf("victim %+v", v)
 					}
-					r.Leave(v)
+					r.Remove(v)
 				}
 			default:
-				r.Set(rapid.SampledFrom(all).Draw(t, "c"), State(rapid.IntRange(0, int(Busy)).Draw(t, "s")), now)
+				r.SetState(rapid.SampledFrom(all).Draw(t, "c"), State(rapid.IntRange(0, int(Busy)).Draw(t, "s")), now)
 			}
 			in := 0
-			for i := range r.byState {
-				in += r.byState[i].Len()
+			for i := range r.lists {
+				in += r.lists[i].Len()
 			}
 			if in != r.Count() {
 				t.Fatalf("%d in lists, count %d", in, r.Count())
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -33,12 +33,12 @@
 
 func startLogged(t *testing.T, c *Config, log *slog.Logger) *testNode {
 	t.Helper()
-	return startOn(t, c, listener(t), log)
+	return startOn(t, c, newListener(t), log)
 }
 
 // newListener opens a listener at a port that the kernel chose. The node gets the listener itself, because a port
 // that is closed and opened again may be taken by another process in between.
-func listener(t *testing.T) *net.TCPListener {
+func newListener(t *testing.T) *net.TCPListener {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -63,10 +63,10 @@
 	return n // connections wait in the listener's queue until it serves
 }
 
-var ids atomic.Int64
+var lastRequestID atomic.Int64
 
 // classRequest is a request of a class with a new id, left seconds of patience and a body.
-func message(class, left, body string) string {
+func classRequest(class, left, body string) string {
 	method, key := "GET", ""
 	if class != "read" {
 		method = "POST"
@@ -75,20 +75,20 @@
 		key = "Idempotency-Key: k\r\n"
 	}
 	return fmt.Sprintf("%s /%s?obj=a%%2fb HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: id%d\r\n%sX-Time-Left: %s\r\nContent-Length: %d\r\n\r\n%s",
-		method, class, ids.Add(1), key, left, len(body), body)
+		method, class, lastRequestID.Add(1), key, left, len(body), body)
 }
 
 // roundTrip sends text on a new connection and reads one answer.
-func (n *testNode) ask(t *testing.T, text string) (*http.Response, string) {
+func (n *testNode) roundTrip(t *testing.T, text string) (*http.Response, string) {
 	t.Helper()
-	c, err := net.Dial("tcp", n.addr)
+	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patient))
-	io.WriteString(c, text)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	io.WriteString(conn, text)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
 	}
--- a/internal/app/askedlist_test.go
+++ b/internal/app/askedlist_test.go
@@ -17,11 +17,11 @@
 )
 
 // notificationLimit is how long after discovery had a change and was reachable the node counts as notified of it.
-const toldWithin = 6 * time.Second
+const notificationLimit = 6 * time.Second
 
 const (
-	refusal      = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
-	drainVersion = "9"
+	refusalAnswer = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
+	drainVersion  = "9"
 	// drainList is a format for the addresses of two servers, the first of which drains.
 	drainList = `{"version":9,"full":true,"servers":[` +
 		`{"id":"s-00000001","addr":%q,"zone":"z","state":"draining","weight":1},{"id":"s-00000002","addr":%q,"zone":"z","state":"ready","weight":1}]}`
@@ -31,23 +31,23 @@
 type downDiscovery struct {
 	addr  netip.AddrPort
 	calls atomic.Int64
-	fails func(net.Conn) // handles a request until then
+	fail  func(net.Conn) // handles a request until then
 
-	mu     sync.Mutex
-	list   string    // the answer once it is restored
-	backAt time.Time // when it was restored; zero: it is down
-	toldAt time.Time // when it first answered; zero: not yet
+	mu         sync.Mutex
+	list       string    // the answer once it is restored
+	backAt     time.Time // when it was restored; zero: it is down
+	answeredAt time.Time // when it first answered; zero: not yet
 }
 
 func newDownDiscovery(t *testing.T, fails func(net.Conn)) *downDiscovery {
-	d := &downDiscovery{fails: fails}
+	d := &downDiscovery{fail: fails}
 	d.addr = netip.MustParseAddrPort(testkit.Server(t, d.serve))
 	return d
 }
 
 func (d *downDiscovery) serve(c net.Conn) {
 	for in := bufio.NewReader(c); ; {
-		r, err := http.ReadRequest(in)
+		request, err := http.ReadRequest(in)
 		if err != nil {
 			return
 		}
@@ -55,10 +55,10 @@
 		d.calls.Add(1)
 		switch {
 		case text == "":
-			d.fails(c)
+			d.fail(c)
 			return
-		case r.URL.Query().Get("since") == drainVersion: // a watch from the newest version: it gets no answer
-			hold(c)
+		case request.URL.Query().Get("since") == drainVersion: // a watch from the newest version: it gets no answer
+			holdOpen(c)
 			return
 		}
 		io.WriteString(c, text)
@@ -72,14 +72,14 @@
 	if d.backAt.IsZero() {
 		return ""
 	}
-	if d.toldAt.IsZero() {
-		d.toldAt = time.Now()
+	if d.answeredAt.IsZero() {
+		d.answeredAt = time.Now()
 	}
 	return testkit.OK(d.list)
 }
 
 // restore makes discovery answer with this list from now on.
-func (d *downDiscovery) back(list string) {
+func (d *downDiscovery) restore(list string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list, d.backAt = list, time.Now()
@@ -87,34 +87,34 @@
 
 // timeToAnswer is the time from when discovery was restored to its first answer; answered is false if there
 // was none yet.
-func (d *downDiscovery) took() (took time.Duration, told bool) {
+func (d *downDiscovery) timeToAnswer() (took time.Duration, answered bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.toldAt.Sub(d.backAt), !d.toldAt.IsZero()
+	return d.answeredAt.Sub(d.backAt), !d.answeredAt.IsZero()
 }
 
 // holdOpen keeps a connection open until the other side closes it.
-func hold(c net.Conn) { io.Copy(io.Discard, c) }
+func holdOpen(c net.Conn) { io.Copy(io.Discard, c) }
 
 // maxRefused bounds the time for which requests may be refused because the node has no valid list, by the way in
 // which discovery fails; 0 if it is not in the map. A list request that gets no answer is noticed 3 s after it began.
 // Until then the node can't tell whether discovery is reachable, and across a reload its last evidence that discovery
 // is down may be over 6 s old for a moment. A refusal or a reset is noticed at once.
-var refusedMost = map[string]time.Duration{"silent": 1500 * time.Millisecond, "half an answer": 1500 * time.Millisecond}
+var maxRefused = map[string]time.Duration{"silent": 1500 * time.Millisecond, "half an answer": 1500 * time.Millisecond}
 
 // Discovery is down when the node starts, and so is the one at the address that a reload gives. That one comes back
 // with a draining server in its list at the worst moment: just after a list request has failed or has begun in vain.
 // Even with the request rate of a fleet of 300 nodes, the node has to get the list within 6 s and send nothing to the
 // draining server after its grace.
-func TestAskedDiscoveryComesBack(t *testing.T) {
+func TestListOnRequestAfterOutage(t *testing.T) {
 	t.Parallel()
 	for name, fails := range map[string]func(net.Conn){
-		"refuses": func(c net.Conn) { io.WriteString(c, refusal) },
-		"resets":  func(c net.Conn) { c.(*net.TCPConn).SetLinger(0) },
-		"silent":  hold,
-		"half an answer": func(c net.Conn) {
-			io.WriteString(c, testkit.OK(drainList)[:90])
-			hold(c)
+		"refuses": func(config net.Conn) { io.WriteString(config, refusalAnswer) },
+		"resets":  func(config net.Conn) { config.(*net.TCPConn).SetLinger(0) },
+		"silent":  holdOpen,
+		"half an answer": func(config net.Conn) {
+			io.WriteString(config, testkit.OK(drainList)[:90])
+			holdOpen(config)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -126,17 +126,17 @@
 			}))
 			ready := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
 			first, second := newDownDiscovery(t, fails), newDownDiscovery(t, fails)
-			c := &Config{Settings: testkit.Settings(), Known: testkit.Known(draining, ready), Discovery: first.addr}
+			config := &Config{Settings: testkit.Settings(), Known: testkit.Known(draining, ready), Discovery: first.addr}
 			// The grace has to cover delays of a busy machine too.
-			c.Settings.AskForList, c.Settings.Nodes, c.Settings.DrainGrace = true, 300, 2*time.Second
-			c.reread = func() (*Config, error) { return &Config{Discovery: second.addr}, nil }
-			n := start(t, c)
+			config.Settings.ListOnRequest, config.Settings.Nodes, config.Settings.DrainGrace = true, 300, 2*time.Second
+			config.reread = func() (*Config, error) { return &Config{Discovery: second.addr}, nil }
+			node := start(t, config)
 			refusedFor := time.Duration(0) // because the node had no valid list
-			served := func(what string, until func() bool) {
+			requestUntil := func(what string, until func() bool) {
 				t.Helper()
 				last := time.Now()
 				for end := time.Now().Add(testkit.Patient); !until(); time.Sleep(time.Millisecond) {
-					resp, _ := n.ask(t, message("read", "9.5", ""))
+					resp, _ := node.roundTrip(t, classRequest("read", "9.5", ""))
 					switch {
 					case resp.Header.Get("X-Refused-By") == "list":
 						refusedFor += time.Since(last)
@@ -149,22 +149,22 @@
 					}
 				}
 			}
-			n.waitReady(t, http.StatusOK) // until a list request has failed, the node does not know that discovery is down
-			served("down at the start", func() bool { return first.calls.Load() > 0 })
-			n.hup <- syscall.SIGHUP
-			served("down after the reload", func() bool { return second.calls.Load() > 0 })
-			second.back(fmt.Sprintf(drainList, draining, ready))
-			served("back", func() bool { _, told := second.took(); return told })
-			took, _ := second.took()
-			if t.Logf("notified %v after discovery came back", took); took > toldWithin {
-				t.Errorf("notified %v after discovery came back, %v at most", took, toldWithin)
+			node.waitReady(t, http.StatusOK) // until a list request has failed, the node does not know that discovery is down
+			requestUntil("down at the start", func() bool { return first.calls.Load() > 0 })
+			node.hup <- syscall.SIGHUP
+			requestUntil("down after the reload", func() bool { return second.calls.Load() > 0 })
+			second.restore(fmt.Sprintf(drainList, draining, ready))
+			requestUntil("back", func() bool { _, answered := second.timeToAnswer(); return answered })
+			timeToAnswer, _ := second.timeToAnswer()
+			if t.Logf("notified %v after discovery came back", timeToAnswer); timeToAnswer > notificationLimit {
+				t.Errorf("notified %v after discovery came back, %v at most", timeToAnswer, notificationLimit)
 			}
-			graceEnds := second.toldAt.Add(c.Settings.DrainGrace)
-			served("told", func() bool { return time.Now().After(graceEnds.Add(500 * time.Millisecond)) })
+			graceEnds := second.answeredAt.Add(config.Settings.DrainGrace)
+			requestUntil("told", func() bool { return time.Now().After(graceEnds.Add(500 * time.Millisecond)) })
 			if last := time.Unix(0, lastAtDraining.Load()); last.After(graceEnds) {
-				t.Errorf("a request reached the draining server %v after the node was notified, %v at most", last.Sub(second.toldAt), c.Settings.DrainGrace)
+				t.Errorf("a request reached the draining server %v after the node was notified, %v at most", last.Sub(second.answeredAt), config.Settings.DrainGrace)
 			}
-			if most := refusedMost[name]; refusedFor > most {
+			if most := maxRefused[name]; refusedFor > most {
 				t.Errorf("requests were refused for %v because there was no valid list, %v at most", refusedFor, most)
 			}
 			if lastAtDraining.Load() == 0 {
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -26,13 +26,13 @@
 		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("Idempotency-Key"), " ", r.Header.Get("X-Correlation-Id") != "", " ", string(body))
 		return testkit.OK(want)
 	}))
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	for class, line := range map[string]string{"read": "GET /read?obj=a%2fb  true ", "tag": "POST /tag?obj=a%2fb k true B", "order": "POST /order?obj=a%2fb  true B"} {
 		body := "B"
 		if class == "read" {
 			body = ""
 		}
-		resp, got := n.ask(t, message(class, "9.5", body))
+		resp, got := node.roundTrip(t, classRequest(class, "9.5", body))
 		if resp.StatusCode != 200 || got != want {
 			t.Errorf("%s: status %d, %d bytes", class, resp.StatusCode, len(got))
 		}
@@ -49,7 +49,7 @@
 	t.Parallel()
 	var passed atomic.Int64
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { passed.Add(1); return testkit.OK("x") }))
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	const host, id, left, key, none = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n"
 	const get, post, head, end = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left, "\r\n"
 	hidden := post + "Host: h\r\nX-Correlation-Id: hidden\r\n" + left + none + end
@@ -94,14 +94,14 @@
 		"GET /health/other HTTP/1.1\r\n" + host + end:                                                                 404,
 		get + host + strings.Repeat("X-Pad: p\r\n", 1<<12) + end:                                                      431,
 	} {
-		c, err := net.Dial("tcp", n.addr)
+		conn, err := net.Dial("tcp", node.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.SetDeadline(time.Now().Add(testkit.Patient))
-		io.WriteString(c, text+hidden)
-		r := bufio.NewReader(c)
-		resp, err := http.ReadResponse(r, nil)
+		conn.SetDeadline(time.Now().Add(testkit.Patient))
+		io.WriteString(conn, text+hidden)
+		reader := bufio.NewReader(conn)
+		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			t.Fatalf("%.200q: %v", text, err)
 		}
@@ -109,16 +109,16 @@
 		if resp.StatusCode != want || !resp.Close {
 			t.Errorf("%.200q: status %d, want %d; closes: %v", text, resp.StatusCode, want, resp.Close)
 		}
-		if more, err := io.ReadAll(r); len(more) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
+		if more, err := io.ReadAll(reader); len(more) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("%.200q: another answer %q, %v", text, more, err)
 		}
-		c.Close()
+		conn.Close()
 	}
 	if passed.Load() > 0 {
 		t.Errorf("%d requests reached the server", passed.Load())
 	}
-	odd := post + head + "X-Weight-Hint: -1e400\r\nX-Facts: ,=,write\r\n" + none + end
-	if resp, _ := n.ask(t, odd); resp.StatusCode != 200 {
+	unusualHints := post + head + "X-Weight-Hint: -1e400\r\nX-Facts: ,=,write\r\n" + none + end
+	if resp, _ := node.roundTrip(t, unusualHints); resp.StatusCode != 200 {
 		t.Errorf("odd hints: status %d", resp.StatusCode)
 	}
 }
@@ -128,28 +128,28 @@
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: leastSockets}})
-	stuck := message("order", "9.5", "abc")
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}})
+	stuck := classRequest("order", "9.5", "abc")
 	stuck = stuck[:len(stuck)-1]
 	var waiting sync.WaitGroup
 	for i := range 100 {
-		text := []string{"", "GET /re", "GET /read HTTP/1.1\r\nX: y\r\n", stuck, message("read", "9.5", "")}[i%5]
-		c, err := net.Dial("tcp", n.addr)
+		text := []string{"", "GET /re", "GET /read HTTP/1.1\r\nX: y\r\n", stuck, classRequest("read", "9.5", "")}[i%5]
+		conn, err := net.Dial("tcp", node.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		io.WriteString(c, text)
+		io.WriteString(conn, text)
 		waiting.Go(func() {
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(testkit.Patient))
-			if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
+			defer conn.Close()
+			conn.SetDeadline(time.Now().Add(testkit.Patient))
+			if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%.20q is left open", text)
 			}
 		})
 	}
 	// This has to succeed long before those connections time out.
 	for end := time.Now().Add(testkit.Patient); ; time.Sleep(50 * time.Millisecond) {
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode == 200 {
+		if resp, _ := node.roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode == 200 {
 			break
 		} else if time.Now().After(end) {
 			t.Fatal("a client is not served beside the silent ones")
@@ -161,26 +161,26 @@
 // When a client disconnects, the connection of its attempt is closed, so that the server can stop working on it.
 func TestClientGone(t *testing.T) {
 	t.Parallel()
-	came, gone := make(chan struct{}), make(chan struct{})
-	addr := testkit.Server(t, func(c net.Conn) {
-		r := bufio.NewReader(c)
-		if _, err := http.ReadRequest(r); err != nil {
+	arrived, closed := make(chan struct{}), make(chan struct{})
+	addr := testkit.Server(t, func(conn net.Conn) {
+		reader := bufio.NewReader(conn)
+		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		close(came)
-		r.ReadByte()
-		close(gone)
+		close(arrived)
+		reader.ReadByte()
+		close(closed)
 	})
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-	c, err := net.Dial("tcp", n.addr)
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	conn, err := net.Dial("tcp", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(c, message("order", "9.5", "b"))
-	<-came
-	c.Close()
+	io.WriteString(conn, classRequest("order", "9.5", "b"))
+	<-arrived
+	conn.Close()
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(5 * time.Second): // less than the client's patience
 		t.Error("the attempt continues")
 	}
@@ -189,19 +189,19 @@
 // A second request with the id of an open one is rejected. Otherwise it would never be answered, and could run twice.
 func TestSameIDTwice(t *testing.T) {
 	t.Parallel()
-	came, let := make(chan struct{}, 9), make(chan struct{})
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { came <- struct{}{}; <-let; return testkit.OK("x") }))
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-	text := message("order", "9.5", "b")
+	arrived, release := make(chan struct{}, 9), make(chan struct{})
+	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { arrived <- struct{}{}; <-release; return testkit.OK("x") }))
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	text := classRequest("order", "9.5", "b")
 	first := make(chan int)
-	go func() { resp, _ := n.ask(t, text); first <- resp.StatusCode }()
-	<-came
-	if resp, _ := n.ask(t, text); resp.StatusCode != http.StatusConflict {
+	go func() { resp, _ := node.roundTrip(t, text); first <- resp.StatusCode }()
+	<-arrived
+	if resp, _ := node.roundTrip(t, text); resp.StatusCode != http.StatusConflict {
 		t.Errorf("status %d", resp.StatusCode)
 	}
-	close(let)
-	if status := <-first; status != 200 || len(came) > 0 {
-		t.Errorf("status %d, %d more at the server", status, len(came))
+	close(release)
+	if status := <-first; status != 200 || len(arrived) > 0 {
+		t.Errorf("status %d, %d more at the server", status, len(arrived))
 	}
 }
 
@@ -209,51 +209,51 @@
 // open connections are served until the end of the drain, and then the node ends.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	came, let := make(chan struct{}, 1), make(chan struct{})
+	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string {
 		select {
-		case came <- struct{}{}:
-		case <-let:
+		case arrived <- struct{}{}:
+		case <-release:
 		}
-		<-let
+		<-release
 		return testkit.OK("x")
 	}))
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	held := make(chan *http.Response)
-	go func() { resp, _ := n.ask(t, message("order", "9.5", "b")); held <- resp }()
-	<-came
-	idle, err := net.Dial("tcp", n.addr)
+	go func() { resp, _ := node.roundTrip(t, classRequest("order", "9.5", "b")); held <- resp }()
+	<-arrived
+	idle, err := net.Dial("tcp", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer idle.Close()
-	n.stop()
+	node.stop()
 	for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) {
-		if resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode == 503 {
+		if resp, _ := node.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode == 503 {
 			break
 		} else if time.Now().After(end) {
 			t.Fatal("still ready")
 		}
 	}
 	late := make(chan *http.Response)
-	go func() { resp, _ := n.ask(t, message("read", "9.5", "")); late <- resp }()
-	<-came
-	close(let)
-	for _, c := range []chan *http.Response{held, late} {
-		if resp := <-c; resp.StatusCode != 200 || resp.Close {
+	go func() { resp, _ := node.roundTrip(t, classRequest("read", "9.5", "")); late <- resp }()
+	<-arrived
+	close(release)
+	for _, answers := range []chan *http.Response{held, late} {
+		if resp := <-answers; resp.StatusCode != 200 || resp.Close {
 			t.Errorf("status %d, closes: %v", resp.StatusCode, resp.Close)
 		}
 	}
-	kept, err := net.Dial("tcp", n.addr)
+	kept, err := net.Dial("tcp", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer kept.Close()
 	kept.SetDeadline(time.Now().Add(testkit.Patient))
-	r, served := bufio.NewReader(kept), 0
+	reader, served := bufio.NewReader(kept), 0
 	for { // continues after the listener has closed; the last answer closes the connection
-		io.WriteString(kept, message("read", "9.5", ""))
-		resp, err := http.ReadResponse(r, nil)
+		io.WriteString(kept, classRequest("read", "9.5", ""))
+		resp, err := http.ReadResponse(reader, nil)
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
 		}
@@ -261,7 +261,7 @@
 			break
 		}
 		io.Copy(io.Discard, resp.Body)
-		if again, err := net.Dial("tcp", n.addr); err == nil {
+		if again, err := net.Dial("tcp", node.addr); err == nil {
 			again.Close()
 		} else {
 			served++
@@ -272,7 +272,7 @@
 		t.Errorf("%d served after the listener had closed", served)
 	}
 	select {
-	case err := <-n.ended:
+	case err := <-node.ended:
 		if err != nil {
 			t.Error(err)
 		}
@@ -284,15 +284,15 @@
 // At its limit of open requests a node refuses others at once, and each accepted connection gets an answer.
 func TestBounds(t *testing.T) {
 	t.Parallel()
-	let := make(chan struct{})
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { <-let; return testkit.OK("x") }))
-	c := &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: leastSockets}}
-	c.Settings.MaxOpen = 1
-	n := start(t, c)
+	release := make(chan struct{})
+	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { <-release; return testkit.OK("x") }))
+	config := &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
+	config.Settings.MaxOpen = 1
+	node := start(t, config)
 	statuses := make(chan int, 60)
 	for range cap(statuses) {
 		go func() {
-			resp, _ := n.ask(t, message("read", "9.5", ""))
+			resp, _ := node.roundTrip(t, classRequest("read", "9.5", ""))
 			if resp.StatusCode == 503 && resp.Header.Get("Retry-After") == "" {
 				t.Error("no Retry-After")
 			}
@@ -303,7 +303,7 @@
 	for range cap(statuses) - 1 {
 		count[<-statuses]++
 	}
-	close(let)
+	close(release)
 	count[<-statuses]++
 	if count[503] != cap(statuses)-1 || count[200] != 1 {
 		t.Errorf("statuses %v", count)
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -55,11 +55,11 @@
 const (
 	// notifiedWithin is set by the platform: a node counts as notified of a change at this time after discovery had
 	// the change and was reachable, even if the node's calls to discovery failed.
-	notifiedWithin = 6 * time.Second
-	leastSockets   = descriptors.Least
-	leastMemoryMB  = 32
-	usualSockets   = 1024
-	usualMemoryMB  = 192
+	notifiedWithin  = 6 * time.Second
+	minSockets      = descriptors.MinLimit
+	minMemoryMB     = 32
+	defaultSockets  = 1024
+	defaultMemoryMB = 192
 )
 
 // LoadConfig reads the configuration file that the variable GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and
@@ -67,18 +67,18 @@
 // to other sites.
 func LoadConfig(getenv func(string) string, gatewayFile string) (*Config, error) {
 	read := func(getenv func(string) string) (*Config, error) {
-		c, err := readConfig(getenv)
+		config, err := readConfig(getenv)
 		if err == nil && gatewayFile != "" {
-			c.Gateway, err = gateway.Load(gatewayFile, time.Now())
+			config.Gateway, err = gateway.Load(gatewayFile, time.Now())
 		}
-		return c, err
+		return config, err
 	}
-	c, err := read(getenv)
+	config, err := read(getenv)
 	if err != nil {
 		return nil, err
 	}
-	c.setMemory = debug.SetMemoryLimit
-	c.reread = func() (*Config, error) {
+	config.setMemory = debug.SetMemoryLimit
+	config.reread = func() (*Config, error) {
 		return read(func(name string) string {
 			if name == "GW_DISCOVERY" { // the variable still has the address from the start; a new one is in the file
 				return ""
@@ -86,7 +86,7 @@
 			return getenv(name)
 		})
 	}
-	return c, nil
+	return config, nil
 }
 
 func readConfig(getenv func(string) string) (*Config, error) {
@@ -98,7 +98,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	var in struct {
+	var file struct {
 		Name       string          `json:"name"`
 		Listen     string          `json:"listen"`
 		Discovery  string          `json:"discovery"`
@@ -111,68 +111,68 @@
 		Known      json.RawMessage `json:"known"`
 		Settings   json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
+	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for variable, field := range map[string]*string{"GW_NAME": &in.Name, "GW_LISTEN": &in.Listen, "GW_DISCOVERY": &in.Discovery, "GW_OPS": &in.Ops} {
+	for variable, field := range map[string]*string{"GW_NAME": &file.Name, "GW_LISTEN": &file.Listen, "GW_DISCOVERY": &file.Discovery, "GW_OPS": &file.Ops} {
 		if v := getenv(variable); v != "" {
 			*field = v
 		}
 	}
-	c := &Config{Name: in.Name, Limits: in.Limits}
-	if c.Name == "" {
+	config := &Config{Name: file.Name, Limits: file.Limits}
+	if config.Name == "" {
 		return nil, fmt.Errorf("%s: name is missing", path)
 	}
-	peers := in.PeerListen != ""
-	for _, a := range []struct {
+	hasPeers := file.PeerListen != ""
+	for _, address := range []struct {
 		name, text string
 		into       *netip.AddrPort
 		wanted     bool
-	}{{"listen", in.Listen, &c.Listen, true}, {"discovery", in.Discovery, &c.Discovery, true},
-		{"ops", in.Ops, &c.Ops, in.Ops != ""}, {"peer_listen", in.PeerListen, &c.PeerListen, peers}, {"peers_all", in.PeersAll, &c.PeersAll, in.PeersAll != ""}} {
-		if !a.wanted {
+	}{{"listen", file.Listen, &config.Listen, true}, {"discovery", file.Discovery, &config.Discovery, true},
+		{"ops", file.Ops, &config.Ops, file.Ops != ""}, {"peer_listen", file.PeerListen, &config.PeerListen, hasPeers}, {"peers_all", file.PeersAll, &config.PeersAll, file.PeersAll != ""}} {
+		if !address.wanted {
 			continue
 		}
-		if *a.into, err = netip.ParseAddrPort(a.text); err != nil {
-			return nil, fmt.Errorf("%s: %s: %w", path, a.name, err)
+		if *address.into, err = netip.ParseAddrPort(address.text); err != nil {
+			return nil, fmt.Errorf("%s: %s: %w", path, address.name, err)
 		}
 	}
-	c.Handover = handover.Path(getenv("TMPDIR"), c.Name, c.Listen)
-	for i, text := range in.Peers {
-		a, err := netip.ParseAddrPort(text)
+	config.Handover = handover.Path(getenv("TMPDIR"), config.Name, config.Listen)
+	for i, text := range file.Peers {
+		address, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("%s: peers, entry %d: %w", path, i, err)
 		}
-		c.Peers = append(c.Peers, a)
+		config.Peers = append(config.Peers, address)
 	}
-	seed, err := strconv.ParseUint(in.Seed, 16, 64)
+	seed, err := strconv.ParseUint(file.Seed, 16, 64)
 	if err != nil {
 		return nil, fmt.Errorf("%s: seed: %w", path, err)
 	}
-	c.Seed = int64(seed)
-	if c.Limits.Sockets == 0 {
-		c.Limits.Sockets = usualSockets
+	config.Seed = int64(seed)
+	if config.Limits.Sockets == 0 {
+		config.Limits.Sockets = defaultSockets
 	}
-	if c.Limits.MemoryMB == 0 {
-		c.Limits.MemoryMB = usualMemoryMB
+	if config.Limits.MemoryMB == 0 {
+		config.Limits.MemoryMB = defaultMemoryMB
 	}
-	if c.Limits.Sockets < leastSockets || c.Limits.MemoryMB < leastMemoryMB || c.Limits.Cores < 0 {
-		return nil, fmt.Errorf("%s: limits: want at least %d sockets and %d MB of memory, have %+v", path, leastSockets, leastMemoryMB, c.Limits)
+	if config.Limits.Sockets < minSockets || config.Limits.MemoryMB < minMemoryMB || config.Limits.Cores < 0 {
+		return nil, fmt.Errorf("%s: limits: want at least %d sockets and %d MB of memory, have %+v", path, minSockets, minMemoryMB, config.Limits)
 	}
-	if in.Known != nil {
-		if c.Known, err = registry.Decode(in.Known); err != nil {
+	if file.Known != nil {
+		if config.Known, err = registry.Decode(file.Known); err != nil {
 			return nil, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
-	if in.Settings == nil {
+	if file.Settings == nil {
 		return nil, fmt.Errorf("%s: settings are missing", path)
 	}
-	if c.Settings, err = wire.DecodeSettings(in.Settings); err != nil {
+	if config.Settings, err = wire.DecodeSettings(file.Settings); err != nil {
 		return nil, fmt.Errorf("%s: settings: %w", path, err)
 	}
-	c.Settings.NotifiedWithin = notifiedWithin
-	if len(c.Settings.Classes) == 0 || c.Settings.ConnectTimeout <= 0 {
+	config.Settings.NotifiedWithin = notifiedWithin
+	if len(config.Settings.Classes) == 0 || config.Settings.ConnectTimeout <= 0 {
 		return nil, fmt.Errorf("%s: settings: want classes and caps.connect_timeout_ns", path)
 	}
-	return c, nil
+	return config, nil
 }
--- a/internal/app/config_test.go
+++ b/internal/app/config_test.go
@@ -26,9 +26,9 @@
 			return more[name]
 		}, "")
 	}
-	c, err := load(good, map[string]string{"GW_LISTEN": "127.0.0.1:99"})
-	if err != nil || c.Listen.Port() != 99 || c.Known.Version != 4 || c.Settings.Nodes != 3 || uint64(c.Seed) != 0x8c1f30d27a5be964 {
-		t.Errorf("%+v, %v", c, err)
+	config, err := load(good, map[string]string{"GW_LISTEN": "127.0.0.1:99"})
+	if err != nil || config.Listen.Port() != 99 || config.Known.Version != 4 || config.Settings.Nodes != 3 || uint64(config.Seed) != 0x8c1f30d27a5be964 {
+		t.Errorf("%+v, %v", config, err)
 	}
 	for _, bad := range [][2]string{{`{"name"`, `{"nam`}, {`"n0"`, `""`}, {`"127.0.0.1:80"`, `"x"`}, {`"127.0.0.1:81"`, `""`}, {`8c1f`, `xyz`},
 		{`1024`, `3`}, {`192`, `-1`}, {`"peers":["127`, `"peers":["x`}, {`"full":true`, `"full":3`}, {`"fragile"`, `"odd"`}, {`250000000`, `0`}, {`"settings"`, `"other"`}} {
@@ -36,12 +36,12 @@
 			t.Errorf("%s for %s: error %v", bad[1], bad[0], err)
 		}
 	}
-	c, err = load(good, map[string]string{"GW_DISCOVERY": "127.0.0.1:98"})
-	if err != nil || c.Discovery.Port() != 98 {
-		t.Errorf("%+v, %v", c, err)
+	config, err = load(good, map[string]string{"GW_DISCOVERY": "127.0.0.1:98"})
+	if err != nil || config.Discovery.Port() != 98 {
+		t.Errorf("%+v, %v", config, err)
 	}
-	if c, err = c.reread(); err != nil || c.Discovery.Port() != 81 {
-		t.Errorf("after a reload: %+v, %v; want the address in the file", c, err)
+	if config, err = config.reread(); err != nil || config.Discovery.Port() != 81 {
+		t.Errorf("after a reload: %+v, %v; want the address in the file", config, err)
 	}
 	if _, err := LoadConfig(func(string) string { return "" }, ""); err == nil {
 		t.Error("no error without GW_CONFIG")
--- a/internal/app/departed_first_test.go
+++ b/internal/app/departed_first_test.go
@@ -15,28 +15,28 @@
 // disconnectDuringHandshake has a client disconnect while its first attempt waits for a connection to the server. The
 // server's listen queue is full until then, so that the handshake takes 1 s, after which the kernel sends the SYN
 // again.
-func late(t *testing.T, d departure, class int) departed {
+func disconnectDuringHandshake(t *testing.T, scenario disconnect, class int) disconnectOutcome {
 	t.Helper()
-	s := testkit.Settings()
-	d.change(&s)
-	n, addr, letGo := lateNode(t, s)
+	settings := testkit.Settings()
+	scenario.change(&settings)
+	node, addr, letGo := nodeWithFullListener(t, settings)
 	server := &attemptLog{}
-	c := n.dial(t)
-	io.WriteString(c, request(s.Classes[class], departedID, "60"))
-	dialing(t, addr)
-	second := n.dial(t) // its handshake begins after the other's
-	io.WriteString(second, request(s.Classes[0], "stays", "60"))
-	closed := d.goes(c)
-	time.Sleep(d.after)
+	conn := node.dial(t)
+	io.WriteString(conn, request(settings.Classes[class], leavingID, "60"))
+	waitDialing(t, addr)
+	second := node.dial(t) // its handshake begins after the other's
+	io.WriteString(second, request(settings.Classes[0], "stays", "60"))
+	closed := scenario.perform(conn)
+	time.Sleep(scenario.after)
 	letGo(server.serve)
 	second.answer(t)
-	if d.leave == nil {
-		c.answer(t)
+	if scenario.leave == nil {
+		conn.answer(t)
 	}
-	n.stop()
-	<-n.ended
+	node.stop()
+	<-node.ended
 	server.settle(t, addr)
-	return departed{server, closed}
+	return disconnectOutcome{server, closed}
 }
 
 // A first attempt that waited 1 s for a handshake must not begin once its client has disconnected, whatever the
@@ -48,19 +48,19 @@
 		for class := range testkit.Settings().Classes {
 			t.Run(fmt.Sprint(name, " ", class), func(t *testing.T) {
 				t.Parallel()
-				if stays := late(t, departure{change: change}, class); stays.server.count(departedID) == 0 {
+				if stays := disconnectDuringHandshake(t, disconnect{change: change}, class); stays.server.count(leavingID) == 0 {
 					t.Fatal("no attempt for a client that stays connected: the subtests show nothing")
 				}
-				for how, leave := range leave {
+				for how, leave := range disconnectKinds {
 					for _, what := range []string{"nothing", "1 MB"} {
-						behind := hiding[what]
+						behind := pipelinedKinds[what]
 						t.Run(how+" behind "+what, func(t *testing.T) {
 							t.Parallel()
-							worst := holdsLimit(t, func() departed {
-								d := departure{behind: behind, leave: leave, after: beyondLimit, change: change}
-								return late(t, d, class)
+							worst := checkLimit(t, func() disconnectOutcome {
+								scenario := disconnect{behind: behind, leave: leave, after: pastDisconnectLimit, change: change}
+								return disconnectDuringHandshake(t, scenario, class)
 							})
-							t.Logf("worst %v, limit %v", worst, departedLimit)
+							t.Logf("worst %v, limit %v", worst, disconnectLimit)
 						})
 					}
 				}
@@ -71,9 +71,9 @@
 
 // disconnectInListenQueue has a client connect, write text and disconnect before the node accepts its connection, as
 // happens while the node is busy or has no descriptor left.
-func queue(t *testing.T, d departure, text string) departed {
+func disconnectInListenQueue(t *testing.T, scenario disconnect, text string) disconnectOutcome {
 	t.Helper()
-	server, clients := &attemptLog{}, listener(t)
+	server, clients := &attemptLog{}, newListener(t)
 	addr := testkit.Server(t, server.serve)
 	conn, err := net.Dial("tcp", clients.Addr().String())
 	if err != nil {
@@ -82,43 +82,43 @@
 	t.Cleanup(func() { conn.Close() })
 	c := client{TCPConn: conn.(*net.TCPConn)}
 	io.WriteString(c, text)
-	closed := d.goes(c)
-	time.Sleep(d.after)
-	n := startOn(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)}, clients, testkit.Quiet)
-	n.waitReady(t, 200) // over a connection that is accepted after the client's
-	if d.leave == nil {
-		testkit.Until(t, "the request is not served", func() bool { return server.count(departedID) > 0 })
+	closed := scenario.perform(c)
+	time.Sleep(scenario.after)
+	node := startOn(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)}, clients, testkit.Quiet)
+	node.waitReady(t, 200) // over a connection that is accepted after the client's
+	if scenario.leave == nil {
+		testkit.Until(t, "the request is not served", func() bool { return server.count(leavingID) > 0 })
 	}
-	n.stop()
-	<-n.ended
+	node.stop()
+	<-node.ended
 	server.settle(t, addr)
-	return departed{server, closed}
+	return disconnectOutcome{server, closed}
 }
 
 // No attempt begins for a client that disconnected before its connection was accepted, and a body of such a client is
 // not sent on to its end.
 func TestDepartedInListenQueue(t *testing.T) {
 	t.Parallel()
-	s := testkit.Settings()
-	short := request(s.Classes[0], departedID, "60")
+	settings := testkit.Settings()
+	short := request(settings.Classes[0], leavingID, "60")
 	for what, text := range map[string]string{
 		"a request":             short,
 		"a request and a byte":  short + "G",
-		"a request and 30 KB":   short + behind(s.Classes[0], 200),
-		"a request with 300 KB": withBody(request(s.Classes[2], departedID, "60"), 300<<10),
+		"a request and 30 KB":   short + pipelinedRequests(settings.Classes[0], 200),
+		"a request with 300 KB": withBody(request(settings.Classes[2], leavingID, "60"), 300<<10),
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			if stays := queue(t, departure{}, text); stays.server.count(departedID) != 1 {
+			if stays := disconnectInListenQueue(t, disconnect{}, text); stays.server.count(leavingID) != 1 {
 				t.Fatal("no attempt for a client that stays connected: the test shows nothing")
 			}
 			var worst time.Duration
-			for _, leave := range leave {
-				worst = max(worst, holdsLimit(t, func() departed {
-					return queue(t, departure{leave: leave, after: beyondLimit}, text)
+			for _, leave := range disconnectKinds {
+				worst = max(worst, checkLimit(t, func() disconnectOutcome {
+					return disconnectInListenQueue(t, disconnect{leave: leave, after: pastDisconnectLimit}, text)
 				}))
 			}
-			t.Logf("worst %v, limit %v", worst, departedLimit)
+			t.Logf("worst %v, limit %v", worst, disconnectLimit)
 		})
 	}
 }
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -23,14 +23,14 @@
 const (
 	// disconnectLimit is how long after a client has closed its connection an attempt for it, the first or a later
 	// one, may still begin.
-	departedLimit = 100 * time.Millisecond
+	disconnectLimit = 100 * time.Millisecond
 	// pastDisconnectLimit is a delay after which no attempt may begin.
-	beyondLimit = 150 * time.Millisecond
+	pastDisconnectLimit = 150 * time.Millisecond
 	// maxLateRuns is how often a run is repeated that exceeded the limit while this process itself ran so late that
 	// it may have caused that.
-	punctualRuns = 10
+	maxLateRuns = 10
 	// leavingID is the id of the request whose client disconnects.
-	departedID = "left"
+	leavingID = "left"
 )
 
 // arrival is an attempt as the server sees it.
@@ -54,30 +54,30 @@
 
 func (l *attemptLog) serve(c net.Conn) {
 	defer c.Close()
-	r := bufio.NewReader(c)
-	if _, err := r.Peek(1); err != nil {
+	reader := bufio.NewReader(c)
+	if _, err := reader.Peek(1); err != nil {
 		return // a connection without a request, as the one that fills a listen queue
 	}
 	l.conns.Add(1)
 	defer l.conns.Done()
 	for {
-		if _, err := r.Peek(1); err != nil {
+		if _, err := reader.Peek(1); err != nil {
 			return
 		}
 		first := time.Now()
-		request, err := http.ReadRequest(r)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
 		id := request.Header.Get("X-Correlation-Id")
-		place, nth := l.note(arrival{id: id, first: first})
+		index, nth := l.note(arrival{id: id, first: first})
 		if l.bodies != nil && request.ContentLength > 0 {
 			<-l.bodies
 		}
 		if _, err := io.Copy(io.Discard, request.Body); err != nil {
 			return
 		}
-		l.complete(place)
+		l.complete(index)
 		text := testkit.OK(id)
 		if id != "" && l.answer != nil {
 			text = l.answer(id, nth)
@@ -108,7 +108,7 @@
 }
 
 // note records an arrival. It returns its index, and how many attempts of the same request arrived before.
-func (l *attemptLog) note(a arrival) (place, nth int) {
+func (l *attemptLog) note(a arrival) (index, nth int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, earlier := range l.arrivals {
@@ -121,10 +121,10 @@
 }
 
 // complete records that the last byte of the arrival at this index was read.
-func (l *attemptLog) complete(place int) {
+func (l *attemptLog) complete(index int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.arrivals[place].whole = time.Now()
+	l.arrivals[index].whole = time.Now()
 }
 
 // count returns the number of attempts of a request that arrived whole.
@@ -140,7 +140,7 @@
 }
 
 // hasBegun reports whether the head of an attempt of this request has arrived.
-func (l *attemptLog) begun(id string) bool {
+func (l *attemptLog) hasBegun(id string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return slices.ContainsFunc(l.arrivals, func(a arrival) bool { return a.id == id })
@@ -148,7 +148,7 @@
 
 // lastAttemptAfter returns how long after the time closed the last byte of the last attempt of a request arrived, or
 // 0 if none arrived after it.
-func (l *attemptLog) latest(id string, closed time.Time) (after time.Duration) {
+func (l *attemptLog) lastAttemptAfter(id string, closed time.Time) (after time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.arrivals {
@@ -161,7 +161,7 @@
 
 // disconnect describes a client that disconnects while an attempt of its request, the first or a later one, has yet
 // to begin.
-type departure struct {
+type disconnect struct {
 	behind string                   // what it pipelines behind its request
 	piece  int                      // bytes of that per write; 0: all in one
 	leave  func(client)             // how it disconnects; nil: it stays connected
@@ -170,24 +170,24 @@
 }
 
 // disconnectOutcome is the server's record of the attempts, and when the client disconnected.
-type departed struct {
+type disconnectOutcome struct {
 	server *attemptLog
 	closed time.Time
 }
 
 // pipelinedKinds are what a client has sent behind its request. The node can read up to the end of the connection,
 // and so notice that the client has disconnected, only if that is little.
-var hiding = map[string]string{
+var pipelinedKinds = map[string]string{
 	"nothing": "",
 	"a byte":  "G",
-	"108 KB":  behind(testkit.Settings().Classes[0], muchBehind),
-	"150 KB":  behind(testkit.Settings().Classes[0], 950),
-	"1 MB":    behind(testkit.Settings().Classes[0], 10*muchBehind),
+	"108 KB":  pipelinedRequests(testkit.Settings().Classes[0], manyPipelined),
+	"150 KB":  pipelinedRequests(testkit.Settings().Classes[0], 950),
+	"1 MB":    pipelinedRequests(testkit.Settings().Classes[0], 10*manyPipelined),
 }
 
 // measureLateness starts to measure by how much timers of this process fire late. The returned function ends that and
 // returns the largest delay.
-func lateness() (longest func() time.Duration) {
+func measureLateness() (longest func() time.Duration) {
 	const every = time.Millisecond
 	stop, result := make(chan struct{}), make(chan time.Duration)
 	go func() {
@@ -209,75 +209,75 @@
 // checkLimit runs a test of a disconnect and returns how long after it the last attempt began. If that exceeds
 // disconnectLimit, it runs the test again where this process itself was so late that it may be the cause, up to
 // maxLateRuns times in all, and reports an error otherwise.
-func holdsLimit(t *testing.T, run func() departed) (latest time.Duration) {
+func checkLimit(t *testing.T, run func() disconnectOutcome) (latest time.Duration) {
 	t.Helper()
-	return holdsLimitOf(t, func() time.Duration {
+	return checkLimitOf(t, func() time.Duration {
 		d := run()
-		return d.server.latest(departedID, d.closed)
+		return d.server.lastAttemptAfter(leavingID, d.closed)
 	})
 }
 
 // checkLimitOf does the same with a run that returns the time itself.
-func holdsLimitOf(t *testing.T, run func() time.Duration) (latest time.Duration) {
+func checkLimitOf(t *testing.T, run func() time.Duration) (latest time.Duration) {
 	t.Helper()
-	for range punctualRuns {
-		late := lateness()
+	for range maxLateRuns {
+		late := measureLateness()
 		latest = run()
 		own := late()
 		switch {
-		case latest <= departedLimit:
+		case latest <= disconnectLimit:
 			return latest
-		case latest-own > departedLimit:
+		case latest-own > disconnectLimit:
 			t.Errorf("an attempt began %v after its client had disconnected, the limit is %v; this process was %v late",
-				latest, departedLimit, own)
+				latest, disconnectLimit, own)
 			return latest
 		}
 	}
-	t.Errorf("this process was late %d times", punctualRuns)
+	t.Errorf("this process was late %d times", maxLateRuns)
 	return latest
 }
 
 // disconnectBeforeRetry has a server reject a first attempt, or close its connection, some time after the client has
 // disconnected. A client that stays connected gets a second attempt at once.
-func further(t *testing.T, d departure, class int, turnedAway string) departed {
+func disconnectBeforeRetry(t *testing.T, scenario disconnect, class int, rejection string) disconnectOutcome {
 	t.Helper()
-	s := testkit.Settings()
-	s.MayProbe, s.MayOverlap = false, false
-	if d.change != nil {
-		d.change(&s)
+	settings := testkit.Settings()
+	settings.MayProbe, settings.MayOverlap = false, false
+	if scenario.change != nil {
+		scenario.change(&settings)
 	}
-	came, over := make(chan struct{}), make(chan struct{})
+	arrived, release := make(chan struct{}), make(chan struct{})
 	var once sync.Once
 	server := &attemptLog{answer: func(id string, nth int) string {
 		if nth > 0 {
 			return testkit.OK(id)
 		}
-		once.Do(func() { close(came) })
-		<-over
-		return turnedAway
+		once.Do(func() { close(arrived) })
+		<-release
+		return rejection
 	}}
 	addrs := []string{testkit.Server(t, server.serve), testkit.Server(t, server.serve)}
-	n := start(t, &Config{Settings: s, Known: testkit.Known(addrs...)})
-	n.waitReady(t, 200)
-	c := n.dial(t)
-	io.WriteString(c, request(s.Classes[class], departedID, "60"))
-	<-came
-	closed := d.goes(c)
-	time.Sleep(d.after)
-	close(over)
-	if d.leave == nil {
-		c.answer(t)
+	node := start(t, &Config{Settings: settings, Known: testkit.Known(addrs...)})
+	node.waitReady(t, 200)
+	conn := node.dial(t)
+	io.WriteString(conn, request(settings.Classes[class], leavingID, "60"))
+	<-arrived
+	closed := scenario.perform(conn)
+	time.Sleep(scenario.after)
+	close(release)
+	if scenario.leave == nil {
+		conn.answer(t)
 	}
-	n.stop()
-	<-n.ended
+	node.stop()
+	<-node.ended
 	for _, addr := range addrs {
 		server.settle(t, addr)
 	}
-	return departed{server, closed}
+	return disconnectOutcome{server, closed}
 }
 
 // perform sends what the client pipelines and disconnects it. It returns a time just before the disconnect.
-func (d departure) goes(c client) time.Time {
+func (d disconnect) perform(c client) time.Time {
 	// The node reads only part of a long text, and the write of the rest blocks.
 	c.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 	for text := d.behind; len(text) > 0; {
@@ -297,28 +297,28 @@
 	return closed
 }
 
-const unprocessed = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
+const unprocessedAnswer = "HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n"
 
 // A retry must not begin once the client has disconnected, whatever it has pipelined behind its request. Behind 1 MB
 // of unread data the node's kernel did not accept the end of the connection, and the retry began whenever the attempt
 // before it ended, however late.
 func TestDepartedBeforeFurther(t *testing.T) {
 	t.Parallel()
-	stays := further(t, departure{after: time.Millisecond}, 0, unprocessed)
-	if n := stays.server.count(departedID); n < 2 {
-		t.Fatalf("%d attempts for a client that stays connected: the subtests show nothing", n)
+	stays := disconnectBeforeRetry(t, disconnect{after: time.Millisecond}, 0, unprocessedAnswer)
+	if attempts := stays.server.count(leavingID); attempts < 2 {
+		t.Fatalf("%d attempts for a client that stays connected: the subtests show nothing", attempts)
 	}
-	for how, leave := range leave {
-		for what, behind := range hiding {
+	for how, leave := range disconnectKinds {
+		for what, behind := range pipelinedKinds {
 			t.Run(how+" behind "+what, func(t *testing.T) {
 				t.Parallel()
 				var worst time.Duration
-				for _, after := range []time.Duration{20 * time.Millisecond, 90 * time.Millisecond, beyondLimit} {
-					worst = max(worst, holdsLimit(t, func() departed {
-						return further(t, departure{behind: behind, leave: leave, after: after}, 0, unprocessed)
+				for _, after := range []time.Duration{20 * time.Millisecond, 90 * time.Millisecond, pastDisconnectLimit} {
+					worst = max(worst, checkLimit(t, func() disconnectOutcome {
+						return disconnectBeforeRetry(t, disconnect{behind: behind, leave: leave, after: after}, 0, unprocessedAnswer)
 					}))
 				}
-				t.Logf("worst %v, limit %v", worst, departedLimit)
+				t.Logf("worst %v, limit %v", worst, disconnectLimit)
 			})
 		}
 	}
@@ -326,7 +326,7 @@
 
 // smallBufferListener opens a listener whose connections buffer only some 16 KB that the server has not read. Data in
 // that buffer counts as arrived, however late the server reads it.
-func narrow(t *testing.T) net.Listener {
+func smallBufferListener(t *testing.T) net.Listener {
 	t.Helper()
 	const size = 16 << 10
 	var failed error
@@ -342,43 +342,43 @@
 
 // disconnectDuringUpload has a client disconnect when it has sent its whole body, but the server has not: the server
 // does not read for a while or, if late is set, the connection to it is established late.
-func uploading(t *testing.T, d departure, size int, late bool) departed {
+func disconnectDuringUpload(t *testing.T, scenario disconnect, size int, late bool) disconnectOutcome {
 	t.Helper()
-	s := testkit.Settings()
-	s.MayProbe, s.MayOverlap, s.ConnectTimeout = false, false, testkit.Patient
-	if d.change != nil {
-		d.change(&s)
+	settings := testkit.Settings()
+	settings.MayProbe, settings.MayOverlap, settings.ConnectTimeout = false, false, testkit.Patient
+	if scenario.change != nil {
+		scenario.change(&settings)
 	}
 	server := &attemptLog{bodies: make(chan struct{})}
 	var addr string
 	letGo := func(func(net.Conn)) {}
 	if late {
-		addr, letGo = queued(t)
+		addr, letGo = newFullListener(t)
 	} else {
-		addr = testkit.ServerOn(t, narrow(t), server.serve)
+		addr = testkit.ServerOn(t, smallBufferListener(t), server.serve)
 	}
-	n := start(t, &Config{Settings: s, Known: testkit.Known(addr)})
-	n.waitReady(t, 200)
-	c := n.dial(t)
-	if _, err := io.WriteString(c, withBody(request(s.Classes[2], departedID, "60"), size)); err != nil {
+	node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+	node.waitReady(t, 200)
+	conn := node.dial(t)
+	if _, err := io.WriteString(conn, withBody(request(settings.Classes[2], leavingID, "60"), size)); err != nil {
 		t.Fatal(err)
 	}
 	if late {
-		dialing(t, addr)
+		waitDialing(t, addr)
 	} else {
-		testkit.Until(t, "no attempt has begun", func() bool { return server.begun(departedID) })
+		testkit.Until(t, "no attempt has begun", func() bool { return server.hasBegun(leavingID) })
 	}
-	closed := d.goes(c)
-	time.Sleep(d.after)
+	closed := scenario.perform(conn)
+	time.Sleep(scenario.after)
 	letGo(server.serve)
 	close(server.bodies)
-	if d.leave == nil {
-		c.answer(t)
+	if scenario.leave == nil {
+		conn.answer(t)
 	}
-	n.stop()
-	<-n.ended
+	node.stop()
+	<-node.ended
 	server.settle(t, addr)
-	return departed{server, closed}
+	return disconnectOutcome{server, closed}
 }
 
 // If the client disconnects before the last byte of its body was sent to the server, the body must not be completed,
@@ -392,17 +392,17 @@
 			for _, size := range []int{60 << 10, 100 << 10, 300 << 10, 3 << 20} {
 				t.Run(fmt.Sprint(name, ", ", obstacle, ", ", size), func(t *testing.T) {
 					t.Parallel()
-					stays := uploading(t, departure{after: time.Millisecond, change: change}, size, late)
-					if n := stays.server.count(departedID); n != 1 {
-						t.Fatalf("%d attempts for a client that stays connected: the test shows nothing", n)
+					stays := disconnectDuringUpload(t, disconnect{after: time.Millisecond, change: change}, size, late)
+					if attempts := stays.server.count(leavingID); attempts != 1 {
+						t.Fatalf("%d attempts for a client that stays connected: the test shows nothing", attempts)
 					}
 					var worst time.Duration
-					for _, leave := range leave {
-						worst = max(worst, holdsLimit(t, func() departed {
-							return uploading(t, departure{leave: leave, after: beyondLimit, change: change}, size, late)
+					for _, leave := range disconnectKinds {
+						worst = max(worst, checkLimit(t, func() disconnectOutcome {
+							return disconnectDuringUpload(t, disconnect{leave: leave, after: pastDisconnectLimit, change: change}, size, late)
 						}))
 					}
-					t.Logf("worst %v, limit %v", worst, departedLimit)
+					t.Logf("worst %v, limit %v", worst, disconnectLimit)
 				})
 			}
 		}
--- a/internal/app/discovery_test.go
+++ b/internal/app/discovery_test.go
@@ -16,10 +16,10 @@
 )
 
 // registryOf starts a discovery server that answers request n, counted from 1, with what says returns for it.
-func registryOf(t *testing.T, says func(n int, query url.Values) string) netip.AddrPort {
+func registryOf(t *testing.T, answer func(n int, query url.Values) string) netip.AddrPort {
 	var calls atomic.Int64
 	return netip.MustParseAddrPort(testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
-		return says(int(calls.Add(1)), r.URL.Query())
+		return answer(int(calls.Add(1)), r.URL.Query())
 	})))
 }
 
@@ -33,7 +33,7 @@
 func (n *testNode) waitReady(t *testing.T, want int) {
 	t.Helper()
 	for end := time.Now().Add(testkit.Patient); ; time.Sleep(5 * time.Millisecond) {
-		resp, _ := n.ask(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+		resp, _ := n.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		if resp.StatusCode == want {
 			return
 		}
@@ -48,12 +48,12 @@
 func TestDiscovery(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
-		var got atomic.Int64
-		addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { got.Add(1); return testkit.OK("x") }))
+		var requestCount atomic.Int64
+		addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { requestCount.Add(1); return testkit.OK("x") }))
 		drain := make(chan struct{})
-		c := &Config{Settings: testkit.Settings(), Known: core.List{Version: 1}}
-		c.Settings.AskForList = !pushed
-		c.Discovery = registryOf(t, func(n int, q url.Values) string {
+		config := &Config{Settings: testkit.Settings(), Known: core.List{Version: 1}}
+		config.Settings.ListOnRequest = !pushed
+		config.Discovery = registryOf(t, func(n int, q url.Values) string {
 			switch n {
 			case 1:
 				return testkit.OK(`{"version":"x"`)
@@ -75,18 +75,18 @@
 			}
 			return ""
 		})
-		n := start(t, c)
-		n.waitReady(t, 503)
-		n.waitReady(t, 200)
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 200 {
+		node := start(t, config)
+		node.waitReady(t, 503)
+		node.waitReady(t, 200)
+		if resp, _ := node.roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode != 200 {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 		close(drain)
-		n.waitReady(t, 503)
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != 503 || got.Load() != 1 {
-			t.Errorf("status %d, %d requests at a draining server", resp.StatusCode, got.Load()-1)
+		node.waitReady(t, 503)
+		if resp, _ := node.roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode != 503 || requestCount.Load() != 1 {
+			t.Errorf("status %d, %d requests at a draining server", resp.StatusCode, requestCount.Load()-1)
 		}
-		n.stop()
+		node.stop()
 	}
 }
 
@@ -97,11 +97,11 @@
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
 		addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-		hang, hung := make(chan struct{}), make(chan struct{}, 9)
-		c := &Config{Settings: testkit.Settings(), Known: core.List{Version: 40}}
-		c.Settings.AskForList = !pushed
-		c.Discovery = registryOf(t, func(_ int, q url.Values) string {
-			hung <- struct{}{}
+		hang, requested := make(chan struct{}), make(chan struct{}, 9)
+		config := &Config{Settings: testkit.Settings(), Known: core.List{Version: 40}}
+		config.Settings.ListOnRequest = !pushed
+		config.Discovery = registryOf(t, func(_ int, q url.Values) string {
+			requested <- struct{}{}
 			<-hang
 			return ""
 		})
@@ -115,28 +115,28 @@
 			return ""
 		})
 		files := make(chan error)
-		c.reread = func() (*Config, error) {
+		config.reread = func() (*Config, error) {
 			if err := <-files; err != nil {
 				return nil, err
 			}
 			return &Config{Discovery: to}, nil
 		}
-		n := start(t, c)
-		<-hung
-		n.hup <- syscall.SIGHUP
+		node := start(t, config)
+		<-requested
+		node.hup <- syscall.SIGHUP
 		files <- errors.New("bad")
-		n.waitReady(t, 503)
+		node.waitReady(t, 503)
 		for range 3 {
-			n.hup <- syscall.SIGHUP
+			node.hup <- syscall.SIGHUP
 			files <- nil
 		}
-		n.waitReady(t, 200)
+		node.waitReady(t, 200)
 		if first, second := <-calls, <-calls; first != "" || second != "7" {
 			t.Errorf("pushed: %v: requested the list since %q and %q", pushed, first, second)
 		}
-		n.stop()
+		node.stop()
 		close(hang)
-		if err := <-n.ended; err != nil {
+		if err := <-node.ended; err != nil {
 			t.Error(err)
 		}
 	}
--- a/internal/app/enddeadlines_test.go
+++ b/internal/app/enddeadlines_test.go
@@ -17,46 +17,46 @@
 // the time after which the platform kills the node.
 func endWithSilent(t *testing.T, deadline time.Duration) (took, kill time.Duration) {
 	t.Helper()
-	s := within(deadline)
-	s.MayProbe = false
-	server := newHolding(t, "0", "1", "2")
-	conf := &Config{Settings: s, Known: testkit.Known(server.addr)}
+	settings := settingsWithDeadline(deadline)
+	settings.MayProbe = false
+	server := newHoldingServer(t, "0", "1", "2")
+	config := &Config{Settings: settings, Known: testkit.Known(server.addr)}
 	held := new(bytes.Buffer) // gets a warning if the node exits with connections open
-	n := startLogged(t, conf, slog.New(slog.NewTextHandler(held, &slog.HandlerOptions{Level: slog.LevelWarn})))
-	n.waitReady(t, 200)
-	mute, resting, half := n.dial(t), n.dial(t), n.dial(t)
+	node := startLogged(t, config, slog.New(slog.NewTextHandler(held, &slog.HandlerOptions{Level: slog.LevelWarn})))
+	node.waitReady(t, 200)
+	silent, resting, half := node.dial(t), node.dial(t), node.dial(t)
 	if status, _, err := resting.ping(t); status != http.StatusOK || err != nil {
 		t.Fatal(status, err)
 	}
 	var open []client
-	for i, class := range s.Classes {
-		c := n.dial(t)
-		io.WriteString(c, request(class, fmt.Sprint(i), "60"))
-		open = append(open, c)
+	for i, class := range settings.Classes {
+		conn := node.dial(t)
+		io.WriteString(conn, request(class, fmt.Sprint(i), "60"))
+		open = append(open, conn)
 	}
 	for range open {
-		<-server.came
+		<-server.arrived
 	}
-	text := request(s.Classes[0], "half", "60")
+	text := request(settings.Classes[0], "half", "60")
 	io.WriteString(half, text[:len(text)/2])
 	began := time.Now()
-	n.stop()
-	for i, c := range open {
-		if status, _, err := c.answer(t); status < http.StatusBadRequest || err != nil {
-			t.Errorf("%s: %d %v, want an answer with an error status", s.Classes[i].Name, status, err)
+	node.stop()
+	for i, conn := range open {
+		if status, _, err := conn.answer(t); status < http.StatusBadRequest || err != nil {
+			t.Errorf("%s: %d %v, want an answer with an error status", settings.Classes[i].Name, status, err)
 		}
 	}
-	<-n.ended
+	<-node.ended
 	took = time.Since(began)
 	if held.Len() > 0 {
 		t.Errorf("the exit waited for silent connections: %s", held)
 	}
-	for name, c := range map[string]client{"mute": mute, "resting": resting} {
-		if text, err := io.ReadAll(c.r); len(text) > 0 || err != nil {
+	for name, conn := range map[string]client{"mute": silent, "resting": resting} {
+		if text, err := io.ReadAll(conn.r); len(text) > 0 || err != nil {
 			t.Errorf("%s: %q, %v; want an orderly close without data", name, text, err)
 		}
 	}
-	return took, conf.drainTime() + killMargin
+	return took, config.drainTime() + killMargin
 }
 
 // A node that is stopped answers every request and exits before the platform kills it, whatever its longest deadline
@@ -67,8 +67,8 @@
 		deadline := time.Duration(milliseconds) * time.Millisecond
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			for range punctualRuns {
-				late := lateness()
+			for range maxLateRuns {
+				late := measureLateness()
 				took, kill := endWithSilent(t, deadline)
 				own := late()
 				if took <= kill {
@@ -79,7 +79,7 @@
 					t.Fatalf("exited after %v, killed after %v; this process was %v late", took, kill, own)
 				}
 			}
-			t.Errorf("this process was late %d times", punctualRuns)
+			t.Errorf("this process was late %d times", maxLateRuns)
 		})
 	}
 }
--- a/internal/app/endings_test.go
+++ b/internal/app/endings_test.go
@@ -24,10 +24,10 @@
 
 // settingsVariants are changes to the settings that differ much: swapped effects of classes, short and long
 // deadlines, attempts that may be canceled or not.
-var unlike = map[string]func(*decide.Settings){
+var settingsVariants = map[string]func(*decide.Settings){
 	"as they are": func(*decide.Settings) {},
 	"no cancelling, one attempt, effects swapped": func(s *decide.Settings) {
-		s.MayCancel, s.MayOverlap, s.MaxAttempts, s.AskForList = false, false, 1, true
+		s.MayCancel, s.MayOverlap, s.MaxAttempts, s.ListOnRequest = false, false, 1, true
 		s.Classes[0].Name, s.Classes[2].Name = "order", "read"
 	},
 	"short deadlines, keyed by all, pushed": func(s *decide.Settings) {
@@ -44,7 +44,7 @@
 }
 
 // settingsWithDeadline is settings whose classes all have this deadline.
-func within(deadline time.Duration) decide.Settings {
+func settingsWithDeadline(deadline time.Duration) decide.Settings {
 	s := testkit.Settings()
 	for i := range s.Classes {
 		s.Classes[i].Deadline = deadline
@@ -53,9 +53,9 @@
 }
 
 // forAllVariants runs a test as a subtest for each of settingsVariants.
-func underAll(t *testing.T, f func(t *testing.T, s decide.Settings)) {
+func forAllVariants(t *testing.T, f func(t *testing.T, s decide.Settings)) {
 	t.Parallel()
-	for name, change := range unlike {
+	for name, change := range settingsVariants {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := testkit.Settings()
@@ -106,7 +106,7 @@
 }
 
 // disconnectKinds are the ways in which a client ends its connection.
-var leave = map[string]func(client){
+var disconnectKinds = map[string]func(client){
 	"its direction ends": func(c client) { c.CloseWrite() },
 	"it closes":          func(c client) { c.Close() },
 	"it resets":          func(c client) { c.SetLinger(0); c.Close() },
@@ -114,16 +114,16 @@
 
 // holdingServer is a server that reports each request that arrives. It answers at once, except for the ids in held:
 // such a request stays unanswered until its connection ends.
-type holding struct {
-	addr  string
-	came  chan string // ids
-	ended chan string // held ids whose connections have ended
-	mu    sync.Mutex
-	held  map[string]bool // ids to leave unanswered
+type holdingServer struct {
+	addr    string
+	arrived chan string // ids
+	ended   chan string // held ids whose connections have ended
+	mu      sync.Mutex
+	held    map[string]bool // ids to leave unanswered
 }
 
-func newHolding(t *testing.T, held ...string) *holding {
-	h := &holding{came: make(chan string, 999), ended: make(chan string, 999), held: map[string]bool{}}
+func newHoldingServer(t *testing.T, held ...string) *holdingServer {
+	h := &holdingServer{arrived: make(chan string, 999), ended: make(chan string, 999), held: map[string]bool{}}
 	for _, id := range held {
 		h.held[id] = true
 	}
@@ -131,9 +131,9 @@
 	return h
 }
 
-func (h *holding) serve(c net.Conn) {
-	for r := bufio.NewReader(c); ; {
-		req, err := http.ReadRequest(r)
+func (h *holdingServer) serve(c net.Conn) {
+	for reader := bufio.NewReader(c); ; {
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -143,12 +143,12 @@
 			io.WriteString(c, testkit.OK(""))
 			continue
 		}
-		h.came <- id
+		h.arrived <- id
 		h.mu.Lock()
 		held := h.held[id]
 		h.mu.Unlock()
 		if held {
-			r.ReadByte()
+			reader.ReadByte()
 			h.ended <- id
 			return
 		}
@@ -158,7 +158,7 @@
 
 // newFullListener opens a listener whose queue is full. Connections to it are established only once letGo is called,
 // which accepts them and passes them to serve.
-func queued(t *testing.T) (addr string, letGo func(serve func(net.Conn))) {
+func newFullListener(t *testing.T) (addr string, letGo func(serve func(net.Conn))) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -167,11 +167,11 @@
 	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
 	}
-	name, err := syscall.Getsockname(fd)
+	address, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr = fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	addr = fmt.Sprintf("127.0.0.1:%d", address.(*syscall.SockaddrInet4).Port)
 	filler, err := net.Dial("tcp", addr) // a queue of length 0 holds one connection
 	if err != nil {
 		t.Fatal(err)
@@ -186,18 +186,18 @@
 	return addr, func(serve func(net.Conn)) {
 		open.Go(func() {
 			for {
-				n, _, err := syscall.Accept4(fd, syscall.SOCK_CLOEXEC)
+				connFD, _, err := syscall.Accept4(fd, syscall.SOCK_CLOEXEC)
 				if err != nil {
 					return
 				}
-				f := os.NewFile(uintptr(n), "conn")
-				c, err := net.FileConn(f)
-				f.Close()
+				file := os.NewFile(uintptr(connFD), "conn")
+				conn, err := net.FileConn(file)
+				file.Close()
 				if err != nil {
 					continue
 				}
-				t.Cleanup(func() { c.Close() })
-				open.Go(func() { serve(c); c.Close() })
+				t.Cleanup(func() { conn.Close() })
+				open.Go(func() { serve(conn); conn.Close() })
 			}
 		})
 	}
@@ -207,23 +207,23 @@
 // or not the settings allow attempts to be canceled. Without canceling, the attempt used to send the request once the
 // handshake was done, although nobody was left to get the answer.
 func TestLeftDuringHandshake(t *testing.T) {
-	underAll(t, func(t *testing.T, s decide.Settings) {
-		n, addr, letGo := lateNode(t, s)
-		first := n.dial(t)
+	forAllVariants(t, func(t *testing.T, s decide.Settings) {
+		node, addr, letGo := nodeWithFullListener(t, s)
+		first := node.dial(t)
 		io.WriteString(first, request(s.Classes[0], "left", "60"))
-		dialing(t, addr)
-		second := n.dial(t) // its handshake begins after the other's
+		waitDialing(t, addr)
+		second := node.dial(t) // its handshake begins after the other's
 		io.WriteString(second, request(s.Classes[0], "stays", "9"))
 		first.Close()
-		server := newHolding(t)
+		server := newHoldingServer(t)
 		letGo(server.serve)
 		if status, body, err := second.answer(t); err != nil || status == 200 && body != "stays" {
 			t.Errorf("%d %q %v", status, body, err)
 		}
-		n.stop()
-		<-n.ended
-		for len(server.came) > 0 {
-			if id := <-server.came; id == "left" {
+		node.stop()
+		<-node.ended
+		for len(server.arrived) > 0 {
+			if id := <-server.arrived; id == "left" {
 				t.Error("the request of the disconnected client reached the server")
 			}
 		}
@@ -247,32 +247,32 @@
 // attempt then continued to its end, and the pipelined requests were served to nobody.
 func TestLeftBehindMore(t *testing.T) {
 	t.Parallel()
-	s := testkit.Settings()
-	more := behind(s.Classes[0], 120) // beyond net/http's buffer of 4 KB
-	for how, end := range leave {
-		for what, behind := range map[string]string{"nothing": "", "a byte": "G", "a request": request(s.Classes[0], "behind", "9"), "many": more, "stray bytes": "\r\n\x00\r\n"} {
+	settings := testkit.Settings()
+	more := pipelinedRequests(settings.Classes[0], 120) // beyond net/http's buffer of 4 KB
+	for how, end := range disconnectKinds {
+		for what, behind := range map[string]string{"nothing": "", "a byte": "G", "a request": request(settings.Classes[0], "behind", "9"), "many": more, "stray bytes": "\r\n\x00\r\n"} {
 			for _, class := range []int{0, 2} {
 				t.Run(fmt.Sprint(how, " after ", what, " ", class), func(t *testing.T) {
 					t.Parallel()
-					server := newHolding(t, "first")
-					n := start(t, &Config{Settings: s, Known: testkit.Known(server.addr)})
-					n.waitReady(t, 200)
-					c := n.dial(t)
-					io.WriteString(c, request(s.Classes[class], "first", "9"))
-					if id := <-server.came; id != "first" {
+					server := newHoldingServer(t, "first")
+					node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
+					node.waitReady(t, 200)
+					conn := node.dial(t)
+					io.WriteString(conn, request(settings.Classes[class], "first", "9"))
+					if id := <-server.arrived; id != "first" {
 						t.Fatal(id)
 					}
-					io.WriteString(c, behind)
-					end(c)
+					io.WriteString(conn, behind)
+					end(conn)
 					select {
 					case <-server.ended:
 					case <-time.After(testkit.Patient / 4): // less than the client's patience
 						t.Fatal("the attempt continues")
 					}
-					n.stop()
-					<-n.ended
-					if len(server.came) > 0 {
-						t.Errorf("%s reached the server after its client had disconnected", <-server.came)
+					node.stop()
+					<-node.ended
+					if len(server.arrived) > 0 {
+						t.Errorf("%s reached the server after its client had disconnected", <-server.arrived)
 					}
 				})
 			}
@@ -284,8 +284,8 @@
 // are longer than what the node reads ahead.
 func TestBehindIsServed(t *testing.T) {
 	t.Parallel()
-	s := testkit.Settings()
-	s.MaxOpen = 1000
+	settings := testkit.Settings()
+	settings.MaxOpen = 1000
 	release := make(chan struct{})
 	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
 		if r.Header.Get("X-Correlation-Id") == "first" {
@@ -293,23 +293,23 @@
 		}
 		return testkit.OK(r.Header.Get("X-Correlation-Id"))
 	}))
-	n := start(t, &Config{Settings: s, Known: testkit.Known(addr)})
-	c := n.dial(t)
+	node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+	conn := node.dial(t)
 	const count = 700
-	text := behind(s.Classes[0], count)
-	io.WriteString(c, request(s.Classes[0], "first", "9"))
+	text := pipelinedRequests(settings.Classes[0], count)
+	io.WriteString(conn, request(settings.Classes[0], "first", "9"))
 	go func() {
-		io.WriteString(c, text[:1])
-		io.WriteString(c, text[1:50000])
+		io.WriteString(conn, text[:1])
+		io.WriteString(conn, text[1:50000])
 		close(release)
-		io.WriteString(c, text[50000:])
+		io.WriteString(conn, text[50000:])
 	}()
 	for i := -1; i < count; i++ {
 		want := "first"
 		if i >= 0 {
 			want = fmt.Sprint("behind", i)
 		}
-		if status, body, err := c.answer(t); status != 200 || body != want || err != nil {
+		if status, body, err := conn.answer(t); status != 200 || body != want || err != nil {
 			t.Fatalf("answer %d: %d %q %v", i, status, body, err)
 		}
 	}
@@ -323,28 +323,28 @@
 		for name, more := range map[string]string{"stops": "", "trickles": "1\r\nx\r\n"} {
 			t.Run(name+frame[:3], func(t *testing.T) {
 				t.Parallel()
-				addr := testkit.Server(t, func(c net.Conn) {
-					if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+				addr := testkit.Server(t, func(conn net.Conn) {
+					if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 						return
 					}
-					io.WriteString(c, "HTTP/1.1 200 OK\r\n"+frame)
+					io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+frame)
 					for {
 						time.Sleep(20 * time.Millisecond) // between pieces
-						if _, err := io.WriteString(c, more); err != nil {
+						if _, err := io.WriteString(conn, more); err != nil {
 							return
 						}
 						if more == "" {
-							io.Copy(io.Discard, c)
+							io.Copy(io.Discard, conn)
 							return
 						}
 					}
 				})
-				n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-				n.waitReady(t, 200)
-				c := n.dial(t)
+				node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+				node.waitReady(t, 200)
+				conn := node.dial(t)
 				began := time.Now()
-				io.WriteString(c, message("order", "1.5", ""))
-				status, body, err := c.answer(t)
+				io.WriteString(conn, classRequest("order", "1.5", ""))
+				status, body, err := conn.answer(t)
 				if took := time.Since(began); took < time.Second || took > 5*time.Second {
 					t.Errorf("ended after %v", took)
 				}
@@ -365,37 +365,37 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			over := make(chan bool)
-			addr := testkit.Server(t, func(c net.Conn) {
-				if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
+			addr := testkit.Server(t, func(conn net.Conn) {
+				if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 					return
 				}
 				first := 1 << 10 // with a known length, a small first part is enough
 				if name == "close" {
 					first = 60 << 10
 				}
-				io.WriteString(c, "HTTP/1.1 200 OK\r\n"+frame+strings.Repeat("x", first))
+				io.WriteString(conn, "HTTP/1.1 200 OK\r\n"+frame+strings.Repeat("x", first))
 				for waiting := true; waiting; {
 					select {
 					case <-over:
 						waiting = false
 					case <-time.After(20 * time.Millisecond): // between pieces
-						if _, err := io.WriteString(c, "x"); err != nil {
+						if _, err := io.WriteString(conn, "x"); err != nil {
 							return
 						}
 						first++
 					}
 				}
-				io.WriteString(c, strings.Repeat("x", size-first))
+				io.WriteString(conn, strings.Repeat("x", size-first))
 			})
-			n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-			n.waitReady(t, 200)
-			var c client
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			node.waitReady(t, 200)
+			var conn client
 			var resp *http.Response
 			for range 10 { // on a busy machine the answer may begin too late
-				c = n.dial(t)
-				io.WriteString(c, message("read", "1.5", ""))
+				conn = node.dial(t)
+				io.WriteString(conn, classRequest("read", "1.5", ""))
 				var err error
-				if resp, err = http.ReadResponse(c.r, nil); err != nil {
+				if resp, err = http.ReadResponse(conn.r, nil); err != nil {
 					t.Fatal(err)
 				}
 				if resp.StatusCode == 200 {
@@ -418,22 +418,22 @@
 // time the requests have left, and the node exits by then. Other tests have a client that reads nothing, half a
 // request head, and a long answer that has stalled.
 func TestEndWithAllOpen(t *testing.T) {
-	underAll(t, func(t *testing.T, s decide.Settings) {
+	forAllVariants(t, func(t *testing.T, s decide.Settings) {
 		for i := range s.Classes { // less than the clients' patience
 			s.Classes[i].Deadline = min(s.Classes[i].Deadline, time.Second)
 		}
-		server := newHolding(t, "0", "1", "2")
-		c := &Config{Settings: s, Known: testkit.Known(server.addr)}
-		n := start(t, c)
-		n.waitReady(t, 200)
+		server := newHoldingServer(t, "0", "1", "2")
+		config := &Config{Settings: s, Known: testkit.Known(server.addr)}
+		node := start(t, config)
+		node.waitReady(t, 200)
 		var open []client
 		for i, class := range s.Classes {
-			open = append(open, n.dial(t))
+			open = append(open, node.dial(t))
 			io.WriteString(open[i], request(class, fmt.Sprint(i), "60"))
-			<-server.came
+			<-server.arrived
 		}
 		began := time.Now()
-		n.stop()
+		node.stop()
 		for i, class := range s.Classes {
 			status, _, err := open[i].answer(t)
 			want := http.StatusBadGateway
@@ -444,8 +444,8 @@
 				t.Errorf("%s: %d %v, want %d", class.Name, status, err, want)
 			}
 		}
-		<-n.ended
-		if took, kill := time.Since(began), c.drainTime()+killMargin; took > kill+testkit.Patient/4 { // for a busy machine
+		<-node.ended
+		if took, kill := time.Since(began), config.drainTime()+killMargin; took > kill+testkit.Patient/4 { // for a busy machine
 			t.Errorf("exited after %v, killed after %v", took, kill)
 		}
 	})
@@ -455,29 +455,29 @@
 // incomplete. The exit does not wait for it.
 func TestEndWithinAnswer(t *testing.T) {
 	t.Parallel()
-	s := within(3 * time.Second)
-	addr := testkit.Server(t, func(c net.Conn) {
-		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
-			io.Copy(io.Discard, c)
+	settings := settingsWithDeadline(3 * time.Second)
+	addr := testkit.Server(t, func(conn net.Conn) {
+		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+			io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n")
+			io.Copy(io.Discard, conn)
 		}
 	})
-	conf := &Config{Settings: s, Known: testkit.Known(addr)}
-	n := start(t, conf)
-	n.waitReady(t, 200)
-	c := n.dial(t)
-	io.WriteString(c, message("order", "60", ""))
-	resp, err := http.ReadResponse(c.r, nil) // the beginning of the answer has arrived
+	config := &Config{Settings: settings, Known: testkit.Known(addr)}
+	node := start(t, config)
+	node.waitReady(t, 200)
+	conn := node.dial(t)
+	io.WriteString(conn, classRequest("order", "60", ""))
+	resp, err := http.ReadResponse(conn.r, nil) // the beginning of the answer has arrived
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
 	began := time.Now()
-	n.stop()
+	node.stop()
 	if body, err := io.ReadAll(resp.Body); err == nil {
 		t.Errorf("the client got a complete answer %q", body)
 	}
-	<-n.ended
-	if took, kill := time.Since(began), conf.drainTime()+killMargin; took > kill+2*time.Second { // for a busy machine
+	<-node.ended
+	if took, kill := time.Since(began), config.drainTime()+killMargin; took > kill+2*time.Second { // for a busy machine
 		t.Errorf("exited after %v, killed after %v", took, kill)
 	}
 }
@@ -498,22 +498,22 @@
 // that the node counts it as stalled and closes the connection.
 func endWithinHead(t *testing.T) bool {
 	t.Helper()
-	s := within(time.Second)
-	server := newHolding(t, "held")
-	n := start(t, &Config{Settings: s, Known: testkit.Known(server.addr)})
-	n.waitReady(t, 200)
-	half, quiet, held := n.dial(t), n.dial(t), n.dial(t)
-	for _, c := range []client{half, quiet} {
-		if status, _, err := c.ping(t); status != 200 || err != nil {
+	settings := settingsWithDeadline(time.Second)
+	server := newHoldingServer(t, "held")
+	node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
+	node.waitReady(t, 200)
+	halfSent, quiet, held := node.dial(t), node.dial(t), node.dial(t)
+	for _, conn := range []client{halfSent, quiet} {
+		if status, _, err := conn.ping(t); status != 200 || err != nil {
 			t.Fatal(status, err)
 		}
 	}
 	began := time.Now()
-	moved, stalled := began, time.Duration(0)
-	io.WriteString(held, request(s.Classes[0], "held", "9")) // keeps the drain going until its end
-	<-server.came
-	n.stop()
-	text := request(s.Classes[0], "half", "9")
+	lastWrite, longestStall := began, time.Duration(0)
+	io.WriteString(held, request(settings.Classes[0], "held", "9")) // keeps the drain going until its end
+	<-server.arrived
+	node.stop()
+	text := request(settings.Classes[0], "half", "9")
 	// The head is written byte by byte until the node closes the quiet connection, which is the last moment for new
 	// requests.
 	last := make(chan error, 1)
@@ -528,16 +528,16 @@
 			waiting = false
 		case <-time.After(50 * time.Millisecond):
 			if sent < len(text)-20 {
-				io.WriteString(half, text[sent:sent+1])
-				stalled, moved = max(stalled, time.Since(moved)), time.Now()
+				io.WriteString(halfSent, text[sent:sent+1])
+				longestStall, lastWrite = max(longestStall, time.Since(lastWrite)), time.Now()
 				sent++
 			}
 		}
 	}
-	io.WriteString(half, text[sent:])
+	io.WriteString(halfSent, text[sent:])
 	// After 1.9 s the idle timeout of the quiet connection is near.
-	late := max(stalled, time.Since(moved)) > admit.StallLeast/2 || time.Since(began) > 1900*time.Millisecond
-	status, body, err := half.answer(t)
+	late := max(longestStall, time.Since(lastWrite)) > admit.StalledHeadTimeout/2 || time.Since(began) > 1900*time.Millisecond
+	status, body, err := halfSent.answer(t)
 	if late {
 		return false
 	}
@@ -551,9 +551,9 @@
 // complete answer, or its connection is closed and the request has not run. No unsafe request runs twice.
 func TestTwentyRestarts(t *testing.T) {
 	t.Parallel()
-	s := testkit.Settings()
-	for i := range s.Classes {
-		s.Classes[i].Deadline, s.Classes[i].Aim = 150*time.Millisecond, 100*time.Millisecond
+	settings := testkit.Settings()
+	for i := range settings.Classes {
+		settings.Classes[i].Deadline, settings.Classes[i].Aim = 150*time.Millisecond, 100*time.Millisecond
 	}
 	var mu sync.Mutex
 	ran, answered := map[string]int{}, map[string]int{}
@@ -566,19 +566,19 @@
 	var rounds sync.WaitGroup
 	for round := range 20 {
 		rounds.Go(func() {
-			n := start(t, &Config{Settings: s, Known: testkit.Known(addr)})
-			n.waitReady(t, 200)
+			node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+			node.waitReady(t, 200)
 			var clients sync.WaitGroup
 			busy := make(chan bool, 99999)
-			for k := range 6 {
+			for number := range 6 {
 				clients.Go(func() {
-					c := n.dial(t)
+					conn := node.dial(t)
 					for i := 0; ; i++ {
-						id := fmt.Sprintf("%d-%d-%d", round, k, i)
-						if _, err := io.WriteString(c, request(s.Classes[2], id, "9")); err != nil {
+						id := fmt.Sprintf("%d-%d-%d", round, number, i)
+						if _, err := io.WriteString(conn, request(settings.Classes[2], id, "9")); err != nil {
 							return // closed between requests
 						}
-						status, _, err := c.answer(t)
+						status, _, err := conn.answer(t)
 						mu.Lock()
 						if err == nil {
 							answered[id] = status
@@ -596,8 +596,8 @@
 			for range 30 {
 				<-busy
 			}
-			n.stop()
-			<-n.ended
+			node.stop()
+			<-node.ended
 			clients.Wait()
 		})
 	}
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -15,51 +15,51 @@
 )
 
 const (
-	foreignBodyPart = 1.0 / 16 // share of the memory limit for bodies of requests from other sites
-	ledgerPart      = 1.0 / 8  // largest share of the memory limit for the answers that the ledger keeps
+	handoffBodyMemoryShare = 1.0 / 16 // share of the memory limit for bodies of requests from other sites
+	ledgerMemoryShare      = 1.0 / 8  // largest share of the memory limit for the answers that the ledger keeps
 )
 
 // siteGateway hands requests to other sites and serves requests of theirs. A node with a gateway file has one.
-type gate struct {
-	config  *gateway.Config
-	keeper  *link.Keeper
-	dialer  *link.Dialer
-	server  *link.Server
-	handler *front.Handler
-	log     *slog.Logger
+type siteGateway struct {
+	config     *gateway.Config
+	identities *link.Keeper
+	dialer     *link.Dialer
+	server     *link.Server
+	handler    *front.Handler
+	log        *slog.Logger
 }
 
 // openSiteGateway starts to connect to the other sites. It accepts no hand-offs from them before startServer is
 // called.
-func openGate(c *Config, log *slog.Logger) (*gate, error) {
-	g := &gate{config: c.Gateway, keeper: link.NewKeeper(c.Gateway.Identity), log: log}
+func openSiteGateway(config *Config, log *slog.Logger) (*siteGateway, error) {
+	g := &siteGateway{config: config.Gateway, identities: link.NewKeeper(config.Gateway.Identity), log: log}
 	var err error
-	g.dialer, err = link.NewDialer(link.DialerOptions{Keeper: g.keeper, Most: g.config.Out, Seed: uint64(c.Seed), Log: log})
+	g.dialer, err = link.NewDialer(link.DialerOptions{Keeper: g.identities, Most: g.config.Out, Seed: uint64(config.Seed), Log: log})
 	return g, err
 }
 
 // startServer starts to accept hand-offs from other sites and passes their requests to the loop.
-func (g *gate) take(c *Config, loop *core.Loop) error {
+func (g *siteGateway) startServer(config *Config, loop *core.Loop) error {
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(g.config.Listen))
 	if err != nil {
 		return fmt.Errorf("%s: site.listen: %w", g.config.Path, err)
 	}
-	memory := float64(c.Limits.MemoryMB << 20)
-	g.handler = front.NewHandler(loop, c.Settings, int64(foreignBodyPart*memory), g.log)
+	memory := float64(config.Limits.MemoryMB << 20)
+	g.handler = front.NewHandler(loop, config.Settings, int64(handoffBodyMemoryShare*memory), g.log)
 	g.handler.Foreign = true
-	g.server, err = link.NewServer(udp, link.ServerOptions{Keeper: g.keeper, Handoffs: g.config.In,
-		Ledger: ledger.Limits{Entries: g.config.Entries, Bytes: min(g.config.Bytes, int(ledgerPart*memory)), Keep: c.Settings.LongestDeadline() + time.Second},
+	g.server, err = link.NewServer(udp, link.ServerOptions{Keeper: g.identities, Handoffs: g.config.In,
+		Ledger: ledger.Limits{Entries: g.config.Entries, Bytes: min(g.config.Bytes, int(ledgerMemoryShare*memory)), Keep: config.Settings.LongestDeadline() + time.Second},
 		Handle: gateway.Handle(g.handler), Credit: func() int { return int(math.Ceil(g.config.SpareShare * loop.Headroom())) }, Log: g.log})
 	return err
 }
 
 // drain accepts no further hand-offs and completes those in flight, by end at the latest.
-func (g *gate) drain(end time.Time) {
+func (g *siteGateway) drain(end time.Time) {
 	g.handler.Drain(end)
 	g.server.Drain(end)
 }
 
-func (g *gate) close() {
+func (g *siteGateway) close() {
 	if g.server != nil {
 		g.server.Close()
 	}
@@ -68,13 +68,13 @@
 
 // reload applies new certificates and roots and the removal of sites. New sites, addresses and limits take effect at
 // the next start.
-func (g *gate) reload(next *gateway.Config) {
-	g.keeper.Set(next.Identity)
+func (g *siteGateway) reload(next *gateway.Config) {
+	g.identities.Set(next.Identity)
 	g.log.Info("gateway file read again", "file", next.Path, "sites", len(next.Identity.Peers))
 }
 
 // remote returns the dialer to other sites for the loop, or nil if there is no gateway.
-func (g *gate) remote() core.Remote {
+func (g *siteGateway) remote() core.Remote {
 	if g == nil {
 		return nil
 	}
--- a/internal/app/gateway_test.go
+++ b/internal/app/gateway_test.go
@@ -20,31 +20,31 @@
 func gatewayPair(t *testing.T) (a, b *gateway.Config) {
 	t.Helper()
 	var certs [2]tls.Certificate
-	var auth [2]*standin.Authority
-	var at [2]netip.AddrPort
+	var authorities [2]*standin.Authority
+	var addresses [2]netip.AddrPort
 	names := [2]string{"hall-a.example.org", "hall-b.example.org"}
 	for i := range 2 {
 		var err error
-		if auth[i], err = standin.NewAuthority(); err != nil {
+		if authorities[i], err = standin.NewAuthority(); err != nil {
 			t.Fatal(err)
 		}
-		if certs[i], _, _, err = auth[i].Issue(names[i], time.Now().Add(time.Hour)); err != nil {
+		if certs[i], _, _, err = authorities[i].Issue(names[i], time.Now().Add(time.Hour)); err != nil {
 			t.Fatal(err)
 		}
 		udp, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		at[i] = udp.LocalAddr().(*net.UDPAddr).AddrPort()
+		addresses[i] = udp.LocalAddr().(*net.UDPAddr).AddrPort()
 		udp.Close()
 	}
-	var out [2]*gateway.Config
+	var configs [2]*gateway.Config
 	for i := range 2 {
 		other := 1 - i
-		out[i] = &gateway.Config{Listen: at[i], Out: 16, In: 16, Entries: 100, Bytes: 1 << 20, SpareShare: 1, Identity: &link.Identity{Site: names[i], Certificate: certs[i],
-			Peers: []link.Peer{{Name: names[other], Roots: auth[other].Roots(), Addresses: []string{at[other].String()}}}}}
+		configs[i] = &gateway.Config{Listen: addresses[i], Out: 16, In: 16, Entries: 100, Bytes: 1 << 20, SpareShare: 1, Identity: &link.Identity{Site: names[i], Certificate: certs[i],
+			Peers: []link.Peer{{Name: names[other], Roots: authorities[other].Roots(), Addresses: []string{addresses[other].String()}}}}}
 	}
-	return out[0], out[1]
+	return configs[0], configs[1]
 }
 
 // A site without servers hands its requests to another site. Keyed requests are never handed over, and are refused.
@@ -55,17 +55,17 @@
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { runs.Add(1); return testkit.OK("from b") }))
 	fileA, fileB := gatewayPair(t)
 	start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Gateway: fileB})
-	ca := &Config{Settings: testkit.Settings(), Gateway: fileA}
-	gone := *fileA
+	configA := &Config{Settings: testkit.Settings(), Gateway: fileA}
+	withoutPeers := *fileA
 	identity := *fileA.Identity
 	identity.Peers = nil
-	gone.Identity = &identity
-	ca.reread = func() (*Config, error) { return &Config{Discovery: ca.Discovery, Gateway: &gone}, nil }
-	a := start(t, ca)
+	withoutPeers.Identity = &identity
+	configA.reread = func() (*Config, error) { return &Config{Discovery: configA.Discovery, Gateway: &withoutPeers}, nil }
+	nodeA := start(t, configA)
 	until := func(class string, status int) (body string) {
 		t.Helper()
 		for end := time.Now().Add(testkit.Patient); ; time.Sleep(10 * time.Millisecond) {
-			resp, text := a.ask(t, message(class, "9.5", ""))
+			resp, text := nodeA.roundTrip(t, classRequest(class, "9.5", ""))
 			if resp.StatusCode == status {
 				return text
 			}
@@ -79,14 +79,14 @@
 	}
 	until("order", 200)
 	before := runs.Load()
-	if resp, _ := a.ask(t, message("tag", "9.5", "")); resp.StatusCode != 503 || runs.Load() != before {
+	if resp, _ := nodeA.roundTrip(t, classRequest("tag", "9.5", "")); resp.StatusCode != 503 || runs.Load() != before {
 		t.Errorf("keyed: status %d, %d runs", resp.StatusCode, runs.Load()-before)
 	}
-	a.hup <- syscall.SIGHUP
+	nodeA.hup <- syscall.SIGHUP
 	until("read", 503)
 	until("order", 503)
-	a.stop()
-	if err := <-a.ended; err != nil {
+	nodeA.stop()
+	if err := <-nodeA.ended; err != nil {
 		t.Error(err)
 	}
 }
@@ -97,11 +97,11 @@
 	for _, side := range []string{"near", "far"} {
 		t.Run(side, func(t *testing.T) {
 			t.Parallel()
-			came, let := make(chan struct{}, 9), make(chan struct{})
+			arrived, release := make(chan struct{}, 9), make(chan struct{})
 			addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
 				if r.URL.Path == "/order" {
-					came <- struct{}{}
-					<-let
+					arrived <- struct{}{}
+					<-release
 				}
 				return testkit.OK("from b")
 			}))
@@ -109,7 +109,7 @@
 			nodes := map[string]*testNode{"far": start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Gateway: fileB}),
 				"near": start(t, &Config{Settings: testkit.Settings(), Gateway: fileA})}
 			for end := time.Now().Add(testkit.Patient); ; time.Sleep(10 * time.Millisecond) {
-				if resp, _ := nodes["near"].ask(t, message("read", "9.5", "")); resp.StatusCode == 200 {
+				if resp, _ := nodes["near"].roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode == 200 {
 					break
 				} else if time.Now().After(end) {
 					t.Fatal("no request is handed over")
@@ -118,7 +118,7 @@
 			status := make(chan int, 1)
 			go func() {
 				for { // the other site may have no headroom for a moment
-					resp, _ := nodes["near"].ask(t, message("order", "9.5", ""))
+					resp, _ := nodes["near"].roundTrip(t, classRequest("order", "9.5", ""))
 					if resp.StatusCode != 503 {
 						status <- resp.StatusCode
 						return
@@ -126,9 +126,9 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 			}()
-			<-came
+			<-arrived
 			nodes[side].stop()
-			time.AfterFunc(700*time.Millisecond, func() { close(let) }) // when the listener has closed already
+			time.AfterFunc(700*time.Millisecond, func() { close(release) }) // when the listener has closed already
 			if got := <-status; got != 200 {
 				t.Errorf("status %d", got)
 			}
--- a/internal/app/leak_test.go
+++ b/internal/app/leak_test.go
@@ -14,13 +14,13 @@
 
 const (
 	// envLeakCheck is the environment variable that makes the test binary check for leaks when its tests have ended.
-	asLeakCheck = "STARLINGVALVE_TEST_LEAKS"
+	envLeakCheck = "STARLINGVALVE_TEST_LEAKS"
 	// leakCheckTimeout is how long such a process may take.
-	leakCheckWithin = 2 * time.Minute
+	leakCheckTimeout = 2 * time.Minute
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asLeakCheck) == "" {
+	if os.Getenv(envLeakCheck) == "" {
 		os.Exit(m.Run())
 	}
 	before := socketsAndPipes()
@@ -67,8 +67,8 @@
 func TestRestartsLeaveNothing(t *testing.T) {
 	t.Parallel()
 	cmd := exec.CommandContext(t.Context(), os.Args[0], "-test.run=^TestTwentyRestarts$", "-test.v",
-		"-test.timeout="+leakCheckWithin.String())
-	cmd.Env = append(os.Environ(), asLeakCheck+"=1")
+		"-test.timeout="+leakCheckTimeout.String())
+	cmd.Env = append(os.Environ(), envLeakCheck+"=1")
 	text, err := cmd.CombinedOutput()
 	if err != nil || !strings.Contains(string(text), "--- PASS: TestTwentyRestarts") {
 		t.Errorf("%v\n%s", err, text)
--- a/internal/app/leaving_test.go
+++ b/internal/app/leaving_test.go
@@ -22,7 +22,7 @@
 )
 
 // waitDelivered waits until the node's kernel has acknowledged all that a client wrote and the end of its direction.
-func (c client) landed(t *testing.T) {
+func (c client) waitDelivered(t *testing.T) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -41,17 +41,17 @@
 
 // nodeWithFullListener starts a node whose server accepts connections only once letGo is called. Until then the node
 // neither probes the server nor times out a connection attempt.
-func lateNode(t *testing.T, s decide.Settings) (n *testNode, addr string, letGo func(func(net.Conn))) {
+func nodeWithFullListener(t *testing.T, s decide.Settings) (n *testNode, addr string, letGo func(func(net.Conn))) {
 	t.Helper()
 	s.MayProbe, s.ConnectTimeout = false, testkit.Patient
-	addr, letGo = queued(t)
+	addr, letGo = newFullListener(t)
 	n = start(t, &Config{Settings: s, Known: testkit.Known(addr)})
 	n.waitReady(t, 200)
 	return n, addr, letGo
 }
 
 // waitDialing waits until a connection attempt to an address with a full listen queue is under way.
-func dialing(t *testing.T, addr string) {
+func waitDialing(t *testing.T, addr string) {
 	t.Helper()
 	at := netip.MustParseAddrPort(addr)
 	ip := at.Addr().As4()
@@ -70,22 +70,22 @@
 // the attempt waits for a connection. Both requests used to be sent once the handshake was done.
 func TestLeftUnread(t *testing.T) {
 	for what, text := range map[string]func(c decide.Class) string{
-		"more than is read ahead behind it": func(c decide.Class) string { return request(c, "left", "60") + behind(c, muchBehind) },
+		"more than is read ahead behind it": func(c decide.Class) string { return request(c, "left", "60") + pipelinedRequests(c, manyPipelined) },
 		"a body that is still coming": func(c decide.Class) string {
 			return strings.Replace(request(c, "left", "60"), "Length: 0", "Length: 200000", 1) + strings.Repeat("x", 100<<10)
 		},
 	} {
 		t.Run(what, func(t *testing.T) {
-			underAll(t, func(t *testing.T, s decide.Settings) {
-				n, addr, letGo := lateNode(t, s)
-				first := n.dial(t)
+			forAllVariants(t, func(t *testing.T, s decide.Settings) {
+				node, addr, letGo := nodeWithFullListener(t, s)
+				first := node.dial(t)
 				io.WriteString(first, text(s.Classes[2]))
-				dialing(t, addr)
-				second := n.dial(t) // its handshake begins after the other's
+				waitDialing(t, addr)
+				second := node.dial(t) // its handshake begins after the other's
 				io.WriteString(second, request(s.Classes[0], "stays", "9"))
 				first.CloseWrite()
-				first.landed(t)
-				server := newHolding(t)
+				first.waitDelivered(t)
+				server := newHoldingServer(t)
 				letGo(server.serve)
 				if status, body, err := second.answer(t); err != nil || status == 200 && body != "stays" {
 					t.Errorf("%d %q %v", status, body, err)
@@ -93,10 +93,10 @@
 				if status, _, err := first.answer(t); err == nil && status < 400 {
 					t.Errorf("the disconnected client got status %d", status)
 				}
-				n.stop()
-				<-n.ended
-				for len(server.came) > 0 {
-					if id := <-server.came; id != "stays" {
+				node.stop()
+				<-node.ended
+				for len(server.arrived) > 0 {
+					if id := <-server.arrived; id != "stays" {
 						t.Errorf("%s reached the server", id)
 					}
 				}
@@ -107,10 +107,10 @@
 
 // manyPipelined is a number of pipelined requests that together have some 108 KB: more than a node reads ahead, but
 // not more than the kernel buffers in addition.
-const muchBehind = 690
+const manyPipelined = 690
 
 // pipelinedRequests is n requests with the ids behind0, behind1 and so on.
-func behind(c decide.Class, n int) string {
+func pipelinedRequests(c decide.Class, n int) string {
 	var b strings.Builder
 	for i := range n {
 		b.WriteString(request(c, fmt.Sprint("behind", i), "9"))
@@ -122,46 +122,46 @@
 // it is. Requests beyond what the node reads ahead used to be served to nobody.
 func TestLeftBehindMuch(t *testing.T) {
 	t.Parallel()
-	s := testkit.Settings()
-	s.MaxOpen = 1000
-	release, came := make(chan bool), make(chan string, 9999)
+	settings := testkit.Settings()
+	settings.MaxOpen = 1000
+	release, arrived := make(chan bool), make(chan string, 9999)
 	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
 		id := r.Header.Get("X-Correlation-Id")
-		if came <- id; id == "first" {
+		if arrived <- id; id == "first" {
 			<-release
 		}
 		return testkit.OK(id)
 	}))
-	n := start(t, &Config{Settings: s, Known: testkit.Known(addr)})
-	n.waitReady(t, 200)
-	c := n.dial(t)
-	io.WriteString(c, request(s.Classes[0], "first", "9"))
-	if id := <-came; id != "first" {
+	node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+	node.waitReady(t, 200)
+	conn := node.dial(t)
+	io.WriteString(conn, request(settings.Classes[0], "first", "9"))
+	if id := <-arrived; id != "first" {
 		t.Fatal(id)
 	}
-	io.WriteString(c, behind(s.Classes[0], muchBehind))
-	c.CloseWrite()
-	c.landed(t)
+	io.WriteString(conn, pipelinedRequests(settings.Classes[0], manyPipelined))
+	conn.CloseWrite()
+	conn.waitDelivered(t)
 	close(release)
-	io.Copy(io.Discard, c)
-	n.stop()
-	<-n.ended
-	if len(came) > 0 {
-		t.Errorf("%d reached the server after their client had disconnected, the first is %s", len(came), <-came)
+	io.Copy(io.Discard, conn)
+	node.stop()
+	<-node.ended
+	if len(arrived) > 0 {
+		t.Errorf("%d reached the server after their client had disconnected, the first is %s", len(arrived), <-arrived)
 	}
 }
 
 // longAnswerNode starts a node whose server runs serve, and a client that has sent a request to it. held gets a
 // warning if the node exits with connections open.
-func longNode(t *testing.T, deadline time.Duration, serve func(net.Conn)) (n *testNode, conf *Config, c client, held *bytes.Buffer) {
+func longAnswerNode(t *testing.T, deadline time.Duration, serve func(net.Conn)) (node *testNode, config *Config, conn client, warnings *bytes.Buffer) {
 	t.Helper()
-	s := within(deadline)
-	conf, held = &Config{Settings: s, Known: testkit.Known(testkit.Server(t, serve))}, new(bytes.Buffer)
-	n = startLogged(t, conf, slog.New(slog.NewTextHandler(held, &slog.HandlerOptions{Level: slog.LevelWarn})))
-	n.waitReady(t, 200)
-	c = n.dial(t)
-	io.WriteString(c, request(s.Classes[0], "long", "60"))
-	return n, conf, c, held
+	settings := settingsWithDeadline(deadline)
+	config, warnings = &Config{Settings: settings, Known: testkit.Known(testkit.Server(t, serve))}, new(bytes.Buffer)
+	node = startLogged(t, config, slog.New(slog.NewTextHandler(warnings, &slog.HandlerOptions{Level: slog.LevelWarn})))
+	node.waitReady(t, 200)
+	conn = node.dial(t)
+	io.WriteString(conn, request(settings.Classes[0], "long", "60"))
+	return node, config, conn, warnings
 }
 
 // A client that reads nothing of its long answer delays the exit by 2 s at most, the time in which a slow client
@@ -169,26 +169,26 @@
 func TestEndWithStalledClient(t *testing.T) {
 	t.Parallel()
 	const size = 24 << 20 // more than the kernel buffers
-	n, _, c, held := longNode(t, 1500*time.Millisecond, func(c net.Conn) {
-		if readRequest(c) == nil {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-			c.Write(make([]byte, size))
+	node, _, conn, warnings := longAnswerNode(t, 1500*time.Millisecond, func(conn net.Conn) {
+		if readRequest(conn) == nil {
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
+			conn.Write(make([]byte, size))
 		}
 	})
-	if _, err := c.r.Peek(1); err != nil {
+	if _, err := conn.r.Peek(1); err != nil {
 		t.Fatal(err)
 	}
-	n.stop()
-	<-n.ended
-	if held.Len() > 0 {
-		t.Errorf("the exit waited for the client: %s", held)
+	node.stop()
+	<-node.ended
+	if warnings.Len() > 0 {
+		t.Errorf("the exit waited for the client: %s", warnings)
 	}
-	resp, err := http.ReadResponse(c.r, nil)
+	resp, err := http.ReadResponse(conn.r, nil)
 	if err != nil {
 		return // cut off within the head
 	}
-	if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-		t.Errorf("%d bytes look like a complete answer", n)
+	if node, err := io.Copy(io.Discard, resp.Body); err == nil {
+		t.Errorf("%d bytes look like a complete answer", node)
 	}
 }
 
@@ -198,29 +198,29 @@
 	t.Parallel()
 	const size = 1 << 20
 	stop := make(chan *Config, 1)
-	n, conf, c, _ := longNode(t, 800*time.Millisecond, func(c net.Conn) {
-		if readRequest(c) != nil {
+	node, config, conn, _ := longAnswerNode(t, 800*time.Millisecond, func(conn net.Conn) {
+		if readRequest(conn) != nil {
 			return
 		}
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
-		sent, _ := c.Write(make([]byte, 100<<10))
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", size)
+		sent, _ := conn.Write(make([]byte, 100<<10))
 		end := time.Now().Add((<-stop).drainTime()) // the last answers of other requests have left by then
 		for until := end.Add(150 * time.Millisecond); sent < size-1000 && time.Now().Before(until); sent += 1000 {
-			c.Write(make([]byte, 1000))
+			conn.Write(make([]byte, 1000))
 			time.Sleep(10 * time.Millisecond) // between pieces
 		}
-		c.Write(make([]byte, size-sent))
+		conn.Write(make([]byte, size-sent))
 	})
-	resp, err := http.ReadResponse(c.r, nil)
+	resp, err := http.ReadResponse(conn.r, nil)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatal(resp, err)
 	}
-	n.stop()
-	stop <- conf
+	node.stop()
+	stop <- config
 	if got, err := io.Copy(io.Discard, resp.Body); err != nil || got != size {
 		t.Errorf("%d bytes, %v", got, err)
 	}
-	<-n.ended
+	<-node.ended
 }
 
 // The node is stopped when half a request body has arrived. The request is not accepted, and its client gets an error
@@ -231,16 +231,16 @@
 		for _, moves := range []bool{false, true} {
 			t.Run(fmt.Sprint(size, " moves ", moves), func(t *testing.T) {
 				t.Parallel()
-				s := within(150 * time.Millisecond)
-				server := newHolding(t)
-				n := start(t, &Config{Settings: s, Known: testkit.Known(server.addr)})
-				n.waitReady(t, 200)
-				c := n.dial(t)
-				io.WriteString(c, strings.Replace(request(s.Classes[2], "half", "60"), "Length: 0", fmt.Sprint("Length: ", size), 1)+strings.Repeat("x", size/2))
-				if status, _, err := n.dial(t).ping(t); status != 200 || err != nil {
+				settings := settingsWithDeadline(150 * time.Millisecond)
+				server := newHoldingServer(t)
+				node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
+				node.waitReady(t, 200)
+				conn := node.dial(t)
+				io.WriteString(conn, strings.Replace(request(settings.Classes[2], "half", "60"), "Length: 0", fmt.Sprint("Length: ", size), 1)+strings.Repeat("x", size/2))
+				if status, _, err := node.dial(t).ping(t); status != 200 || err != nil {
 					t.Fatal(status, err)
 				}
-				n.stop()
+				node.stop()
 				over, pace := make(chan bool), make(chan bool)
 				go func() {
 					defer close(pace)
@@ -249,19 +249,19 @@
 						case <-over:
 							return
 						case <-time.After(5 * time.Millisecond):
-							io.WriteString(c, strings.Repeat("x", 50))
+							io.WriteString(conn, strings.Repeat("x", 50))
 						}
 					}
 				}()
-				status, _, err := c.answer(t)
+				status, _, err := conn.answer(t)
 				close(over)
 				<-pace
 				if want := map[bool][]int{true: {408}, false: {502, 503}}[size == 1000]; err != nil || !slices.Contains(want, status) {
 					t.Errorf("%d %v, want one of %v", status, err, want)
 				}
-				<-n.ended
-				if len(server.came) > 0 && size < 64<<10 {
-					t.Errorf("%s reached the server", <-server.came)
+				<-node.ended
+				if len(server.arrived) > 0 && size < 64<<10 {
+					t.Errorf("%s reached the server", <-server.arrived)
 				}
 			})
 		}
--- a/internal/app/limits.go
+++ b/internal/app/limits.go
@@ -12,18 +12,18 @@
 
 // divideDescriptors divides the file descriptors of this process among its uses: as many as limits.sockets says, or
 // the system's limit if that is lower.
-func splitOf(c *Config, log *slog.Logger) (descriptors.Split, error) {
-	limit := c.Limits.Sockets
-	var given unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &given); err != nil {
+func divideDescriptors(config *Config, log *slog.Logger) (descriptors.Split, error) {
+	limit := config.Limits.Sockets
+	var rlimit unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &rlimit); err != nil {
 		log.Warn("can't read the system's limit of file descriptors", "err", err)
-	} else if given.Cur < uint64(limit) {
-		log.Warn("the system's limit of file descriptors is lower than limits.sockets", "sockets", limit, "given", given.Cur)
-		limit = int(given.Cur)
+	} else if rlimit.Cur < uint64(limit) {
+		log.Warn("the system's limit of file descriptors is lower than limits.sockets", "sockets", limit, "given", rlimit.Cur)
+		limit = int(rlimit.Cur)
 	}
-	uses := descriptors.Uses{Link: c.Gateway != nil, Fleet: c.Fleet != nil, Recorder: c.Record != nil}
-	if c.Ops.IsValid() {
-		uses.Operators = ops.Descriptors
+	uses := descriptors.Uses{Link: config.Gateway != nil, Fleet: config.Fleet != nil, Recorder: config.Record != nil}
+	if config.Ops.IsValid() {
+		uses.Operators = ops.MaxDescriptors
 	}
 	split, err := descriptors.Divide(limit, uses)
 	if err != nil {
--- a/internal/app/long_test.go
+++ b/internal/app/long_test.go
@@ -17,7 +17,7 @@
 )
 
 // patternBody is a body of n bytes whose blocks of 1 KB all differ, so that misplaced data is noticed.
-func long(n int) []byte {
+func patternBody(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
 		sum := sha256.Sum256([]byte{byte(i), byte(i >> 8), byte(i >> 16)})
@@ -27,7 +27,7 @@
 }
 
 // chunkedBody encodes a body in chunks of size bytes, with chunk extensions and a trailer.
-func inChunks(body []byte, size int) string {
+func chunkedBody(body []byte, size int) string {
 	var b strings.Builder
 	for len(body) > 0 {
 		n := min(size, len(body))
@@ -40,11 +40,11 @@
 // Long answers arrive unchanged, in each way in which the end of an answer is marked.
 func TestLongAnswers(t *testing.T) {
 	t.Parallel()
-	want := long(3<<20 + 17)
+	want := patternBody(3<<20 + 17)
 	for name, answer := range map[string]string{
 		"by length":          testkit.OK(string(want)),
-		"by chunks":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + inChunks(want, 100_000),
-		"by small chunks":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + inChunks(want, 999),
+		"by chunks":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(want, 100_000),
+		"by small chunks":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(want, 999),
 		"by connection":      "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + string(want),
 		"with another after": testkit.OK(string(want)) + testkit.OK("x"),
 	} {
@@ -55,16 +55,16 @@
 					return
 				}
 				for text := answer; text != ""; { // in pieces whose size is no multiple of a buffer's
-					n := min(len(text), 70_001)
-					io.WriteString(c, text[:n])
-					text = text[n:]
+					size := min(len(text), 70_001)
+					io.WriteString(c, text[:size])
+					text = text[size:]
 				}
 				if name != "by connection" {
 					io.Copy(io.Discard, c)
 				}
 			})
-			n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-			resp, got := n.ask(t, message("read", "9.5", ""))
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			resp, got := node.roundTrip(t, classRequest("read", "9.5", ""))
 			if resp.StatusCode != 200 || got != string(want) {
 				t.Errorf("status %d, %d bytes of %d", resp.StatusCode, len(got), len(want))
 			}
@@ -75,8 +75,8 @@
 // A long answer that the server does not complete, or whose length is wrong, never looks complete to the client.
 func TestLongAnswerCut(t *testing.T) {
 	t.Parallel()
-	body := long(1 << 20)
-	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + inChunks(body, 65_000)
+	body := patternBody(1 << 20)
+	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(body, 65_000)
 	whole := testkit.OK(string(body))
 	for name, answer := range map[string]string{
 		"length, half":       whole[:1<<19],
@@ -89,20 +89,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := testkit.Server(t, func(c net.Conn) {
-				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					io.WriteString(c, answer)
+			addr := testkit.Server(t, func(conn net.Conn) {
+				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+					io.WriteString(conn, answer)
 				}
 			})
-			n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-			c, err := net.Dial("tcp", n.addr)
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			conn, err := net.Dial("tcp", node.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(testkit.Patient))
-			io.WriteString(c, message("read", "9.5", ""))
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			defer conn.Close()
+			conn.SetDeadline(time.Now().Add(testkit.Patient))
+			io.WriteString(conn, classRequest("read", "9.5", ""))
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
 				return // cut off before its head, which the client notices too
 			}
@@ -126,23 +126,23 @@
 		seen <- got{body, r.ContentLength}
 		return testkit.OK("done")
 	}))
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	head := func(form string) string {
-		return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n", ids.Add(1), form)
+		return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n", lastRequestID.Add(1), form)
 	}
 	for _, size := range []int{1, 64 << 10, 64<<10 + 1, 3 << 20} {
-		body := long(size)
+		body := patternBody(size)
 		for form, text := range map[string]string{
 			fmt.Sprintf("Content-Length: %d", size): string(body),
-			"Transfer-Encoding: chunked":            inChunks(body, 30_000),
+			"Transfer-Encoding: chunked":            chunkedBody(body, 30_000),
 		} {
-			resp, answer := n.ask(t, head(form)+text)
+			resp, answer := node.roundTrip(t, head(form)+text)
 			if resp.StatusCode != 200 || answer != "done" {
 				t.Fatalf("%d bytes, %s: status %d", size, form, resp.StatusCode)
 			}
-			g := <-seen
-			if want := int64(size); !bytes.Equal(g.body, body) || g.length != want && (size < 64<<10 || g.length != -1) {
-				t.Errorf("%d bytes, %s: the server got %d, length %d", size, form, len(g.body), g.length)
+			received := <-seen
+			if want := int64(size); !bytes.Equal(received.body, body) || received.length != want && (size < 64<<10 || received.length != -1) {
+				t.Errorf("%d bytes, %s: the server got %d, length %d", size, form, len(received.body), received.length)
 			}
 		}
 	}
@@ -154,25 +154,25 @@
 	t.Parallel()
 	var mu sync.Mutex
 	heads := 0
-	addr := testkit.Server(t, func(c net.Conn) {
-		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
+	addr := testkit.Server(t, func(conn net.Conn) {
+		if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 			mu.Lock()
 			heads++
 			mu.Unlock()
-			io.CopyN(io.Discard, c, 1<<19)
-			c.(*net.TCPConn).SetLinger(0)
+			io.CopyN(io.Discard, conn, 1<<19)
+			conn.(*net.TCPConn).SetLinger(0)
 		}
 	})
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-	body := long(8 << 20)
-	c, err := net.Dial("tcp", n.addr)
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	body := patternBody(8 << 20)
+	conn, err := net.Dial("tcp", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patient))
-	go fmt.Fprintf(c, "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: breaks\r\nX-Time-Left: 9\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	go fmt.Fprintf(conn, "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: breaks\r\nX-Time-Left: 9\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -190,19 +190,19 @@
 func TestPaceOfBodies(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("done") }))
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	const size = 200_000
 	for name, pace := range map[string]int{"good": 64_000, "trickle": 10_000, "stall": 0} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c, err := net.Dial("tcp", n.addr)
+			conn, err := net.Dial("tcp", node.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			c.SetDeadline(time.Now().Add(testkit.Patient))
+			defer conn.Close()
+			conn.SetDeadline(time.Now().Add(testkit.Patient))
 			began := time.Now()
-			fmt.Fprintf(c, "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: pace%s\r\nX-Time-Left: 9\r\nContent-Length: %d\r\n\r\n", name, size)
+			fmt.Fprintf(conn, "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: pace%s\r\nX-Time-Left: 9\r\nContent-Length: %d\r\n\r\n", name, size)
 			stop := make(chan struct{})
 			var writing sync.WaitGroup
 			writing.Go(func() {
@@ -210,7 +210,7 @@
 				defer tick.Stop()
 				for sent := 0; sent < size; {
 					piece := min(size-sent, max(0, int(time.Since(began).Seconds()*float64(pace))-sent)) // a late tick is made up for
-					if _, err := c.Write(make([]byte, piece)); err != nil {
+					if _, err := conn.Write(make([]byte, piece)); err != nil {
 						return
 					}
 					sent += piece
@@ -221,7 +221,7 @@
 					}
 				}
 			})
-			resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			close(stop)
 			writing.Wait()
 			switch {
--- a/internal/app/parts.go
+++ b/internal/app/parts.go
@@ -11,13 +11,13 @@
 // the order in which they were added. Each later step is done for all parts before the next step begins, in the order
 // of the fields.
 type part struct {
-	start func() error          // runs before the part's own run and all later parts; an error stops the node
-	run   func(context.Context) // runs in its own goroutine until ctx ends or close is called
-	leave func()                // called at SIGTERM, concurrently with the drains, which do not wait for it
-	drain func(end time.Time)   // accepts nothing new, completes what is in flight by end; all parts concurrently
-	last  func()                // called when all parts are drained
-	close func()                // makes run return if it does not watch ctx; called after ctx has ended
-	after func()                // called when every run has returned, in reverse order; also if the node failed to start
+	start         func() error          // runs before the part's own run and all later parts; an error stops the node
+	run           func(context.Context) // runs in its own goroutine until ctx ends or close is called
+	announceLeave func()                // called at SIGTERM, concurrently with the drains, which do not wait for it
+	drain         func(end time.Time)   // accepts nothing new, completes what is in flight by end; all parts concurrently
+	afterDrain    func()                // called when all parts are drained
+	close         func()                // makes run return if it does not watch ctx; called after ctx has ended
+	cleanup       func()                // called when every run has returned, in reverse order; also if the node failed to start
 }
 
 // parts are the parts of a node in the order in which they start.
@@ -46,8 +46,8 @@
 func (all parts) drain(end time.Time, running *sync.WaitGroup) {
 	var draining sync.WaitGroup
 	for _, p := range all {
-		if p.leave != nil {
-			running.Go(p.leave)
+		if p.announceLeave != nil {
+			running.Go(p.announceLeave)
 		}
 		if p.drain != nil {
 			draining.Go(func() { p.drain(end) })
@@ -56,10 +56,10 @@
 	draining.Wait()
 }
 
-func (all parts) last() {
+func (all parts) afterDrain() {
 	for _, p := range all {
-		if p.last != nil {
-			p.last()
+		if p.afterDrain != nil {
+			p.afterDrain()
 		}
 	}
 }
@@ -72,10 +72,10 @@
 	}
 }
 
-func (all parts) after() {
+func (all parts) cleanup() {
 	for _, p := range slices.Backward(all) {
-		if p.after != nil {
-			p.after()
+		if p.cleanup != nil {
+			p.cleanup()
 		}
 	}
 }
--- a/internal/app/servers_test.go
+++ b/internal/app/servers_test.go
@@ -15,8 +15,8 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
-// idleWait is longer than a connection to a server must be idle after an answer before it is used again.
-const restWait = 2 * reuse.Rest
+// idleTimeout is longer than a connection to a server must be idle after an answer before it is used again.
+const idleWait = 2 * reuse.Cooldown
 
 // A request on a connection that breaks is sent only once. A retry by an HTTP library would be an attempt that the
 // decision module does not know about.
@@ -24,9 +24,9 @@
 	t.Parallel()
 	var got atomic.Int64
 	addr := testkit.Server(t, func(c net.Conn) {
-		r := bufio.NewReader(c)
+		reader := bufio.NewReader(c)
 		for n := 0; ; n++ {
-			if _, err := http.ReadRequest(r); err != nil {
+			if _, err := http.ReadRequest(reader); err != nil {
 				return
 			}
 			got.Add(1)
@@ -38,10 +38,10 @@
 	})
 	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	for i, want := range []int{200, 503} {
-		if resp, _ := n.ask(t, message("read", "9.5", "")); resp.StatusCode != want {
+		if resp, _ := n.roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode != want {
 			t.Errorf("request %d: status %d, want %d", i, resp.StatusCode, want)
 		}
-		time.Sleep(restWait)
+		time.Sleep(idleWait)
 	}
 	if got.Load() != 2 {
 		t.Errorf("the server got %d requests, want 2", got.Load())
@@ -59,9 +59,9 @@
 		c.Close()
 		closed <- struct{}{}
 	})
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	for range 5 {
-		if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != 200 {
+		if resp, _ := node.roundTrip(t, classRequest("order", "9.5", "")); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
 		}
 		<-closed
@@ -75,7 +75,7 @@
 	for class, want := range map[string]int{"read": 503, "tag": 502, "order": 502} {
 		// A new node for each class, to which no server is unresponsive yet.
 		n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-		if resp, _ := n.ask(t, message(class, "0.4", "")); resp.StatusCode != want {
+		if resp, _ := n.roundTrip(t, classRequest(class, "0.4", "")); resp.StatusCode != want {
 			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, want)
 		}
 	}
@@ -84,7 +84,7 @@
 // The client's status for each kind of answer from a server. An unsafe request is refused only if it has not run.
 func TestOutcomesForClients(t *testing.T) {
 	t.Parallel()
-	for name, c := range map[string]struct {
+	for name, outcome := range map[string]struct {
 		reply  string
 		status int
 	}{
@@ -122,12 +122,12 @@
 			t.Parallel()
 			addr := testkit.Server(t, func(conn net.Conn) {
 				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-					io.WriteString(conn, c.reply)
+					io.WriteString(conn, outcome.reply)
 				}
 			})
-			n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-			if resp, _ := n.ask(t, message("order", "9.5", "")); resp.StatusCode != c.status {
-				t.Errorf("status %d, want %d", resp.StatusCode, c.status)
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			if resp, _ := node.roundTrip(t, classRequest("order", "9.5", "")); resp.StatusCode != outcome.status {
+				t.Errorf("status %d, want %d", resp.StatusCode, outcome.status)
 			}
 		})
 	}
--- a/internal/app/takeover_test.go
+++ b/internal/app/takeover_test.go
@@ -32,27 +32,27 @@
 		t.Fatal(err)
 	}
 	defer udp.Close()
-	c := &Config{Name: "n0", Listen: tcp.Addr().(*net.TCPAddr).AddrPort(), PeerListen: udp.LocalAddr().(*net.UDPAddr).AddrPort(),
+	config := &Config{Name: "n0", Listen: tcp.Addr().(*net.TCPAddr).AddrPort(), PeerListen: udp.LocalAddr().(*net.UDPAddr).AddrPort(),
 		Handover: filepath.Join(t.TempDir(), "s"), Settings: testkit.Settings()}
-	c.Settings.MayMessage = true
-	keeper, err := handover.Listen(c.Handover, handover.Offer{Name: "n0", Listener: tcp, State: func() []byte { return []byte("{}") },
+	config.Settings.MayMessage = true
+	server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp, State: func() []byte { return []byte("{}") },
 		Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
-	go func() { defer close(ended); keeper.Run(t.Context()) }()
+	go func() { defer close(ended); server.Run(t.Context()) }()
 	t.Cleanup(func() { <-ended })
-	s, err := openSockets(c, testkit.Quiet)
+	opened, err := openSockets(config, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.clients.Close()
-	if s.from == nil || s.peers == nil {
-		t.Fatalf("took over sockets: %v, has a socket for datagrams: %v", s.from != nil, s.peers != nil)
+	defer opened.clients.Close()
+	if opened.predecessor == nil || opened.peers == nil {
+		t.Fatalf("took over sockets: %v, has a socket for datagrams: %v", opened.predecessor != nil, opened.peers != nil)
 	}
-	s.from.Close()
-	s.peers.Close()
+	opened.predecessor.Close()
+	opened.peers.Close()
 }
 
 // A successor whose configuration names another discovery server than its predecessor's requests the full list at
@@ -60,12 +60,12 @@
 func TestSuccessorOfElsewhere(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	nobody := testkit.Server(t, func(c net.Conn) { c.Close() })
+	nobody := testkit.Server(t, func(config net.Conn) { config.Close() })
 	for _, pushed := range []bool{false, true} {
 		hang := make(chan struct{})
-		c := &Config{Name: "n0", Handover: filepath.Join(t.TempDir(), "s"), Settings: testkit.Settings(), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
-		c.Settings.AskForList = !pushed
-		c.Discovery = registryOf(t, func(_ int, q url.Values) string {
+		config := &Config{Name: "n0", Handover: filepath.Join(t.TempDir(), "s"), Settings: testkit.Settings(), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
+		config.Settings.ListOnRequest = !pushed
+		config.Discovery = registryOf(t, func(_ int, q url.Values) string {
 			if q.Get("since") == "" || q.Get("since") == "0" {
 				return jsonList(7, true, "ready", addr)
 			}
@@ -78,30 +78,30 @@
 			t.Fatal(err)
 		}
 		defer tcp.Close()
-		c.Listen = tcp.Addr().(*net.TCPAddr).AddrPort()
-		raw, err := json.Marshal(known{Source: "127.0.0.1:9", List: core.List{Version: 50, Full: true, Entries: []core.Entry{{Server: decide.Server{ID: registry.ServerID("s-00000001"), State: decide.Ready, Size: 1}, Name: "s-00000001", Addr: nobody}}}})
+		config.Listen = tcp.Addr().(*net.TCPAddr).AddrPort()
+		raw, err := json.Marshal(handedState{Source: "127.0.0.1:9", List: core.List{Version: 50, Full: true, Entries: []core.Entry{{Server: decide.Server{ID: registry.ServerID("s-00000001"), State: decide.Ready, Size: 1}, Name: "s-00000001", Addr: nobody}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		keeper, err := handover.Listen(c.Handover, handover.Offer{Name: "n0", Listener: tcp, State: func() []byte { return raw },
+		server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp, State: func() []byte { return raw },
 			Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.Quiet)
 		if err != nil {
 			t.Fatal(err)
 		}
-		kept := make(chan struct{})
-		keeping, end := context.WithCancel(context.Background())
-		go func() { defer close(kept); keeper.Run(keeping) }()
-		s, err := openSockets(c, testkit.Quiet)
-		if err != nil || s.from == nil {
-			t.Fatal(err, s)
+		serverEnded := make(chan struct{})
+		serverCtx, stopServer := context.WithCancel(context.Background())
+		go func() { defer close(serverEnded); server.Run(serverCtx) }()
+		opened, err := openSockets(config, testkit.Quiet)
+		if err != nil || opened.predecessor == nil {
+			t.Fatal(err, opened)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- serve(ctx, c, s, nil, testkit.Quiet) }()
-		n := &testNode{addr: c.Listen.String()}
+		go func() { ended <- serve(ctx, config, opened, nil, testkit.Quiet) }()
+		node := &testNode{addr: config.Listen.String()}
 		tcp.Close() // the successor has it
 		for limit := time.Now().Add(testkit.Patient); ; time.Sleep(10 * time.Millisecond) {
-			resp, _ := n.ask(t, message("read", "9.5", ""))
+			resp, _ := node.roundTrip(t, classRequest("read", "9.5", ""))
 			if resp.StatusCode == 200 {
 				break
 			}
@@ -110,8 +110,8 @@
 			}
 		}
 		stop()
-		end()
-		<-kept
+		stopServer()
+		<-serverEnded
 		if err := <-ended; err != nil {
 			t.Error(err)
 		}
--- a/internal/chunk/chunk.go
+++ b/internal/chunk/chunk.go
@@ -5,9 +5,9 @@
 import "errors"
 
 const (
-	lineLimit    = 4 << 10  // bytes of a chunk's size line with its extensions
-	trailerLimit = 16 << 10 // bytes of all trailers
-	digitsLimit  = 15       // hexadecimal digits of a size: more would overflow an int64
+	maxSizeLine   = 4 << 10  // bytes of a chunk's size line with its extensions
+	maxTrailers   = 16 << 10 // bytes of all trailers
+	maxSizeDigits = 15       // hexadecimal digits of a size: more would overflow an int64
 )
 
 // Errors of Next.
@@ -35,10 +35,10 @@
 
 // Decoder decodes one body. Its zero value is at the beginning of the body.
 type Decoder struct {
-	state  state
-	left   int64 // bytes of the chunk that are still to come
-	digits int   // of the size
-	line   int   // bytes of the size line, or of the trailers
+	state     state
+	chunkLeft int64 // bytes of the chunk that are still to come
+	digits    int   // of the size
+	lineBytes int   // bytes of the size line, or of the trailers
 }
 
 // Done reports whether the body is complete.
@@ -53,8 +53,8 @@
 		case size:
 			v, hex := unhex(c)
 			switch {
-			case hex && d.digits < digitsLimit:
-				d.left, d.digits = d.left<<4|int64(v), d.digits+1
+			case hex && d.digits < maxSizeDigits:
+				d.chunkLeft, d.digits = d.chunkLeft<<4|int64(v), d.digits+1
 			case hex || d.digits == 0:
 				return nil, used, ErrSize
 			case c == ';':
@@ -86,13 +86,13 @@
 			if c != '\n' {
 				return nil, used, ErrSize
 			}
-			if d.state = data; d.left == 0 {
-				d.state, d.line = trailer, 0
+			if d.state = data; d.chunkLeft == 0 {
+				d.state, d.lineBytes = trailer, 0
 			}
 		case data:
-			n := int(min(int64(len(p)-used), d.left))
+			n := int(min(int64(len(p)-used), d.chunkLeft))
 			content, used = p[used:used+n], used+n
-			if d.left -= int64(n); d.left == 0 {
+			if d.chunkLeft -= int64(n); d.chunkLeft == 0 {
 				d.state = dataEnd
 			}
 			return content, used, nil
@@ -105,7 +105,7 @@
 			if c != '\n' {
 				return nil, used, ErrEnd
 			}
-			d.state, d.left, d.digits, d.line = size, 0, 0, 0
+			d.state, d.chunkLeft, d.digits, d.lineBytes = size, 0, 0, 0
 		case trailer:
 			if d.state = trailerLine; c == '\r' {
 				d.state = trailerEnd
@@ -123,7 +123,7 @@
 			d.state = done
 		}
 		used++
-		if d.line++; d.state <= sizeEnd && d.line > lineLimit || d.line > trailerLimit {
+		if d.lineBytes++; d.state <= sizeEnd && d.lineBytes > maxSizeLine || d.lineBytes > maxTrailers {
 			return nil, used, ErrTooLong
 		}
 	}
--- a/internal/chunk/chunk_test.go
+++ b/internal/chunk/chunk_test.go
@@ -45,8 +45,8 @@
 		{text: "3\r\nabcd\r\n", body: "abc", err: ErrEnd},
 		{text: "3\r\nabc\rX", body: "abc", err: ErrEnd},
 		{text: "0\r\n\n", err: ErrEnd},
-		{text: "3;" + strings.Repeat("x", lineLimit) + "\r\n", err: ErrTooLong},
-		{text: "0\r\n" + strings.Repeat("X: y\r\n", trailerLimit), err: ErrTooLong},
+		{text: "3;" + strings.Repeat("x", maxSizeLine) + "\r\n", err: ErrTooLong},
+		{text: "0\r\n" + strings.Repeat("X: y\r\n", maxTrailers), err: ErrTooLong},
 	} {
 		for _, piece := range []int{1, 2, 7, 1 << 20} {
 			body, rest, d, err := decode([]byte(c.text), piece)
--- a/internal/configuration/configfile/configfile.go
+++ b/internal/configuration/configfile/configfile.go
@@ -83,7 +83,7 @@
 		Transaction: &configpb.Transaction{},
 		path:        path,
 		tables:      map[string]string{},
-		fault:       tomlfile.Faults(path, raw),
+		fault:       tomlfile.KeyErrors(path, raw),
 	}
 	for i, s := range t.Service {
 		f.put(fmt.Sprintf("service[%d]", i), s.entry(), s.IfRevision)
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -97,8 +97,8 @@
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.Faults(path, raw)
-	beside := tomlfile.Beside(path)
+	fault := tomlfile.KeyErrors(path, raw)
+	beside := tomlfile.RelativeTo(path)
 	n := f.Node
 	c := &Config{Path: path, Name: n.Name, Domain: n.Domain, Zone: n.Zone, Folder: beside(n.Folder), Socket: beside(n.Socket),
 		Life: time.Duration(f.Timing.SessionMs) * time.Millisecond, Tick: time.Duration(f.Timing.TickMs) * time.Millisecond}
--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -150,8 +150,8 @@
 	if calls != nil {
 		h.Traffic = calls.Traffic()
 	}
-	h.Pid, h.Able = os.Getpid(), n.loop.Able()
-	h.Open, _ = n.loop.Open()
+	h.Pid, h.Able = os.Getpid(), n.loop.CanServe()
+	h.Open, _ = n.loop.OpenRequests()
 	if noVote != nil {
 		h.Voter, h.Why = "stopped", noVote.Error()
 		return h
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -110,19 +110,19 @@
 
 // suspects are the servers that this node takes for dead.
 func (n *Control) suspects() []string {
-	list := n.loop.Suspects()
+	list := n.loop.EjectedServers()
 	return list[:min(len(list), mostSuspects)]
 }
 
 // hold has the loop, and the node, follow.
 func (n *Control) hold(h held) {
-	n.loop.Hold(heldOf(slices.Collect(maps.Keys(h.Out))...))
+	n.loop.SetCordon(heldOf(slices.Collect(maps.Keys(h.Out))...))
 	n.node.Away(h.Out[fleet.NodeTarget(n.c.Name)] > 0)
 }
 
 // heldOf gives the servers and zones among targets.
-func heldOf(targets ...string) core.Held {
-	h := core.Held{Servers: map[decide.ServerID]bool{}, Zones: map[string]bool{}}
+func heldOf(targets ...string) core.Cordon {
+	h := core.Cordon{Servers: map[decide.ServerID]bool{}, Zones: map[string]bool{}}
 	for _, target := range targets {
 		switch kind, name, _ := strings.Cut(target, "/"); kind {
 		case "server":
@@ -137,9 +137,9 @@
 // left is what is still under way of what a target is to have none of: attempts there; of this node itself, clients' requests.
 func (n *Control) left(target string) (int, bool) {
 	if target == fleet.NodeTarget(n.c.Name) {
-		return n.loop.Open()
+		return n.loop.OpenRequests()
 	}
-	return n.loop.Left(heldOf(target))
+	return n.loop.OpenAttemptsAt(heldOf(target))
 }
 
 // keep writes what is followed, whole or not at all, before it is acknowledged.
--- a/internal/control/leak_test.go
+++ b/internal/control/leak_test.go
@@ -23,15 +23,15 @@
 // calm is a node and its loop with nothing to do.
 type calm struct{}
 
-func (calm) Hold(core.Held)               {}
-func (calm) Left(core.Held) (int, bool)   { return 0, true }
-func (calm) Open() (int, bool)            { return 0, true }
-func (calm) Suspects() []string           { return nil }
-func (calm) Away(bool)                    {}
-func (calm) Ends() map[string]health.Ends { return nil }
-func (calm) Resident() uint64             { return 0 }
-func (calm) Able() bool                   { return true }
-func (calm) Listed() core.List            { return core.List{Full: true} }
+func (calm) SetCordon(core.Cordon)                  {}
+func (calm) OpenAttemptsAt(core.Cordon) (int, bool) { return 0, true }
+func (calm) OpenRequests() (int, bool)              { return 0, true }
+func (calm) EjectedServers() []string               { return nil }
+func (calm) Away(bool)                              {}
+func (calm) Ends() map[string]health.Ends           { return nil }
+func (calm) Resident() uint64                       { return 0 }
+func (calm) CanServe() bool                         { return true }
+func (calm) ServerList() core.List                  { return core.List{Full: true} }
 
 // Three voters and a node that is none agree, a hold is asked through the last; once all have ended no goroutine is left.
 func TestNothingIsLeft(t *testing.T) {
