--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -23,12 +23,12 @@
 
 // Loop is what the node's loop is to this package. The counts' ok is false once it has ended.
 type Loop interface {
-	Hold(core.Held)
-	Left(core.Held) (attempts int, ok bool)
-	Open() (requests int, ok bool)
-	Suspects() []string
-	Able() bool
-	Listed() core.List
+	SetCordon(core.Cordon)
+	OpenAttemptsAt(core.Cordon) (attempts int, ok bool)
+	OpenRequests() (requests int, ok bool)
+	EjectedServers() []string
+	CanServe() bool
+	ServerList() core.List
 }
 
 // Node is the rest of the node to this package.
@@ -278,7 +278,7 @@
 
 // servers is what this node's registry says; nil: it has not said yet.
 func (n *Control) servers() (list []*fleetpb.Server) {
-	l := n.loop.Listed()
+	l := n.loop.ServerList()
 	if !l.Full {
 		return nil
 	}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -11,73 +11,73 @@
 
 // attempt is the state of one attempt of a Request.
 type attempt struct {
-	sent     time.Time // when the module decided on it; with an upload: when the request's body was written whole
-	begun    time.Time // when its goroutine started, or as sentAt with an upload; zero: not yet
-	cancel   context.CancelFunc
-	neverRan bool // it has ended, and its server did not run the request
-	server   decide.ServerID
-	streams  bool // its answer is being streamed to the client: it ends when the front closes the answer
-	ended    bool
+	sentAt    time.Time // when the module decided on it; with an upload: when the request's body was written whole
+	startedAt time.Time // when its goroutine started, or as sentAt with an upload; zero: not yet
+	cancel    context.CancelFunc
+	neverRan  bool // it has ended, and its server did not run the request
+	server    decide.ServerID
+	streaming bool // its answer is being streamed to the client: it ends when the front closes the answer
+	ended     bool
 }
 
 // send starts an attempt, unless the guard refuses it. The attempt runs in the goroutine of the request's front where
 // possible, else in one of its own.
 func (l *Loop) send(a decide.Send) {
-	r := l.requests[a.ID]
-	if r == nil {
-		l.handle(decide.AttemptEnded{ID: a.ID, Server: a.Server, Over: true, Code: decide.Moot})
+	request := l.requests[a.ID]
+	if request == nil {
+		l.handle(decide.AttemptEnded{ID: a.ID, Server: a.Server, RequestDone: true, Code: decide.Moot})
 		return
 	}
 	now := time.Now()
-	effect, mayHaveRun := l.classes[r.Arrived.Class].Effect, r.mayHaveRun()
+	effect, mayHaveRun := l.classes[request.Arrived.Class].Effect, request.mayHaveRun()
 	ctx, cancel := context.WithCancel(l.ctx)
-	t := &attempt{sent: now, cancel: cancel, server: a.Server}
-	n := len(r.attempts)
-	r.attempts = append(r.attempts, t)
-	r.out++
-	refused := l.guard.May(guard.Attempt{Now: now, Deadline: r.Deadline, Patience: r.Deadline, Over: r.over || l.ending || n >= max(1, l.settings.MaxAttempts),
+	current := &attempt{sentAt: now, cancel: cancel, server: a.Server}
+	index := len(request.attempts)
+	request.attempts = append(request.attempts, current)
+	request.outstanding++
+	refused := l.guard.Admit(guard.Attempt{Now: now, Deadline: request.Deadline, ClientDeadline: request.Deadline, Over: request.over || l.ending || index >= max(1, l.settings.MaxAttempts),
 		Effect: effect, MayHaveRun: mayHaveRun})
 	if refused != guard.None {
-		l.over(a, n, Result{Code: decide.Moot, Err: refused})
+		l.attemptEnded(a, index, Result{Code: decide.Moot, Err: refused})
 		return
 	}
 	if l.debug {
-		l.log.Debug("send", "request", a.ID, "attempt", n, "server", a.Server, "left", time.Until(r.Deadline), "list age", l.view.Age(now))
+		l.log.Debug("send", "request", a.ID, "attempt", index, "server", a.Server, "left", time.Until(request.Deadline), "list age", l.view.Age(now))
 	}
-	x := &Exchange{Method: r.Method, URL: r.URL, Header: r.Header, Body: r.Body, Deadline: r.Deadline, Whole: r.Deadline, Wanted: r.wanted, Left: r.Left,
-		Effect: effect, MayHaveRun: mayHaveRun, ColdMost: a.ColdMost, Written: l.figures.Sent}
-	if a.Timeout != 0 && now.Add(a.Timeout).Before(r.Deadline) {
-		x.Deadline = now.Add(a.Timeout)
+	exchange := &Exchange{Method: request.Method, URL: request.URL, Header: request.Header, Body: request.Body, Deadline: request.Deadline, RequestDeadline: request.Deadline, RequestContext: request.ctx, ClientGone: request.ClientGone,
+		Effect: effect, MayHaveRun: mayHaveRun, SlowStartLimit: a.SlowStartLimit, OnWritten: l.metrics.AttemptSent}
+	if a.Timeout != 0 && now.Add(a.Timeout).Before(request.Deadline) {
+		exchange.Deadline = now.Add(a.Timeout)
 	}
 	if a.UsableFor > 0 {
-		x.ListBy = now.Add(a.UsableFor)
+		exchange.ListValidUntil = now.Add(a.UsableFor)
 	}
-	for _, earlier := range r.attempts[:n] {
-		if r.window > 0 && !earlier.neverRan {
-			x.WriteBy = earlier.sent.Add(r.window - windowMargin)
+	for _, earlier := range request.attempts[:index] {
+		if request.dedupWindow > 0 && !earlier.neverRan {
+			exchange.WriteBy = earlier.sentAt.Add(request.dedupWindow - dedupWindowMargin)
 			break
 		}
 	}
-	if x.Upload = r.Upload; x.Upload != nil {
-		x.Written = func() { l.uploaded(r, t, n) }
+	if exchange.Upload = request.Upload; exchange.Upload != nil {
+		exchange.OnWritten = func() { l.bodyWritten(request, current, index) }
 	}
-	h := l.transport.Find(a.Server)
+	server := l.transport.Find(a.Server)
 	run := func() {
-		t.begun = time.Now()
-		res := Result{Code: decide.ConnectFailed, Err: errUnlisted}
-		if h != nil {
-			res = h.Do(ctx, x)
+		current.startedAt = time.Now()
+		result := Result{Code: decide.ConnectFailed, Err: errUnlisted}
+		if server != nil {
+			result = server.Do(ctx, exchange)
 		}
-		res.At = time.Now()
-		l.post(func() { l.over(a, n, res) })
+		result.EndedAt = time.Now()
+		l.post(func() { l.attemptEnded(a, index, result) })
 	}
-	if r.runs != nil {
-		r.runs <- run // never blocks: the buffer holds MaxAttempts
+	if request.uploadAttempts != nil {
+		request.uploadAttempts <- run // never blocks: the buffer holds MaxAttempts
 		return
 	}
 	// If attempts can't be cancelled, the front must not wait in one: its client may leave meanwhile.
-	if r.arriving && r.attempt == nil && l.settings.MayCancel {
-		r.attempt = run
+	if request.arriving && request.firstAttempt == nil && l.settings.MayCancel {
+		request.firstAttempt = run
 		return
 	}
 	l.work.Go(run)
@@ -85,80 +85,80 @@
 
 // attemptEnded handles the result of an attempt: it passes the outcome to the module, and the first answer to the
 // client.
-func (l *Loop) over(a decide.Send, n int, res Result) {
-	r := l.requests[a.ID]
-	t := r.attempts[n]
-	if res.Rest != nil && !r.over {
-		l.stream(r, t, a, n, res)
+func (l *Loop) attemptEnded(send decide.Send, index int, result Result) {
+	request := l.requests[send.ID]
+	ended := request.attempts[index]
+	if result.Rest != nil && !request.over {
+		l.startStream(request, ended, send, index, result)
 		return
 	}
-	t.cancel()
-	if res.Rest != nil { // the request has another answer already
-		res.Code = res.Rest.Close()
+	ended.cancel()
+	if result.Rest != nil { // the request has another answer already
+		result.Code = result.Rest.Close()
 	}
-	t.ended = true
-	t.neverRan = res.Code == decide.Full || res.Code == decide.ConnectFailed || res.Code == decide.Moot
-	r.out--
+	ended.ended = true
+	ended.neverRan = result.Code == decide.Full || result.Code == decide.ConnectFailed || result.Code == decide.Moot
+	request.outstanding--
 	switch {
-	case r.over:
-	case res.Code == decide.OK:
-		r.answer <- Answer{Status: http.StatusOK, Header: res.Header, Body: res.Body, Work: time.Since(t.sent)}
-		r.over = true
-	case res.Client > 0: // the request is invalid: other backends would reject it too, and the backend has not failed
-		r.answer <- Answer{Status: res.Client}
-		r.over = true
-	}
-	l.figures.Ended(int(res.Code))
+	case request.over:
+	case result.Code == decide.OK:
+		request.answer <- Answer{Status: http.StatusOK, Header: result.Header, Body: result.Body, AttemptTime: time.Since(ended.sentAt)}
+		request.over = true
+	case result.ClientErrorStatus > 0: // the request is invalid: other backends would reject it too, and the backend has not failed
+		request.answer <- Answer{Status: result.ClientErrorStatus}
+		request.over = true
+	}
+	l.metrics.AttemptEnded(int(result.Code))
 	if l.debug {
-		l.log.Debug("attempt ended", "request", a.ID, "attempt", n, "server", a.Server, "code", res.Code, "took", time.Since(t.sent), "over", r.over, "err", res.Err)
+		l.log.Debug("attempt ended", "request", send.ID, "attempt", index, "server", send.Server, "code", result.Code, "took", time.Since(ended.sentAt), "over", request.over, "err", result.Err)
 	}
-	if r.over {
-		l.close(r)
+	if request.over {
+		l.closeRequest(request)
 	}
-	elapsed := time.Since(t.sent)
-	l.handle(decide.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Over: r.over, Elapsed: elapsed, Own: t.own(res.At, l.lag.value(), elapsed),
-		Code: res.Code, Report: res.Report, Spent: r.Upload != nil && r.Upload.Spent})
+	elapsed := time.Since(ended.sentAt)
+	l.handle(decide.AttemptEnded{ID: send.ID, Attempt: index, Server: send.Server, RequestDone: request.over, Elapsed: elapsed, NodeTime: ended.ownTime(result.EndedAt, l.lag.current(), elapsed),
+		Code: result.Code, Report: result.Report, BodyConsumed: request.Upload != nil && request.Upload.PartlySent})
 }
 
 // bodyWritten handles the end of an upload: the body has been written to the server whole, and the client's patience
 // counts from now on.
-func (l *Loop) uploaded(r *Request, t *attempt, n int) {
-	l.figures.Sent()
+func (l *Loop) bodyWritten(r *Request, current *attempt, index int) {
+	l.metrics.AttemptSent()
 	l.post(func() {
-		t.sent = time.Now()
-		t.begun = t.sent
-		r.Deadline = t.sent.Add(r.Upload.Patience)
-		l.handle(decide.BodyEnded{ID: r.Arrived.ID, Attempt: n, Patience: r.Upload.Patience})
+		current.sentAt = time.Now()
+		current.startedAt = current.sentAt
+		r.Deadline = current.sentAt.Add(r.Upload.Patience)
+		l.handle(decide.BodyEnded{ID: r.Arrived.ID, Attempt: index, Patience: r.Upload.Patience})
 	})
 }
 
 // startStream gives the client the beginning of a streamed answer. The attempt ends when the front closes the rest.
-func (l *Loop) stream(r *Request, t *attempt, a decide.Send, n int, res Result) {
-	elapsed := time.Since(t.sent)
-	t.streams = true
-	l.close(r) // this attempt stays outstanding until the answer has been streamed
-	r.answer <- Answer{Status: http.StatusOK, Header: res.Header, Body: res.Body, Length: res.Length, Work: elapsed,
-		Rest: &passing{Rest: res.Rest, end: func(code decide.OutcomeCode) {
-			t.cancel()
+func (l *Loop) startStream(request *Request, current *attempt, send decide.Send, index int, result Result) {
+	elapsed := time.Since(current.sentAt)
+	current.streaming = true
+	l.closeRequest(request) // this attempt stays outstanding until the answer has been streamed
+	request.answer <- Answer{Status: http.StatusOK, Header: result.Header, Body: result.Body, Length: result.Length, AttemptTime: elapsed,
+		Rest: &streamedBody{Rest: result.Rest, end: func(code decide.OutcomeCode) {
+			current.cancel()
 			l.post(func() {
-				t.ended = true
-				if r.out--; r.out == 0 {
-					delete(l.requests, a.ID)
+				current.ended = true
+				if request.outstanding--; request.outstanding == 0 {
+					delete(l.requests, send.ID)
 				}
-				l.handle(decide.AttemptEnded{ID: a.ID, Attempt: n, Server: a.Server, Over: true, Elapsed: time.Since(t.sent), Code: code, Report: res.Report})
+				l.handle(decide.AttemptEnded{ID: send.ID, Attempt: index, Server: send.Server, RequestDone: true, Elapsed: time.Since(current.sentAt), Code: code, Report: result.Report})
 			})
 		}}}
-	l.handle(decide.StreamStarted{ID: a.ID, Attempt: n, Server: a.Server, Elapsed: elapsed, Own: t.own(res.At, l.lag.value(), elapsed)})
+	l.handle(decide.StreamStarted{ID: send.ID, Attempt: index, Server: send.Server, Elapsed: elapsed, NodeTime: current.ownTime(result.EndedAt, l.lag.current(), elapsed)})
 }
 
 // streamedBody is a Rest that reports its end to the loop.
-type passing struct {
+type streamedBody struct {
 	Rest
 	end func(decide.OutcomeCode)
 }
 
 // Close closes the Rest and reports the attempt's outcome to the loop.
-func (p *passing) Close() decide.OutcomeCode {
+func (p *streamedBody) Close() decide.OutcomeCode {
 	code := p.Rest.Close()
 	p.end(code)
 	return code
@@ -167,17 +167,17 @@
 // ownTime is the part of an attempt's elapsed time that was spent in this node and not at the server: until its
 // goroutine started, until the process noticed the answer (lag), and from its end at the time at until now, as it
 // waited for the loop's lock.
-func (t *attempt) own(at time.Time, lag, elapsed time.Duration) time.Duration {
-	if t.begun.IsZero() || at.IsZero() {
+func (t *attempt) ownTime(at time.Time, lag, elapsed time.Duration) time.Duration {
+	if t.startedAt.IsZero() || at.IsZero() {
 		return 0
 	}
-	return min(t.begun.Sub(t.sent)+lag+time.Since(at), elapsed)
+	return min(t.startedAt.Sub(t.sentAt)+lag+time.Since(at), elapsed)
 }
 
 // mayHaveRun reports whether an earlier attempt of the request may have run at its server, or may still run.
 func (r *Request) mayHaveRun() bool {
-	for _, t := range r.attempts {
-		if !t.neverRan {
+	for _, earlier := range r.attempts {
+		if !earlier.neverRan {
 			return true
 		}
 	}
--- a/internal/core/do.go
+++ b/internal/core/do.go
@@ -11,62 +11,62 @@
 // Do serves a request of a front and blocks until the request has its final answer. It returns by answerGrace after the
 // request's deadline at the latest, whatever happens. ctx ends when the client leaves: if that is before the answer,
 // the request is abandoned and ok is false. The caller has to close the Rest of the answer, if it has one.
-func (l *Loop) Do(ctx context.Context, r *Request) (a Answer, ok bool) {
+func (l *Loop) Do(ctx context.Context, request *Request) (answer Answer, ok bool) {
 	if ctx.Err() != nil {
 		return Answer{}, false // the client had left before the request got here
 	}
-	r.answer, r.arriving = make(chan Answer, 1), true
-	if r.Upload != nil {
-		r.runs = make(chan func(), max(1, l.settings.MaxAttempts))
+	request.answer, request.arriving = make(chan Answer, 1), true
+	if request.Upload != nil {
+		request.uploadAttempts = make(chan func(), max(1, l.settings.MaxAttempts))
 	}
-	if !l.post(func() { l.arrive(r) }) {
+	if !l.post(func() { l.arrive(request) }) {
 		return Answer{Status: http.StatusServiceUnavailable, Reason: decide.ByNode}, true
 	}
-	if r.attempt != nil {
-		l.run(ctx, r, r.attempt)
+	if request.firstAttempt != nil {
+		l.runAttempt(ctx, request, request.firstAttempt)
 	}
 	for {
 		select {
-		case a := <-r.answer:
-			return a, true
+		case answer := <-request.answer:
+			return answer, true
 		default:
 		}
-		late := time.NewTimer(max(0, time.Until(l.deadline(r))) + overdue)
+		timeout := time.NewTimer(max(0, time.Until(l.deadline(request))) + answerGrace)
 		select {
-		case a := <-r.answer:
-			late.Stop()
-			return a, true
-		case run := <-r.runs:
-			late.Stop()
-			l.run(ctx, r, run)
+		case answer := <-request.answer:
+			timeout.Stop()
+			return answer, true
+		case run := <-request.uploadAttempts:
+			timeout.Stop()
+			l.runAttempt(ctx, request, run)
 			continue
 		case <-ctx.Done():
-			a, ok = Answer{}, false
-		case <-late.C:
-			l.log.Warn("overdue", "id", r.Arrived.ID)
-			a, ok = Answer{Status: http.StatusGatewayTimeout}, true
+			answer, ok = Answer{}, false
+		case <-timeout.C:
+			l.log.Warn("overdue", "id", request.Arrived.ID)
+			answer, ok = Answer{Status: http.StatusGatewayTimeout}, true
 		case <-l.ctx.Done():
-			a, ok = Answer{Status: http.StatusBadGateway}, true
+			answer, ok = Answer{Status: http.StatusBadGateway}, true
 		}
-		late.Stop()
-		l.post(func() { l.abandon(r) })
+		timeout.Stop()
+		l.post(func() { l.abandon(request) })
 		select {
-		case last := <-r.answer: // an answer that came just before abandon; after abandon there is none
+		case lateAnswer := <-request.answer: // an answer that came just before abandon; after abandon there is none
 			if ok {
-				a = last
-			} else if last.Rest != nil {
-				last.Rest.Close()
+				answer = lateAnswer
+			} else if lateAnswer.Rest != nil {
+				lateAnswer.Rest.Close()
 			}
 		default:
 		}
-		l.skip(r)
-		return a, ok
+		l.drainUploadAttempts(request)
+		return answer, ok
 	}
 }
 
 // runAttempt makes an attempt in the front's goroutine, and abandons the request if ctx ends meanwhile. It returns when
 // the attempt has ended: by the request's deadline, or when it is cancelled.
-func (l *Loop) run(ctx context.Context, r *Request, attempt func()) {
+func (l *Loop) runAttempt(ctx context.Context, r *Request, attempt func()) {
 	stop := context.AfterFunc(ctx, func() { l.post(func() { l.abandon(r) }) })
 	defer stop()
 	attempt()
@@ -74,10 +74,10 @@
 
 // drainUploadAttempts runs the attempts of an abandoned request that are still queued. All of them have been cancelled,
 // so each ends at once and reports that to the module.
-func (l *Loop) skip(r *Request) {
+func (l *Loop) drainUploadAttempts(r *Request) {
 	for {
 		select {
-		case run := <-r.runs:
+		case run := <-r.uploadAttempts:
 			run()
 		default:
 			return
--- a/internal/core/endings_test.go
+++ b/internal/core/endings_test.go
@@ -19,15 +19,15 @@
 	f := newFakes()
 	s := loopSettings()
 	s.MayCancel = false // else the attempt would run in Do's own goroutine
-	l := running(t, s, f)
+	l := startLoop(t, s, f)
 	answered := make(chan Answer, 1)
 	const wait = 100 * time.Millisecond
-	r := ask("order", "q", wait)
+	r := newTestRequest("order", "q", wait)
 	go func() { a, _ := l.Do(t.Context(), r); answered <- a }()
 	f.expect(t, "do /order")
 	l.post(func() {
-		for time.Until(r.Deadline) > -3*overdue { // under the lock, so that Do's timeout fires and then waits for the lock
-			time.Sleep(overdue)
+		for time.Until(r.Deadline) > -3*answerGrace { // under the lock, so that Do's timeout fires and then waits for the lock
+			time.Sleep(answerGrace)
 		}
 		l.finish("q", Answer{Status: http.StatusOK, Body: []byte("x")})
 	})
@@ -35,7 +35,7 @@
 		t.Errorf("%+v", a)
 	}
 	f.reply <- Result{Code: decide.OK}
-	for l.holds("q") {
+	for l.isOpen("q") {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -45,24 +45,24 @@
 func TestOlderFetched(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
-	l := running(t, loopSettings(), f)
+	l := startLoop(t, loopSettings(), f)
 	f.expect(t, "watch from 1")
 	draining := oneServer[0]
 	draining.State = decide.Draining
 	f.lists <- List{Version: 9, Full: true, Entries: []Entry{draining}}
 	f.expect(t, "update 9")
-	for l.Able() {
+	for l.CanServe() {
 		time.Sleep(time.Millisecond)
 	}
 	l.post(func() {
-		l.fetched(f, List{Version: 3, Full: true, Entries: oneServer}, nil)
-		l.fetched(newFakes(), List{Version: 30, Full: true, Entries: oneServer}, nil)
+		l.handleFetchedList(f, List{Version: 3, Full: true, Entries: oneServer}, nil)
+		l.handleFetchedList(newFakes(), List{Version: 30, Full: true, Entries: oneServer}, nil)
 	})
-	if l.Able() || *l.view.Revision() != 9 {
+	if l.CanServe() || *l.view.Revision() != 9 {
 		t.Errorf("version %d is in force", *l.view.Revision())
 	}
-	l.post(func() { l.fetched(f, List{Version: 10, Full: true, Entries: oneServer}, nil) })
-	if !l.Able() || *l.view.Revision() != 10 {
+	l.post(func() { l.handleFetchedList(f, List{Version: 10, Full: true, Entries: oneServer}, nil) })
+	if !l.CanServe() || *l.view.Revision() != 10 {
 		t.Errorf("a newer list is not applied: version %d is in force", *l.view.Revision())
 	}
 }
@@ -73,7 +73,7 @@
 	t.Parallel()
 	f := newFakes()
 	ctx, cancel := context.WithCancel(context.Background())
-	l, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: f, Members: f, Messenger: f, Log: quiet})
+	l, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: f, Membership: f, Messenger: f, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,34 +103,34 @@
 	s := loopSettings()
 	s.Nodes, s.MayMessage, s.MayProbe = 300, false, false
 	ctx, cancel := context.WithCancel(context.Background())
-	var running, asking sync.WaitGroup
+	var running, requests sync.WaitGroup
 	t.Cleanup(func() { cancel(); running.Wait() })
-	took := make([]time.Duration, loops)
+	requestedAfter := make([]time.Duration, loops)
 	for i := range loops {
 		f, to := newFakes(), newFakes()
-		l, err := New(ctx, Options{Settings: s, Seed: int64(i), Transport: f, Members: f, Messenger: f, Log: quiet})
+		l, err := New(ctx, Options{Settings: s, Seed: int64(i), Transport: f, Membership: f, Messenger: f, Log: quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
 		running.Go(func() { l.Run(List{Version: 1, Entries: oneServer}) })
-		asking.Go(func() {
-			l.Move(to)
+		requests.Go(func() {
+			l.SetMembership(to)
 			moved := time.Now()
-			for took[i] = patient; time.Since(moved) < patient; {
+			for requestedAfter[i] = testTimeout; time.Since(moved) < testTimeout; {
 				select {
 				case call := <-to.calls:
 					if call == "watch from nothing" {
-						took[i] = time.Since(moved)
+						requestedAfter[i] = time.Since(moved)
 						return
 					}
-				case <-time.After(patient):
+				case <-time.After(testTimeout):
 				}
 			}
 		})
 	}
-	asking.Wait()
-	slices.Sort(took)
-	if took[loops-1] > most || took[loops/2] < time.Second {
-		t.Errorf("lists requested after %v, want them spread, and the last within %v", took, most)
+	requests.Wait()
+	slices.Sort(requestedAfter)
+	if requestedAfter[loops-1] > most || requestedAfter[loops/2] < time.Second {
+		t.Errorf("lists requested after %v, want them spread, and the last within %v", requestedAfter, most)
 	}
 }
--- a/internal/core/exchange.go
+++ b/internal/core/exchange.go
@@ -33,7 +33,7 @@
 	if x.Upload != nil {
 		left = x.Upload.Patience
 	}
-	x.Told = left
+	x.TimeLeft = left
 	to.Write(strconv.AppendFloat(to.AvailableBuffer(), left.Seconds(), 'f', 3, 64))
 	if x.Upload != nil && x.Upload.Length < 0 {
 		to.WriteString("\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -58,18 +58,18 @@
 
 // GuardAttempt returns what the guard needs to know of this attempt at a time. maxAge is how old a check of the
 // client's presence may be.
-func (x *Exchange) Facts(now time.Time, age time.Duration) guard.Attempt {
-	return guard.Attempt{Now: now, Probe: x.Probe, Told: x.Told, Deadline: x.Deadline, Patience: x.Whole, Departed: x.Left != nil && x.Left(age),
-		Effect: x.Effect, MayHaveRun: x.MayHaveRun, WriteBy: x.WriteBy, ListBy: x.ListBy}
+func (x *Exchange) GuardAttempt(now time.Time, maxAge time.Duration) guard.Attempt {
+	return guard.Attempt{Now: now, Probe: x.Probe, TimeLeft: x.TimeLeft, Deadline: x.Deadline, ClientDeadline: x.RequestDeadline, ClientGone: x.ClientGone != nil && x.ClientGone(maxAge),
+		Effect: x.Effect, MayHaveRun: x.MayHaveRun, WriteBy: x.WriteBy, ListValidUntil: x.ListValidUntil}
 }
 
 // MaxClientCheckAge is how old a check of the client's presence may be when an attempt for it starts. No attempt may
 // start later than 0.1 s after its client has left. Most attempts start sooner than this after their request has
 // arrived, and so need no further check, which is a system call.
-const LookAge = 20 * time.Millisecond
+const MaxClientCheckAge = 20 * time.Millisecond
 
 // RequestOver reports whether the request of an exchange is over, or its client has left by a check no older than
 // maxAge. If so, what has not been written whole is not written any more.
-func (x *Exchange) Unwanted(age time.Duration) bool {
-	return x.Wanted != nil && x.Wanted.Err() != nil || x.Left != nil && x.Left(age)
+func (x *Exchange) RequestOver(maxAge time.Duration) bool {
+	return x.RequestContext != nil && x.RequestContext.Err() != nil || x.ClientGone != nil && x.ClientGone(maxAge)
 }
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -6,15 +6,15 @@
 )
 
 // Cordon is the set of servers, and of zones with all their servers, that are drained whatever the list says.
-type Held = serverlist.Cordon
+type Cordon = serverlist.Cordon
 
 // SetCordon replaces the set of cordoned servers. No new requests are sent to them from now on. Servers whose cordon
 // does not change are not affected.
-func (l *Loop) Hold(h Held) {
+func (l *Loop) SetCordon(h Cordon) {
 	l.post(func() {
 		if u := l.view.SetCordon(h); len(u.Transitions) > 0 {
 			// ListCached, because this answers no list request of the module.
-			l.enforce(u, decide.ListCached)
+			l.publishUpdate(u, decide.ListCached)
 		}
 	})
 }
@@ -22,7 +22,7 @@
 // OpenAttemptsAt is the number of attempts that have not ended at the servers of a cordon. If the cordon has zones,
 // attempts at servers that are no longer listed count too, as their zone is not known. ok is false once the loop has
 // ended.
-func (l *Loop) Left(h Held) (n int, ok bool) {
+func (l *Loop) OpenAttemptsAt(h Cordon) (n int, ok bool) {
 	ok = l.post(func() {
 		for _, r := range l.requests {
 			for _, t := range r.attempts {
@@ -37,16 +37,16 @@
 }
 
 // OpenRequests is the number of clients' requests that have not ended. ok is false once the loop has ended.
-func (l *Loop) Open() (n int, ok bool) {
+func (l *Loop) OpenRequests() (n int, ok bool) {
 	ok = l.post(func() { n = len(l.requests) })
 	return n, ok
 }
 
 // EjectedServers returns the names of the ready servers that the module has ejected because they don't answer or accept
 // nothing. They get no traffic but trial requests.
-func (l *Loop) Suspects() (names []string) {
+func (l *Loop) EjectedServers() (names []string) {
 	l.post(func() {
-		for _, id := range l.module.Suspects() {
+		for _, id := range l.module.EjectedServers() {
 			if e, ok := l.view.Entry(id); ok && e.Name != "" {
 				names = append(names, e.Name)
 			}
--- a/internal/core/lag.go
+++ b/internal/core/lag.go
@@ -11,15 +11,15 @@
 // answer. The metrics of package runtime/metrics show only the wait in the runtime's own queue. The wait in the kernel
 // until the poller runs, which is most of the lag on a busy core, is not among them.
 type lagMeter struct {
-	r, w *os.File
-	sent atomic.Int64 // when the byte in the pipe was sent, by clock; 0: the pipe is empty
-	lag  atomic.Int64 // smoothed, in ns
-	from time.Time    // the zero of clock
+	r, w  *os.File
+	sent  atomic.Int64 // when the byte in the pipe was sent, by clock; 0: the pipe is empty
+	lag   atomic.Int64 // smoothed, in ns
+	epoch time.Time    // the zero of clock
 }
 
 const (
 	lagGain = 0.3  // weight of a new reading: with some ten readings per second a starved core shows within half a second
-	lagMost = 10e9 // bound of one reading, in ns
+	maxLag  = 10e9 // bound of one reading, in ns
 )
 
 func newLagMeter() (*lagMeter, error) {
@@ -27,11 +27,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &lagMeter{r: r, w: w, from: time.Now()}, nil
+	return &lagMeter{r: r, w: w, epoch: time.Now()}, nil
 }
 
 // clock is the time since epoch in ns, plus 1, as 0 stands for an empty pipe.
-func (m *lagMeter) clock() int64 { return int64(time.Since(m.from)) + 1 }
+func (m *lagMeter) clock() int64 { return int64(time.Since(m.epoch)) + 1 }
 
 // ping starts a reading, unless one is in progress. It never blocks, because the pipe holds at most one byte.
 func (m *lagMeter) ping() {
@@ -47,7 +47,7 @@
 		if _, err := m.r.Read(b[:]); err != nil {
 			return
 		}
-		now := float64(min(m.clock()-m.sent.Load(), lagMost))
+		now := float64(min(m.clock()-m.sent.Load(), maxLag))
 		old := float64(m.lag.Load())
 		m.lag.Store(int64(old + lagGain*(now-old)))
 		m.sent.Store(0)
@@ -55,7 +55,7 @@
 }
 
 // current is the present lag. A reading in progress counts with the time that it has taken so far, if that shows more.
-func (m *lagMeter) value() time.Duration {
+func (m *lagMeter) current() time.Duration {
 	if m == nil {
 		return 0
 	}
--- a/internal/core/lag_test.go
+++ b/internal/core/lag_test.go
@@ -17,7 +17,7 @@
 	m.ping() // without effect: a reading is in progress
 	const late = 50 * time.Millisecond
 	time.Sleep(late) // run has not started
-	if v := m.value(); v < time.Duration(lagGain*float64(late)) {
+	if v := m.current(); v < time.Duration(lagGain*float64(late)) {
 		t.Errorf("%v while a reading is late by %v", v, late)
 	}
 	done := make(chan struct{})
@@ -25,23 +25,23 @@
 	for m.sent.Load() != 0 {
 		runtime.Gosched()
 	}
-	if v := m.value(); v < time.Duration(lagGain*float64(late)) || v > time.Minute {
+	if v := m.current(); v < time.Duration(lagGain*float64(late)) || v > time.Minute {
 		t.Errorf("%v after a reading of %v", v, late)
 	}
-	high := m.value()
-	for i := 0; i < 1000 && m.value() > high/4; i++ {
+	high := m.current()
+	for i := 0; i < 1000 && m.current() > high/4; i++ {
 		m.ping()
 		for m.sent.Load() != 0 {
 			runtime.Gosched()
 		}
 	}
-	if v := m.value(); v > high/4 {
+	if v := m.current(); v > high/4 {
 		t.Errorf("the lag is still %v after prompt readings", v)
 	}
 	m.close()
 	<-done
 	var none *lagMeter
-	if none.ping(); none.value() != 0 {
+	if none.ping(); none.current() != 0 {
 		t.Error("a nil meter shows a lag")
 	}
 }
@@ -49,15 +49,15 @@
 // An attempt's own time is what was spent in this node, and never more than the elapsed time.
 func TestOwnPart(t *testing.T) {
 	now := time.Now()
-	a := &attempt{sent: now.Add(-100 * time.Millisecond)}
-	if a.own(now, time.Second, time.Second) != 0 {
+	a := &attempt{sentAt: now.Add(-100 * time.Millisecond)}
+	if a.ownTime(now, time.Second, time.Second) != 0 {
 		t.Error("an attempt that did not start has an own time")
 	}
-	a.begun = now.Add(-90 * time.Millisecond)
-	if got := a.own(time.Now(), 5*time.Millisecond, 100*time.Millisecond); got < 15*time.Millisecond || got > 60*time.Millisecond {
+	a.startedAt = now.Add(-90 * time.Millisecond)
+	if got := a.ownTime(time.Now(), 5*time.Millisecond, 100*time.Millisecond); got < 15*time.Millisecond || got > 60*time.Millisecond {
 		t.Errorf("%v, want 15 ms and a little", got)
 	}
-	if got := a.own(time.Now(), time.Hour, 100*time.Millisecond); got != 100*time.Millisecond {
+	if got := a.ownTime(time.Now(), time.Hour, 100*time.Millisecond); got != 100*time.Millisecond {
 		t.Errorf("%v of 100 ms", got)
 	}
 }
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -20,9 +20,9 @@
 const (
 	// answerGrace is how long after a request's deadline the loop answers it without the module. It bounds the wait
 	// of every request, whatever the module does.
-	overdue = 20 * time.Millisecond
+	answerGrace = 20 * time.Millisecond
 	// dedupWindowMargin is how long before backends forget an idempotency key the last retry with that key is written.
-	windowMargin = 100 * time.Millisecond
+	dedupWindowMargin = 100 * time.Millisecond
 )
 
 // Loop owns the decision module: it turns everything that happens into events of the module, one at a time, and carries
@@ -30,75 +30,75 @@
 // event takes the lock and handles the event itself: one goroutine for all events cost two more goroutine switches per
 // request.
 type Loop struct {
-	module    *decide.Module
-	settings  decide.Settings
-	classes   map[string]decide.Class
-	transport Transport
-	members   Membership
-	messenger Messenger
-	remote    Remote // nil: no request is handed off to another site
-	figures   *stats.Figures
-	learned   *decide.Snapshot // from the predecessor process; nil: none
-	log       *slog.Logger
-	debug     bool         // each decision on a request is logged
-	guard     *guard.Guard // nil: attempts are checked, but not counted
-	lag       *lagMeter    // nil: not measured
-
-	ctx   context.Context // of all goroutines and calls that the loop starts
-	begun chan struct{}   // closed once the initial list has been applied
-	work  sync.WaitGroup  // the goroutines that the loop starts
-	able  atomic.Bool     // a server is ready, and the list has been usable at least once
-	began time.Time
-	base  decide.Time // the module's time at startedAt
-
-	mu        sync.Mutex  // guards all fields below, and the module
-	ended     bool        // the loop handles nothing more
-	ending    bool        // open requests have been answered, and no attempt is started any more
-	endBy     *time.Timer // answers all open requests when it fires; nil: not set
-	alarm     *time.Timer // fires when the first of timers is due
-	requests  map[decide.RequestID]*Request
-	timers    timerHeap
-	queue     []decide.Event // for the module, while it handles another event
-	handling  bool           // handle is running further up the stack
-	view      *serverlist.View
-	endWatch  context.CancelFunc // nil: no watch is open
-	watchOpen bool               // the watch has had its first answer
-	wasUsable bool               // the list has been usable at least once
+	module     *decide.Module
+	settings   decide.Settings
+	classes    map[string]decide.Class
+	transport  Transport
+	membership Membership
+	messenger  Messenger
+	remote     Remote // nil: no request is handed off to another site
+	metrics    *stats.Metrics
+	learned    *decide.Snapshot // from the predecessor process; nil: none
+	log        *slog.Logger
+	debug      bool         // each decision on a request is logged
+	guard      *guard.Guard // nil: attempts are checked, but not counted
+	lag        *lagMeter    // nil: not measured
+
+	ctx         context.Context // of all goroutines and calls that the loop starts
+	initialised chan struct{}   // closed once the initial list has been applied
+	work        sync.WaitGroup  // the goroutines that the loop starts
+	canServe    atomic.Bool     // a server is ready, and the list has been usable at least once
+	startedAt   time.Time
+	clockBase   decide.Time // the module's time at startedAt
+
+	mu            sync.Mutex  // guards all fields below, and the module
+	ended         bool        // the loop handles nothing more
+	ending        bool        // open requests have been answered, and no attempt is started any more
+	endTimer      *time.Timer // answers all open requests when it fires; nil: not set
+	wakeTimer     *time.Timer // fires when the first of timers is due
+	requests      map[decide.RequestID]*Request
+	timers        timerHeap
+	queue         []decide.Event // for the module, while it handles another event
+	handling      bool           // handle is running further up the stack
+	view          *serverlist.View
+	endWatch      context.CancelFunc // nil: no watch is open
+	watchAnswered bool               // the watch has had its first answer
+	listWasUsable bool               // the list has been usable at least once
 }
 
 // Options are the settings and ports of a Loop. Settings, Transport, Membership and Log are required. Without a
 // Messenger no messages to other nodes are sent.
 type Options struct {
-	Settings  decide.Settings
-	Seed      int64
-	Transport Transport
-	Members   Membership
-	Messenger Messenger
-	Remote    Remote           // nil: no request is handed off to another site
-	Figures   *stats.Figures   // nil: nothing is counted
-	Learned   *decide.Snapshot // the initial state of the module, from the predecessor process; nil: none
-	Guard     *guard.Guard     // nil: attempts are checked, but not counted
-	Log       *slog.Logger
+	Settings   decide.Settings
+	Seed       int64
+	Transport  Transport
+	Membership Membership
+	Messenger  Messenger
+	Remote     Remote           // nil: no request is handed off to another site
+	Metrics    *stats.Metrics   // nil: nothing is counted
+	Learned    *decide.Snapshot // the initial state of the module, from the predecessor process; nil: none
+	Guard      *guard.Guard     // nil: attempts are checked, but not counted
+	Log        *slog.Logger
 }
 
 // New returns the loop of a node, which Run starts. All goroutines and calls that the loop starts end with ctx.
-func New(ctx context.Context, o Options) (*Loop, error) {
+func New(ctx context.Context, options Options) (*Loop, error) {
 	lag, err := newLagMeter()
 	if err != nil {
 		return nil, fmt.Errorf("pipe: %w", err)
 	}
 	now := time.Now()
 	classes := map[string]decide.Class{}
-	for _, c := range o.Settings.Classes {
+	for _, c := range options.Settings.Classes {
 		classes[c.Name] = c
 	}
-	if o.Messenger == nil {
-		o.Messenger = noMessenger{}
+	if options.Messenger == nil {
+		options.Messenger = noMessenger{}
 	}
-	return &Loop{classes: classes, module: decide.New(o.Settings, o.Seed), settings: o.Settings, transport: o.Transport, members: o.Members,
-		messenger: o.Messenger, remote: o.Remote, log: o.Log, lag: lag, ctx: ctx, begun: make(chan struct{}), alarm: time.NewTimer(time.Hour), began: now,
-		base: time.Duration(now.Add(faultpoint.WallStep).UnixNano()), requests: map[decide.RequestID]*Request{},
-		figures: o.Figures, learned: o.Learned, guard: o.Guard, view: serverlist.NewView(), debug: o.Log.Enabled(ctx, slog.LevelDebug)}, nil
+	return &Loop{classes: classes, module: decide.New(options.Settings, options.Seed), settings: options.Settings, transport: options.Transport, membership: options.Membership,
+		messenger: options.Messenger, remote: options.Remote, log: options.Log, lag: lag, ctx: ctx, initialised: make(chan struct{}), wakeTimer: time.NewTimer(time.Hour), startedAt: now,
+		clockBase: time.Duration(now.Add(faultpoint.WallStep).UnixNano()), requests: map[decide.RequestID]*Request{},
+		metrics: options.Metrics, learned: options.Learned, guard: options.Guard, view: serverlist.NewView(), debug: options.Log.Enabled(ctx, slog.LevelDebug)}, nil
 }
 
 // Headroom is the number of further requests that the servers could take while all of them stay lightly loaded: see
@@ -110,7 +110,7 @@
 
 // ServerList returns the server list as this node has it now. It is empty, and Full is false, as long as no list has
 // been applied since the start or since SetMembership.
-func (l *Loop) Listed() (list List) {
+func (l *Loop) ServerList() (list List) {
 	l.post(func() { list, _ = l.view.List() })
 	return list
 }
@@ -123,17 +123,17 @@
 }
 
 // CanServe reports whether some server is ready, and the list has been usable at least once since the start.
-func (l *Loop) Able() bool { return l.able.Load() }
+func (l *Loop) CanServe() bool { return l.canServe.Load() }
 
 // now is the module's clock: the wall clock at the start plus the monotonic time since. So it never jumps, and the
 // start times of backends, which are given in wall-clock time, can be compared with it.
-func (l *Loop) now() decide.Time { return l.base + time.Since(l.began) }
+func (l *Loop) now() decide.Time { return l.clockBase + time.Since(l.startedAt) }
 
 // post runs f under the lock, after the initial list has been applied, and reports whether it did. Once the loop has
 // ended it does not. f must not call post.
 func (l *Loop) post(f func()) bool {
 	select {
-	case <-l.begun:
+	case <-l.initialised:
 	case <-l.ctx.Done():
 		return false
 	}
@@ -153,25 +153,25 @@
 	metering.Go(l.lag.run)
 	defer metering.Wait()
 	defer l.lag.close()
-	defer func() { l.work.Wait(); l.members.Close() }() // in this order: a call may open a connection until it returns
-	defer l.alarm.Stop()
+	defer func() { l.work.Wait(); l.membership.Close() }() // in this order: a call may open a connection until it returns
+	defer l.wakeTimer.Stop()
 	defer l.EndBy(time.Time{})
 	l.mu.Lock()
 	known.Full = true
 	if known.Source == serverlist.SourceNone {
 		known.Source = serverlist.SourceCache
 	}
-	l.follow(known, decide.ListCached)
+	l.applyList(known, decide.ListCached)
 	if l.learned != nil {
 		if err := l.module.Restore(l.now(), *l.learned); err != nil {
 			l.log.Warn("the snapshot of the predecessor cannot be restored", "err", err)
 		}
 	}
-	if !l.settings.AskForList {
-		l.listen()
+	if !l.settings.ListOnRequest {
+		l.followPushedLists()
 	}
 	l.mu.Unlock()
-	close(l.begun)
+	close(l.initialised)
 	for {
 		select {
 		case <-l.ctx.Done():
@@ -179,69 +179,69 @@
 			l.ended = true
 			l.mu.Unlock()
 			return
-		case <-l.alarm.C:
-			l.post(l.ring)
+		case <-l.wakeTimer.C:
+			l.post(l.fireTimers)
 		}
 	}
 }
 
 // fireTimers passes the timers that are due to the module, sets the timer for the next one, and updates the metrics.
-func (l *Loop) ring() {
+func (l *Loop) fireTimers() {
 	l.lag.ping()
 	for now := time.Now(); len(l.timers) > 0 && !l.timers[0].at.After(now); {
 		l.handle(decide.TimerFired{Token: heap.Pop(&l.timers).(runningTimer).token})
 	}
-	l.setAlarm()
-	l.publish()
+	l.resetWakeTimer()
+	l.setMetrics()
 }
 
 // setMetrics sets the metrics of the servers and of the list. Draining servers, and those that the module avoids, count
 // as unhealthy.
-func (l *Loop) publish() {
+func (l *Loop) setMetrics() {
 	listed, ready := l.view.Size()
-	l.figures.Cluster(listed, listed-ready+l.module.Avoided())
-	l.publishList()
+	l.metrics.SetServers(listed, listed-ready+l.module.UnhealthyCount())
+	l.setListMetrics()
 }
 
 // resetWakeTimer sets the timer of Run to the first of the module's timers.
-func (l *Loop) setAlarm() {
+func (l *Loop) resetWakeTimer() {
 	if len(l.timers) > 0 {
-		l.alarm.Reset(time.Until(l.timers[0].at))
+		l.wakeTimer.Reset(time.Until(l.timers[0].at))
 	}
 }
 
 // handle passes an event to the module and carries out the actions that it returns. An event that arises while another
 // is handled is queued, and handled after it.
-func (l *Loop) handle(e decide.Event) {
-	l.queue = append(l.queue, e)
+func (l *Loop) handle(event decide.Event) {
+	l.queue = append(l.queue, event)
 	if l.handling {
 		return
 	}
 	l.handling = true
 	for len(l.queue) > 0 {
-		e := l.queue[0]
+		event := l.queue[0]
 		l.queue = l.queue[1:]
-		for _, a := range l.module.Handle(l.now(), e) {
-			l.do(a)
+		for _, action := range l.module.Handle(l.now(), event) {
+			l.execute(action)
 		}
 	}
 	l.handling, l.queue = false, nil
-	l.noteAble()
+	l.updateCanServe()
 }
 
 // updateCanServe updates the result of CanServe. A process that has just started can't serve before its list is usable.
 // If the list gets too old later, the node refuses requests but stays in service: its peers may be in the same state.
-func (l *Loop) noteAble() {
-	if !l.wasUsable && l.module.UsableServers() {
-		l.wasUsable = true
-		l.log.Info("the list is usable", "after", time.Since(l.began).Round(time.Millisecond))
+func (l *Loop) updateCanServe() {
+	if !l.listWasUsable && l.module.HasUsableServers() {
+		l.listWasUsable = true
+		l.log.Info("the list is usable", "after", time.Since(l.startedAt).Round(time.Millisecond))
 	}
 	_, ready := l.view.Size()
-	l.able.Store(ready > 0 && l.wasUsable)
+	l.canServe.Store(ready > 0 && l.listWasUsable)
 }
 
 // execute carries out one action of the module.
-func (l *Loop) do(a decide.Action) {
+func (l *Loop) execute(a decide.Action) {
 	switch a := a.(type) {
 	case decide.Send:
 		l.send(a)
@@ -250,10 +250,10 @@
 			l.log.Debug("refuse", "request", a.ID, "for", a.Reason)
 		}
 		if a.Reason == decide.ByList {
-			l.figures.Unvouched()
+			l.metrics.RefusedNoList()
 		}
 		refusal := Answer{Status: http.StatusServiceUnavailable, HoldOff: a.HoldOff, Reason: a.Reason}
-		if !l.cross(a.ID, refusal) {
+		if !l.handOff(a.ID, refusal) {
 			l.finish(a.ID, refusal)
 		}
 	case decide.Fail:
@@ -265,7 +265,7 @@
 	case decide.SetTimer:
 		timer := runningTimer{time.Now().Add(a.After), a.Token}
 		if heap.Push(&l.timers, timer); l.timers[0] == timer {
-			l.setAlarm()
+			l.resetWakeTimer()
 		}
 	case decide.Probe:
 		l.probe(a.Server)
@@ -274,10 +274,10 @@
 	case decide.Subscribe:
 		l.subscribe(a.On)
 	case decide.FetchList:
-		d := l.members
+		d := l.membership
 		l.work.Go(func() {
 			n, err := d.Fetch(l.ctx)
-			l.post(func() { l.fetched(d, n, err) })
+			l.post(func() { l.handleFetchedList(d, n, err) })
 		})
 	case decide.CloseIdle:
 		l.transport.CloseIdle(a.Server)
@@ -294,10 +294,10 @@
 		return
 	}
 	if c := l.classes[r.Arrived.Class]; c.Effect == decide.Keyed {
-		r.window = c.DedupWindow
+		r.dedupWindow = c.DedupWindow
 	}
 	l.requests[r.Arrived.ID] = r
-	r.wanted, r.end = context.WithCancel(l.ctx)
+	r.ctx, r.cancel = context.WithCancel(l.ctx)
 	r.Arrived.Patience, r.Arrived.Uploading = time.Until(r.Deadline), r.Upload != nil
 	l.handle(r.Arrived)
 	r.arriving = false
@@ -306,45 +306,45 @@
 // handOff hands a request that the module has refused off to another site, if Remote accepts it, and reports whether it
 // does. The client gets refusal if the hand-off ends without effect. The request's id stays open until then, because a
 // second request with the same id would be a second copy.
-func (l *Loop) cross(id decide.RequestID, refusal Answer) bool {
-	r := l.requests[id]
-	if l.remote == nil || l.ending || r == nil || r.over || r.abroad != nil || r.Upload != nil {
+func (l *Loop) handOff(id decide.RequestID, refusal Answer) bool {
+	request := l.requests[id]
+	if l.remote == nil || l.ending || request == nil || request.over || request.cancelHandOff != nil || request.Upload != nil {
 		return false
 	}
-	ran := r.out > 0
-	for _, t := range r.attempts {
-		ran = ran || !t.neverRan
+	mayHaveRun := request.outstanding > 0
+	for _, t := range request.attempts {
+		mayHaveRun = mayHaveRun || !t.neverRan
 	}
-	class, known := l.classes[r.Arrived.Class]
+	class, known := l.classes[request.Arrived.Class]
 	if !known {
 		return false
 	}
-	c := l.remote.Offer(r, class.Effect, ran)
-	if c == nil {
+	handOff := l.remote.Offer(request, class.Effect, mayHaveRun)
+	if handOff == nil {
 		return false
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
-	r.abroad = cancel
-	r.out++
+	request.cancelHandOff = cancel
+	request.outstanding++
 	l.work.Go(func() {
 		defer cancel()
-		if r.Left != nil && r.Left(LookAge) {
+		if request.ClientGone != nil && request.ClientGone(MaxClientCheckAge) {
 			cancel() // so that nothing is sent to the other site
 		}
-		a, how := c.Cross(ctx)
+		answer, result := handOff.Run(ctx)
 		switch {
-		case how == CrossedServed:
-		case how == CrossedNever, class.Effect == decide.Safe:
-			a = refusal
+		case result == HandOffServed:
+		case result == HandOffNotRun, class.Effect == decide.Safe:
+			answer = refusal
 		default:
-			a = Answer{Status: http.StatusBadGateway}
+			answer = Answer{Status: http.StatusBadGateway}
 		}
 		l.post(func() {
-			r.out--
-			if !r.over {
-				r.answer <- a
+			request.outstanding--
+			if !request.over {
+				request.answer <- answer
 			}
-			l.close(r)
+			l.closeRequest(request)
 		})
 	})
 	return true
@@ -353,10 +353,10 @@
 // abandon ends a request whose client has gone.
 func (l *Loop) abandon(r *Request) {
 	if l.requests[r.Arrived.ID] == r && !r.over {
-		if r.abroad != nil {
-			r.abroad()
+		if r.cancelHandOff != nil {
+			r.cancelHandOff()
 		}
-		l.close(r)
+		l.closeRequest(r)
 		l.handle(decide.RequestAbandoned{ID: r.Arrived.ID})
 	}
 }
@@ -367,12 +367,12 @@
 func (l *Loop) EndBy(end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.endBy != nil {
-		l.endBy.Stop()
-		l.endBy = nil
+	if l.endTimer != nil {
+		l.endTimer.Stop()
+		l.endTimer = nil
 	}
 	if !end.IsZero() && !l.ended {
-		l.endBy = time.AfterFunc(time.Until(end), func() { l.post(l.endAll) })
+		l.endTimer = time.AfterFunc(time.Until(end), func() { l.post(l.endAll) })
 	}
 }
 
@@ -383,13 +383,13 @@
 		return
 	}
 	l.ending = true
-	l.handle(decide.Ending{})
+	l.handle(decide.Shutdown{})
 	for _, r := range l.requests {
-		if r.abroad != nil {
-			r.abroad()
+		if r.cancelHandOff != nil {
+			r.cancelHandOff()
 		}
 		for _, t := range r.attempts {
-			if !t.ended && !t.streams {
+			if !t.ended && !t.streaming {
 				t.cancel()
 			}
 		}
@@ -400,39 +400,39 @@
 func (l *Loop) finish(id decide.RequestID, a Answer) {
 	if r := l.requests[id]; r != nil && !r.over {
 		r.answer <- a
-		l.close(r)
+		l.closeRequest(r)
 	}
 }
 
 // closeRequest marks a request as over: nothing more is sent for it. It is removed once its last attempt has ended.
-func (l *Loop) close(r *Request) {
+func (l *Loop) closeRequest(r *Request) {
 	r.over = true
-	r.end()
-	if r.out == 0 {
+	r.cancel()
+	if r.outstanding == 0 {
 		delete(l.requests, r.Arrived.ID)
 	}
 }
 
 // ReceiveMessage passes a datagram from another node to the module.
-func (l *Loop) Heard(from int, data []byte) {
+func (l *Loop) ReceiveMessage(from int, data []byte) {
 	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
 }
 
 // probe checks a server in a goroutine of its own: by its load report, or by its health check where there are none.
 func (l *Loop) probe(id decide.ServerID) {
-	h := l.transport.Find(id)
+	server := l.transport.Find(id)
 	path := "/stats"
 	if l.settings.ReportVia == decide.ReportNone {
 		path = "/health/live"
 	}
 	began := time.Now()
 	l.work.Go(func() {
-		res := Result{Code: decide.ConnectFailed, Err: errUnlisted}
-		if h != nil {
-			res = h.Probe(l.ctx, path)
+		result := Result{Code: decide.ConnectFailed, Err: errUnlisted}
+		if server != nil {
+			result = server.Probe(l.ctx, path)
 		}
 		l.post(func() {
-			l.handle(decide.ProbeEnded{Server: id, Code: res.Code, Elapsed: time.Since(began), Report: res.Report})
+			l.handle(decide.ProbeEnded{Server: id, Code: result.Code, Elapsed: time.Since(began), Report: result.Report})
 		})
 	})
 }
--- a/internal/core/ports.go
+++ b/internal/core/ports.go
@@ -71,7 +71,7 @@
 
 // Error returns the error of the call, with the call's duration if discovery was overloaded.
 func (e *CallError) Error() string {
-	if e.Cause == decide.CauseCrowded {
+	if e.Cause == decide.CauseOverloaded {
 		return fmt.Sprintf("discovery is overloaded: %v after %v", e.Err, e.Took)
 	}
 	return e.Err.Error()
@@ -85,26 +85,26 @@
 	// Offer decides whether a request that the module has just refused is handed off to another site, and returns the
 	// hand-off, or nil. ran reports whether an earlier attempt of the request may have run. Offer is called under the
 	// loop's lock and must not block.
-	Offer(r *Request, effect decide.Effect, ran bool) Crossing
+	Offer(r *Request, effect decide.Effect, ran bool) HandOff
 }
 
 // HandOff is one request that is to be handed off to another site.
-type Crossing interface {
+type HandOff interface {
 	// Run sends the request and blocks until the hand-off has ended, by the request's deadline at the latest. The end
 	// of ctx means that the client has gone.
-	Cross(ctx context.Context) (Answer, Crossed)
+	Run(ctx context.Context) (Answer, HandOffResult)
 }
 
 // HandOffResult tells how a hand-off ended.
-type Crossed int
+type HandOffResult int
 
 const (
 	// HandOffServed: the other site has served the request; the answer is its answer.
-	CrossedServed Crossed = iota
+	HandOffServed HandOffResult = iota
 	// HandOffNotRun: the request has not run at the other site, and will not.
-	CrossedNever
+	HandOffNotRun
 	// HandOffUncertain: the request may have run at the other site, or may still run.
-	CrossedDoubt
+	HandOffUncertain
 )
 
 // Messenger sends datagrams to other nodes of the tier, which may get lost. It never blocks.
@@ -125,37 +125,37 @@
 
 // Exchange is one attempt: a request as it is sent to one server, and the limits until when it may be.
 type Exchange struct {
-	Method   string
-	URL      *url.URL
-	Header   http.Header
-	Body     []byte
-	Deadline time.Time // the attempt ends by then
-	Whole    time.Time // deadline of the request: a streamed answer of at most 64 KiB is complete by then; zero: Deadline
-	WriteBy  time.Time // if set, nothing is written from then on, as servers forget the idempotency key
-	ListBy   time.Time // if set, the attempt must start before: the list by which the server was chosen expires
-
-	Probe      bool          // a health check, which belongs to no request
-	Effect     decide.Effect // of the request's class
-	MayHaveRun bool          // an earlier attempt of the request may have run
-	ColdMost   int           // if the server is in slow start: requests that all nodes may send it per window; else 0
-	Told       time.Duration // the X-Time-Left that was sent to the server; set when the head is written
+	Method          string
+	URL             *url.URL
+	Header          http.Header
+	Body            []byte
+	Deadline        time.Time // the attempt ends by then
+	RequestDeadline time.Time // deadline of the request: a streamed answer of at most 64 KiB is complete by then; zero: Deadline
+	WriteBy         time.Time // if set, nothing is written from then on, as servers forget the idempotency key
+	ListValidUntil  time.Time // if set, the attempt must start before: the list by which the server was chosen expires
+
+	Probe          bool          // a health check, which belongs to no request
+	Effect         decide.Effect // of the request's class
+	MayHaveRun     bool          // an earlier attempt of the request may have run
+	SlowStartLimit int           // if the server is in slow start: requests that all nodes may send it per window; else 0
+	TimeLeft       time.Duration // the X-Time-Left that was sent to the server; set when the head is written
 
 	// RequestContext, if set, ends with the request. From then on no writing is started for it. Unlike a cancellation,
 	// which the settings have to allow, this stops nothing that has been started.
-	Wanted  context.Context
-	Left    func(age time.Duration) bool // if set, reports whether the client has left, by a check no older than age
-	Written func()                       // if set, called once the last byte has been written
-	Upload  *Upload                      // the part of the body after Body; nil: Body is all
+	RequestContext context.Context
+	ClientGone     func(age time.Duration) bool // if set, reports whether the client has left, by a check no older than age
+	OnWritten      func()                       // if set, called once the last byte has been written
+	Upload         *Upload                      // the part of the body after Body; nil: Body is all
 }
 
 // Upload is the part of a long request body that the front has not read yet. The attempts of such a request run one
 // after another, in the goroutine of the front that serves it.
 type Upload struct {
-	io.Reader               // the part that has not been read; each Read has a time limit
-	Length    int64         // of the whole body, including what has been read; -1: not known before its end
-	Patience  time.Duration // how long the client waits for an answer after the last byte of its body
-	Spent     bool          // some of the upload has been read, so that no other attempt can be made
-	Fault     func() int    // after a failed Read: the status to answer the client with
+	io.Reader                   // the part that has not been read; each Read has a time limit
+	Length        int64         // of the whole body, including what has been read; -1: not known before its end
+	Patience      time.Duration // how long the client waits for an answer after the last byte of its body
+	PartlySent    bool          // some of the upload has been read, so that no other attempt can be made
+	FailureStatus func() int    // after a failed Read: the status to answer the client with
 }
 
 // Rest is the part of an answer's body that has not been read from its server yet.
@@ -170,29 +170,29 @@
 
 // Result is the outcome of an Exchange.
 type Result struct {
-	Code   decide.OutcomeCode
-	At     time.Time // when the exchange ended
-	Report *decide.Report
-	Header http.Header
-	Body   []byte // the whole body, or its beginning if Rest is set
-	Rest   Rest   // nil: Body is the whole body
-	Length int64  // of the whole body, if Rest is set; -1: not known before its end
-	Client int    // the status of the server's answer if it blames the client (4xx); 0: it does not
-	Err    error
+	Code              decide.OutcomeCode
+	EndedAt           time.Time // when the exchange ended
+	Report            *decide.Report
+	Header            http.Header
+	Body              []byte // the whole body, or its beginning if Rest is set
+	Rest              Rest   // nil: Body is the whole body
+	Length            int64  // of the whole body, if Rest is set; -1: not known before its end
+	ClientErrorStatus int    // the status of the server's answer if it blames the client (4xx); 0: it does not
+	Err               error
 }
 
 var errUnlisted = errors.New("the server is no longer listed")
 
 // Answer is a request's final answer.
 type Answer struct {
-	Status  int
-	Header  http.Header
-	Body    []byte        // the whole body, or its beginning if Rest is set
-	Rest    Rest          // the remainder of the body, which the front has to close; nil: Body is the whole body
-	Length  int64         // of the whole body, if Rest is set; -1: not known before its end
-	HoldOff time.Duration // how long the client should wait before it retries; 0: no advice
-	Reason  decide.Reason // of a refusal
-	Work    time.Duration // how long the attempt that served the request took; 0: no server of this site served it
+	Status      int
+	Header      http.Header
+	Body        []byte        // the whole body, or its beginning if Rest is set
+	Rest        Rest          // the remainder of the body, which the front has to close; nil: Body is the whole body
+	Length      int64         // of the whole body, if Rest is set; -1: not known before its end
+	HoldOff     time.Duration // how long the client should wait before it retries; 0: no advice
+	Reason      decide.Reason // of a refusal
+	AttemptTime time.Duration // how long the attempt that served the request took; 0: no server of this site served it
 }
 
 // Request is a client's request that a front has read and checked.
@@ -207,18 +207,18 @@
 	// ClientGone, if set, reports whether the client has left, by a check no older than age. It also finds that out
 	// where the front doesn't notice by itself: while the body is still arriving, or behind more bytes than the front
 	// reads ahead. If the client has left, the context of Do ends too. Attempts call it from their own goroutines.
-	Left func(age time.Duration) bool
+	ClientGone func(age time.Duration) bool
 
 	// The remaining fields belong to the loop.
-	answer   chan Answer     // buffered: takes the final answer, the only one
-	arriving bool            // arrive is running, so that the front's own goroutine can make the first attempt
-	attempt  func()          // the first attempt, if the front's own goroutine makes it
-	runs     chan func()     // attempts with an upload, which the front's own goroutine makes
-	over     bool            // it has its final answer, or needs none
-	wanted   context.Context // ends once the request is over
-	end      func()          // ends ctx
-	out      int             // attempts and hand-offs that have not ended
-	attempts []*attempt
-	window   time.Duration      // keyed requests: how long servers remember the key
-	abroad   context.CancelFunc // ends the hand-off to another site; nil: there was none
+	answer         chan Answer     // buffered: takes the final answer, the only one
+	arriving       bool            // arrive is running, so that the front's own goroutine can make the first attempt
+	firstAttempt   func()          // the first attempt, if the front's own goroutine makes it
+	uploadAttempts chan func()     // attempts with an upload, which the front's own goroutine makes
+	over           bool            // it has its final answer, or needs none
+	ctx            context.Context // ends once the request is over
+	cancel         func()          // ends ctx
+	outstanding    int             // attempts and hand-offs that have not ended
+	attempts       []*attempt
+	dedupWindow    time.Duration      // keyed requests: how long servers remember the key
+	cancelHandOff  context.CancelFunc // ends the hand-off to another site; nil: there was none
 }
--- a/internal/core/ports_test.go
+++ b/internal/core/ports_test.go
@@ -12,31 +12,31 @@
 	"starlingvalve/decide"
 )
 
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 var quiet = slog.New(slog.DiscardHandler)
 
 // fakePorts is a fake of all ports at once, which reports each call on calls.
-type fakes struct {
+type fakePorts struct {
 	calls chan string
 	reply chan Result // results of Do, which blocks until there is one or it is cancelled
 	lists chan List   // lists for Watch and Follow
 }
 
-func newFakes() *fakes {
-	return &fakes{calls: make(chan string, 100), reply: make(chan Result, 10), lists: make(chan List, 10)}
+func newFakes() *fakePorts {
+	return &fakePorts{calls: make(chan string, 100), reply: make(chan Result, 10), lists: make(chan List, 10)}
 }
 
-func (f *fakes) Update(l List)                { f.calls <- fmt.Sprint("update ", l.Version) }
-func (f *fakes) CloseIdle(id decide.ServerID) { f.calls <- fmt.Sprint("close ", id) }
-func (f *fakes) Find(id decide.ServerID) Server {
+func (f *fakePorts) Update(l List)                { f.calls <- fmt.Sprint("update ", l.Version) }
+func (f *fakePorts) CloseIdle(id decide.ServerID) { f.calls <- fmt.Sprint("close ", id) }
+func (f *fakePorts) Find(id decide.ServerID) Server {
 	if id != 1 {
 		return nil
 	}
 	return f
 }
 
-func (f *fakes) Do(ctx context.Context, x *Exchange) Result {
+func (f *fakePorts) Do(ctx context.Context, x *Exchange) Result {
 	f.calls <- "do " + x.URL.Path
 	select {
 	case r := <-f.reply:
@@ -47,17 +47,17 @@
 	}
 }
 
-func (f *fakes) Probe(_ context.Context, path string) Result {
+func (f *fakePorts) Probe(_ context.Context, path string) Result {
 	f.calls <- "probe " + path
 	return Result{Code: decide.OK}
 }
 
-func (f *fakes) Fetch(context.Context) (List, error) {
+func (f *fakePorts) Fetch(context.Context) (List, error) {
 	f.calls <- "fetch"
 	return List{Version: 3, Full: true, Entries: oneServer}, nil
 }
 
-func (f *fakes) Watch(ctx context.Context, since *uint64, news func(List)) error {
+func (f *fakePorts) Watch(ctx context.Context, since *uint64, news func(List)) error {
 	from := "nothing"
 	if since != nil {
 		from = fmt.Sprint(*since)
@@ -74,18 +74,18 @@
 	}
 }
 
-func (f *fakes) Follow(ctx context.Context, since *uint64, news func(List)) {
+func (f *fakePorts) Follow(ctx context.Context, since *uint64, news func(List)) {
 	f.Watch(ctx, since, news)
 }
-func (f *fakes) Close() { f.calls <- "close membership" }
-func (f *fakes) Send(to int, toAll bool, data []byte) {
+func (f *fakePorts) Close() { f.calls <- "close membership" }
+func (f *fakePorts) Send(to int, toAll bool, data []byte) {
 	f.calls <- fmt.Sprintf("send %d %v %s", to, toAll, data)
 }
 
 // expect waits for a call and skips others.
-func (f *fakes) expect(t *testing.T, want string) {
+func (f *fakePorts) expect(t *testing.T, want string) {
 	t.Helper()
-	end := time.After(patient)
+	end := time.After(testTimeout)
 	for {
 		select {
 		case got := <-f.calls:
@@ -102,15 +102,15 @@
 
 func loopSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayCancel: true, MayMessage: true, MayProbe: true,
-		ConnectTimeout: time.Second, ReportVia: decide.ReportProbe, AskWithin: 10 * time.Second, AskForList: true,
+		ConnectTimeout: time.Second, ReportVia: decide.ReportProbe, MaxListRequestInterval: 10 * time.Second, ListOnRequest: true,
 		Classes: []decide.Class{{Name: "read", Worth: 1, Aim: time.Second, Deadline: 10 * time.Second, Effect: decide.Safe},
 			{Name: "order", Worth: 1, Aim: time.Second, Deadline: 10 * time.Second, Effect: decide.Unsafe}}}
 }
 
-func running(t *testing.T, s decide.Settings, f *fakes) *Loop {
+func startLoop(t *testing.T, s decide.Settings, f *fakePorts) *Loop {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	l, err := New(ctx, Options{Settings: s, Seed: 1, Transport: f, Members: f, Messenger: f, Log: quiet})
+	l, err := New(ctx, Options{Settings: s, Seed: 1, Transport: f, Membership: f, Messenger: f, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +120,7 @@
 	return l
 }
 
-func ask(class, id string, wait time.Duration) *Request {
+func newTestRequest(class, id string, wait time.Duration) *Request {
 	return &Request{Arrived: decide.RequestArrived{ID: decide.RequestID(id), Class: class}, Deadline: time.Now().Add(wait), Method: http.MethodGet,
 		URL: &url.URL{Path: "/" + class, Host: "h"}}
 }
@@ -129,8 +129,8 @@
 func TestActions(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
-	l := running(t, loopSettings(), f)
-	act := func(a decide.Action) { l.post(func() { l.do(a) }) }
+	l := startLoop(t, loopSettings(), f)
+	act := func(a decide.Action) { l.post(func() { l.execute(a) }) }
 	act(decide.Probe{Server: 1})
 	f.expect(t, "probe /stats")
 	act(decide.Probe{Server: 9}) // not listed
@@ -150,9 +150,9 @@
 	act(decide.Log{Line: "line"})
 
 	answered := make(chan Answer, 1)
-	go func() { a, _ := l.Do(t.Context(), ask("order", "q", patient)); answered <- a }()
+	go func() { a, _ := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); answered <- a }()
 	f.expect(t, "do /order")
-	if a, _ := l.Do(t.Context(), ask("order", "q", patient)); a.Status != http.StatusConflict {
+	if a, _ := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); a.Status != http.StatusConflict {
 		t.Errorf("the same id again: status %d", a.Status)
 	}
 	act(decide.CancelAttempt{ID: "q", Attempt: 7})
@@ -165,7 +165,7 @@
 	act(decide.Refuse{ID: "q"})
 	act(decide.Fail{ID: "nobody"})
 	fired := make(chan struct{})
-	l.post(func() { l.do(decide.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
+	l.post(func() { l.execute(decide.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
 	<-fired
 	for left := true; left; time.Sleep(time.Millisecond) {
 		l.post(func() {
@@ -182,30 +182,30 @@
 func TestDoEnds(t *testing.T) {
 	t.Parallel()
 	f := newFakes()
-	l := running(t, loopSettings(), f)
+	l := startLoop(t, loopSettings(), f)
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan bool, 1)
-	go func() { _, ok := l.Do(ctx, ask("order", "q", patient)); gone <- ok }()
+	go func() { _, ok := l.Do(ctx, newTestRequest("order", "q", testTimeout)); gone <- ok }()
 	f.expect(t, "do /order")
 	cancel()
 	f.expect(t, "called off")
 	if <-gone {
 		t.Error("a client that has gone is answered")
 	}
-	for l.holds("q") {
+	for l.isOpen("q") {
 		time.Sleep(time.Millisecond)
 	}
 	f.reply <- Result{Code: decide.OK, Body: []byte("x")}
-	if a, ok := l.Do(t.Context(), ask("order", "q", patient)); !ok || a.Status != 200 || string(a.Body) != "x" {
+	if a, ok := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); !ok || a.Status != 200 || string(a.Body) != "x" {
 		t.Errorf("%+v, %v", a, ok)
 	}
 	began := time.Now()
-	if a, ok := l.Do(t.Context(), ask("order", "r", 500*time.Millisecond)); !ok || a.Status < 500 || a.Status == 503 || time.Since(began) > patient/2 {
+	if a, ok := l.Do(t.Context(), newTestRequest("order", "r", 500*time.Millisecond)); !ok || a.Status < 500 || a.Status == 503 || time.Since(began) > testTimeout/2 {
 		t.Errorf("after %v: %+v, %v; want a failure, as the unsafe request may have run", time.Since(began), a, ok)
 	}
 }
 
-func (l *Loop) holds(id decide.RequestID) (held bool) {
+func (l *Loop) isOpen(id decide.RequestID) (held bool) {
 	l.post(func() { held = l.requests[id] != nil })
 	return held
 }
@@ -215,33 +215,33 @@
 func TestMove(t *testing.T) {
 	t.Parallel()
 	from, to := newFakes(), newFakes()
-	l := running(t, loopSettings(), from)
+	l := startLoop(t, loopSettings(), from)
 	from.expect(t, "watch from 1") // the module requests the list by itself
-	l.Move(to)
+	l.SetMembership(to)
 	from.expect(t, "close membership")
 	to.expect(t, "watch from nothing")
 	to.lists <- List{Version: 0, Full: true}
 	from.expect(t, "update 0")
-	for l.Able() {
+	for l.CanServe() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
 // fakeRemote is a Remote whose hand-offs end with the result that the test sends, or when the client leaves.
-type abroad struct {
-	offers chan bool // the ran of each Offer
-	end    chan Crossed
-	gone   chan struct{}
+type fakeRemote struct {
+	offers    chan bool // the ran of each Offer
+	end       chan HandOffResult
+	cancelled chan struct{}
 }
 
-func (a *abroad) Offer(_ *Request, _ decide.Effect, ran bool) Crossing { a.offers <- ran; return a }
-func (a *abroad) Cross(ctx context.Context) (Answer, Crossed) {
+func (a *fakeRemote) Offer(_ *Request, _ decide.Effect, ran bool) HandOff { a.offers <- ran; return a }
+func (a *fakeRemote) Run(ctx context.Context) (Answer, HandOffResult) {
 	select {
 	case how := <-a.end:
 		return Answer{Status: 200, Body: []byte("abroad")}, how
 	case <-ctx.Done():
-		close(a.gone)
-		return Answer{}, CrossedDoubt
+		close(a.cancelled)
+		return Answer{}, HandOffUncertain
 	}
 }
 
@@ -250,9 +250,9 @@
 // cancelled. The request's id stays open until the hand-off has ended.
 func TestCrossing(t *testing.T) {
 	t.Parallel()
-	f, far := newFakes(), &abroad{offers: make(chan bool, 9), end: make(chan Crossed, 9), gone: make(chan struct{})}
+	ports, remote := newFakes(), &fakeRemote{offers: make(chan bool, 9), end: make(chan HandOffResult, 9), cancelled: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
-	l, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: f, Members: f, Remote: far, Log: quiet})
+	l, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: ports, Membership: ports, Remote: remote, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,38 +261,38 @@
 	t.Cleanup(func() { cancel(); <-done })
 	for i, c := range []struct {
 		class  string
-		how    Crossed
+		how    HandOffResult
 		status int
-	}{{"order", CrossedServed, 200}, {"order", CrossedNever, 503}, {"order", CrossedDoubt, 502}, {"read", CrossedDoubt, 503}, {"read", CrossedServed, 200}} {
-		far.end <- c.how
+	}{{"order", HandOffServed, 200}, {"order", HandOffNotRun, 503}, {"order", HandOffUncertain, 502}, {"read", HandOffUncertain, 503}, {"read", HandOffServed, 200}} {
+		remote.end <- c.how
 		id := fmt.Sprint("q", i)
-		a, ok := l.Do(t.Context(), ask(c.class, id, patient))
+		a, ok := l.Do(t.Context(), newTestRequest(c.class, id, testTimeout))
 		if !ok || a.Status != c.status || (c.status == 200) != (string(a.Body) == "abroad") {
 			t.Errorf("%s, %v: %+v, %v", c.class, c.how, a, ok)
 		}
-		if ran := <-far.offers; ran {
+		if ran := <-remote.offers; ran {
 			t.Error("the offer says that the request may have run")
 		}
-		if l.holds(decide.RequestID(id)) {
+		if l.isOpen(decide.RequestID(id)) {
 			t.Error("the request is still open")
 		}
 	}
-	if a, _ := l.Do(t.Context(), ask("unheard-of", "x", patient)); a.Status != 503 || len(far.offers) > 0 {
+	if a, _ := l.Do(t.Context(), newTestRequest("unheard-of", "x", testTimeout)); a.Status != 503 || len(remote.offers) > 0 {
 		t.Errorf("an unknown class: %+v", a)
 	}
 	client, leave := context.WithCancel(t.Context())
 	answered := make(chan bool, 1)
-	go func() { _, ok := l.Do(client, ask("order", "q", patient)); answered <- ok }()
-	<-far.offers
-	if a, _ := l.Do(t.Context(), ask("order", "q", patient)); a.Status != http.StatusConflict {
+	go func() { _, ok := l.Do(client, newTestRequest("order", "q", testTimeout)); answered <- ok }()
+	<-remote.offers
+	if a, _ := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); a.Status != http.StatusConflict {
 		t.Errorf("the same id during the hand-off: %+v", a)
 	}
 	leave()
-	<-far.gone
+	<-remote.cancelled
 	if <-answered {
 		t.Error("a client that has gone is answered")
 	}
-	for l.holds("q") {
+	for l.isOpen("q") {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -7,15 +7,15 @@
 import "fmt"
 
 // MinLimit is the smallest limit of open files with which a node runs.
-const Least = 64
+const MinLimit = 64
 
 // Client connections that are open beyond the clients' share, each for a short time.
 const (
 	// MaxRefused is the number of refused connections that may be kept open at once, each until its request has been
 	// read.
-	Refused = 8
+	MaxRefused = 8
 	// MaxEvicted is the number of connections that may be evicted for others but not closed yet.
-	Evicted = 3
+	MaxEvicted = 3
 	// accepted is for the connection that has been accepted but not yet counted.
 	accepted = 1
 )
@@ -46,7 +46,7 @@
 	clientShare = 0.5
 	// minConnShare is the part of the limit that connections get in any case. It matters only with a limit far below
 	// that of the platform and all optional parts in use; the node itself may then run out of descriptors.
-	leastRest = 0.25
+	minConnShare = 0.25
 )
 
 // Uses names the optional parts of a node that need descriptors of their own.
@@ -69,10 +69,10 @@
 
 // Divide splits a limit of open files. A limit below MinLimit is an error.
 func Divide(limit int, u Uses) (Split, error) {
-	if limit < Least {
-		return Split{}, fmt.Errorf("%d file descriptors are too few: at least %d are required", limit, Least)
+	if limit < MinLimit {
+		return Split{}, fmt.Errorf("%d file descriptors are too few: at least %d are required", limit, MinLimit)
 	}
-	own := node + Refused + Evicted + accepted + u.Operators
+	own := node + MaxRefused + MaxEvicted + accepted + u.Operators
 	if u.Link {
 		own += link
 	}
@@ -82,7 +82,7 @@
 	if u.Recorder {
 		own += recorder
 	}
-	rest := max(limit-own, int(float64(limit)*leastRest))
-	clients := int(float64(rest) * clientShare)
-	return Split{Node: limit - rest, Clients: clients, Servers: rest - clients}, nil
+	forConns := max(limit-own, int(float64(limit)*minConnShare))
+	clients := int(float64(forConns) * clientShare)
+	return Split{Node: limit - forConns, Clients: clients, Servers: forConns - clients}, nil
 }
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -14,7 +14,7 @@
 			Link: rapid.Bool().Draw(t, "link"), Fleet: rapid.Bool().Draw(t, "fleet"),
 			Recorder: rapid.Bool().Draw(t, "recorder")}
 		s, err := Divide(limit, u)
-		if limit < Least {
+		if limit < MinLimit {
 			if err == nil {
 				t.Fatalf("%d descriptors pass: %+v", limit, s)
 			}
@@ -27,7 +27,7 @@
 			t.Fatalf("%d: %+v", limit, s)
 		}
 		bare, err := Divide(limit, Uses{})
-		if err != nil || limit >= 128 && s.Node < bare.Node+u.Operators || s.Node < node+Refused+Evicted {
+		if err != nil || limit >= 128 && s.Node < bare.Node+u.Operators || s.Node < node+MaxRefused+MaxEvicted {
 			t.Fatalf("%d for the node itself, without the optional parts %+v, %v", s.Node, bare, err)
 		}
 	})
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	BodyLimit     = 64 << 10               // bytes of a request's body that are buffered; the rest is streamed
-	longLimit     = 40 << 20               // bytes of a request's body, buffered or streamed
-	foreignLimit  = 1 << 20                // bytes of an answer to a request from another site, which is buffered whole
-	writeWait     = 5 * time.Second        // for the client to take its answer, or the next piece of a streamed one
-	lingerWait    = 200 * time.Millisecond // for reading on after a rejection, so that the client gets to read the answer
-	patienceLimit = time.Hour
+	BodyLimit        = 64 << 10               // bytes of a request's body that are buffered; the rest is streamed
+	maxRequestBody   = 40 << 20               // bytes of a request's body, buffered or streamed
+	maxForeignAnswer = 1 << 20                // bytes of an answer to a request from another site, which is buffered whole
+	writeTimeout     = 5 * time.Second        // for the client to take its answer, or the next piece of a streamed one
+	lingerTimeout    = 200 * time.Millisecond // for reading on after a rejection, so that the client gets to read the answer
+	maxPatience      = time.Hour
 	// answerMargin is subtracted from a client's patience, for the way of the answer to the client.
 	answerMargin = 10 * time.Millisecond
 	busyHoldOff  = 500 * time.Millisecond // Retry-After of requests that the node refuses because it is at its own limits
@@ -39,58 +39,58 @@
 type Handler struct {
 	// Evicted, if set, reports whether a request's connection was evicted for a new one while the request was
 	// arriving. The request is refused then.
-	Lost func(*http.Request) bool
+	Evicted func(*http.Request) bool
 	// ClientGone, if set, reports whether a request's client has left. No attempt is started for it from then on. It
 	// is called at any time until the request has been answered.
-	Gone func(*http.Request) bool
+	ClientGone func(*http.Request) bool
 	// DisconnectHidden, if set, reports whether so many unread bytes follow a request that the end of its client's
 	// connection could not be seen. No attempt is started then once the request has waited for disconnectHiddenWait.
-	Hidden func(*http.Request) bool
+	DisconnectHidden func(*http.Request) bool
 	// AmbiguousEnd, if set, reports whether a request's end can be read in two ways, as it has both a length and a
 	// transfer coding. It is called exactly once for each request, in the order of the requests on a connection.
-	Doubtful func(*http.Request) bool
+	AmbiguousEnd func(*http.Request) bool
 	// ConnectionPressure, if set, reports whether answers should close their connections, as other clients need them.
-	Crowded func() bool
+	ConnectionPressure func() bool
 	// Foreign is set if the requests come from another site. They are served from spare capacity only. Keyed ones are
 	// rejected, because the servers here don't know the keys that the servers of the other site have seen.
 	Foreign bool
 	// OnComplete, if set, is called for each request that was passed to the loop, once its client has been answered or
 	// has left. It must not block.
-	Seen func(*Seen)
+	OnComplete func(*CompletedRequest)
 	// Guard, if set, records the end of each request that was read whole.
 	Guard *guard.Guard
 	// Metrics, if set, counts the requests of each class by their answers' status.
-	Figures *stats.Figures
-
-	loop      *core.Loop
-	log       *slog.Logger
-	classes   map[string]decide.Class
-	longest   time.Duration             // the longest deadline of any class
-	drainEnd  atomic.Pointer[time.Time] // when a drain ends; nil: no drain has started
-	closing   atomic.Bool               // new requests are refused
-	leaving   atomic.Bool               // each answer closes its connection
-	away      atomic.Bool               // the health check says that the node is not ready
-	open      atomic.Int64              // requests that have been passed to the loop and not answered
-	maxOpen   int64
-	bodies    atomic.Int64 // bytes of request bodies that are buffered or reserved
-	maxBodies int64
+	Metrics *stats.Metrics
+
+	loop             *core.Loop
+	log              *slog.Logger
+	classes          map[string]decide.Class
+	longestDeadline  time.Duration             // the longest deadline of any class
+	drainEnd         atomic.Pointer[time.Time] // when a drain ends; nil: no drain has started
+	refusing         atomic.Bool               // new requests are refused
+	closeAfterAnswer atomic.Bool               // each answer closes its connection
+	notReady         atomic.Bool               // the health check says that the node is not ready
+	openRequests     atomic.Int64              // requests that have been passed to the loop and not answered
+	maxOpenRequests  int64
+	bodyBytes        atomic.Int64 // bytes of request bodies that are buffered or reserved
+	maxBodyBytes     int64
 }
 
 // CompletedRequest is a request that is over, as it is passed to Handler.OnComplete.
-type Seen struct {
-	Request  *core.Request
-	Answer   core.Answer
-	Gone     bool // the client left before it was answered
-	Began    time.Time
-	Took     time.Duration // until the final answer was there
-	Patience time.Duration // how long the client waits, by its X-Time-Left
+type CompletedRequest struct {
+	Request    *core.Request
+	Answer     core.Answer
+	ClientGone bool // the client left before it was answered
+	Began      time.Time
+	Took       time.Duration // until the final answer was there
+	Patience   time.Duration // how long the client waits, by its X-Time-Left
 }
 
 // NewHandler returns a handler that buffers at most maxBodies bytes of request bodies at a time.
 func NewHandler(l *core.Loop, s decide.Settings, maxBodies int64, log *slog.Logger) *Handler {
-	f := &Handler{loop: l, log: log, classes: map[string]decide.Class{}, longest: s.LongestDeadline(), maxOpen: math.MaxInt64, maxBodies: maxBodies}
+	f := &Handler{loop: l, log: log, classes: map[string]decide.Class{}, longestDeadline: s.LongestDeadline(), maxOpenRequests: math.MaxInt64, maxBodyBytes: maxBodies}
 	if m := s.MaxOpen; m > 0 {
-		f.maxOpen = int64(m)
+		f.maxOpenRequests = int64(m)
 	}
 	for _, c := range s.Classes {
 		f.classes[c.Name] = c
@@ -105,27 +105,29 @@
 }
 
 // SetCloseAfterAnswer sets whether each answer closes its connection, so that the client has to open a new one.
-func (f *Handler) Leave(on bool) { f.leaving.Store(on) }
+func (f *Handler) SetCloseAfterAnswer(on bool) { f.closeAfterAnswer.Store(on) }
 
 // LongestDeadline is the longest deadline of any class.
-func (f *Handler) Longest() time.Duration { return f.longest }
+func (f *Handler) LongestDeadline() time.Duration { return f.longestDeadline }
 
 // RefuseNewRequests has all requests from now on refused with 503.
-func (f *Handler) LastCall() { f.closing.Store(true) }
+func (f *Handler) RefuseNewRequests() { f.refusing.Store(true) }
 
 // Ready is the result of the health check: the node is not draining, is not set not ready, and has a server to send to.
-func (f *Handler) Ready() bool { return f.drainEnd.Load() == nil && !f.away.Load() && f.loop.Able() }
+func (f *Handler) Ready() bool {
+	return f.drainEnd.Load() == nil && !f.notReady.Load() && f.loop.CanServe()
+}
 
 // SetNotReady sets whether the health check says that the node is not ready. Requests are served in any case.
-func (f *Handler) Away(on bool) { f.away.Store(on) }
+func (f *Handler) SetNotReady(on bool) { f.notReady.Store(on) }
 
 // ServeHTTP answers one request. It answers GET /health/ready and /health/live itself, and passes requests of a known
 // class to the loop. A malformed request gets a 4xx or 5xx status, but never 429 or 503, which invite a retry.
 func (f *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	doubtful := f.Doubtful != nil && f.Doubtful(r)
+	ambiguous := f.AmbiguousEnd != nil && f.AmbiguousEnd(r)
 	class, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	if class == "health" && (rest == "ready" || rest == "live") && r.ContentLength == 0 {
-		f.last(w)
+		f.closeIfLast(w)
 		if rest == "ready" && !f.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 		}
@@ -133,76 +135,76 @@
 	}
 	settings, known := f.classes[class]
 	if !known {
-		f.turnAway(w, http.StatusNotFound, "no such path")
+		f.rejectNotTaken(w, http.StatusNotFound, "no such path")
 		return
 	}
-	turnAway := func(status int, fault string) {
-		f.turnAway(w, status, fault)
-		f.Figures.End(class, status)
+	rejectCounted := func(status int, problem string) {
+		f.rejectNotTaken(w, status, problem)
+		f.Metrics.RequestEnded(class, status)
 	}
 	answer := func(a core.Answer) {
-		f.write(w, a)
-		f.Figures.End(class, a.Status)
+		f.writeAnswer(w, a)
+		f.Metrics.RequestEnded(class, a.Status)
 	}
 	if f.Foreign && settings.Effect == decide.Keyed {
-		turnAway(http.StatusForbidden, "keyed requests do not cross")
+		rejectCounted(http.StatusForbidden, "keyed requests do not cross")
 		return
 	}
-	patience, status, fault := check(r, settings)
-	if doubtful {
-		status, fault = http.StatusBadRequest, "the body's end is in doubt: Content-Length beside Transfer-Encoding, or folded"
+	patience, status, problem := check(r, settings)
+	if ambiguous {
+		status, problem = http.StatusBadRequest, "the body's end is in doubt: Content-Length beside Transfer-Encoding, or folded"
 	}
-	if fault != "" {
-		turnAway(status, fault)
+	if problem != "" {
+		rejectCounted(status, problem)
 		return
 	}
-	holds := r.ContentLength
-	if holds < 0 || holds > BodyLimit {
-		holds = BodyLimit
+	reserved := r.ContentLength
+	if reserved < 0 || reserved > BodyLimit {
+		reserved = BodyLimit
 	}
-	defer f.bodies.Add(-holds)
-	if f.bodies.Add(holds) > f.maxBodies {
+	defer f.bodyBytes.Add(-reserved)
+	if f.bodyBytes.Add(reserved) > f.maxBodyBytes {
 		w.Header().Set("Connection", "close") // the body is not read
-		http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerWait))
+		http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout))
 		answer(core.Answer{Status: http.StatusServiceUnavailable, HoldOff: busyHoldOff, Reason: decide.ByNode})
 		return
 	}
-	body, upload, status, fault := readBody(w, r)
-	if fault != "" {
-		turnAway(status, fault)
+	body, upload, status, problem := readBody(w, r)
+	if problem != "" {
+		rejectCounted(status, problem)
 		return
 	}
 	if upload != nil {
 		upload.Patience = patience - answerMargin
-		upload.taken = func() { f.Figures.Taken(1) }
+		upload.onReceived = func() { f.Metrics.AddInFlight(1) }
 		defer func() {
-			if upload.ended {
-				f.Figures.Taken(-1)
+			if upload.complete {
+				f.Metrics.AddInFlight(-1)
 			}
 		}()
 	} else {
-		f.Figures.Taken(1)
-		defer f.Figures.Taken(-1)
+		f.Metrics.AddInFlight(1)
+		defer f.Metrics.AddInFlight(-1)
 	}
-	watched := &answering{ResponseWriter: w}
-	w = watched
-	defer func() { f.Guard.Ended(watched.answered) }()
+	tracked := &answerTracker{ResponseWriter: w}
+	w = tracked
+	defer func() { f.Guard.RecordRequestEnd(tracked.answered) }()
 	began := time.Now() // must not be later than the check of the client's presence
-	if f.Gone != nil && f.Gone(r) {
+	if f.ClientGone != nil && f.ClientGone(r) {
 		reject(w, http.StatusBadRequest, "the client has closed") // or has closed only its own direction, and reads this
 		return
 	}
-	lost := f.Lost != nil && f.Lost(r)
-	if lost {
+	evicted := f.Evicted != nil && f.Evicted(r)
+	if evicted {
 		w.Header().Set("Connection", "close")
 	}
-	defer f.open.Add(-1)
-	if f.open.Add(1) > f.maxOpen || f.closing.Load() || lost {
+	defer f.openRequests.Add(-1)
+	if f.openRequests.Add(1) > f.maxOpenRequests || f.refusing.Load() || evicted {
 		answer(core.Answer{Status: http.StatusServiceUnavailable, HoldOff: busyHoldOff, Reason: decide.ByNode})
 		return
 	}
 	req := newRequest(r, class, patience, body)
-	req.Arrived.Foreign = f.Foreign
+	req.Arrived.HandedOff = f.Foreign
 	if upload != nil {
 		req.Upload = &upload.Upload
 	}
@@ -210,21 +212,21 @@
 		req.Deadline = *end
 	}
 	ctx := r.Context()
-	var there *presence // nil: the front can't check whether the client has left
-	if f.Gone != nil {
-		client, leave := context.WithCancel(ctx)
-		defer leave()
-		there = &presence{handler: f, request: r, leave: leave, began: began}
-		ctx, req.Left = client, there.left
-	}
-	a, ok := f.loop.Do(ctx, req)
-	f.Figures.Took(class, a.Status, began)
-	if f.Seen != nil {
-		seen := &Seen{Request: req, Answer: a, Gone: !ok, Began: began, Took: time.Since(began), Patience: patience}
-		defer func() { f.Seen(seen) }() // deferred until the client has its answer
+	var presence *clientPresence // nil: the front can't check whether the client has left
+	if f.ClientGone != nil {
+		client, cancel := context.WithCancel(ctx)
+		defer cancel()
+		presence = &clientPresence{handler: f, request: r, cancel: cancel, began: began}
+		ctx, req.ClientGone = client, presence.gone
+	}
+	result, ok := f.loop.Do(ctx, req)
+	f.Metrics.RecordLatency(class, result.Status, began)
+	if f.OnComplete != nil {
+		completed := &CompletedRequest{Request: req, Answer: result, ClientGone: !ok, Began: began, Took: time.Since(began), Patience: patience}
+		defer func() { f.OnComplete(completed) }() // deferred until the client has its answer
 	}
 	if !ok {
-		if there != nil && there.unseen.Load() {
+		if presence != nil && presence.presumedGone.Load() {
 			answer(core.Answer{Status: http.StatusServiceUnavailable, HoldOff: busyHoldOff, Reason: decide.ByNode})
 			return
 		}
@@ -233,36 +235,36 @@
 		reject(w, http.StatusBadRequest, "the client has closed")
 		return
 	}
-	if upload != nil && !upload.ended {
+	if upload != nil && !upload.complete {
 		w.Header().Set("Connection", "close") // the remaining body is not read
-		http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerWait))
+		http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout))
 	}
-	if a.Rest != nil {
-		f.pass(w, class, a)
+	if result.Rest != nil {
+		f.streamAnswer(w, class, result)
 		return
 	}
-	answer(a)
+	answer(result)
 }
 
 // rejectNotTaken answers a request that fails a check. A request from another site has passed the checks there and only
 // doesn't fit the settings here, which is not its client's fault: it gets 503, so that its own site answers it.
-func (f *Handler) turnAway(w http.ResponseWriter, status int, fault string) {
+func (f *Handler) rejectNotTaken(w http.ResponseWriter, status int, problem string) {
 	if f.Foreign {
 		status = http.StatusServiceUnavailable
 	}
-	reject(w, status, fault)
+	reject(w, status, problem)
 }
 
 // reject answers an invalid request and closes its connection, because it is uncertain where the request ends.
-func reject(w http.ResponseWriter, status int, fault string) {
+func reject(w http.ResponseWriter, status int, problem string) {
 	w.Header().Set("Connection", "close")
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerWait)) // net/http reads on in an unread body
-	http.Error(w, fault, status)
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(lingerTimeout)) // net/http reads on in an unread body
+	http.Error(w, problem, status)
 }
 
 // check validates the header of a request. It returns how long the client waits, by X-Time-Left, or a status and a
 // message for the client if the request is invalid.
-func check(r *http.Request, class decide.Class) (patience time.Duration, status int, fault string) {
+func check(r *http.Request, class decide.Class) (patience time.Duration, status int, problem string) {
 	method := http.MethodPost
 	if class.Effect == decide.Safe {
 		method = http.MethodGet
@@ -275,43 +277,43 @@
 		return 0, http.StatusMethodNotAllowed, "the class wants " + method
 	case method == http.MethodGet && r.ContentLength != 0: // -1: chunked
 		return 0, http.StatusBadRequest, "GET takes no body"
-	case r.ContentLength > longLimit:
+	case r.ContentLength > maxRequestBody:
 		return 0, http.StatusRequestEntityTooLarge, "the body is too large"
-	case !one(r.Header["X-Correlation-Id"]):
+	case !single(r.Header["X-Correlation-Id"]):
 		return 0, http.StatusBadRequest, "want one X-Correlation-Id"
-	case class.Effect == decide.Keyed && !one(keys), class.Effect != decide.Keyed && len(keys) > 0:
+	case class.Effect == decide.Keyed && !single(keys), class.Effect != decide.Keyed && len(keys) > 0:
 		return 0, http.StatusBadRequest, "want one Idempotency-Key on keyed requests, none on others"
 	}
 	left := r.Header["X-Time-Left"]
-	if !one(left) || strings.Trim(left[0], "0123456789.") != "" {
+	if !single(left) || strings.Trim(left[0], "0123456789.") != "" {
 		return 0, http.StatusBadRequest, "X-Time-Left is not a number of seconds"
 	}
 	seconds, err := strconv.ParseFloat(left[0], 64)
 	if err != nil {
 		return 0, http.StatusBadRequest, "X-Time-Left is not a number of seconds"
 	}
-	return time.Duration(min(seconds, patienceLimit.Seconds()) * float64(time.Second)), 0, ""
+	return time.Duration(min(seconds, maxPatience.Seconds()) * float64(time.Second)), 0, ""
 }
 
 // single reports whether a header field has exactly one value, which is not empty.
-func one(values []string) bool { return len(values) == 1 && values[0] != "" }
+func single(values []string) bool { return len(values) == 1 && values[0] != "" }
 
 // readBody reads the body of a request. It returns a body of at most BodyLimit bytes whole, and of a longer one the
 // first BodyLimit bytes and an upload for the rest. If the body is invalid or arrives too slowly, it returns a status
 // and a message for the client.
-func readBody(w http.ResponseWriter, r *http.Request) (body []byte, rest *upload, status int, fault string) {
+func readBody(w http.ResponseWriter, r *http.Request) (body []byte, rest *upload, status int, problem string) {
 	if r.ContentLength == 0 {
 		return nil, nil, 0, ""
 	}
 	u := &upload{control: http.NewResponseController(w), body: r.Body, began: time.Now(), length: r.ContentLength}
 	body, err := io.ReadAll(io.LimitReader(u, BodyLimit)) // the buffer grows with what arrives, not by Content-Length
 	if err == nil && len(body) == BodyLimit && r.ContentLength != BodyLimit {
-		u.Upload = core.Upload{Reader: u, Length: r.ContentLength, Fault: func() int { status, _ := u.fault(); return status }}
+		u.Upload = core.Upload{Reader: u, Length: r.ContentLength, FailureStatus: func() int { status, _ := u.fault(); return status }}
 		return body, u, 0, ""
 	}
 	if err != nil {
-		status, fault = u.fault()
-		return nil, nil, status, fault
+		status, problem = u.fault()
+		return nil, nil, status, problem
 	}
 	u.control.SetReadDeadline(time.Time{}) // else the deadline would end the watch for the client's leaving
 	return body, nil, 0, ""
@@ -320,30 +322,30 @@
 // upload is a request body that is read as it arrives. A Read fails if the client is slower than package pace allows.
 type upload struct {
 	core.Upload
-	control *http.ResponseController
-	body    io.Reader
-	began   time.Time
-	brought int64  // bytes
-	length  int64  // by Content-Length; -1: not known
-	taken   func() // if set, called once, when the body is complete
-	ended   bool   // the whole body has been read
-	err     error  // of the last Read; nil at the body's regular end
+	control    *http.ResponseController
+	body       io.Reader
+	began      time.Time
+	received   int64  // bytes
+	length     int64  // by Content-Length; -1: not known
+	onReceived func() // if set, called once, when the body is complete
+	complete   bool   // the whole body has been read
+	err        error  // of the last Read; nil at the body's regular end
 }
 
-var errLong = errors.New("the body is too large")
+var errTooLong = errors.New("the body is too large")
 
 // Read reads more of the body. It fails if the client is slower than package pace allows, and with errTooLong once the
 // body is longer than maxRequestBody.
 func (u *upload) Read(p []byte) (int, error) {
-	u.control.SetReadDeadline(pace.Deadline(u.began, u.brought))
+	u.control.SetReadDeadline(pace.Deadline(u.began, u.received))
 	n, err := u.body.Read(p)
-	if u.brought += int64(n); u.brought > longLimit {
-		err = errLong
+	if u.received += int64(n); u.received > maxRequestBody {
+		err = errTooLong
 	}
-	if u.err = err; !u.ended && (errors.Is(err, io.EOF) || err == nil && u.brought == u.length) {
-		u.ended, u.err = true, nil
-		if u.taken != nil {
-			u.taken()
+	if u.err = err; !u.complete && (errors.Is(err, io.EOF) || err == nil && u.received == u.length) {
+		u.complete, u.err = true, nil
+		if u.onReceived != nil {
+			u.onReceived()
 		}
 		u.control.SetReadDeadline(time.Time{}) // else the deadline would end the watch for the client's leaving
 	}
@@ -355,7 +357,7 @@
 	switch {
 	case errors.Is(u.err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout, "the body does not come"
-	case errors.Is(u.err, errLong):
+	case errors.Is(u.err, errTooLong):
 		return http.StatusRequestEntityTooLarge, "the body is too large"
 	}
 	return http.StatusBadRequest, "the body is malformed"
@@ -364,8 +366,8 @@
 // newRequest builds the loop's request from an HTTP request that has been checked, and its body or the beginning of it.
 func newRequest(r *http.Request, class string, patience time.Duration, body []byte) *core.Request {
 	e := decide.RequestArrived{ID: decide.RequestID(r.Header.Get("X-Correlation-Id")), Class: class, Tenant: r.Header.Get("X-Account"),
-		Key: queryValue(r.URL.RawQuery, "obj"), Repeat: r.Header.Get("X-Repeat") == "1", Write: fact(r.Header.Get("X-Facts"), "write")}
-	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < patienceLimit.Seconds()*1e6 {
+		Key: queryValue(r.URL.RawQuery, "obj"), Repeat: r.Header.Get("X-Repeat") == "1", Write: flagSet(r.Header.Get("X-Facts"), "write")}
+	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < maxPatience.Seconds()*1e6 {
 		e.WorkHint, e.HasHint = time.Duration(us*float64(time.Microsecond)), true
 	}
 	return &core.Request{Arrived: e, Deadline: time.Now().Add(patience - answerMargin), Method: r.Method, Body: body,
@@ -392,7 +394,7 @@
 
 // flagSet reports whether a flag is set in the text of an X-Facts field, which has the form "name=value,...": its value
 // is not empty, 0 or false.
-func fact(text, name string) bool {
+func flagSet(text, name string) bool {
 	for field := range strings.SplitSeq(text, ",") {
 		if n, v, _ := strings.Cut(strings.TrimSpace(field), "="); n == name {
 			return v != "" && v != "0" && v != "false"
@@ -425,80 +427,80 @@
 	"Content-Length", "X-Time-Left", "X-Backend-Load", "X-Unprocessed"}
 
 // writeAnswer writes an answer without a Rest. It is called at most once per request.
-func (f *Handler) write(w http.ResponseWriter, a core.Answer) {
-	f.head(w, a)
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.Body)))
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWait))
-	w.WriteHeader(a.Status)
-	w.Write(a.Body)
+func (f *Handler) writeAnswer(w http.ResponseWriter, answer core.Answer) {
+	f.setHeader(w, answer)
+	w.Header().Set("Content-Length", strconv.Itoa(len(answer.Body)))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	w.WriteHeader(answer.Status)
+	w.Write(answer.Body)
 }
 
 // streamAnswer writes an answer with a Rest piece by piece. If the Rest can't be completed, the connection is aborted,
 // so that the client notices: the body is shorter than its length, or its last chunk is missing.
-func (f *Handler) pass(w http.ResponseWriter, class string, a core.Answer) {
-	closed := false
+func (f *Handler) streamAnswer(w http.ResponseWriter, class string, answer core.Answer) {
+	restClosed := false
 	defer func() {
-		if !closed {
-			a.Rest.Close()
+		if !restClosed {
+			answer.Rest.Close()
 		}
 	}()
 	if f.Foreign { // the other site gets an answer only whole, so it is buffered
 		var body []byte
-		err := a.Rest.Copy(func(p []byte) error {
-			if len(a.Body)+len(body)+len(p) > foreignLimit {
-				return errLong
+		err := answer.Rest.Copy(func(p []byte) error {
+			if len(answer.Body)+len(body)+len(p) > maxForeignAnswer {
+				return errTooLong
 			}
 			body = append(body, p...)
 			return nil
 		})
 		if err != nil {
-			a = core.Answer{Status: http.StatusBadGateway, Rest: a.Rest}
+			answer = core.Answer{Status: http.StatusBadGateway, Rest: answer.Rest}
 		}
-		f.write(w, core.Answer{Status: a.Status, Header: a.Header, Body: append(a.Body, body...)})
-		f.Figures.End(class, a.Status)
+		f.writeAnswer(w, core.Answer{Status: answer.Status, Header: answer.Header, Body: append(answer.Body, body...)})
+		f.Metrics.RequestEnded(class, answer.Status)
 		return
 	}
-	f.head(w, a)
+	f.setHeader(w, answer)
 	control := http.NewResponseController(w)
 	send := func(p []byte) error {
-		control.SetWriteDeadline(time.Now().Add(writeWait))
+		control.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := w.Write(p); err != nil {
 			return err
 		}
 		return control.Flush()
 	}
-	if a.Length >= 0 {
-		w.Header().Set("Content-Length", strconv.FormatInt(a.Length, 10))
+	if answer.Length >= 0 {
+		w.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
-	control.SetWriteDeadline(time.Now().Add(writeWait))
-	w.WriteHeader(a.Status)
-	err := send(a.Body)
+	control.SetWriteDeadline(time.Now().Add(writeTimeout))
+	w.WriteHeader(answer.Status)
+	err := send(answer.Body)
 	if err == nil {
-		err = a.Rest.Copy(send)
+		err = answer.Rest.Copy(send)
 	}
-	closed = true
-	a.Rest.Close()
+	restClosed = true
+	answer.Rest.Close()
 	if err != nil {
-		f.Figures.End(class, http.StatusBadGateway)
+		f.Metrics.RequestEnded(class, http.StatusBadGateway)
 		panic(http.ErrAbortHandler)
 	}
-	f.Figures.End(class, a.Status)
+	f.Metrics.RequestEnded(class, answer.Status)
 }
 
 // closeIfLast has an answer close its connection if no more requests are wanted there. It is called as the answer is
 // written, because that may have changed while the request was open.
-func (f *Handler) last(w http.ResponseWriter) {
-	if f.closing.Load() || f.leaving.Load() || f.Crowded != nil && f.Crowded() {
+func (f *Handler) closeIfLast(w http.ResponseWriter) {
+	if f.refusing.Load() || f.closeAfterAnswer.Load() || f.ConnectionPressure != nil && f.ConnectionPressure() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
 // setHeader sets the header fields of an answer, except Content-Length.
-func (f *Handler) head(w http.ResponseWriter, a core.Answer) {
+func (f *Handler) setHeader(w http.ResponseWriter, answer core.Answer) {
 	h := w.Header()
-	if a.Header != nil {
+	if answer.Header != nil {
 		closing := h["Connection"]
-		for name, values := range endToEnd(a.Header) {
+		for name, values := range endToEnd(answer.Header) {
 			h[name] = values
 		}
 		if closing != nil {
@@ -508,14 +510,14 @@
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
-	f.last(w)
-	if a.Status == http.StatusConflict {
+	f.closeIfLast(w)
+	if answer.Status == http.StatusConflict {
 		h.Set("Connection", "close")
 	}
-	if a.Status == http.StatusServiceUnavailable {
-		h.Set("X-Refused-By", [...]string{decide.ByServers: "servers", decide.ByNode: "node", decide.ByList: "list"}[a.Reason])
+	if answer.Status == http.StatusServiceUnavailable {
+		h.Set("X-Refused-By", [...]string{decide.ByServers: "servers", decide.ByNode: "node", decide.ByList: "list"}[answer.Reason])
 	}
-	if a.HoldOff > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.HoldOff.Seconds(), 'f', 3, 64))
+	if answer.HoldOff > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(answer.HoldOff.Seconds(), 'f', 3, 64))
 	}
 }
--- a/internal/front/http1/admission.go
+++ b/internal/front/http1/admission.go
@@ -26,11 +26,11 @@
 	evictWait  = 100 * time.Millisecond // for evicted connections to be closed; after that a new connection is refused
 	// To notice that a client has left, the bytes that follow its open request are read ahead. If a client sends more
 	// than these limits, it is noticed only once the requests before that have been served.
-	aheadMost = 64 << 10               // bytes of one connection that are read ahead
-	aheadRoom = 2 << 20                // bytes of all connections that are read ahead
-	lateWait  = 200 * time.Millisecond // input is still read so long after a deadline, as a busy process reads late
-	lateMost  = headerLimit + front.BodyLimit
-	refusal   = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+	maxReadAhead      = 64 << 10               // bytes of one connection that are read ahead
+	maxTotalReadAhead = 2 << 20                // bytes of all connections that are read ahead
+	lateReadWindow    = 200 * time.Millisecond // input is still read so long after a deadline, as a busy process reads late
+	maxLateBytes      = maxHeaderBytes + front.BodyLimit
+	refusalResponse   = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 // admission is a listener that limits the number of open client connections. At the limit it still accepts a
@@ -38,19 +38,19 @@
 // clients that connect and send nothing can't shut others out.
 type admission struct {
 	*net.TCPListener
-	next    func() (*net.TCPConn, error) // the listener's AcceptTCP; tests replace it
-	gate    pause.Gate                   // while it is shut, no connection is accepted
-	retry   accept.Retry
-	refused func(string)   // called with the class of each refused request; "" if it is not known
-	turning atomic.Int64   // connections that are being refused
-	ahead   atomic.Int64   // bytes reserved for reading ahead, of all connections
-	open    atomic.Int64   // connections that have not been closed, including evicted ones
-	freed   chan struct{}  // signalled when a connection has been closed
-	ends    sync.WaitGroup // goroutines that refuse connections
+	acceptTCP    func() (*net.TCPConn, error) // the listener's AcceptTCP; tests replace it
+	gate         pause.Gate                   // while it is shut, no connection is accepted
+	retry        accept.Retry
+	countRefused func(string)   // called with the class of each refused request; "" if it is not known
+	refusing     atomic.Int64   // connections that are being refused
+	readAhead    atomic.Int64   // bytes reserved for reading ahead, of all connections
+	open         atomic.Int64   // connections that have not been closed, including evicted ones
+	closed       chan struct{}  // signalled when a connection has been closed
+	refusals     sync.WaitGroup // goroutines that refuse connections
 
 	began time.Time // the zero of the clock of conns
 	mu    sync.Mutex
-	room  *admit.Room
+	conns *admit.ConnSet
 }
 
 // clientConn is one client connection. It embeds *net.TCPConn because net/http resets connections that have no
@@ -62,23 +62,23 @@
 
 	// Guarded by the owner's lock, except for the atomic fields.
 	admit.Conn
-	scan    scan
-	evicted bool
-	serving bool         // net/http is serving a request of this connection
-	readBy  time.Time    // the read deadline; zero: none
-	late    int          // bytes that readLate has taken after that deadline
-	wrote   atomic.Int64 // when bytes were last written, on the owner's clock, in ns
-	sent    atomic.Int64 // bytes that have been written of the answer to the open request
+	scan         requestScan
+	evicted      bool
+	serving      bool         // net/http is serving a request of this connection
+	readDeadline time.Time    // the read deadline; zero: none
+	lateBytes    int          // bytes that readLate has taken after that deadline
+	lastWrite    atomic.Int64 // when bytes were last written, on the owner's clock, in ns
+	answerBytes  atomic.Int64 // bytes that have been written of the answer to the open request
 
 	// Used by the one goroutine that reads, except for the atomic fields.
-	ahead    []byte       // bytes that follow the open request
-	reserved atomic.Int64 // bytes of the owner's readAhead that this connection has reserved
-	stopped  atomic.Bool  // a limit is reached: nothing more is read before the open request has been answered
+	readAhead         []byte       // bytes that follow the open request
+	readAheadReserved atomic.Int64 // bytes of the owner's readAhead that this connection has reserved
+	readAheadStopped  atomic.Bool  // a limit is reached: nothing more is read before the open request has been answered
 }
 
 // newAdmission returns an admission on a listener, with at most limit open connections.
 func newAdmission(l *net.TCPListener, limit int) *admission {
-	return &admission{TCPListener: l, next: l.AcceptTCP, began: time.Now(), room: admit.New(limit), refused: func(string) {}, freed: make(chan struct{}, 1)}
+	return &admission{TCPListener: l, acceptTCP: l.AcceptTCP, began: time.Now(), conns: admit.New(limit), countRefused: func(string) {}, closed: make(chan struct{}, 1)}
 }
 
 func (a *admission) now() time.Duration { return time.Since(a.began) }
@@ -88,9 +88,9 @@
 // closed.
 func (a *admission) Accept() (net.Conn, error) {
 	for {
-		tcp, err := a.next()
+		tcp, err := a.acceptTCP()
 		if err != nil {
-			if a.gate.Retry(err) || a.retry.After(err) {
+			if a.gate.WaitAndRetry(err) || a.retry.After(err) {
 				continue
 			}
 			return nil, err
@@ -99,13 +99,13 @@
 		if a.makeRoom() {
 			return a.admit(tcp), nil
 		}
-		if a.turning.Add(1) > descriptors.Refused {
-			a.turning.Add(-1)
+		if a.refusing.Add(1) > descriptors.MaxRefused {
+			a.refusing.Add(-1)
 			a.refuseNow(tcp)
 			continue
 		}
-		a.ends.Go(func() {
-			defer a.turning.Add(-1)
+		a.refusals.Go(func() {
+			defer a.refusing.Add(-1)
 			a.refuse(tcp)
 		})
 	}
@@ -114,7 +114,7 @@
 // makeRoom evicts connections until another one is within the limit, and reports whether it is.
 func (a *admission) makeRoom() bool {
 	for a.full() {
-		if !a.settled() || !a.evictOne() {
+		if !a.waitForEvicted() || !a.evictOne() {
 			return false
 		}
 	}
@@ -124,33 +124,33 @@
 func (a *admission) full() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.room.Full()
+	return a.conns.Full()
 }
 
 // waitForEvicted waits until so many evicted connections have been closed that another one may be evicted, and reports
 // whether that is so. Each evicted connection is closed by its own goroutine. Without the wait many connections could
 // be accepted before the first of them is closed, and use up the file descriptors reserved for servers and discovery.
-func (a *admission) settled() bool {
-	if a.leaving() < descriptors.Evicted {
+func (a *admission) waitForEvicted() bool {
+	if a.evictedOpen() < descriptors.MaxEvicted {
 		return true
 	}
 	end := time.NewTimer(evictWait)
 	defer end.Stop()
-	for a.leaving() >= descriptors.Evicted {
+	for a.evictedOpen() >= descriptors.MaxEvicted {
 		select {
-		case <-a.freed:
+		case <-a.closed:
 		case <-end.C:
-			return a.leaving() < descriptors.Evicted
+			return a.evictedOpen() < descriptors.MaxEvicted
 		}
 	}
 	return true
 }
 
 // evictedOpen is the number of connections that have been evicted and not yet closed.
-func (a *admission) leaving() int {
+func (a *admission) evictedOpen() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return int(a.open.Load()) - a.room.Count()
+	return int(a.open.Load()) - a.conns.Count()
 }
 
 // evictOne evicts the connection that admit.ConnSet.Victim names, and reports whether there was one. Connections with
@@ -158,13 +158,13 @@
 func (a *admission) evictOne() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for victim := a.room.Victim(a.now()); victim != nil; victim = a.room.Victim(a.now()) {
-		old := victim.Owner.(*clientConn)
-		if !old.waiting() {
-			a.evict(old)
+	for victim := a.conns.Victim(a.now()); victim != nil; victim = a.conns.Victim(a.now()) {
+		conn := victim.Owner.(*clientConn)
+		if !conn.hasUnread() {
+			a.evict(conn)
 			return true
 		}
-		a.room.Set(victim, admit.Writing, a.now()) // it has sent something that has not been read yet
+		a.conns.SetState(victim, admit.ReadingHead, a.now()) // it has sent something that has not been read yet
 	}
 	return false
 }
@@ -176,7 +176,7 @@
 	a.open.Add(1)
 	c := &clientConn{TCPConn: tcp, owner: a}
 	c.Owner = c
-	a.room.Enter(&c.Conn, a.now())
+	a.conns.Add(&c.Conn, a.now())
 	return c
 }
 
@@ -184,9 +184,9 @@
 // because the last byte of a request may arrive in this moment: what has arrived is still read, and answered if it is a
 // whole request. It is called under the lock.
 func (a *admission) evict(c *clientConn) {
-	a.room.Leave(&c.Conn)
-	c.evicted, c.readBy, c.late = true, time.Now(), 0
-	c.TCPConn.SetReadDeadline(c.readBy)
+	a.conns.Remove(&c.Conn)
+	c.evicted, c.readDeadline, c.lateBytes = true, time.Now(), 0
+	c.TCPConn.SetReadDeadline(c.readDeadline)
 }
 
 // refuse answers a connection beyond the limit with the refusal and closes it. It waits up to refuseWait for the
@@ -202,16 +202,16 @@
 			break // the client is refused all the same, and counted without a class
 		}
 		n += more
-		class = classIn(text[:n])
+		class = requestClass(text[:n])
 	}
-	a.turnAway(tcp, class)
+	a.writeRefusal(tcp, class)
 }
 
 // writeRefusal writes the refusal and counts it, under the request's class if that is known.
-func (a *admission) turnAway(tcp *net.TCPConn, class string) {
+func (a *admission) writeRefusal(tcp *net.TCPConn, class string) {
 	tcp.SetWriteDeadline(time.Now().Add(refuseWait))
-	if _, err := io.WriteString(tcp, refusal); err == nil {
-		a.refused(class)
+	if _, err := io.WriteString(tcp, refusalResponse); err == nil {
+		a.countRefused(class)
 	}
 }
 
@@ -220,23 +220,23 @@
 func (a *admission) refuseNow(tcp *net.TCPConn) {
 	defer tcp.Close()
 	var text [512]byte
-	n := peek(tcp, text[:])
+	n := peekUnread(tcp, text[:])
 	if n > 0 {
 		tcp.SetReadDeadline(time.Now().Add(refuseWait))
 		tcp.Read(text[:n])
 	}
-	a.turnAway(tcp, classIn(text[:n]))
+	a.writeRefusal(tcp, requestClass(text[:n]))
 }
 
 // peekUnread copies bytes that have arrived into a buffer without consuming them, and returns their number.
-func peek(tcp *net.TCPConn, into []byte) int {
-	n, _ := come(tcp, into, syscall.MSG_PEEK)
+func peekUnread(tcp *net.TCPConn, into []byte) int {
+	n, _ := receiveNow(tcp, into, syscall.MSG_PEEK)
 	return n
 }
 
 // receiveNow receives what has arrived without waiting, and whatever the read deadline is. 0 bytes without an error
 // mean that the client has closed its direction; EAGAIN means that nothing has arrived.
-func come(tcp *net.TCPConn, into []byte, flags int) (n int, err error) {
+func receiveNow(tcp *net.TCPConn, into []byte, flags int) (n int, err error) {
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return 0, err
@@ -249,7 +249,7 @@
 
 // requestClass returns the first segment of the path in the request line that text begins with; "" if the line is not
 // complete or has none.
-func classIn(text []byte) string {
+func requestClass(text []byte) string {
 	line, _, whole := bytes.Cut(text, []byte("\n"))
 	_, target, ok := bytes.Cut(line, []byte(" /"))
 	if !whole || !ok {
@@ -264,40 +264,40 @@
 // Close implements net.Listener.
 func (a *admission) Close() error {
 	err := a.TCPListener.Close()
-	a.gate.End()
+	a.gate.Release()
 	return err
 }
 
 func (a *admission) setLimit(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.room.SetLimit(n)
+	a.conns.SetLimit(n)
 }
 
-func (a *admission) held() int {
+func (a *admission) openConns() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.room.Count()
+	return a.conns.Count()
 }
 
-func (a *admission) crowded() bool {
+func (a *admission) underPressure() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.room.Crowded()
+	return a.conns.UnderPressure()
 }
 
 // closeWithoutRequest evicts the connections without an open request, except those that have unread input or that have
 // made progress with a request's head lately.
-func (a *admission) closeRest() {
+func (a *admission) closeWithoutRequest() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, c := range a.room.Unused() {
-		old := c.Owner.(*clientConn)
-		if c.State() == admit.Writing && a.now()-c.Last() < admit.StallLeast {
+	for _, c := range a.conns.WithoutRequest() {
+		conn := c.Owner.(*clientConn)
+		if c.State() == admit.ReadingHead && a.now()-c.LastProgress() < admit.StalledHeadTimeout {
 			continue
 		}
-		if !old.waiting() {
-			a.evict(old)
+		if !conn.hasUnread() {
+			a.evict(conn)
 		}
 	}
 }
@@ -307,21 +307,21 @@
 func (a *admission) closeStalled() {
 	var stalled []*clientConn
 	a.mu.Lock()
-	for _, c := range a.room.Unused() {
+	for _, c := range a.conns.WithoutRequest() {
 		a.evict(c.Owner.(*clientConn))
 	}
-	for _, c := range a.room.Used() {
-		old := c.Owner.(*clientConn)
-		if old.scan.state != scanHead {
-			a.evict(old)
+	for _, c := range a.conns.WithRequest() {
+		conn := c.Owner.(*clientConn)
+		if conn.scan.state != scanHead {
+			a.evict(conn)
 			continue
 		}
-		least := drainStall
-		if old.sent.Load() > front.BodyLimit {
-			least = longStall
+		longest := drainStall
+		if conn.answerBytes.Load() > front.BodyLimit {
+			longest = longAnswerStall
 		}
-		if old.sent.Load() > 0 && a.now()-time.Duration(old.wrote.Load()) > least {
-			stalled = append(stalled, old)
+		if conn.answerBytes.Load() > 0 && a.now()-time.Duration(conn.lastWrite.Load()) > longest {
+			stalled = append(stalled, conn)
 		}
 	}
 	a.mu.Unlock()
@@ -342,21 +342,21 @@
 	c.serving = state == http.StateActive
 	switch {
 	case c.serving: // clientConn.track has set the state
-	case len(c.scan.doubts) > 0: // the next request has arrived together with the last one, its head at least
-		a.busy(c)
-	case c.scan.head > 0: // a part of its head has
-		a.room.Set(&c.Conn, admit.Writing, a.now())
+	case len(c.scan.ambiguous) > 0: // the next request has arrived together with the last one, its head at least
+		a.setBusy(c)
+	case c.scan.headBytes > 0: // a part of its head has
+		a.conns.SetState(&c.Conn, admit.ReadingHead, a.now())
 	default:
-		a.room.Set(&c.Conn, admit.Idle, a.now())
+		a.conns.SetState(&c.Conn, admit.Idle, a.now())
 	}
 }
 
 // hasUnread reports whether bytes have arrived that have not been read.
-func (c *clientConn) waiting() bool { return peek(c.TCPConn, make([]byte, 1)) > 0 }
+func (c *clientConn) hasUnread() bool { return peekUnread(c.TCPConn, make([]byte, 1)) > 0 }
 
 // wasEvicted reports whether the connection has been evicted. A request that was arriving meanwhile is refused, and not
 // sent to a server.
-func (c *clientConn) lost() bool {
+func (c *clientConn) wasEvicted() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	return c.evicted
@@ -369,7 +369,7 @@
 	if c.evicted {
 		return nil
 	}
-	c.readBy, c.late = t, 0
+	c.readDeadline, c.lateBytes = t, 0
 	return c.TCPConn.SetReadDeadline(t)
 }
 
@@ -377,7 +377,7 @@
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.read(p)
-		kept := c.follow(p[:n])
+		kept := c.track(p[:n])
 		if kept > 0 || n == 0 || err != nil {
 			return kept, err
 		}
@@ -389,44 +389,44 @@
 // does not return with a byte: it goes on until the client has left or net/http ends it, and keeps the bytes in
 // readAhead for later reads. It returns one byte if the limits of reading ahead leave no space.
 func (c *clientConn) read(p []byte) (int, error) {
-	c.stopped.Store(false)
-	if len(p) == 1 && c.watched() {
+	c.readAheadStopped.Store(false)
+	if len(p) == 1 && c.isWatchRead() {
 		var first [1]byte
 		more := first[:] // no buffer is reserved for clients that send one request at a time
-		if c.ahead != nil {
-			more = c.space()
+		if c.readAhead != nil {
+			more = c.readAheadSpace()
 		}
-		for ; len(more) > 0; more = c.space() {
+		for ; len(more) > 0; more = c.readAheadSpace() {
 			n, err := c.TCPConn.Read(more)
 			switch {
 			case err != nil:
 				if !errors.Is(err, os.ErrDeadlineExceeded) { // the client has left, and wants no more answers
-					c.letGo()
+					c.releaseReadAhead()
 				}
 				return 0, err
-			case c.ahead == nil:
-				if c.space() == nil {
-					c.stopped.Store(true)
+			case c.readAhead == nil:
+				if c.readAheadSpace() == nil {
+					c.readAheadStopped.Store(true)
 					p[0] = first[0]
 					return n, nil
 				}
-				c.ahead = append(c.ahead, first[0])
+				c.readAhead = append(c.readAhead, first[0])
 			default:
-				c.ahead = c.ahead[:len(c.ahead)+n]
+				c.readAhead = c.readAhead[:len(c.readAhead)+n]
 			}
 		}
-		c.stopped.Store(true)
+		c.readAheadStopped.Store(true)
 	}
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.letGo()
+	if len(c.readAhead) > 0 {
+		n := copy(p, c.readAhead)
+		if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+			c.releaseReadAhead()
 		}
 		return n, nil
 	}
 	n, err := c.TCPConn.Read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		if n := c.take(p); n > 0 {
+		if n := c.readLate(p); n > 0 {
 			return n, nil
 		}
 	}
@@ -435,46 +435,46 @@
 
 // isWatchRead reports whether a read of one byte is net/http's watch for the client's leaving: a request is open, and
 // has been read whole.
-func (c *clientConn) watched() bool {
+func (c *clientConn) isWatchRead() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	return c.serving && !c.evicted && c.scan.state == scanHead
 }
 
 // readAheadSpace returns the free part of the read-ahead buffer, which it enlarges if needed; nil: a limit is reached.
-func (c *clientConn) space() []byte {
-	if len(c.ahead) == cap(c.ahead) {
-		more := min(max(len(c.ahead), 512), aheadMost-int(c.reserved.Load()))
+func (c *clientConn) readAheadSpace() []byte {
+	if len(c.readAhead) == cap(c.readAhead) {
+		more := min(max(len(c.readAhead), 512), maxReadAhead-int(c.readAheadReserved.Load()))
 		if more <= 0 {
 			return nil
 		}
-		if c.owner.ahead.Add(int64(more)) > aheadRoom {
-			c.owner.ahead.Add(-int64(more))
+		if c.owner.readAhead.Add(int64(more)) > maxTotalReadAhead {
+			c.owner.readAhead.Add(-int64(more))
 			return nil
 		}
-		c.reserved.Add(int64(more))
-		c.ahead = append(make([]byte, 0, len(c.ahead)+more), c.ahead...)
+		c.readAheadReserved.Add(int64(more))
+		c.readAhead = append(make([]byte, 0, len(c.readAhead)+more), c.readAhead...)
 	}
-	return c.ahead[len(c.ahead):cap(c.ahead)]
+	return c.readAhead[len(c.readAhead):cap(c.readAhead)]
 }
 
 // releaseReadAhead frees the read-ahead buffer and what is reserved for it.
-func (c *clientConn) letGo() {
-	c.owner.ahead.Add(-c.reserved.Swap(0))
-	c.ahead = nil
+func (c *clientConn) releaseReadAhead() {
+	c.owner.readAhead.Add(-c.readAheadReserved.Swap(0))
+	c.readAhead = nil
 }
 
 // readLate reads what has arrived at the time when the read deadline has passed, because a Read would return nothing.
 // That may be the last byte of a request, which is then served. It reads nothing later than lateReadWindow after the
 // deadline, and no more bytes than one request may have.
-func (c *clientConn) take(p []byte) (n int) {
+func (c *clientConn) readLate(p []byte) (n int) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	if c.readBy.IsZero() || time.Since(c.readBy) > lateWait || c.late >= lateMost {
+	if c.readDeadline.IsZero() || time.Since(c.readDeadline) > lateReadWindow || c.lateBytes >= maxLateBytes {
 		return 0
 	}
-	n, _ = come(c.TCPConn, p, 0)
-	c.late += n
+	n, _ = receiveNow(c.TCPConn, p, 0)
+	c.lateBytes += n
 	return n
 }
 
@@ -482,70 +482,70 @@
 func (c *clientConn) Write(p []byte) (int, error) {
 	n, err := c.TCPConn.Write(p)
 	if n > 0 {
-		c.sent.Add(int64(n))
-		c.wrote.Store(int64(c.owner.now()))
+		c.answerBytes.Add(int64(n))
+		c.lastWrite.Store(int64(c.owner.now()))
 	}
 	return n, err
 }
 
 // clientGone reports whether the client has left, which shows also behind bytes that have not been read. A client that
 // has closed only its own direction counts as gone.
-func (c *clientConn) gone() bool {
+func (c *clientConn) clientGone() bool {
 	raw, err := c.TCPConn.SyscallConn()
 	if err != nil {
 		return true
 	}
-	look := []unix.PollFd{{Events: unix.POLLRDHUP}} // resets are always reported
+	poll := []unix.PollFd{{Events: unix.POLLRDHUP}} // resets are always reported
 	if raw.Control(func(fd uintptr) {
-		look[0].Fd = int32(fd)
-		_, err = unix.Poll(look, 0)
+		poll[0].Fd = int32(fd)
+		_, err = unix.Poll(poll, 0)
 	}) != nil {
 		return true // the connection has been closed on this side
 	}
-	return err == nil && look[0].Revents != 0
+	return err == nil && poll[0].Revents != 0
 }
 
 // disconnectHidden reports whether a disconnect of the client could go unseen: reading ahead has stopped at a limit,
 // and unread bytes are left, so that the kernel may not accept more from the client, its end included.
-func (c *clientConn) hidden() bool { return c.stopped.Load() && c.waiting() }
+func (c *clientConn) disconnectHidden() bool { return c.readAheadStopped.Load() && c.hasUnread() }
 
 // track passes bytes that have been read to the request scan and updates the state of the connection. It returns the
 // length that is left in p after the scan has removed empty lines.
-func (c *clientConn) follow(p []byte) int {
-	a := c.owner
-	a.mu.Lock()
-	defer a.mu.Unlock()
+func (c *clientConn) track(p []byte) int {
+	owner := c.owner
+	owner.mu.Lock()
+	defer owner.mu.Unlock()
 	kept := c.scan.feed(p)
 	if c.State() != admit.Busy && kept > 0 {
-		if len(c.scan.doubts) > 0 {
-			a.busy(c)
+		if len(c.scan.ambiguous) > 0 {
+			owner.setBusy(c)
 		} else {
-			a.room.Set(&c.Conn, admit.Writing, a.now())
+			owner.conns.SetState(&c.Conn, admit.ReadingHead, owner.now())
 		}
 	}
 	return kept
 }
 
 // setBusy records that a request is open, and that nothing of its answer has been written. It is called under the lock.
-func (a *admission) busy(c *clientConn) {
-	c.sent.Store(0)
-	a.room.Set(&c.Conn, admit.Busy, a.now())
+func (a *admission) setBusy(c *clientConn) {
+	c.answerBytes.Store(0)
+	a.conns.SetState(&c.Conn, admit.Busy, a.now())
 }
 
-func (c *clientConn) doubtful() bool {
+func (c *clientConn) ambiguousEnd() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	return c.scan.doubtful()
+	return c.scan.nextAmbiguous()
 }
 
 // remove removes a connection that has been closed.
-func (a *admission) leave(c *clientConn) {
+func (a *admission) remove(c *clientConn) {
 	a.mu.Lock()
-	a.room.Leave(&c.Conn)
+	a.conns.Remove(&c.Conn)
 	a.open.Add(-1)
 	a.mu.Unlock()
 	select {
-	case a.freed <- struct{}{}:
+	case a.closed <- struct{}{}:
 	default:
 	}
 }
@@ -556,8 +556,8 @@
 	err := net.ErrClosed
 	c.once.Do(func() {
 		err = c.TCPConn.Close()
-		c.owner.ahead.Add(-c.reserved.Swap(0))
-		c.owner.leave(c)
+		c.owner.readAhead.Add(-c.readAheadReserved.Swap(0))
+		c.owner.remove(c)
 	})
 	return err
 }
--- a/internal/front/http1/admission_test.go
+++ b/internal/front/http1/admission_test.go
@@ -21,7 +21,7 @@
 
 // newTestAdmission returns an admission on a port that the kernel chooses, and functions that connect to it and accept
 // from it.
-func doorstep(t testing.TB, limit int) (a *admission, dial func() net.Conn, accept func() *clientConn) {
+func newTestAdmission(t testing.TB, limit int) (a *admission, dial func() net.Conn, accept func() *clientConn) {
 	t.Helper()
 	tcp, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -53,18 +53,18 @@
 func (c *clientConn) set(s admit.State, age time.Duration) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	c.owner.room.Set(&c.Conn, s, c.owner.now()-age)
+	c.owner.conns.SetState(&c.Conn, s, c.owner.now()-age)
 }
 
 // Whatever accept(2) fails with, the next connection is accepted. Errors of a queued connection, of the network or of
 // the machine once ended the front, and the process with it.
 func TestAcceptErrorsEndNothing(t *testing.T) {
 	t.Parallel()
-	a, dial, accept := doorstep(t, 3)
+	a, dial, accept := newTestAdmission(t, 3)
 	errs := []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
 		syscall.ENETUNREACH, syscall.EINTR}
-	next := a.next
-	a.next = func() (*net.TCPConn, error) {
+	next := a.acceptTCP
+	a.acceptTCP = func() (*net.TCPConn, error) {
 		if len(errs) == 0 {
 			return next()
 		}
@@ -87,18 +87,18 @@
 // arrives as its connection is evicted is not passed on. A refused request is counted under its class.
 func TestAdmission(t *testing.T) {
 	t.Parallel()
-	a, dial, accept := doorstep(t, 3)
+	a, dial, accept := newTestAdmission(t, 3)
 	counted := make(chan string, 1)
-	a.refused = func(class string) { counted <- class }
+	a.countRefused = func(class string) { counted <- class }
 	var conns [3]*clientConn
 	for i := range conns {
 		dial()
 		conns[i] = accept()
 	}
-	busy, idle, mute := conns[0], conns[1], conns[2]
+	busy, idle, silent := conns[0], conns[1], conns[2]
 	busy.set(admit.Busy, time.Hour)
 	idle.set(admit.Idle, 0)
-	mute.set(admit.Writing, 0)
+	silent.set(admit.ReadingHead, 0)
 	refused := dial()
 	done := make(chan *clientConn)
 	go func() { c, _ := a.Accept(); done <- c.(*clientConn) }()
@@ -109,43 +109,43 @@
 	if class := <-counted; class != "read" {
 		t.Errorf("counted as %q", class)
 	}
-	idle.set(admit.Idle, admit.IdleLeast)
-	mute.set(admit.Mute, admit.MuteLeast)
+	idle.set(admit.Idle, admit.IdleTimeout)
+	silent.set(admit.NothingRead, admit.NothingReadTimeout)
 	dial()
 	third := <-done
 	third.set(admit.Busy, 0)
-	if idle.lost() || !mute.lost() || busy.lost() {
+	if idle.wasEvicted() || !silent.wasEvicted() || busy.wasEvicted() {
 		t.Error("the wrong connection was evicted first")
 	}
 	dial()
 	fourth := accept()
-	if !idle.lost() || busy.lost() || a.held() != 3 {
-		t.Errorf("the wrong connection was evicted second; %d open", a.held())
+	if !idle.wasEvicted() || busy.wasEvicted() || a.openConns() != 3 {
+		t.Errorf("the wrong connection was evicted second; %d open", a.openConns())
 	}
-	for _, c := range []*clientConn{busy, third, fourth, idle, mute} {
+	for _, c := range []*clientConn{busy, third, fourth, idle, silent} {
 		c.Close()
 	}
-	a.ends.Wait()
-	if a.held() != 0 {
-		t.Errorf("%d open", a.held())
+	a.refusals.Wait()
+	if a.openConns() != 0 {
+		t.Errorf("%d open", a.openConns())
 	}
 }
 
 // A connection whose request has arrived but has not been read does not count as one that has sent nothing.
-func TestUnreadIsNotMute(t *testing.T) {
+func TestUnreadIsNotSilent(t *testing.T) {
 	t.Parallel()
-	_, dial, accept := doorstep(t, 2)
-	peer := dial()
+	_, dial, accept := newTestAdmission(t, 2)
+	client := dial()
 	first := accept()
 	dial()
 	second := accept()
-	fmt.Fprint(peer, "GET")
-	first.come(t)
-	first.set(admit.Mute, time.Minute)
-	second.set(admit.Mute, time.Second)
+	fmt.Fprint(client, "GET")
+	first.waitUnread(t)
+	first.set(admit.NothingRead, time.Minute)
+	second.set(admit.NothingRead, time.Second)
 	dial()
 	accept()
-	if first.lost() || !second.lost() {
+	if first.wasEvicted() || !second.wasEvicted() {
 		t.Error("the connection that had sent something was evicted")
 	}
 }
@@ -155,14 +155,14 @@
 // meanwhile.
 func TestEvictedAreClosedFirst(t *testing.T) {
 	const limit = 8
-	a, dial, accept := doorstep(t, limit)
+	a, dial, accept := newTestAdmission(t, limit)
 	var first []*clientConn
 	for range limit {
 		dial()
 		first = append(first, accept())
 	}
-	a.began = a.began.Add(-2 * admit.MuteLeast) // all may be evicted now, but are not closed, as nobody reads
-	for range descriptors.Evicted {
+	a.began = a.began.Add(-2 * admit.NothingReadTimeout) // all may be evicted now, but are not closed, as nobody reads
+	for range descriptors.MaxEvicted {
 		dial()
 		accept()
 	}
@@ -180,7 +180,7 @@
 			t.Errorf("a new connection gets %q", text)
 		}
 	}
-	if open, held := a.open.Load(), a.held(); open != limit+descriptors.Evicted || held != limit {
+	if open, held := a.open.Load(), a.openConns(); open != limit+descriptors.MaxEvicted || held != limit {
 		t.Errorf("%d connections are open, %d of them not evicted", open, held)
 	}
 	first[0].Close()
--- a/internal/front/http1/endings_test.go
+++ b/internal/front/http1/endings_test.go
@@ -17,9 +17,9 @@
 )
 
 // waitUnread waits until bytes have arrived on the connection that have not been read.
-func (c *clientConn) come(t *testing.T) {
+func (c *clientConn) waitUnread(t *testing.T) {
 	t.Helper()
-	testkit.Until(t, "nothing has arrived", c.waiting)
+	testkit.Until(t, "nothing has arrived", c.hasUnread)
 }
 
 const head = "GET /read HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -51,24 +51,24 @@
 		for what, cut := range map[string]int{"all unread": 0, "a byte read": 1, "the last byte unread": len(head) - 1} {
 			t.Run(name+", "+what, func(t *testing.T) {
 				t.Parallel()
-				a, dial, accept := doorstep(t, 3)
-				peer, c := dial(), (*clientConn)(nil)
+				a, dial, accept := newTestAdmission(t, 3)
+				client, c := dial(), (*clientConn)(nil)
 				c = accept()
-				io.WriteString(peer, head[:cut])
+				io.WriteString(client, head[:cut])
 				var first [64]byte
 				if _, err := io.ReadFull(c, first[:cut]); err != nil {
 					t.Fatal(err)
 				}
-				io.WriteString(peer, head[cut:])
-				c.come(t)
+				io.WriteString(client, head[cut:])
+				c.waitUnread(t)
 				end(a, c)
 				if got, err := readAll(c); got != head[cut:] || !errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("read %q, %v; want what had arrived, then the end", got, err)
 				}
 				c.SetReadDeadline(time.Now().Add(testkit.Patient)) // as net/http does for each request
-				if c.lost() != (name == "evicted") {
-					t.Errorf("lost: %v", c.lost())
-				} else if c.lost() {
+				if c.wasEvicted() != (name == "evicted") {
+					t.Errorf("lost: %v", c.wasEvicted())
+				} else if c.wasEvicted() {
 					if _, err := readAll(c); !errors.Is(err, os.ErrDeadlineExceeded) {
 						t.Errorf("the connection is readable again after its end: %v", err)
 					}
@@ -82,20 +82,20 @@
 // of one request, are not read.
 func TestEndOfReadingIsOne(t *testing.T) {
 	t.Parallel()
-	_, dial, accept := doorstep(t, 3)
-	peer := dial()
+	_, dial, accept := newTestAdmission(t, 3)
+	client := dial()
 	c := accept()
-	io.WriteString(peer, "x")
-	c.come(t)
+	io.WriteString(client, "x")
+	c.waitUnread(t)
 	c.SetReadDeadline(time.Now().Add(-time.Minute))
 	if got, err := readAll(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read %q, %v long after its time", got, err)
 	}
 	c.SetReadDeadline(time.Now().Add(testkit.Patient)) // so that no deadline passes meanwhile on a busy machine
 	c.owner.mu.Lock()
-	c.readBy, c.late = time.Now(), lateMost
+	c.readDeadline, c.lateBytes = time.Now(), maxLateBytes
 	c.owner.mu.Unlock()
-	if n := c.take(make([]byte, 1)); n != 0 {
+	if n := c.readLate(make([]byte, 1)); n != 0 {
 		t.Errorf("%d bytes read beyond the length of one request", n)
 	}
 }
@@ -103,18 +103,18 @@
 // A connection with a stalled head is evicted only if no more of the head has arrived.
 func TestUnreadWritingStays(t *testing.T) {
 	t.Parallel()
-	_, dial, accept := doorstep(t, 2)
-	peer := dial()
+	_, dial, accept := newTestAdmission(t, 2)
+	client := dial()
 	first := accept()
 	dial()
 	second := accept()
-	io.WriteString(peer, head)
-	first.come(t)
-	first.set(admit.Writing, time.Minute)
-	second.set(admit.Writing, 2*admit.StallLeast)
+	io.WriteString(client, head)
+	first.waitUnread(t)
+	first.set(admit.ReadingHead, time.Minute)
+	second.set(admit.ReadingHead, 2*admit.StalledHeadTimeout)
 	dial()
 	accept()
-	if first.lost() || !second.lost() {
+	if first.wasEvicted() || !second.wasEvicted() {
 		t.Error("the connection whose request was whole was evicted")
 	}
 }
@@ -124,7 +124,7 @@
 
 // newTestFront returns a front on the listener of an admission. It has no loop, so a request that is passed on makes
 // the test fail.
-func atDoor(a *admission) *Front {
+func newTestFront(a *admission) *Front {
 	return New(a.TCPListener, 3, front.NewHandler(nil, testkit.Settings(), 1<<20, testkit.Quiet), testkit.Quiet)
 }
 
@@ -140,33 +140,33 @@
 func TestEvictedIsRefused(t *testing.T) {
 	t.Parallel()
 	for _, at := range []int{0, 1, len(text) - 1} {
-		a, dial, _ := doorstep(t, 3)
+		a, dial, _ := newTestAdmission(t, 3)
 		began := make(chan *clientConn, 1)
-		f := atDoor(a)
+		f := newTestFront(a)
 		f.server.ConnState = func(c net.Conn, s http.ConnState) {
-			if f.door.track(c, s); s == http.StateNew {
+			if f.admission.track(c, s); s == http.StateNew {
 				began <- c.(*clientConn)
 			}
 		}
 		end := f.serve()
-		peer := dial()
+		client := dial()
 		c := <-began
-		io.WriteString(peer, text[:at])
+		io.WriteString(client, text[:at])
 		for end, read := time.Now().Add(testkit.Patient), 0; read < at && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			c.owner.mu.Lock()
-			read = c.scan.head
+			read = c.scan.headBytes
 			c.owner.mu.Unlock()
 		}
 		c.owner.mu.Lock() // what arrives now is not scanned, and perhaps not read, before the connection is evicted
-		io.WriteString(peer, text[at:])
+		io.WriteString(client, text[at:])
 		c.owner.evict(c)
 		c.owner.mu.Unlock()
-		resp, err := http.ReadResponse(bufio.NewReader(peer), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil || resp.StatusCode != 503 || !resp.Close {
 			t.Errorf("at %d: %v %v; want a refusal", at, resp, err)
 		}
 		end()
-		if n := f.door.open.Load(); n != 0 {
+		if n := f.admission.open.Load(); n != 0 {
 			t.Errorf("%d connections are open", n)
 		}
 	}
@@ -177,13 +177,13 @@
 func TestLeftBeforeTaken(t *testing.T) {
 	t.Parallel()
 	for _, behind := range []string{"", "G", text, strings.Repeat(text, 200)} { // the last one exceeds net/http's buffer
-		a, dial, _ := doorstep(t, 3)
-		peer := dial()
-		io.WriteString(peer, text+behind)
-		peer.(*net.TCPConn).CloseWrite() // while the connection waits in the listener's queue
-		f := atDoor(a)
+		a, dial, _ := newTestAdmission(t, 3)
+		client := dial()
+		io.WriteString(client, text+behind)
+		client.(*net.TCPConn).CloseWrite() // while the connection waits in the listener's queue
+		f := newTestFront(a)
 		end := f.serve()
-		resp, err := http.ReadResponse(bufio.NewReader(peer), nil)
+		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil || resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%d bytes after it: %v %v; want 400, as no answer comes", len(behind), resp, err)
 		}
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -14,66 +14,66 @@
 const (
 	// A connection without a whole request header has to be answered or closed after 3 s at the latest. Well-behaved
 	// clients take 2 s for a header.
-	headerWait  = 2600 * time.Millisecond // for the whole header of a request
-	idleWait    = 2100 * time.Millisecond // clients may rely on 2 s; many send one request, and hold what others need
-	headerLimit = 16 << 10
+	headerTimeout  = 2600 * time.Millisecond // for the whole header of a request
+	idleTimeout    = 2100 * time.Millisecond // clients may rely on 2 s; many send one request, and hold what others need
+	maxHeaderBytes = 16 << 10
 
 	// After SIGTERM clients connect for 0.4 s more; the rest of the time is for the accept queue. Clients go on using
 	// the connections that they have.
-	drainAccept = 600 * time.Millisecond
-	lastCall    = 300 * time.Millisecond // so long before the drain's end new requests are refused
-	drainLook   = 20 * time.Millisecond
+	drainAcceptTime   = 600 * time.Millisecond
+	refuseNewBefore   = 300 * time.Millisecond // so long before the drain's end new requests are refused
+	drainPollInterval = 20 * time.Millisecond
 	// After the drain's end a stalled answer is aborted after drainStall, in order to be done before SIGKILL. A long
 	// answer may go to a slow client; one that stalls for 2 s counts as failed in any case.
-	drainStall = 100 * time.Millisecond
-	longStall  = 2 * time.Second
-	drainSlack = 700 * time.Millisecond // beyond the longest deadline: requests from before the drain may end so late
+	drainStall      = 100 * time.Millisecond
+	longAnswerStall = 2 * time.Second
+	drainSlack      = 700 * time.Millisecond // beyond the longest deadline: requests from before the drain may end so late
 )
 
 // Front is a core.Front on one listener.
 type Front struct {
-	handler *front.Handler
-	door    *admission
-	server  *http.Server
-	log     *slog.Logger
+	handler   *front.Handler
+	admission *admission
+	server    *http.Server
+	log       *slog.Logger
 }
 
 type connKey struct{}
 
 // New returns a front that keeps at most conns client connections open. It sets the hooks of h that check connections.
 func New(tcp *net.TCPListener, conns int, h *front.Handler, log *slog.Logger) *Front {
-	f := &Front{handler: h, door: newAdmission(tcp, conns), log: log}
-	h.Lost = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).lost() }
-	h.Gone = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).gone() }
-	h.Hidden = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).hidden() }
-	h.Crowded = f.door.crowded
-	f.door.refused = func(class string) { h.Figures.End(class, http.StatusServiceUnavailable) }
-	h.Doubtful = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).doubtful() }
-	f.server = &http.Server{Handler: h, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait, MaxHeaderBytes: headerLimit,
-		ConnState: f.door.track, DisableGeneralOptionsHandler: true,
+	f := &Front{handler: h, admission: newAdmission(tcp, conns), log: log}
+	h.Evicted = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).wasEvicted() }
+	h.ClientGone = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).clientGone() }
+	h.DisconnectHidden = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).disconnectHidden() }
+	h.ConnectionPressure = f.admission.underPressure
+	f.admission.countRefused = func(class string) { h.Metrics.RequestEnded(class, http.StatusServiceUnavailable) }
+	h.AmbiguousEnd = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).ambiguousEnd() }
+	f.server = &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: f.admission.track, DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	return f
 }
 
 // Serve implements core.Front.
-func (f *Front) Serve() error { return f.server.Serve(f.door) }
+func (f *Front) Serve() error { return f.server.Serve(f.admission) }
 
 // Close implements core.Front.
 func (f *Front) Close() {
 	f.server.Close()
-	f.door.ends.Wait()
+	f.admission.refusals.Wait()
 }
 
 // SetAccepting sets whether connections are accepted, or left in the listener's queue for another process that shares
 // the listener.
-func (f *Front) Accept(on bool) { f.door.gate.Set(on, f.door.SetDeadline) }
+func (f *Front) SetAccepting(on bool) { f.admission.gate.SetOpen(on, f.admission.SetDeadline) }
 
 // SetLimit changes how many client connections may be open. Open connections beyond the new limit stay open.
-func (f *Front) SetLimit(n int) { f.door.setLimit(n) }
+func (f *Front) SetLimit(n int) { f.admission.setLimit(n) }
 
 // OpenConnections is the number of open client connections, without the evicted ones.
-func (f *Front) Held() int { return f.door.held() }
+func (f *Front) OpenConnections() int { return f.admission.openConns() }
 
 // Drain implements core.Front. Clients go on connecting for a moment, and have to be served once the kernel has
 // accepted the connection, so the listener stays open for that long. Requests on open connections are served for as
@@ -81,28 +81,28 @@
 // connections without an open request are closed. http.Server.Shutdown is not used, because it waits for new
 // connections and for half-received heads.
 func (f *Front) Drain(end time.Time) {
-	f.handler.Drain(end)     // all requests are answered by then
-	if !f.door.gate.Shut() { // if it is shut, a successor accepts the connections from the same queue
-		time.Sleep(drainAccept)
+	f.handler.Drain(end)            // all requests are answered by then
+	if !f.admission.gate.IsShut() { // if it is shut, a successor accepts the connections from the same queue
+		time.Sleep(drainAcceptTime)
 	}
-	f.door.Close()
-	for time.Until(end) > lastCall && f.door.held() > 0 {
-		time.Sleep(drainLook)
+	f.admission.Close()
+	for time.Until(end) > refuseNewBefore && f.admission.openConns() > 0 {
+		time.Sleep(drainPollInterval)
 	}
-	f.handler.LastCall()
-	f.door.closeRest()
+	f.handler.RefuseNewRequests()
+	f.admission.closeWithoutRequest()
 	// From now on each answer closes its connection. Requests that are still with the loop at end are answered then.
 	// Answers that are being written may go on while they make progress, but not if the client takes nothing or the
 	// server sends nothing. http.Server.Shutdown would close connections whose next head is being read.
-	for until := time.Now().Add(f.handler.Longest() + drainSlack); f.door.open.Load() > 0; time.Sleep(drainLook) {
-		f.door.closeRest() // including connections that have become idle since
+	for until := time.Now().Add(f.handler.LongestDeadline() + drainSlack); f.admission.open.Load() > 0; time.Sleep(drainPollInterval) {
+		f.admission.closeWithoutRequest() // including connections that have become idle since
 		now := time.Now()
 		if now.After(until) {
-			f.log.Warn("drained with connections open", "connections", f.door.open.Load())
+			f.log.Warn("drained with connections open", "connections", f.admission.open.Load())
 			return
 		}
 		if now.Sub(end) > drainStall {
-			f.door.closeStalled()
+			f.admission.closeStalled()
 		}
 	}
 }
--- a/internal/front/http1/look_test.go
+++ b/internal/front/http1/look_test.go
@@ -4,12 +4,12 @@
 
 // BenchmarkLook measures the check of a client that is connected.
 func BenchmarkLook(b *testing.B) {
-	_, dial, accept := doorstep(b, 3)
+	_, dial, accept := newTestAdmission(b, 3)
 	dial()
 	c := accept()
 	b.ReportAllocs()
 	for b.Loop() {
-		if c.gone() {
+		if c.clientGone() {
 			b.Fatal("a connected client counts as gone")
 		}
 	}
--- a/internal/front/http1/scan.go
+++ b/internal/front/http1/scan.go
@@ -12,18 +12,18 @@
 // that goes by it would find another request in the body (request smuggling). It does no I/O. Input that net/http
 // rejects needs no exact handling, because its connection is closed. A request hidden behind an ambiguous one is never
 // served, because the ambiguous one closes the connection, too.
-type scan struct {
-	state   scanState
-	line    []byte // the first maxLineKept bytes of the present line of the head
-	head    int    // bytes of the present head so far
-	length  int64  // bytes of the body that are still to come, by Content-Length
-	hasSize bool   // the head has a Content-Length
-	sized   bool   // the last line was a Content-Length
-	unsure  bool   // a Content-Length goes on in the next line, or beyond the bytes that are kept of its line
-	coded   bool   // the head has a Transfer-Encoding
-	chunks  chunk.Decoder
+type requestScan struct {
+	state           scanState
+	line            []byte // the first maxLineKept bytes of the present line of the head
+	headBytes       int    // bytes of the present head so far
+	bodyLeft        int64  // bytes of the body that are still to come, by Content-Length
+	hasLength       bool   // the head has a Content-Length
+	afterLength     bool   // the last line was a Content-Length
+	lengthUncertain bool   // a Content-Length goes on in the next line, or beyond the bytes that are kept of its line
+	chunked         bool   // the head has a Transfer-Encoding
+	chunks          chunk.Decoder
 
-	doubts []bool // marks of the requests whose heads are complete, until nextAmbiguous has returned them
+	ambiguous []bool // marks of the requests whose heads are complete, until nextAmbiguous has returned them
 }
 
 type scanState int
@@ -32,52 +32,52 @@
 	scanHead scanState = iota
 	scanBody
 	scanChunks
-	scanLost // the end of the request can't be determined; net/http rejects it
+	scanUnknown // the end of the request can't be determined; net/http rejects it
 )
 
 const (
-	lineKept   = 64   // bytes that are kept of a line: enough for the two field names with blanks, and a length
-	doubtsMost = 4096 // requests ahead of their handlers; net/http's buffer of 4 KB holds some 200
+	maxLineKept     = 64   // bytes that are kept of a line: enough for the two field names with blanks, and a length
+	maxPendingMarks = 4096 // requests ahead of their handlers; net/http's buffer of 4 KB holds some 200
 )
 
 // feed scans bytes that have been read. It removes empty lines before a request from p, as RFC 9112, section 2.2,
 // requires, and returns the length that is left.
-func (s *scan) feed(p []byte) int {
+func (s *requestScan) feed(p []byte) int {
 	kept := len(p)
 	for at := 0; at < kept; {
 		switch s.state {
 		case scanHead:
 			c := p[at]
-			if s.head == 0 && (c == '\r' || c == '\n') {
+			if s.headBytes == 0 && (c == '\r' || c == '\n') {
 				copy(p[at:], p[at+1:kept])
 				kept--
 				continue
 			}
 			at++
-			s.head++
+			s.headBytes++
 			if c != '\n' {
-				if len(s.line) < lineKept {
+				if len(s.line) < maxLineKept {
 					s.line = append(s.line, c)
 				}
 				continue
 			}
 			s.endLine()
 		case scanBody:
-			n := int(min(int64(kept-at), s.length))
+			n := int(min(int64(kept-at), s.bodyLeft))
 			at += n
-			if s.length -= int64(n); s.length == 0 {
-				s.next()
+			if s.bodyLeft -= int64(n); s.bodyLeft == 0 {
+				s.startRequest()
 			}
 		case scanChunks:
 			_, used, err := s.chunks.Next(p[at:kept])
 			at += used
 			switch {
 			case err != nil:
-				s.state = scanLost
+				s.state = scanUnknown
 			case s.chunks.Done():
-				s.next()
+				s.startRequest()
 			}
-		case scanLost:
+		case scanUnknown:
 			return kept
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // endLine handles the end of a line of a head.
-func (s *scan) endLine() {
-	cut := len(s.line) == lineKept
+func (s *requestScan) endLine() {
+	cut := len(s.line) == maxLineKept
 	line := bytes.TrimSuffix(s.line, []byte("\r"))
 	s.line = s.line[:0]
 	if len(line) == 0 {
@@ -94,10 +94,10 @@
 		return
 	}
 	if line[0] == ' ' || line[0] == '\t' { // to net/http this continues the line before
-		s.unsure = s.unsure || s.sized
+		s.lengthUncertain = s.lengthUncertain || s.afterLength
 		return
 	}
-	s.sized = false
+	s.afterLength = false
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
 		return
@@ -105,43 +105,43 @@
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
-		s.sized, s.unsure = true, s.unsure || cut
-		if s.hasSize = true; err != nil || n < 0 {
+		s.afterLength, s.lengthUncertain = true, s.lengthUncertain || cut
+		if s.hasLength = true; err != nil || n < 0 {
 			n = 0 // net/http rejects the request
 		}
-		s.length = n
+		s.bodyLeft = n
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		s.coded = true
+		s.chunked = true
 	}
 }
 
 // endHead handles the end of a head: it adds the mark of its request.
-func (s *scan) endHead() {
-	if len(s.doubts) < doubtsMost {
-		s.doubts = append(s.doubts, s.coded && s.hasSize || s.unsure)
+func (s *requestScan) endHead() {
+	if len(s.ambiguous) < maxPendingMarks {
+		s.ambiguous = append(s.ambiguous, s.chunked && s.hasLength || s.lengthUncertain)
 	}
 	switch {
-	case s.coded:
+	case s.chunked:
 		s.state, s.chunks = scanChunks, chunk.Decoder{}
-	case s.length > 0:
+	case s.bodyLeft > 0:
 		s.state = scanBody
 	default:
-		s.next()
+		s.startRequest()
 	}
 }
 
 // startRequest resets the scan to the beginning of a request.
-func (s *scan) next() {
-	s.state, s.head, s.length = scanHead, 0, 0
-	s.hasSize, s.coded, s.sized, s.unsure = false, false, false, false
+func (s *requestScan) startRequest() {
+	s.state, s.headBytes, s.bodyLeft = scanHead, 0, 0
+	s.hasLength, s.chunked, s.afterLength, s.lengthUncertain = false, false, false, false
 }
 
 // nextAmbiguous reports whether the next request is ambiguous. It is called once for each request, in their order.
-func (s *scan) doubtful() bool {
-	if len(s.doubts) == 0 {
+func (s *requestScan) nextAmbiguous() bool {
+	if len(s.ambiguous) == 0 {
 		return true // can't happen: net/http has seen a request that this scan has not
 	}
-	first := s.doubts[0]
-	s.doubts = s.doubts[:copy(s.doubts, s.doubts[1:])]
+	first := s.ambiguous[0]
+	s.ambiguous = s.ambiguous[:copy(s.ambiguous, s.ambiguous[1:])]
 	return first
 }
--- a/internal/front/http1/scan_test.go
+++ b/internal/front/http1/scan_test.go
@@ -10,7 +10,7 @@
 )
 
 // scanned feeds text to a scan in pieces, and returns what is left of it and the scan.
-func scanned(text string, piece int) (kept string, s scan) {
+func scanned(text string, piece int) (kept string, s requestScan) {
 	for text != "" {
 		n := min(piece, len(text))
 		p := []byte(text[:n])
@@ -42,8 +42,8 @@
 		for _, piece := range []int{1, 3, 1 << 20} {
 			_, s := scanned(text, piece)
 			got := ""
-			for len(s.doubts) > 0 {
-				if s.doubtful() {
+			for len(s.ambiguous) > 0 {
+				if s.nextAmbiguous() {
 					got += "!"
 				} else {
 					got += "-"
@@ -79,16 +79,16 @@
 			}
 			at := len(kept) - source.Len() - r.Buffered()
 			_, s := scanned(kept[:at], 1<<20)
-			if s.state == scanLost {
+			if s.state == scanUnknown {
 				return // a bare line feed among chunks: requests after it have no mark, and count as ambiguous
 			}
-			for _, doubt := range s.doubts {
+			for _, doubt := range s.ambiguous {
 				if doubt {
 					return
 				}
 			}
-			if len(s.doubts) != n || s.state != scanHead || s.head != 0 {
-				t.Fatalf("after %d requests, %q: %d scanned, state %d, %d bytes of a head", n, kept[:at], len(s.doubts), s.state, s.head)
+			if len(s.ambiguous) != n || s.state != scanHead || s.headBytes != 0 {
+				t.Fatalf("after %d requests, %q: %d scanned, state %d, %d bytes of a head", n, kept[:at], len(s.ambiguous), s.state, s.headBytes)
 			}
 		}
 	})
--- a/internal/front/lost_test.go
+++ b/internal/front/lost_test.go
@@ -16,7 +16,7 @@
 	for gone, want := range map[string]int64{"answers": 0, "aborts": 1} {
 		h := NewHandler(nil, decide.Settings{Classes: []decide.Class{{Name: "read", Effect: decide.Safe}}}, 1<<20, nil)
 		h.Guard = guard.New(0, nil)
-		h.Gone = func(*http.Request) bool {
+		h.ClientGone = func(*http.Request) bool {
 			if gone == "aborts" {
 				panic(http.ErrAbortHandler)
 			}
--- a/internal/front/presence_test.go
+++ b/internal/front/presence_test.go
@@ -11,42 +11,42 @@
 // gone is gone at each check.
 func TestPresence(t *testing.T) {
 	t.Parallel()
-	looks, gone, hidden, left := 0, false, false, 0
+	checks, gone, hidden, cancelled := 0, false, false, 0
 	handler := &Handler{
-		Gone:   func(*http.Request) bool { looks++; return gone },
-		Hidden: func(*http.Request) bool { return hidden },
+		ClientGone:       func(*http.Request) bool { checks++; return gone },
+		DisconnectHidden: func(*http.Request) bool { return hidden },
 	}
-	newcomer := func(waited time.Duration) *presence {
-		return &presence{handler: handler, began: time.Now().Add(-waited), leave: func() { left++ }}
+	newPresence := func(waited time.Duration) *clientPresence {
+		return &clientPresence{handler: handler, began: time.Now().Add(-waited), cancel: func() { cancelled++ }}
 	}
-	p := newcomer(0)
-	if p.left(time.Hour) || looks != 0 {
-		t.Errorf("%d checks of a client that was checked just now", looks)
+	p := newPresence(0)
+	if p.gone(time.Hour) || checks != 0 {
+		t.Errorf("%d checks of a client that was checked just now", checks)
 	}
-	p = newcomer(time.Hour)
+	p = newPresence(time.Hour)
 	for range 2 {
-		if p.left(time.Minute) || looks != 1 {
-			t.Errorf("%d checks, want one for both calls", looks)
+		if p.gone(time.Minute) || checks != 1 {
+			t.Errorf("%d checks, want one for both calls", checks)
 		}
 	}
 	p.began = p.began.Add(-time.Hour) // as if that check were an hour ago
-	if p.left(time.Minute) || looks != 2 {
-		t.Errorf("%d checks, want another after an hour", looks)
+	if p.gone(time.Minute) || checks != 2 {
+		t.Errorf("%d checks, want another after an hour", checks)
 	}
 	hidden = true
-	if p = newcomer(time.Hour); !p.left(time.Minute) || !p.unseen.Load() || left != 1 {
+	if p = newPresence(time.Hour); !p.gone(time.Minute) || !p.presumedGone.Load() || cancelled != 1 {
 		t.Error("a client that could not be seen for an hour counts as there")
 	}
-	p = newcomer(0)
+	p = newPresence(0)
 	p.began = time.Now()
-	if p.left(0) && time.Since(p.began) < hiddenWait {
+	if p.gone(0) && time.Since(p.began) < disconnectHiddenWait {
 		t.Error("a client that could not be seen for a moment counts as gone")
 	}
 	hidden, gone = false, true
-	p = newcomer(time.Hour)
-	for look := range 2 {
-		if !p.left(time.Minute) || p.unseen.Load() {
-			t.Errorf("check %d: a client that has left counts as there", look)
+	p = newPresence(time.Hour)
+	for check := range 2 {
+		if !p.gone(time.Minute) || p.presumedGone.Load() {
+			t.Errorf("check %d: a client that has left counts as there", check)
 		}
 	}
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -79,7 +79,7 @@
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.Faults(path, raw)
+	fault := tomlfile.KeyErrors(path, raw)
 	c := &Config{Path: path, Out: f.Limits.Out, In: f.Limits.In, Entries: f.Limits.Entries, Bytes: f.Limits.Bytes, SpareShare: f.Limits.SpareShare,
 		Identity: &link.Identity{Site: f.Site.Name}}
 	var err error
@@ -104,7 +104,7 @@
 	if !(c.SpareShare >= 0 && c.SpareShare <= 1) {
 		return nil, fault("limits.spare_share", "want 0 to 1, have %v", c.SpareShare)
 	}
-	beside := tomlfile.Beside(path)
+	beside := tomlfile.RelativeTo(path)
 	if c.Identity.Certificate, err = tls.LoadX509KeyPair(beside(f.Site.Certificate), beside(f.Site.Key)); err != nil {
 		return nil, fault("site.certificate", "%v", err)
 	}
--- a/internal/gossip/audience.go
+++ b/internal/gossip/audience.go
@@ -28,10 +28,10 @@
 // Audience returns the nodes whose arcs overlap that of self, in ascending order and without self: those that should
 // receive its load reports. ownSize is the length of its own arc, and othersSize the assumed length of every other, in
 // servers.
-func Audience(nodes, self, servers, size, others int) (audience []int) {
+func Audience(nodes, self, servers, ownSize, othersSize int) (audience []int) {
 	start := Start(self, servers)
 	for j := range nodes {
-		if j != self && Overlap(start, size, Start(j, servers), others, servers) {
+		if j != self && Overlap(start, ownSize, Start(j, servers), othersSize, servers) {
 			audience = append(audience, j)
 		}
 	}
@@ -40,14 +40,14 @@
 
 // SubsetContains reports whether the subset of size servers that begins at start contains a place in the ring, or is
 // at most Slack servers away from it.
-func Meets(start, size, place, servers int) bool {
+func SubsetContains(start, size, place, servers int) bool {
 	d := mod(place-start, servers)
 	return d < size+Slack || d >= servers-Slack
 }
 
 // DistanceFromStart returns how many servers a place lies after the start of a node's arc, going round the ring. The
 // smaller the distance, the more likely the node's subset contains the server at that place.
-func Ahead(node, place, servers int) int { return mod(place-Start(node, servers), servers) }
+func DistanceFromStart(node, place, servers int) int { return mod(place-Start(node, servers), servers) }
 
 // mod returns a modulo n, in [0,n) for negative a, too.
 func mod(a, n int) int { return ((a % n) + n) % n }
--- a/internal/gossip/audience_test.go
+++ b/internal/gossip/audience_test.go
@@ -9,7 +9,7 @@
 
 // Two nodes whose subsets share a server are in each other's audience, for any number of nodes and servers and any
 // size of subset. The audience holds only a few other nodes.
-func TestAudienceMeets(t *testing.T) {
+func TestAudienceSharesServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, servers := rapid.IntRange(1, 160).Draw(t, "nodes"), rapid.IntRange(1, 250).Draw(t, "servers")
 		size := min(servers, rapid.IntRange(1, 30).Draw(t, "size"))
@@ -49,7 +49,7 @@
 		t.Errorf("a single node has the audience %v", a)
 	}
 	for j := range 1000 {
-		if s := Start(j, 7); s < 0 || s >= 7 || Ahead(j, s, 7) != 0 || Ahead(j, (s+6)%7, 7) != 6 {
+		if s := Start(j, 7); s < 0 || s >= 7 || DistanceFromStart(j, s, 7) != 0 || DistanceFromStart(j, (s+6)%7, 7) != 6 {
 			t.Fatalf("the arc of node %d begins at %d of 7, or distances from there are wrong", j, s)
 		}
 	}
--- a/internal/gossip/estimate.go
+++ b/internal/gossip/estimate.go
@@ -9,15 +9,15 @@
 // between nodes, the other nodes still send requests. A node's own share of all requests at its servers changes
 // slowly, so the others' requests are estimated from its own. The zero value has received no report. It is not safe
 // for concurrent use.
-type Reckoning struct {
-	lastMessage time.Duration // when the latest message arrived
-	resumed     time.Duration // when the first message after the latest gap arrived
-	lastLook    time.Duration // when Observe was last called
-	anyMessage  bool          // at least one message has arrived
-	interrupted bool          // there has been a gap of more than silenceLimit between messages
-	ownSeconds  float64       // own requests times seconds, over the recent time with complete reports
-	allSeconds  float64       // the same for the requests of all nodes
-	recentOwn   float64       // own requests in flight, smoothed
+type LoadEstimator struct {
+	lastMessage  time.Duration // when the latest message arrived
+	resumedAt    time.Duration // when the first message after the latest gap arrived
+	lastObserved time.Duration // when Observe was last called
+	everReceived bool          // at least one message has arrived
+	interrupted  bool          // there has been a gap of more than silenceLimit between messages
+	ownSeconds   float64       // own requests times seconds, over the recent time with complete reports
+	allSeconds   float64       // the same for the requests of all nodes
+	recentOwn    float64       // own requests in flight, smoothed
 }
 
 const (
@@ -31,40 +31,40 @@
 	// smoothingTime is the time constant by which the number of own requests, which is small, is smoothed, in seconds.
 	smoothingTime = 1.0
 	// minObserved is how many requests times seconds, of all nodes, must have been observed for the share to be useful.
-	leastObserved = 4.0
+	minObserved = 4.0
 )
 
 // MessageReceived records that a message of another node arrived. now is the time on any monotonic clock, here and
 // below.
-func (r *Reckoning) Heard(now time.Duration) {
-	if r.anyMessage && now-r.lastMessage > silenceLimit {
-		r.resumed, r.interrupted = now, true
+func (r *LoadEstimator) MessageReceived(now time.Duration) {
+	if r.everReceived && now-r.lastMessage > silenceLimit {
+		r.resumedAt, r.interrupted = now, true
 	}
-	r.lastMessage, r.anyMessage = now, true
+	r.lastMessage, r.everReceived = now, true
 }
 
 // ReportsStale reports whether the last load reports are out of date: none has arrived for longer than silenceLimit, or
 // reports arrive again after such a gap, for less than settleTime, and may not be complete yet.
-func (r *Reckoning) Deaf(now time.Duration) bool {
-	return r.anyMessage && (now-r.lastMessage > silenceLimit || r.interrupted && now-r.resumed < settleTime)
+func (r *LoadEstimator) ReportsStale(now time.Duration) bool {
+	return r.everReceived && (now-r.lastMessage > silenceLimit || r.interrupted && now-r.resumedAt < settleTime)
 }
 
 // Observe updates the share. own is the number of requests that this node has in flight at its servers, and others the
 // number that the other nodes have reported there. It should be called several times a second.
-func (r *Reckoning) Look(now time.Duration, own, others float64) {
-	dt := math.Min(1, (now - r.lastLook).Seconds())
-	r.lastLook = now
+func (r *LoadEstimator) Observe(now time.Duration, own, others float64) {
+	dt := math.Min(1, (now - r.lastObserved).Seconds())
+	r.lastObserved = now
 	r.recentOwn += (1 - math.Exp(-dt/smoothingTime)) * (own - r.recentOwn)
-	if r.anyMessage && now-r.lastMessage <= silenceLimit/2 && !r.Deaf(now) {
-		fade := math.Exp(-dt / shareMemory)
-		r.ownSeconds, r.allSeconds = fade*r.ownSeconds+own*dt, fade*r.allSeconds+(own+others)*dt
+	if r.everReceived && now-r.lastMessage <= silenceLimit/2 && !r.ReportsStale(now) {
+		decay := math.Exp(-dt / shareMemory)
+		r.ownSeconds, r.allSeconds = decay*r.ownSeconds+own*dt, decay*r.allSeconds+(own+others)*dt
 	}
 }
 
 // EstimateOthers returns the estimated number of requests that the other nodes have in flight at all servers of this
 // node together. ok is false as long as the node's share is not known.
-func (r *Reckoning) Others() (requests float64, ok bool) {
-	if r.allSeconds < leastObserved || r.ownSeconds <= 0 {
+func (r *LoadEstimator) EstimateOthers() (requests float64, ok bool) {
+	if r.allSeconds < minObserved || r.ownSeconds <= 0 {
 		return 0, false
 	}
 	return r.recentOwn * (r.allSeconds/r.ownSeconds - 1), true
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -22,19 +22,19 @@
 	Failback       // a server in slow start gets no more than all processes together may send it
 	Deadline       // nothing is sent after the client's deadline, and no server gets a longer time than the client has left
 	Departed       // nothing is sent for a client that has left, or for a request that is over
-	rules
+	ruleCount
 )
 
-var names = [rules]string{"none", "lost", "duplicate", "drain", "failback", "deadline", "departed"}
+var ruleNames = [ruleCount]string{"none", "lost", "duplicate", "drain", "failback", "deadline", "departed"}
 
 // String is the rule's name in logs and metrics.
-func (r Rule) String() string { return names[r] }
+func (r Rule) String() string { return ruleNames[r] }
 
 // Error makes a rule an error, which says why an attempt was refused.
 func (r Rule) Error() string { return "refused by the guard: " + r.String() }
 
 // Rules returns all rules except None.
-func Each() []Rule { return []Rule{Lost, Duplicate, Drain, Failback, Deadline, Departed} }
+func Rules() []Rule { return []Rule{Lost, Duplicate, Drain, Failback, Deadline, Departed} }
 
 const (
 	// DepartedWithin is how long after its client has left an attempt may still start.
@@ -45,45 +45,45 @@
 
 // Attempt describes an attempt at one moment: right before its first byte is written, or right after the last one.
 type Attempt struct {
-	Now      time.Time
-	Probe    bool          // a health check, which belongs to no request
-	Told     time.Duration // the time limit that is sent to the server (X-Time-Left), from Now; 0: not known yet
-	Deadline time.Time     // the server has to answer by then
-	Patience time.Time     // the client's own deadline
+	Now            time.Time
+	Probe          bool          // a health check, which belongs to no request
+	TimeLeft       time.Duration // the time limit that is sent to the server (X-Time-Left), from Now; 0: not known yet
+	Deadline       time.Time     // the server has to answer by then
+	ClientDeadline time.Time     // the client's own deadline
 
-	Over     bool // the request has its final answer, or has been cancelled
-	Departed bool // the client has left, by a check that is as recent as the caller requires
+	Over       bool // the request has its final answer, or has been cancelled
+	ClientGone bool // the client has left, by a check that is as recent as the caller requires
 
 	Effect     decide.Effect
 	MayHaveRun bool      // an earlier attempt of the request may have run
 	WriteBy    time.Time // the attempt has to be written by then, as servers forget the idempotency key; zero: no limit
 
-	ListBy   time.Time // the list by which the server was chosen is valid until then; zero: without limit
-	OffSince time.Time // since when the server is draining or removed; zero: it is ready
+	ListValidUntil   time.Time // the list by which the server was chosen is valid until then; zero: without limit
+	UnavailableSince time.Time // since when the server is draining or removed; zero: it is ready
 
-	ColdSent int // attempts in the present window of the server's slow start, including this one; 0: it is warm
-	ColdMost int // attempts that all processes together may send the server per window; 0: it is warm
+	SlowStartSent  int // attempts in the present window of the server's slow start, including this one; 0: it is warm
+	SlowStartLimit int // attempts that all processes together may send the server per window; 0: it is warm
 }
 
 // Check returns the rule that an attempt would break if it started now, or None.
 func Check(a Attempt) Rule {
 	switch {
-	case a.Over || a.Departed:
+	case a.Over || a.ClientGone:
 		return Departed
-	case !a.OffSince.IsZero(), !a.ListBy.IsZero() && !a.Now.Before(a.ListBy):
+	case !a.UnavailableSince.IsZero(), !a.ListValidUntil.IsZero() && !a.Now.Before(a.ListValidUntil):
 		return Drain
-	case a.repeats():
+	case a.duplicatesEffect():
 		return Duplicate
 	case !a.Now.Before(a.Deadline):
 		return Deadline
-	case a.ColdMost > 0 && a.ColdSent > a.ColdMost:
+	case a.SlowStartLimit > 0 && a.SlowStartSent > a.SlowStartLimit:
 		return Failback
 	}
 	return None
 }
 
 // duplicatesEffect reports whether the attempt could have its effect a second time.
-func (a *Attempt) repeats() bool {
+func (a *Attempt) duplicatesEffect() bool {
 	if a.Probe {
 		return false
 	}
@@ -93,25 +93,25 @@
 // Guard checks attempts and counts refusals and violations. Its methods are safe for concurrent use. A nil Guard checks
 // attempts, too, but counts nothing.
 type Guard struct {
-	grace    time.Duration // how long after a server starts to drain attempts may still be sent to it
-	refused  [rules]atomic.Int64
-	violated [rules]atomic.Int64
-	stale    atomic.Int64 // attempts sent while no watch kept the list fresh
-
-	made      time.Time    // the zero of the guard's clock
-	unwatched atomic.Int64 // when the last watch ended, in ns since epoch; 0: the list is watched, or never was
-	report    func(r Rule, a Attempt)
+	drainGrace time.Duration // how long after a server starts to drain attempts may still be sent to it
+	refused    [ruleCount]atomic.Int64
+	violated   [ruleCount]atomic.Int64
+	stale      atomic.Int64 // attempts sent while no watch kept the list fresh
+
+	epoch          time.Time    // the zero of the guard's clock
+	unwatchedSince atomic.Int64 // when the last watch ended, in ns since epoch; 0: the list is watched, or never was
+	report         func(r Rule, a Attempt)
 }
 
 // New returns a guard. drainGrace is how long after a server starts to drain attempts may still be sent to it. report, if
 // not nil, is called with each violation; it must not block.
 func New(grace time.Duration, report func(r Rule, a Attempt)) *Guard {
-	return &Guard{grace: grace, report: report, made: time.Now()}
+	return &Guard{drainGrace: grace, report: report, epoch: time.Now()}
 }
 
 // Admit checks an attempt right before its first byte is written. It returns None, or the rule for which the attempt is
 // refused, and counts the refusal.
-func (g *Guard) May(a Attempt) Rule {
+func (g *Guard) Admit(a Attempt) Rule {
 	r := Check(a)
 	if r != None && g != nil {
 		g.refused[r].Add(1)
@@ -121,58 +121,58 @@
 
 // RecordSent checks an attempt that has been written, by what is known now, and counts the rules that it has broken
 // although it was admitted. startedAt is when its first byte was written.
-func (g *Guard) Sent(a Attempt, began time.Time) {
+func (g *Guard) RecordSent(a Attempt, startedAt time.Time) {
 	if g == nil {
 		return
 	}
-	if a.Departed {
-		g.Violated(Departed, a)
+	if a.ClientGone {
+		g.RecordViolation(Departed, a)
 	}
-	if !a.OffSince.IsZero() && began.Sub(a.OffSince) > g.grace {
-		g.Violated(Drain, a)
+	if !a.UnavailableSince.IsZero() && startedAt.Sub(a.UnavailableSince) > g.drainGrace {
+		g.RecordViolation(Drain, a)
 	}
-	if a.repeats() {
-		g.Violated(Duplicate, a)
+	if a.duplicatesEffect() {
+		g.RecordViolation(Duplicate, a)
 	}
-	if a.late() {
-		g.Violated(Deadline, a)
+	if a.exceedsDeadline() {
+		g.RecordViolation(Deadline, a)
 	}
-	if a.ColdMost > 0 && a.ColdSent > a.ColdMost {
-		g.Violated(Failback, a)
+	if a.SlowStartLimit > 0 && a.SlowStartSent > a.SlowStartLimit {
+		g.RecordViolation(Failback, a)
 	}
-	if since := g.unwatched.Load(); since != 0 && int64(began.Sub(g.made)) > since {
+	if since := g.unwatchedSince.Load(); since != 0 && int64(startedAt.Sub(g.epoch)) > since {
 		g.stale.Add(1)
 	}
 }
 
 // exceedsDeadline reports whether an attempt was written after its client's deadline, or sent the server a longer time
 // limit than the client had left, with DeadlineSlack allowed in both cases.
-func (a *Attempt) late() bool {
-	if a.Probe || a.Patience.IsZero() {
+func (a *Attempt) exceedsDeadline() bool {
+	if a.Probe || a.ClientDeadline.IsZero() {
 		return false
 	}
-	left := a.Patience.Sub(a.Now)
-	return left < -DeadlineSlack || a.Told > max(0, left)+DeadlineSlack
+	left := a.ClientDeadline.Sub(a.Now)
+	return left < -DeadlineSlack || a.TimeLeft > max(0, left)+DeadlineSlack
 }
 
 // RecordSentBefore checks attempts at a server that were sent before the process knew that the server is draining or
 // removed. The process may have counted as notified of that earlier, since the time notified, because its watch was
 // resumed too late. lastSent is the time of the latest of these attempts.
-func (g *Guard) SentBefore(last, notified time.Time) {
-	if g != nil && !notified.IsZero() && last.Sub(notified) > g.grace {
-		g.Violated(Drain, Attempt{Now: last, OffSince: notified})
+func (g *Guard) RecordSentBefore(lastSent, notified time.Time) {
+	if g != nil && !notified.IsZero() && lastSent.Sub(notified) > g.drainGrace {
+		g.RecordViolation(Drain, Attempt{Now: lastSent, UnavailableSince: notified})
 	}
 }
 
 // RecordRequestEnd checks the end of a request that was read whole: it counts as lost if it was not answered.
-func (g *Guard) Ended(answered bool) {
+func (g *Guard) RecordRequestEnd(answered bool) {
 	if g != nil && !answered {
-		g.Violated(Lost, Attempt{})
+		g.RecordViolation(Lost, Attempt{})
 	}
 }
 
 // RecordViolation counts and reports a violation.
-func (g *Guard) Violated(r Rule, a Attempt) {
+func (g *Guard) RecordViolation(r Rule, a Attempt) {
 	if g == nil {
 		return
 	}
@@ -184,15 +184,15 @@
 
 // SetWatched sets whether a watch keeps the list fresh, and if not, since when. The zero time means since the start:
 // attempts are then not counted as stale.
-func (g *Guard) Watched(watched bool, since time.Time) {
+func (g *Guard) SetWatched(watched bool, since time.Time) {
 	if g == nil {
 		return
 	}
 	at := time.Duration(0)
 	if !watched && !since.IsZero() {
-		at = max(1, since.Sub(g.made))
+		at = max(1, since.Sub(g.epoch))
 	}
-	g.unwatched.Store(int64(at))
+	g.unwatchedSince.Store(int64(at))
 }
 
 // Counts returns how many attempts were refused for a rule, and how often the rule was broken.
@@ -205,7 +205,7 @@
 
 // Violations is the number of violations of all rules.
 func (g *Guard) Violations() (n int64) {
-	for _, r := range Each() {
+	for _, r := range Rules() {
 		_, violated := g.Counts(r)
 		n += violated
 	}
@@ -213,7 +213,7 @@
 }
 
 // StaleSends is the number of attempts that were sent while no watch kept the list fresh.
-func (g *Guard) Stale() int64 {
+func (g *Guard) StaleSends() int64 {
 	if g == nil {
 		return 0
 	}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -16,31 +16,31 @@
 
 // good is an attempt that breaks no rule.
 func good() Attempt {
-	return Attempt{Now: now, Told: time.Second, Deadline: now.Add(time.Second), Patience: now.Add(time.Second), Effect: decide.Unsafe}
+	return Attempt{Now: now, TimeLeft: time.Second, Deadline: now.Add(time.Second), ClientDeadline: now.Add(time.Second), Effect: decide.Unsafe}
 }
 
 // plantedFaults holds for each rule of attempts a fault that breaks it: before is the one that Admit has to refuse, after
 // the one that RecordSent has to count.
-var planted = map[Rule]struct{ before, after func(*Attempt) }{
+var plantedFaults = map[Rule]struct{ before, after func(*Attempt) }{
 	Duplicate: {
 		func(a *Attempt) { a.MayHaveRun = true },
 		func(a *Attempt) { a.MayHaveRun = true },
 	},
 	Drain: {
-		func(a *Attempt) { a.OffSince = now },
-		func(a *Attempt) { a.OffSince = now.Add(-grace - time.Millisecond) },
+		func(a *Attempt) { a.UnavailableSince = now },
+		func(a *Attempt) { a.UnavailableSince = now.Add(-grace - time.Millisecond) },
 	},
 	Failback: {
-		func(a *Attempt) { a.ColdSent, a.ColdMost = 9, 8 },
-		func(a *Attempt) { a.ColdSent, a.ColdMost = 9, 8 },
+		func(a *Attempt) { a.SlowStartSent, a.SlowStartLimit = 9, 8 },
+		func(a *Attempt) { a.SlowStartSent, a.SlowStartLimit = 9, 8 },
 	},
 	Deadline: {
 		func(a *Attempt) { a.Deadline = now },
-		func(a *Attempt) { a.Told = time.Second + DeadlineSlack + time.Millisecond },
+		func(a *Attempt) { a.TimeLeft = time.Second + DeadlineSlack + time.Millisecond },
 	},
 	Departed: {
-		func(a *Attempt) { a.Departed = true },
-		func(a *Attempt) { a.Departed = true },
+		func(a *Attempt) { a.ClientGone = true },
+		func(a *Attempt) { a.ClientGone = true },
 	},
 }
 
@@ -48,7 +48,7 @@
 // nothing under the other rules.
 func TestEachRuleCatchesItsFault(t *testing.T) {
 	t.Parallel()
-	for _, r := range Each() {
+	for _, r := range Rules() {
 		if r == Lost {
 			continue // a rule of requests: TestLostIsCounted
 		}
@@ -57,17 +57,17 @@
 			var reported []Rule
 			g := New(grace, func(r Rule, _ Attempt) { reported = append(reported, r) })
 			before, after := good(), good()
-			if got := g.May(before); got != None {
+			if got := g.Admit(before); got != None {
 				t.Fatalf("a good attempt is refused: %v", got)
 			}
-			g.Sent(before, before.Now)
-			planted[r].before(&before)
-			if got := g.May(before); got != r {
+			g.RecordSent(before, before.Now)
+			plantedFaults[r].before(&before)
+			if got := g.Admit(before); got != r {
 				t.Errorf("refused for %v", got)
 			}
-			planted[r].after(&after)
-			g.Sent(after, after.Now)
-			for _, other := range Each() {
+			plantedFaults[r].after(&after)
+			g.RecordSent(after, after.Now)
+			for _, other := range Rules() {
 				refused, violated := g.Counts(other)
 				if want := int64(len(slices.DeleteFunc([]Rule{r}, func(x Rule) bool { return x != other }))); refused != want || violated != want {
 					t.Errorf("%v: refused %d, broken %d, want %d each", other, refused, violated, want)
@@ -84,8 +84,8 @@
 func TestLostIsCounted(t *testing.T) {
 	t.Parallel()
 	g := New(grace, nil)
-	g.Ended(true)
-	g.Ended(false)
+	g.RecordRequestEnd(true)
+	g.RecordRequestEnd(false)
 	if _, violated := g.Counts(Lost); violated != 1 {
 		t.Errorf("%d, want 1", violated)
 	}
@@ -98,16 +98,16 @@
 		"safe again":            func(a *Attempt) { a.Effect, a.MayHaveRun = decide.Safe, true },
 		"keyed, in its window":  func(a *Attempt) { a.Effect, a.MayHaveRun, a.WriteBy = decide.Keyed, true, now.Add(1) },
 		"just in time":          func(a *Attempt) { a.Deadline = now.Add(1) },
-		"cold, its last one":    func(a *Attempt) { a.ColdSent, a.ColdMost = 8, 8 },
-		"a probe has no client": func(a *Attempt) { a.Probe, a.Patience, a.MayHaveRun = true, time.Time{}, true },
+		"cold, its last one":    func(a *Attempt) { a.SlowStartSent, a.SlowStartLimit = 8, 8 },
+		"a probe has no client": func(a *Attempt) { a.Probe, a.ClientDeadline, a.MayHaveRun = true, time.Time{}, true },
 	} {
 		a := good()
 		change(&a)
 		g := New(grace, nil)
-		if r := g.May(a); r != None {
+		if r := g.Admit(a); r != None {
 			t.Errorf("%s: refused for %v", name, r)
 		}
-		if g.Sent(a, a.Now); g.Violations() != 0 {
+		if g.RecordSent(a, a.Now); g.Violations() != 0 {
 			t.Errorf("%s: counted", name)
 		}
 	}
@@ -117,9 +117,9 @@
 		t.Errorf("an idempotency key after its window: %v", r)
 	}
 	a = good()
-	a.OffSince = now.Add(-grace)
+	a.UnavailableSince = now.Add(-grace)
 	g := New(grace, nil)
-	if g.Sent(a, now); g.Violations() != 0 {
+	if g.RecordSent(a, now); g.Violations() != 0 {
 		t.Error("an attempt within the drain grace, sent as the server began to drain after the check, is counted")
 	}
 }
@@ -129,22 +129,22 @@
 func TestSentBeforeItWasKnown(t *testing.T) {
 	t.Parallel()
 	g := New(grace, nil)
-	g.SentBefore(now.Add(grace), now)
-	g.SentBefore(now.Add(time.Hour), time.Time{}) // resumed in time
+	g.RecordSentBefore(now.Add(grace), now)
+	g.RecordSentBefore(now.Add(time.Hour), time.Time{}) // resumed in time
 	if _, violated := g.Counts(Drain); violated != 0 {
 		t.Errorf("%d, want none", violated)
 	}
-	g.SentBefore(now.Add(grace+1), now)
+	g.RecordSentBefore(now.Add(grace+1), now)
 	if _, violated := g.Counts(Drain); violated != 1 {
 		t.Errorf("%d, want 1", violated)
 	}
 	from := time.Now()
-	g.Watched(false, from)
-	g.Sent(good(), from.Add(time.Second))
-	g.Watched(true, time.Time{})
-	g.Sent(good(), from.Add(2*time.Second))
-	if g.Stale() != 1 {
-		t.Errorf("%d sent unwatched, want 1", g.Stale())
+	g.SetWatched(false, from)
+	g.RecordSent(good(), from.Add(time.Second))
+	g.SetWatched(true, time.Time{})
+	g.RecordSent(good(), from.Add(2*time.Second))
+	if g.StaleSends() != 1 {
+		t.Errorf("%d sent unwatched, want 1", g.StaleSends())
 	}
 }
 
@@ -153,14 +153,14 @@
 	t.Parallel()
 	var g *Guard
 	a := good()
-	a.Departed = true
-	if g.May(a) != Departed || g.Violations() != 0 || g.Stale() != 0 {
+	a.ClientGone = true
+	if g.Admit(a) != Departed || g.Violations() != 0 || g.StaleSends() != 0 {
 		t.Error("a nil guard does not refuse, or counts")
 	}
-	g.Sent(a, now)
-	g.SentBefore(now, now.Add(-time.Hour))
-	g.Ended(false)
-	g.Watched(false, now)
+	g.RecordSent(a, now)
+	g.RecordSentBefore(now, now.Add(-time.Hour))
+	g.RecordRequestEnd(false)
+	g.SetWatched(false, now)
 }
 
 // An attempt that is admitted breaks no rule if it is sent in the same moment.
@@ -171,19 +171,19 @@
 			return time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(t, name))
 		}
 		a := Attempt{Now: now, Deadline: now.Add(span("deadline")), Effect: rapid.SampledFrom([]decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "effect"),
-			Over: rapid.Bool().Draw(t, "over"), Departed: rapid.Bool().Draw(t, "departed"), MayHaveRun: rapid.Bool().Draw(t, "ran"),
-			ColdSent: rapid.IntRange(0, 5).Draw(t, "cold"), ColdMost: rapid.IntRange(0, 5).Draw(t, "most")}
-		a.Patience = a.Deadline.Add(max(0, span("patience")))
-		a.Told = max(0, a.Deadline.Sub(now))
+			Over: rapid.Bool().Draw(t, "over"), ClientGone: rapid.Bool().Draw(t, "departed"), MayHaveRun: rapid.Bool().Draw(t, "ran"),
+			SlowStartSent: rapid.IntRange(0, 5).Draw(t, "cold"), SlowStartLimit: rapid.IntRange(0, 5).Draw(t, "most")}
+		a.ClientDeadline = a.Deadline.Add(max(0, span("patience")))
+		a.TimeLeft = max(0, a.Deadline.Sub(now))
 		if rapid.Bool().Draw(t, "off") {
-			a.OffSince = now.Add(span("since"))
+			a.UnavailableSince = now.Add(span("since"))
 		}
 		if rapid.Bool().Draw(t, "window") {
 			a.WriteBy = now.Add(span("window ends"))
 		}
 		g := New(grace, nil)
-		if g.May(a) == None {
-			if g.Sent(a, now); g.Violations() != 0 {
+		if g.Admit(a) == None {
+			if g.RecordSent(a, now); g.Violations() != 0 {
 				t.Fatalf("%+v", a)
 			}
 		}
@@ -196,8 +196,8 @@
 	a := good()
 	b.ReportAllocs()
 	for b.Loop() {
-		if g.May(a) == None {
-			g.Sent(a, a.Now)
+		if g.Admit(a) == None {
+			g.RecordSent(a, a.Now)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	}{{0, None}, {time.Millisecond, None}, {-time.Millisecond, Drain}} {
 		a := Attempt{Now: now, Deadline: now.Add(time.Second)}
 		if c.good != 0 {
-			a.ListBy = now.Add(c.good)
+			a.ListValidUntil = now.Add(c.good)
 		}
 		if got := Check(a); got != c.want {
 			t.Errorf("list valid for %v: %v, want %v", c.good, got, c.want)
--- a/internal/handover/listen.go
+++ b/internal/handover/listen.go
@@ -11,7 +11,7 @@
 
 // reusePort lets a second process bind the same address. That is how a successor starts if sockets can't be handed
 // over.
-var shared = net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
+var reusePort = net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		// If the platform refuses the option, a successor can't bind while the old process runs. All else works.
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
@@ -20,7 +20,7 @@
 
 // ListenTCP opens a listener for clients. Other processes of the same user may listen at the same address.
 func ListenTCP(at netip.AddrPort) (*net.TCPListener, error) {
-	l, err := shared.Listen(context.Background(), "tcp", at.String())
+	l, err := reusePort.Listen(context.Background(), "tcp", at.String())
 	if err != nil {
 		return nil, err
 	}
@@ -29,7 +29,7 @@
 
 // ListenUDP opens a socket for datagrams of other nodes. Other processes of the same user may bind the same address.
 func ListenUDP(at netip.AddrPort) (*net.UDPConn, error) {
-	c, err := shared.ListenPacket(context.Background(), "udp", at.String())
+	c, err := reusePort.ListenPacket(context.Background(), "udp", at.String())
 	if err != nil {
 		return nil, err
 	}
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -15,9 +15,9 @@
 // A message between the two processes is a length of four bytes (big endian) followed by that many bytes of JSON.
 
 const (
-	version      = 1
-	messageLimit = 4 << 20 // a list of 10,000 servers takes 2 MB
-	filesMost    = 2       // the listener and the socket for datagrams
+	version         = 1
+	maxMessageBytes = 4 << 20 // a list of 10,000 servers takes 2 MB
+	maxFiles        = 2       // the listener and the socket for datagrams
 )
 
 // message is a message in either direction. Fields that it does not need are omitted.
@@ -37,16 +37,16 @@
 	if err != nil {
 		return err
 	}
-	if len(body) > messageLimit {
-		return fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", len(body), messageLimit)
+	if len(body) > maxMessageBytes {
+		return fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", len(body), maxMessageBytes)
 	}
-	text := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(body)), uint32(len(body)))
+	header := binary.BigEndian.AppendUint32(make([]byte, 0, 4+len(body)), uint32(len(body)))
 	var rights []byte
 	if len(fds) > 0 {
 		rights = unix.UnixRights(fds...)
 	}
 	// The descriptors are ancillary data of the first bytes, the length.
-	if _, _, err := c.WriteMsgUnix(text, rights, nil); err != nil {
+	if _, _, err := c.WriteMsgUnix(header, rights, nil); err != nil {
 		return err
 	}
 	_, err = c.Write(body)
@@ -57,15 +57,15 @@
 // returned together with an error.
 func read(c *net.UnixConn) (m *message, files []*os.File, err error) {
 	var head [4]byte
-	rights := make([]byte, unix.CmsgSpace(4*filesMost))
-	n, got, flags, _, err := c.ReadMsgUnix(head[:], rights)
+	rights := make([]byte, unix.CmsgSpace(4*maxFiles))
+	n, controlBytes, flags, _, err := c.ReadMsgUnix(head[:], rights)
 	if err != nil {
 		return nil, nil, err
 	}
 	if n == 0 {
 		return nil, nil, io.EOF
 	}
-	if files, err = received(rights[:got]); err != nil {
+	if files, err = receivedFiles(rights[:controlBytes]); err != nil {
 		return nil, files, err
 	}
 	if flags&unix.MSG_CTRUNC != 0 {
@@ -75,8 +75,8 @@
 		return nil, files, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
-	if size > messageLimit {
-		return nil, files, fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", size, messageLimit)
+	if size > maxMessageBytes {
+		return nil, files, fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", size, maxMessageBytes)
 	}
 	// This allocates as data arrives, not by the length that the peer claims.
 	body, err := io.ReadAll(io.LimitReader(c, int64(size)))
@@ -94,7 +94,7 @@
 }
 
 // receivedFiles returns the descriptors in the ancillary data of a message, as files.
-func received(rights []byte) (files []*os.File, err error) {
+func receivedFiles(rights []byte) (files []*os.File, err error) {
 	if len(rights) == 0 {
 		return nil, nil
 	}
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	helloWait   = time.Second           // for a successor to send its first message and receive the sockets
-	startWait   = 10 * time.Second      // for a successor to serve once it has the sockets
-	reportEvery = 50 * time.Millisecond // how often a successor receives the number of this process's client connections
+	helloTimeout   = time.Second           // for a successor to send its first message and receive the sockets
+	startTimeout   = 10 * time.Second      // for a successor to serve once it has the sockets
+	reportInterval = 50 * time.Millisecond // how often a successor receives the number of this process's client connections
 )
 
 // Offer is what a process hands to its successor.
@@ -39,29 +39,29 @@
 	offer    Offer
 	listener *net.UnixListener
 	path     string
-	own      os.FileInfo // of this process's socket file, to tell it from a successor's at the same path
+	ownFile  os.FileInfo // of this process's socket file, to tell it from a successor's at the same path
 	log      *slog.Logger
 }
 
 // Listen opens a Unix socket at path for successors of this process. It replaces the file of another process there: the
 // socket is created under a temporary name and then renamed to path.
 func Listen(path string, o Offer, log *slog.Logger) (*Server, error) {
-	first := path + "." + strconv.Itoa(os.Getpid())
-	os.Remove(first)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: first, Net: "unix"})
+	tempPath := path + "." + strconv.Itoa(os.Getpid())
+	os.Remove(tempPath)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
 	l.SetUnlinkOnClose(false) // when this listener closes, the file may belong to a successor
 	s := &Server{offer: o, listener: l, path: path, log: log}
-	if err = os.Chmod(first, 0o600); err == nil {
-		if s.own, err = os.Lstat(first); err == nil {
-			err = os.Rename(first, path)
+	if err = os.Chmod(tempPath, 0o600); err == nil {
+		if s.ownFile, err = os.Lstat(tempPath); err == nil {
+			err = os.Rename(tempPath, path)
 		}
 	}
 	if err != nil {
 		l.Close()
-		os.Remove(first)
+		os.Remove(tempPath)
 		return nil, err
 	}
 	return s, nil
@@ -71,7 +71,7 @@
 func (s *Server) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, func() { s.listener.Close() })
 	defer stop()
-	defer s.remove()
+	defer s.removeSocketFile()
 	var retry accept.Retry
 	for {
 		c, err := s.listener.AcceptUnix()
@@ -82,20 +82,20 @@
 			return
 		}
 		retry.Reset()
-		ended := context.AfterFunc(ctx, func() { c.Close() })
+		stopClosing := context.AfterFunc(ctx, func() { c.Close() })
 		if !sameUser(c) {
 			s.log.Warn("handover: rejected a process of another user")
 		} else if err := s.serve(c); err != nil && ctx.Err() == nil {
 			s.log.Info("handover ended", "err", err)
 		}
-		ended()
+		stopClosing()
 		c.Close()
 	}
 }
 
 // removeSocketFile removes the file at path, unless it is a successor's by now.
-func (s *Server) remove() {
-	if now, err := os.Lstat(s.path); err == nil && os.SameFile(now, s.own) {
+func (s *Server) removeSocketFile() {
+	if now, err := os.Lstat(s.path); err == nil && os.SameFile(now, s.ownFile) {
 		os.Remove(s.path)
 	}
 }
@@ -103,7 +103,7 @@
 // serve hands the sockets and the state to a successor and then reports client connections to it. It returns when the
 // successor has ended or failed to serve within startTimeout. The stage is Alone again after that.
 func (s *Server) serve(c *net.UnixConn) error {
-	c.SetDeadline(time.Now().Add(helloWait))
+	c.SetDeadline(time.Now().Add(helloTimeout))
 	hello, files, err := read(c)
 	closeAll(files)
 	if err != nil {
@@ -122,12 +122,12 @@
 	}
 	s.offer.Changed(Shared)
 	defer s.offer.Changed(Alone)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	var reporting sync.WaitGroup
-	reporting.Go(func() { s.reportConnections(c, over) })
+	reporting.Go(func() { s.reportConnections(c, done) })
 	defer reporting.Wait()
-	defer close(over)
-	c.SetReadDeadline(time.Now().Add(startWait))
+	defer close(done)
+	c.SetReadDeadline(time.Now().Add(startTimeout))
 	m, files, err = read(c)
 	closeAll(files)
 	if err != nil || !m.Serving {
@@ -152,25 +152,25 @@
 	if err != nil {
 		return err
 	}
-	var failed error
-	err = raw.Control(func(fd uintptr) { failed = writeWithSockets(c, m, sockets[1:], append(fds, int(fd))) })
+	var writeErr error
+	err = raw.Control(func(fd uintptr) { writeErr = writeWithSockets(c, m, sockets[1:], append(fds, int(fd))) })
 	if err != nil {
 		return err
 	}
-	return failed
+	return writeErr
 }
 
 // reportConnections sends the number of this process's client connections every reportInterval, until done is closed.
-func (s *Server) reportConnections(c *net.UnixConn, over <-chan struct{}) {
-	tick := time.NewTicker(reportEvery)
+func (s *Server) reportConnections(c *net.UnixConn, done <-chan struct{}) {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
-		c.SetWriteDeadline(time.Now().Add(writeWait))
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if write(c, &message{Connections: s.offer.Connections()}) != nil {
 			return // the successor has ended, which serve notices as it reads, or no longer reads
 		}
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-tick.C:
 		}
--- a/internal/handover/stage.go
+++ b/internal/handover/stage.go
@@ -18,15 +18,15 @@
 func (s Stage) Accepts() bool { return s != Succeeded }
 
 // MessagesPeers reports whether this process exchanges messages with other nodes. Only one of the two processes does.
-func (s Stage) Speaks() bool { return s != Succeeded }
+func (s Stage) MessagesPeers() bool { return s != Succeeded }
 
 // ClosesConnections reports whether each client's connection is closed after its next answer, so that the client
 // opens a new one to the successor.
-func (s Stage) Closes() bool { return s == Succeeded }
+func (s Stage) ClosesConnections() bool { return s == Succeeded }
 
 // ResourceShare returns this process's share, between 0 and 1, of the node's connections to servers and of its
 // memory. While two processes run, each gets half, as both together have to stay within the node's limits.
-func (s Stage) Part() float64 {
+func (s Stage) ResourceShare() float64 {
 	if s == Alone {
 		return 1
 	}
@@ -36,6 +36,6 @@
 // ClientLimit returns how many clients' connections a successor may have: the node's limit less those that its
 // predecessor still has. It is at least an eighth of the limit, and 1, because otherwise a predecessor that holds all
 // connections could keep its successor from ever serving.
-func Capacity(limit, predecessorConnections int) int {
+func ClientLimit(limit, predecessorConnections int) int {
 	return max(limit-max(0, predecessorConnections), limit/8, 1)
 }
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	askWait   = time.Second // to receive the predecessor's sockets; after that, start without a predecessor that hangs
-	writeWait = time.Second
+	takeOverTimeout = time.Second // to receive the predecessor's sockets; after that, start without a predecessor that hangs
+	writeTimeout    = time.Second
 )
 
 // Predecessor is the process that this one replaces.
 type Predecessor struct {
 	Listener *net.TCPListener // for clients
-	Peers    *net.UDPConn // for datagrams of other nodes; nil: it has none, or at another address
-	State    []byte       // its state: JSON, not validated
+	Peers    *net.UDPConn     // for datagrams of other nodes; nil: it has none, or at another address
+	State    []byte           // its state: JSON, not validated
 
 	conn *net.UnixConn
 }
@@ -29,31 +29,31 @@
 // TakeOver connects to the process that listens at the Unix socket path and takes over its sockets and state. It
 // fails if the clients' listener is not bound to listen. The socket for datagrams is taken over only if it is bound
 // to peers, which may be invalid.
-func Ask(path, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
-	end := time.Now().Add(askWait)
-	d := net.Dialer{Deadline: end}
+func TakeOver(path, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
+	deadline := time.Now().Add(takeOverTimeout)
+	d := net.Dialer{Deadline: deadline}
 	raw, err := d.Dial("unix", path)
 	if err != nil {
 		return nil, ErrNoPredecessor // the file is missing, or its process has ended
 	}
 	c := raw.(*net.UnixConn)
-	p, err := ask(c, end, name, listen, peers)
+	predecessor, err := takeOver(c, deadline, name, listen, peers)
 	if err != nil {
 		c.Close()
 		return nil, err
 	}
-	return p, nil
+	return predecessor, nil
 }
 
-func ask(c *net.UnixConn, end time.Time, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
+func takeOver(c *net.UnixConn, deadline time.Time, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
 	if !sameUser(c) {
 		return nil, errors.New("handover: the process at the socket belongs to another user")
 	}
-	c.SetDeadline(end)
+	c.SetDeadline(deadline)
 	if err := write(c, &message{Name: name}); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	m, files, err := read(c)
+	reply, files, err := read(c)
 	defer closeAll(files)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -61,39 +61,39 @@
 	if len(files) == 0 {
 		return nil, errors.New("handover: the predecessor sent no sockets")
 	}
-	p := &Predecessor{State: m.State, conn: c}
+	predecessor := &Predecessor{State: reply.State, conn: c}
 	l, err := net.FileListener(files[0])
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	tcp, ok := l.(*net.TCPListener)
-	if !ok || !isAddress(tcp.Addr(), listen) {
+	if !ok || !hasAddress(tcp.Addr(), listen) {
 		l.Close()
 		return nil, fmt.Errorf("handover: the predecessor listens at %v, want %v", l.Addr(), listen)
 	}
-	p.Listener = tcp
-	if m.Peers && len(files) > 1 && peers.IsValid() {
+	predecessor.Listener = tcp
+	if reply.Peers && len(files) > 1 && peers.IsValid() {
 		if u, err := net.FilePacketConn(files[1]); err == nil {
-			if udp, ok := u.(*net.UDPConn); ok && isAddress(udp.LocalAddr(), peers) {
-				p.Peers = udp
+			if udp, ok := u.(*net.UDPConn); ok && hasAddress(udp.LocalAddr(), peers) {
+				predecessor.Peers = udp
 			} else {
 				u.Close()
 			}
 		}
 	}
 	c.SetDeadline(time.Time{})
-	return p, nil
+	return predecessor, nil
 }
 
 // hasAddress reports whether a is the address want.
-func isAddress(a net.Addr, want netip.AddrPort) bool {
+func hasAddress(a net.Addr, want netip.AddrPort) bool {
 	got, err := netip.ParseAddrPort(a.String())
 	return err == nil && got == want
 }
 
 // NotifyServing notifies the predecessor that this process serves from now on.
-func (p *Predecessor) Serving() {
-	p.conn.SetWriteDeadline(time.Now().Add(writeWait))
+func (p *Predecessor) NotifyServing() {
+	p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if err := write(p.conn, &message{Serving: true}); err != nil {
 		p.conn.Close() // the predecessor has ended or no longer reads; closing makes Run return
 	}
@@ -121,7 +121,7 @@
 // both processes use. It is empty if handover is not possible: without a directory, a fixed port or a name that is
 // valid in a file name, or if the path is too long for a Unix socket.
 func Path(dir, name string, listen netip.AddrPort) string {
-	if dir == "" || name == "" || name != clean(name) || listen.Port() == 0 {
+	if dir == "" || name == "" || name != sanitize(name) || listen.Port() == 0 {
 		return ""
 	}
 	path := fmt.Sprintf("%s/starlingvalve-%s-%s.sock", dir, name, strings.ReplaceAll(listen.String(), ":", "-"))
@@ -133,7 +133,7 @@
 }
 
 // sanitize returns name without the characters other than ASCII letters, digits, "-" and "_".
-func clean(name string) string {
+func sanitize(name string) string {
 	out := []byte(nil)
 	for i := range len(name) {
 		if c := name[i]; c == '-' || c == '_' || '0' <= c && c <= '9' || 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' {
