--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -313,10 +313,10 @@
 }
 
 // Offer is core.Remote's.
-func (d *Dialer) Offer(r *core.Request, effect decide.Effect, ran bool) core.Crossing {
+func (d *Dialer) Offer(r *core.Request, effect decide.Effect, ran bool) core.HandOff {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := d.decider.Offer(d.now(), cross.Request{Effect: effect, Left: time.Until(r.Deadline) - answerMargin, Ran: ran, Came: r.Arrived.Foreign})
+	at := d.decider.Offer(d.now(), cross.Request{Effect: effect, Left: time.Until(r.Deadline) - answerMargin, Ran: ran, Came: r.Arrived.HandedOff})
 	if at < 0 {
 		return nil
 	}
@@ -332,8 +332,8 @@
 	return h
 }
 
-// Cross is core.Crossing's: it makes the hand-off and blocks until it has ended, in time for the client.
-func (h *handed) Cross(ctx context.Context) (core.Answer, core.Crossed) {
+// Run is core.Crossing's: it makes the hand-off and blocks until it has ended, in time for the client.
+func (h *handed) Run(ctx context.Context) (core.Answer, core.HandOffResult) {
 	h.sent = time.Now()
 	a, o := h.do(ctx)
 	d := h.d
@@ -350,11 +350,11 @@
 	d.decider.Ended(d.now(), h.site.place, o, time.Since(h.sent))
 	switch o {
 	case cross.Served:
-		return a, core.CrossedServed
+		return a, core.HandOffServed
 	case cross.TurnedAway, cross.Unseen:
-		return a, core.CrossedNever
+		return a, core.HandOffNotRun
 	}
-	return a, core.CrossedDoubt
+	return a, core.HandOffUncertain
 }
 
 func (h *handed) do(ctx context.Context) (core.Answer, cross.Outcome) {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -126,7 +126,7 @@
 }
 
 // offer waits until the far side takes something.
-func (s *sites) offer(r *core.Request, effect decide.Effect) core.Crossing {
+func (s *sites) offer(r *core.Request, effect decide.Effect) core.HandOff {
 	s.t.Helper()
 	for end := time.Now().Add(testkit.Patient); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if c := s.dialer.Offer(r, effect, false); c != nil {
@@ -159,8 +159,8 @@
 		got <- fmt.Sprint(site, " ", r.Method, " ", r.URL.Path, " ", r.Header.Get("X-Correlation-Id"), " ", body.String(), " ", left > 8*time.Second && left < 10*time.Second)
 		return ledger.Done, []byte("HTTP/1.1 200 OK\r\nX-Of: b\r\nContent-Length: 2\r\n\r\nok")
 	})
-	a, how := s.offer(request("order", 10*time.Second), decide.Unsafe).Cross(t.Context())
-	if how != core.CrossedServed || a.Status != 200 || string(a.Body) != "ok" || a.Header.Get("X-Of") != "b" {
+	a, how := s.offer(request("order", 10*time.Second), decide.Unsafe).Run(t.Context())
+	if how != core.HandOffServed || a.Status != 200 || string(a.Body) != "ok" || a.Header.Get("X-Of") != "b" {
 		t.Errorf("%v, %+v", how, a)
 	}
 	if text := <-got; text != "hall-a.example.org POST /order q body true" {
@@ -188,7 +188,7 @@
 		}
 		s.wire.Cut(false, false)
 	}()
-	if a, how := c.Cross(t.Context()); how != core.CrossedServed || string(a.Body) != "ok" || s.runs.Load() != 1 {
+	if a, how := c.Run(t.Context()); how != core.HandOffServed || string(a.Body) != "ok" || s.runs.Load() != 1 {
 		t.Errorf("%v, %+v, %d runs", how, a, s.runs.Load())
 	}
 }
@@ -200,9 +200,9 @@
 	s := newSites(t)
 	began, let := s.stall()
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
-	served := make(chan core.Crossed, 1)
+	served := make(chan core.HandOffResult, 1)
 	go func() {
-		_, how := c.Cross(t.Context())
+		_, how := c.Run(t.Context())
 		served <- how
 	}()
 	<-began
@@ -221,7 +221,7 @@
 	case <-time.After(10 * drainLook): // a path that loses what is sent, for a moment
 	}
 	s.wire.Cut(false, false)
-	if how := <-served; how != core.CrossedServed {
+	if how := <-served; how != core.HandOffServed {
 		t.Errorf("%v", how)
 	}
 	<-drained
@@ -235,7 +235,7 @@
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
 	ctx, leave := context.WithCancel(t.Context())
 	crossing := make(chan struct{})
-	go func() { defer close(crossing); c.Cross(ctx) }()
+	go func() { defer close(crossing); c.Run(ctx) }()
 	<-began
 	s.wire.Cut(true, true)
 	close(let)
@@ -256,7 +256,7 @@
 	s.wire.Cut(true, false)
 	back := time.AfterFunc(2*silence, func() { s.wire.Cut(false, false) })
 	defer back.Stop()
-	if _, how := c.Cross(t.Context()); how != core.CrossedNever || s.runs.Load() != 0 {
+	if _, how := c.Run(t.Context()); how != core.HandOffNotRun || s.runs.Load() != 0 {
 		t.Errorf("%v, %d runs", how, s.runs.Load())
 	}
 }
@@ -273,7 +273,7 @@
 		return ledger.Failed, nil
 	})
 	r := request("order", 1500*time.Millisecond)
-	if _, how := s.offer(r, decide.Unsafe).Cross(t.Context()); how != core.CrossedDoubt || time.Now().After(r.Deadline.Add(noise)) {
+	if _, how := s.offer(r, decide.Unsafe).Run(t.Context()); how != core.HandOffUncertain || time.Now().After(r.Deadline.Add(noise)) {
 		t.Errorf("%v, %v after the client's time", how, time.Since(r.Deadline))
 	}
 	<-began
@@ -299,7 +299,7 @@
 		s.wire.Cut(false, false)
 	}()
 	began := time.Now()
-	if _, how := c.Cross(t.Context()); how != core.CrossedDoubt || time.Since(began) > testkit.Patient/2 {
+	if _, how := c.Run(t.Context()); how != core.HandOffUncertain || time.Since(began) > testkit.Patient/2 {
 		t.Errorf("%v after %v", how, time.Since(began))
 	}
 	if s.runs.Load() != 1 {
@@ -352,20 +352,20 @@
 					case "within the request":
 						cut(15)
 					}
-					a, how := c.Cross(t.Context())
+					a, how := c.Run(t.Context())
 					runs := s.runs.Load()
 					if time.Now().After(r.Deadline.Add(noise)) {
 						t.Errorf("it ends %v after the client's time", time.Since(r.Deadline))
 					}
 					switch {
-					case runs > 1, how == core.CrossedNever && runs > 0, how == core.CrossedServed && (runs != 1 || len(a.Body) != 100<<10):
+					case runs > 1, how == core.HandOffNotRun && runs > 0, how == core.HandOffServed && (runs != 1 || len(a.Body) != 100<<10):
 						t.Errorf("%v after %d runs, %d bytes", how, runs, len(a.Body))
-					case back && how == core.CrossedDoubt:
+					case back && how == core.HandOffUncertain:
 						t.Errorf("in doubt though the link came back")
 					}
 					// What was left behind may still come: it must not run once "never" has been said.
 					s.wire.Cut(false, false)
-					if how == core.CrossedNever {
+					if how == core.HandOffNotRun {
 						time.Sleep(200 * time.Millisecond)
 						if s.runs.Load() > 0 {
 							t.Error("it runs after all")
@@ -381,7 +381,7 @@
 func TestMalformed(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
-	s.offer(request("order", testkit.Patient), decide.Unsafe).Cross(t.Context())
+	s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context())
 	before := s.runs.Load()
 	dial := func() *quic.Conn {
 		t.Helper()
@@ -432,7 +432,7 @@
 	if s.runs.Load() != before {
 		t.Error("something ran")
 	}
-	if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Cross(t.Context()); how != core.CrossedServed {
+	if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("others: %v", how)
 	}
 }
@@ -443,12 +443,12 @@
 	s := newSites(t)
 	began, let := s.stall()
 	first := s.offer(request("order", testkit.Patient), decide.Unsafe)
-	ended := make(chan core.Crossed, 1)
-	go func() { _, how := first.Cross(t.Context()); ended <- how }()
+	ended := make(chan core.HandOffResult, 1)
+	go func() { _, how := first.Run(t.Context()); ended <- how }()
 	<-began
 	s.answer(answerOK)
 	for range 20 {
-		if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Cross(t.Context()); how != core.CrossedServed {
+		if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
 			t.Errorf("%v beside one that stalls", how)
 		}
 	}
@@ -456,7 +456,7 @@
 		t.Error("the stalled one has ended")
 	}
 	close(let)
-	if how := <-ended; how != core.CrossedServed {
+	if how := <-ended; how != core.HandOffServed {
 		t.Errorf("the stalled one: %v", how)
 	}
 }
@@ -480,7 +480,7 @@
 		}
 		close(let)
 	}()
-	if _, how := c.Cross(t.Context()); how != core.CrossedServed {
+	if _, how := c.Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("%v", how)
 	}
 }
@@ -498,7 +498,7 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-began; cancel() }()
-	s.offer(request("order", testkit.Patient), decide.Unsafe).Cross(ctx)
+	s.offer(request("order", testkit.Patient), decide.Unsafe).Run(ctx)
 	select {
 	case <-gone:
 	case <-time.After(testkit.Patient / 2):
@@ -517,7 +517,7 @@
 	for range 60 {
 		c := s.offer(request("order", testkit.Patient), decide.Unsafe)
 		work.Go(func() {
-			if _, how := c.Cross(t.Context()); how == core.CrossedServed {
+			if _, how := c.Run(t.Context()); how == core.HandOffServed {
 				served.Add(1)
 			}
 		})
@@ -546,7 +546,7 @@
 		s.far.Set(&far)
 		close(let)
 	}()
-	if _, how := c.Cross(t.Context()); how != core.CrossedServed {
+	if _, how := c.Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("%v", how)
 	}
 	s.answer(answerOK)
@@ -559,7 +559,7 @@
 		for end := time.Now().Add(500 * time.Millisecond); !up && (time.Now().Before(end) || good && time.Now().Before(end.Add(testkit.Patient))); time.Sleep(time.Millisecond) {
 			crossing := d.Offer(request("order", testkit.Patient), decide.Unsafe, false)
 			if up = crossing != nil; up {
-				crossing.Cross(t.Context())
+				crossing.Run(t.Context())
 			}
 		}
 		if up != good {
@@ -601,7 +601,7 @@
 		},
 	} {
 		s := newSites(t)
-		s.offer(request("order", testkit.Patient), decide.Unsafe).Cross(t.Context()) // it is up
+		s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()) // it is up
 		id := change(s)
 		d, err := NewDialer(DialerOptions{Keeper: NewKeeper(&id), Log: testkit.Quiet})
 		if err != nil {
@@ -624,7 +624,7 @@
 	for _, at := range []int{1, 64} {
 		b.Run(fmt.Sprint(at), func(b *testing.B) {
 			s := newSites(b)
-			s.offer(request("order", testkit.Patient), decide.Unsafe).Cross(b.Context())
+			s.offer(request("order", testkit.Patient), decide.Unsafe).Run(b.Context())
 			var work sync.WaitGroup
 			var left atomic.Int64
 			left.Store(int64(b.N))
@@ -639,7 +639,7 @@
 								time.Sleep(100 * time.Microsecond)
 								continue
 							}
-							if _, how := c.Cross(b.Context()); how != core.CrossedServed {
+							if _, how := c.Run(b.Context()); how != core.HandOffServed {
 								b.Error(how)
 							}
 							break
--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -27,19 +27,19 @@
 	maxBytes int
 	done     chan struct{} // closed once the writing goroutine has ended
 
-	mu      sync.Mutex
-	more    sync.Cond // signalled when a line is queued, or the queue is closing
-	lines   []line
-	bytes   int    // total length of lines
-	missing uint64 // lines lost since the last one was queued
-	lost    uint64 // lines lost in all
-	closing bool
+	mu            sync.Mutex
+	changed       sync.Cond // signalled when a line is queued, or the queue is closing
+	lines         []line
+	bytes         int    // total length of lines
+	lostSinceLine uint64 // lines lost since the last one was queued
+	lost          uint64 // lines lost in all
+	closing       bool
 }
 
 // line is a queued log line.
 type line struct {
-	text   []byte
-	before uint64 // number of lines lost right before this one
+	text       []byte
+	lostBefore uint64 // number of lines lost right before this one
 }
 
 // New returns a queue that writes to w, and starts its writing goroutine, which Close ends. It holds at most the given
@@ -52,7 +52,7 @@
 		bytes = DefaultBytes
 	}
 	q := &Queue{w: w, maxLines: lines, maxBytes: bytes, done: make(chan struct{})}
-	q.more.L = &q.mu
+	q.changed.L = &q.mu
 	go q.run()
 	return q
 }
@@ -63,14 +63,14 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closing || len(q.lines) >= q.maxLines || q.bytes+len(p) > q.maxBytes {
-		q.missing++
+		q.lostSinceLine++
 		q.lost++
 		return len(p), nil
 	}
-	q.lines = append(q.lines, line{append([]byte(nil), p...), q.missing})
+	q.lines = append(q.lines, line{append([]byte(nil), p...), q.lostSinceLine})
 	q.bytes += len(p)
-	q.missing = 0
-	q.more.Signal()
+	q.lostSinceLine = 0
+	q.changed.Signal()
 	return len(p), nil
 }
 
@@ -88,7 +88,7 @@
 func (q *Queue) Close() bool {
 	q.mu.Lock()
 	q.closing = true
-	q.more.Signal()
+	q.changed.Signal()
 	q.mu.Unlock()
 	timer := time.NewTimer(CloseWait)
 	defer timer.Stop()
@@ -109,13 +109,13 @@
 	for {
 		q.mu.Lock()
 		for len(q.lines) == 0 && !q.closing {
-			q.more.Wait()
+			q.changed.Wait()
 		}
 		if len(q.lines) == 0 {
-			missing := q.missing
-			q.missing = 0
+			lost := q.lostSinceLine
+			q.lostSinceLine = 0
 			q.mu.Unlock()
-			q.tellLost(missing)
+			q.writeLost(lost)
 			return
 		}
 		next := q.lines[0]
@@ -123,13 +123,13 @@
 		q.lines = q.lines[1:]
 		q.bytes -= len(next.text)
 		q.mu.Unlock()
-		q.tellLost(next.before)
+		q.writeLost(next.lostBefore)
 		q.w.Write(next.text)
 	}
 }
 
 // writeLost writes a log line with the number of lost lines, if there are any.
-func (q *Queue) tellLost(n uint64) {
+func (q *Queue) writeLost(n uint64) {
 	if n > 0 {
 		slog.New(slog.NewTextHandler(q.w, nil)).Warn("log lines lost: the log's reader is too slow", "lines", n)
 	}
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -12,14 +12,14 @@
 )
 
 // gatedWriter is a writer whose writes block until open is closed.
-type gate struct {
+type gatedWriter struct {
 	entered chan struct{} // receives a value when a write starts
 	open    chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-func (g *gate) Write(p []byte) (int, error) {
+func (g *gatedWriter) Write(p []byte) (int, error) {
 	select {
 	case g.entered <- struct{}{}:
 	default:
@@ -33,25 +33,25 @@
 // While the underlying writer blocks, lines are lost but Write does not block. Lost lines are counted, and reported in
 // the log at the place where they are missing.
 func TestReaderThatStops(t *testing.T) {
-	g := &gate{entered: make(chan struct{}, 1), open: make(chan struct{})}
-	q := New(g, 3, 0)
-	fmt.Fprintln(q, "first")
-	<-g.entered // the first line has left the queue, and its write blocks
+	writer := &gatedWriter{entered: make(chan struct{}, 1), open: make(chan struct{})}
+	queue := New(writer, 3, 0)
+	fmt.Fprintln(queue, "first")
+	<-writer.entered // the first line has left the queue, and its write blocks
 	for i := range 10 {
-		fmt.Fprintf(q, "line %d\n", i)
+		fmt.Fprintf(queue, "line %d\n", i)
 	}
-	if q.Lost() != 7 {
-		t.Errorf("%d lost, want 7", q.Lost())
+	if queue.Lost() != 7 {
+		t.Errorf("%d lost, want 7", queue.Lost())
 	}
-	close(g.open)
-	for q.queued() > 0 {
+	close(writer.open)
+	for queue.queued() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	fmt.Fprintln(q, "last")
-	if !q.Close() {
+	fmt.Fprintln(queue, "last")
+	if !queue.Close() {
 		t.Error("not everything was written")
 	}
-	lines := strings.Split(strings.TrimSpace(g.got.String()), "\n")
+	lines := strings.Split(strings.TrimSpace(writer.got.String()), "\n")
 	if len(lines) != 6 || lines[0] != "first" || lines[3] != "line 2" || !strings.Contains(lines[4], "lines=7") || lines[5] != "last" {
 		t.Errorf("%q", lines)
 	}
@@ -66,23 +66,23 @@
 
 // The bound on bytes applies as well as that on lines, and a line after Close counts as lost.
 func TestBoundInBytes(t *testing.T) {
-	g := &gate{entered: make(chan struct{}, 1), open: make(chan struct{})}
-	q := New(g, 0, 1000)
-	fmt.Fprintln(q, "first")
-	<-g.entered
+	writer := &gatedWriter{entered: make(chan struct{}, 1), open: make(chan struct{})}
+	queue := New(writer, 0, 1000)
+	fmt.Fprintln(queue, "first")
+	<-writer.entered
 	for range 5 {
-		q.Write(make([]byte, 400))
+		queue.Write(make([]byte, 400))
 	}
-	if q.Lost() != 3 {
-		t.Errorf("%d lost, want 3", q.Lost())
+	if queue.Lost() != 3 {
+		t.Errorf("%d lost, want 3", queue.Lost())
 	}
-	close(g.open)
-	if !q.Close() || !strings.Contains(g.got.String(), "lines=3") {
-		t.Errorf("closed with %q", g.got.String()[:20])
+	close(writer.open)
+	if !queue.Close() || !strings.Contains(writer.got.String(), "lines=3") {
+		t.Errorf("closed with %q", writer.got.String()[:20])
 	}
-	q.Write([]byte("late"))
-	if q.Lost() != 4 {
-		t.Errorf("%d lost, want 4: a line after Close counts as lost", q.Lost())
+	queue.Write([]byte("late"))
+	if queue.Lost() != 4 {
+		t.Errorf("%d lost, want 4: a line after Close counts as lost", queue.Lost())
 	}
 }
 
--- a/internal/member/registry/call.go
+++ b/internal/member/registry/call.go
@@ -24,44 +24,44 @@
 // Calls to an agent are made several times a second, and fail while discovery is down: they are logged at the debug
 // level only.
 const (
-	callWhole  callKind = "whole list"
-	callBegins callKind = "begin watch"
-	callKeeps  callKind = "keep watch"
-	callAgent  callKind = "ask agent"
+	callWholeList  callKind = "whole list"
+	callBeginWatch callKind = "begin watch"
+	callKeepWatch  callKind = "keep watch"
+	callAgent      callKind = "ask agent"
 )
 
 // call makes one call with the given query and timeout, and logs its start and its end.
-func (d *Registry) call(ctx context.Context, kind callKind, query string, limit time.Duration) (core.List, error) {
+func (d *Registry) call(ctx context.Context, kind callKind, query string, timeout time.Duration) (core.List, error) {
 	log := d.log.With("call", d.calls.Add(1), "kind", string(kind), "at", d.addr, "query", query)
-	usual, failed := slog.LevelInfo, slog.LevelInfo
+	usualLevel, failureLevel := slog.LevelInfo, slog.LevelInfo
 	switch kind {
-	case callKeeps:
-		usual = slog.LevelDebug
+	case callKeepWatch:
+		usualLevel = slog.LevelDebug
 	case callAgent:
-		usual, failed = slog.LevelDebug, slog.LevelDebug
+		usualLevel, failureLevel = slog.LevelDebug, slog.LevelDebug
 	}
-	log.Log(ctx, usual, "call begins")
+	log.Log(ctx, usualLevel, "call begins")
 	began := time.Now()
-	l, err := d.ask(ctx, query, limit)
+	list, err := d.request(ctx, query, timeout)
 	if err != nil {
-		log.Log(ctx, failed, "call failed", "took", time.Since(began).Round(time.Millisecond), "err", err)
-		return l, err
+		log.Log(ctx, failureLevel, "call failed", "took", time.Since(began).Round(time.Millisecond), "err", err)
+		return list, err
 	}
-	log.Log(ctx, usual, "call answered", "took", time.Since(began).Round(time.Millisecond), "revision", l.Version, "whole", l.Full, "entries", len(l.Entries))
-	return l, nil
+	log.Log(ctx, usualLevel, "call answered", "took", time.Since(began).Round(time.Millisecond), "revision", list.Version, "whole", list.Full, "entries", len(list.Entries))
+	return list, nil
 }
 
 // request makes one call and decodes the list in the answer. Failures of this machine are retried within the timeout.
-func (d *Registry) ask(ctx context.Context, query string, limit time.Duration) (core.List, error) {
-	ctx, cancel := context.WithTimeout(ctx, limit)
+func (d *Registry) request(ctx context.Context, query string, timeout time.Duration) (core.List, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.addr.String()+registryURL+query, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.addr.String()+instancesPath+query, nil)
 	if err != nil {
 		return core.List{}, err
 	}
 	resp, err := d.client.Do(req)
-	for err != nil && local(err) && ctx.Err() == nil {
-		pause(ctx, localPause)
+	for err != nil && isLocalFailure(err) && ctx.Err() == nil {
+		sleep(ctx, localRetryPause)
 		resp, err = d.client.Do(req)
 	}
 	if err != nil {
@@ -69,8 +69,8 @@
 	}
 	defer resp.Body.Close()
 	var body bytes.Buffer
-	if _, err := body.ReadFrom(io.LimitReader(resp.Body, listLimit)); err != nil {
-		return core.List{}, fmt.Errorf("%w: %w", errBroken, err)
+	if _, err := body.ReadFrom(io.LimitReader(resp.Body, maxListSize)); err != nil {
+		return core.List{}, fmt.Errorf("%w: %w", errIncomplete, err)
 	}
 	if resp.StatusCode == http.StatusServiceUnavailable {
 		return core.List{}, errUnavailable
@@ -87,7 +87,7 @@
 
 // isLocalFailure reports whether a call failed because of a shortage on this machine. A retry soon after costs
 // discovery nothing, while the backoff after failures of discovery could last longer than a change may go unnoticed.
-func local(err error) bool {
+func isLocalFailure(err error) bool {
 	var system syscall.Errno
 	return errors.As(err, &system) && slices.Contains(localErrors, error(system))
 }
@@ -97,7 +97,7 @@
 
 // callError returns the core.CallError for a failed call: the cause, and how long the call took if it was the first
 // one of its watch. The time of a further call holds its wait for a change, and is left out.
-func (p *pacing) failed(err error, first bool, took time.Duration) error {
+func (p *callTiming) callError(err error, first bool, took time.Duration) error {
 	failure := &core.CallError{Cause: p.cause(err, first, took), Err: err}
 	if first {
 		failure.Took = took
@@ -108,28 +108,28 @@
 // cause classifies the error of a failed call or watch. An overloaded discovery service ends calls that it has queued
 // for too long with 503 or a reset, and refuses others at once, as it also does while it is down. Only a failure to
 // connect or a missing answer shows that it is unreachable.
-func (p *pacing) cause(err error, first bool, took time.Duration) decide.FailureCause {
+func (p *callTiming) cause(err error, first bool, took time.Duration) decide.FailureCause {
 	unavailable := errors.Is(err, errUnavailable)
 	switch {
-	case !first && unavailable && took >= p.crowd: // it had been accepted, and was not refused as it came in
+	case !first && unavailable && took >= p.overloadWait: // it had been accepted, and was not refused as it came in
 		return decide.CauseWentDown
 	case !first:
 		return decide.CauseBroken
-	case silent(err), unreached(err):
+	case timedOut(err), dialFailed(err):
 		return decide.CauseUnreachable
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errIncomplete):
 		return decide.CauseUseless
 	case unavailable, errors.Is(err, syscall.ECONNRESET), errors.Is(err, io.EOF):
-		return decide.CauseCrowded
+		return decide.CauseOverloaded
 	}
 	return decide.CauseUseless
 }
 
 // dialFailed reports whether a call failed because no connection was made.
-func unreached(err error) bool {
+func dialFailed(err error) bool {
 	var failure *net.OpError
 	return errors.As(err, &failure) && failure.Op == "dial"
 }
 
 // errIncomplete is the error of an answer that has begun and was cut off: it shows that there are changes.
-var errBroken = errors.New("the answer was cut off")
+var errIncomplete = errors.New("the answer was cut off")
--- a/internal/member/registry/decode.go
+++ b/internal/member/registry/decode.go
@@ -16,13 +16,13 @@
 )
 
 // states maps the state of a server, as discovery has it, to the module's.
-var states = map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]decide.ServerState{"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed}
 
 // Decode parses a list in the JSON form of discovery. It returns an error if any entry is invalid: an empty id, an
 // unknown state, or an address that is not IP:port, except for servers that are gone. Start times are clamped to [0,
 // maxStartTime].
 func Decode(raw []byte) (core.List, error) {
-	var in struct {
+	var message struct {
 		Version *uint64 `json:"version"`
 		Full    bool    `json:"full"`
 		Servers []struct {
@@ -36,25 +36,25 @@
 			Started int64   `json:"started_ms"`
 		} `json:"servers"`
 	}
-	if err := json.Unmarshal(raw, &in); err != nil {
+	if err := json.Unmarshal(raw, &message); err != nil {
 		return core.List{}, fmt.Errorf("list: %w", err)
 	}
-	if in.Version == nil {
+	if message.Version == nil {
 		return core.List{}, errors.New("list: version is missing")
 	}
-	l := core.List{Version: *in.Version, Full: in.Full}
-	for i, s := range in.Servers {
-		state, ok := states[s.State]
-		if !ok || s.ID == "" {
-			return core.List{}, fmt.Errorf("list, entry %d: id %q, unknown state %q", i, s.ID, s.State)
+	list := core.List{Version: *message.Version, Full: message.Full}
+	for i, server := range message.Servers {
+		state, ok := states[server.State]
+		if !ok || server.ID == "" {
+			return core.List{}, fmt.Errorf("list, entry %d: id %q, unknown state %q", i, server.ID, server.State)
 		}
-		if _, err := netip.ParseAddrPort(s.Addr); err != nil && state != decide.Gone {
+		if _, err := netip.ParseAddrPort(server.Addr); err != nil && state != decide.Removed {
 			return core.List{}, fmt.Errorf("list, entry %d: %w", i, err)
 		}
-		l.Entries = append(l.Entries, core.Entry{Name: s.ID, Addr: s.Addr, Server: decide.Server{ID: ServerID(s.ID), Zone: s.Zone, Kind: s.Kind,
-			Cell: s.Cell, State: state, Size: s.Weight, StartedAt: time.Duration(min(max(0, s.Started), latestStart)) * time.Millisecond}})
+		list.Entries = append(list.Entries, core.Entry{Name: server.ID, Addr: server.Addr, Server: decide.Server{ID: ServerID(server.ID), Zone: server.Zone, Kind: server.Kind,
+			Cell: server.Cell, State: state, Size: server.Weight, StartedAt: time.Duration(min(max(0, server.Started), maxStartTime)) * time.Millisecond}})
 	}
-	return l, nil
+	return list, nil
 }
 
 // ServerID returns the module's id for a server's name. It is the same at every node, because the order of servers
--- a/internal/member/registry/endings_test.go
+++ b/internal/member/registry/endings_test.go
@@ -23,7 +23,7 @@
 
 // newTestRegistry returns a client of a discovery service that answers call n, from 1 on, with what reply writes, and a
 // channel with the query of each call.
-func asked(t *testing.T, s decide.Settings, says func(n int, w io.Writer)) (d *Registry, calls chan url.Values) {
+func newTestRegistry(t *testing.T, s decide.Settings, reply func(n int, w io.Writer)) (d *Registry, calls chan url.Values) {
 	t.Helper()
 	var n atomic.Int64
 	calls = make(chan url.Values, 999)
@@ -34,19 +34,19 @@
 				return
 			}
 			calls <- r.URL.Query()
-			says(int(n.Add(1)), c) // if it writes nothing, the call gets no answer
+			reply(int(n.Add(1)), c) // if it writes nothing, the call gets no answer
 		}
 	})
 	return New(netip.MustParseAddrPort(addr), s, testkit.Quiet), calls
 }
 
-// listResponse returns an HTTP response that holds a list; entries are its servers in JSON.
-func list(version int, full bool, entries string) string {
+// listResponse returns an HTTP response that holds a listResponse; entries are its servers in JSON.
+func listResponse(version int, full bool, entries string) string {
 	return testkit.OK(fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, entries))
 }
 
 // drainingEntry is a draining server as a list holds it.
-const drains = `{"id":"s-00000001","addr":"127.0.0.1:9","state":"draining"}`
+const drainingEntry = `{"id":"s-00000001","addr":"127.0.0.1:9","state":"draining"}`
 
 // A watch that becomes unresponsive, before the header of an answer, after it or in the middle of a list, is started
 // again at once, from the version that it had; the first answer of the new one holds what was missed. With the wait
@@ -54,29 +54,29 @@
 // the call was over, and the limit is 2 s.
 func TestSilentWatchIsBegunAnew(t *testing.T) {
 	t.Parallel()
-	whole := list(8, false, drains)
+	whole := listResponse(8, false, drainingEntry)
 	for name, written := range map[string]int{"nothing comes": 0, "silent behind its head": strings.Index(whole, "{"), "silent within the list": len(whole) - 9} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d, calls := asked(t, decide.Settings{Nodes: 300}, func(n int, w io.Writer) {
-				io.WriteString(w, []string{list(7, true, ""), whole[:written], whole}[min(n, 3)-1])
+			registry, calls := newTestRegistry(t, decide.Settings{Nodes: 300}, func(n int, w io.Writer) {
+				io.WriteString(w, []string{listResponse(7, true, ""), whole[:written], whole}[min(n, 3)-1])
 			})
-			if d.asked.wait+d.asked.slack >= d.asked.wait+2*time.Second {
-				t.Errorf("an unresponsive watch is noticed %v after its wait; the limit for all that follows, too, is 2 s", d.asked.slack)
+			if registry.serviceTiming.wait+registry.serviceTiming.slack >= registry.serviceTiming.wait+2*time.Second {
+				t.Errorf("an unresponsive watch is noticed %v after its wait; the limit for all that follows, too, is 2 s", registry.serviceTiming.slack)
 			}
-			d.asked.wait, d.asked.vary, d.asked.slack = 10*time.Millisecond, 0, 100*time.Millisecond
+			registry.serviceTiming.wait, registry.serviceTiming.jitter, registry.serviceTiming.slack = 10*time.Millisecond, 0, 100*time.Millisecond
 			ctx, cancel := context.WithCancel(t.Context())
-			told := make(chan core.List, 9)
+			received := make(chan core.List, 9)
 			ended := make(chan error)
-			go func() { ended <- d.Watch(ctx, nil, func(l core.List) { told <- l }) }()
-			if l := <-told; l.Version != 7 {
+			go func() { ended <- registry.Watch(ctx, nil, func(l core.List) { received <- l }) }()
+			if l := <-received; l.Version != 7 {
 				t.Fatalf("the first list is %+v, want version 7", l)
 			}
-			if l := <-told; !l.Silent {
+			if l := <-received; !l.Stalled {
 				t.Errorf("received %+v, want a list marked Silent", l)
 			}
 			select {
-			case l := <-told:
+			case l := <-received:
 				if l.Version != 8 || len(l.Entries) != 1 || l.Entries[0].State != decide.Draining {
 					t.Errorf("received %+v, want version 8 with a draining server", l)
 				}
@@ -100,11 +100,11 @@
 // has a lower version than the watch started from, and holds changes only, the whole list is requested.
 func TestOlderLists(t *testing.T) {
 	t.Parallel()
-	d, older := asked(t, decide.Settings{}, func(n int, w io.Writer) {
-		io.WriteString(w, []string{list(7, true, drains), list(6, true, ""), list(8, true, drains), list(6, false, "")}[n-1])
+	registry, older := newTestRegistry(t, decide.Settings{}, func(n int, w io.Writer) {
+		io.WriteString(w, []string{listResponse(7, true, drainingEntry), listResponse(6, true, ""), listResponse(8, true, drainingEntry), listResponse(6, false, "")}[n-1])
 	})
 	var versions []uint64
-	if err := d.Watch(t.Context(), nil, func(l core.List) { versions = append(versions, l.Version) }); !errors.Is(err, errOlder) || !slices.Equal(versions, []uint64{7, 8}) {
+	if err := registry.Watch(t.Context(), nil, func(l core.List) { versions = append(versions, l.Version) }); !errors.Is(err, errOlderList) || !slices.Equal(versions, []uint64{7, 8}) {
 		t.Errorf("received versions %v, error %v; want 7 and 8, and the older ones dropped", versions, err)
 	}
 	for i, want := range []string{"", "7", "", "8"} {
@@ -112,11 +112,11 @@
 			t.Errorf("call %d: since %q, want %q", i+1, q.Get("since"), want)
 		}
 	}
-	d, calls := asked(t, decide.Settings{}, func(n int, w io.Writer) {
-		io.WriteString(w, []string{list(3, false, ""), list(3, true, drains), "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"}[n-1])
+	registry, calls := newTestRegistry(t, decide.Settings{}, func(n int, w io.Writer) {
+		io.WriteString(w, []string{listResponse(3, false, ""), listResponse(3, true, drainingEntry), "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"}[n-1])
 	})
 	var got []core.List
-	d.Watch(t.Context(), new(uint64(41)), func(l core.List) { got = append(got, l) })
+	registry.Watch(t.Context(), new(uint64(41)), func(l core.List) { got = append(got, l) })
 	if len(got) != 1 || !got[0].Full || got[0].Version != 3 {
 		t.Errorf("received %+v, want the whole list of version 3", got)
 	}
@@ -127,7 +127,7 @@
 
 // An answer of a watch that is cut off shows that there is a change: it is requested again at once, and delivered. If
 // the next one is cut off too, the watch ends.
-func TestBrokenAnswerIsAskedForAgain(t *testing.T) {
+func TestBrokenAnswerIsRequestedAgain(t *testing.T) {
 	t.Parallel()
 	for again, want := range map[bool][]uint64{true: {7, 8}, false: {7}} {
 		var calls atomic.Int64
@@ -138,9 +138,9 @@
 					return
 				}
 				n := calls.Add(1)
-				switch whole := list(8, false, drains); {
+				switch whole := listResponse(8, false, drainingEntry); {
 				case n == 1:
-					io.WriteString(c, list(7, true, ""))
+					io.WriteString(c, listResponse(7, true, ""))
 				case n == 2 || !again:
 					io.WriteString(c, whole[:len(whole)-9])
 					c.(*net.TCPConn).SetLinger(0)
@@ -152,10 +152,10 @@
 				}
 			}
 		})
-		d := New(netip.MustParseAddrPort(addr), decide.Settings{Nodes: 300}, testkit.Quiet)
-		var told []uint64
-		if err := d.Watch(t.Context(), nil, func(l core.List) { told = append(told, l.Version) }); err == nil || !slices.Equal(told, want) {
-			t.Errorf("answer complete at the second try: %v; received versions %v, error %v; want %v", again, told, err, want)
+		registry := New(netip.MustParseAddrPort(addr), decide.Settings{Nodes: 300}, testkit.Quiet)
+		var versions []uint64
+		if err := registry.Watch(t.Context(), nil, func(l core.List) { versions = append(versions, l.Version) }); err == nil || !slices.Equal(versions, want) {
+			t.Errorf("answer complete at the second try: %v; received versions %v, error %v; want %v", again, versions, err, want)
 		}
 		if n := calls.Load(); again && n < 4 || !again && n != 3 {
 			t.Errorf("answer complete at the second try: %v; %d calls, want at least 4 if so, and 3 otherwise", again, n)
@@ -169,33 +169,33 @@
 func TestAgentComesBack(t *testing.T) {
 	t.Parallel()
 	const silentCalls = 3
-	for name, silence := range map[string]string{"nothing comes": "", "refuses": "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "half a list": list(8, false, drains)[:90]} {
+	for name, silence := range map[string]string{"nothing comes": "", "refuses": "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", "half a list": listResponse(8, false, drainingEntry)[:90]} {
 		for _, grace := range []time.Duration{300 * time.Millisecond, 500 * time.Millisecond, 1500 * time.Millisecond} {
 			t.Run(fmt.Sprint(name, grace), func(t *testing.T) {
 				t.Parallel()
-				p := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{DrainGrace: grace, Nodes: 300}, testkit.Quiet).pushed
-				if worst := p.wait + p.slack; worst > grace*3/4 {
+				timing := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{DrainGrace: grace, Nodes: 300}, testkit.Quiet).agentTiming
+				if worst := timing.wait + timing.slack; worst > grace*3/4 {
 					t.Errorf("an unresponsive watch is noticed after %v, with a grace of %v; want three quarters of it at most", worst, grace)
 				}
-				if worst := p.first + p.pause; worst > grace*3/4 {
+				if worst := timing.firstTimeout + timing.retryPause; worst > grace*3/4 {
 					t.Errorf("an agent that is back is called after %v, with a grace of %v; want three quarters of it at most", worst, grace)
 				}
-				d, calls := asked(t, decide.Settings{DrainGrace: grace, Nodes: 300}, func(n int, w io.Writer) {
+				registry, calls := newTestRegistry(t, decide.Settings{DrainGrace: grace, Nodes: 300}, func(n int, w io.Writer) {
 					switch {
 					case n == 1:
-						io.WriteString(w, list(7, true, ""))
+						io.WriteString(w, listResponse(7, true, ""))
 					case n <= 1+silentCalls:
 						io.WriteString(w, silence)
 					default: // the whole list: on a busy machine the first answer, too, may be too late
-						io.WriteString(w, list(8, true, drains))
+						io.WriteString(w, listResponse(8, true, drainingEntry))
 					}
 				})
 				ctx, cancel := context.WithCancel(t.Context())
-				told := make(chan core.List, 99)
+				received := make(chan core.List, 99)
 				ended := make(chan bool)
-				go func() { d.Follow(ctx, nil, func(l core.List) { told <- l }); close(ended) }()
+				go func() { registry.Follow(ctx, nil, func(l core.List) { received <- l }); close(ended) }()
 				began := time.Now()
-				for l := range told {
+				for l := range received {
 					if l.Version == 8 {
 						break
 					}
@@ -208,7 +208,7 @@
 				if len(calls) < 2+silentCalls {
 					t.Errorf("the new list was received after %d calls, want at least %d", len(calls), 2+silentCalls)
 				}
-				if most := (silentCalls + 1) * (p.wait + p.slack + p.first + p.pause); took > most+testkit.Patient/4 {
+				if most := (silentCalls + 1) * (timing.wait + timing.slack + timing.firstTimeout + timing.retryPause); took > most+testkit.Patient/4 {
 					t.Errorf("the new list was received after %v, want at most %v", took, most)
 				}
 			})
--- a/internal/member/registry/fleet_test.go
+++ b/internal/member/registry/fleet_test.go
@@ -23,7 +23,7 @@
 
 const (
 	discoveryTimeout = 2 * time.Second // a call that would be queued for longer is refused
-	silentWithin     = 2 * time.Second // after the wait of an unanswered call, to receive what was missed
+	missedWithin     = 2 * time.Second // after the wait of an unanswered call, to receive what was missed
 )
 
 // queuedDiscovery is one discovery service for all nodes, in the virtual time of a synctest bubble. It processes the
@@ -34,21 +34,21 @@
 	mu      sync.Mutex
 	freeAt  time.Time
 	version int
-	silent  bool // calls that continue a watch are not answered
+	silent  bool          // calls that continue a watch are not answered
 	news    chan struct{} // closed when the version changes
 }
 
 // nodeClient is the transport by which one node calls the discovery service. It records what that node has received.
-type oneNode struct {
+type nodeClient struct {
 	*queuedDiscovery
-	missedBy time.Duration // the wait of its first call that was not answered
-	told     map[uint64]time.Time // when each version was first received
-	watched  time.Time // when it made its first call that continues a watch
-	err      error     // the error that ended the watch
+	unansweredWait time.Duration        // the wait of its first call that was not answered
+	receivedAt     map[uint64]time.Time // when each version was first received
+	watchedAt      time.Time            // when it made its first call that continues a watch
+	err            error                // the error that ended the watch
 }
 
 // RoundTrip implements http.RoundTripper.
-func (d *oneNode) RoundTrip(r *http.Request) (*http.Response, error) {
+func (d *nodeClient) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Query().Get("timeout_ms") == "1" || !r.URL.Query().Has("since") {
 		return d.first(r.Context())
 	}
@@ -58,11 +58,11 @@
 	}
 	d.mu.Lock()
 	silent, news := d.silent, d.news
-	if d.watched.IsZero() {
-		d.watched = time.Now()
+	if d.watchedAt.IsZero() {
+		d.watchedAt = time.Now()
 	}
-	if d.silent && d.missedBy == 0 {
-		d.missedBy = wait
+	if d.silent && d.unansweredWait == 0 {
+		d.unansweredWait = wait
 	}
 	d.mu.Unlock()
 	if silent {
@@ -132,51 +132,51 @@
 	t.Parallel()
 	for _, round := range []time.Duration{2 * time.Second, 5 * time.Second, 8 * time.Second} { // to process one call of each node
 		t.Run(fmt.Sprint(round), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { silentWatches(t, 300, round) })
+			synctest.Test(t, func(t *testing.T) { checkSilentWatches(t, 300, round) })
 		})
 	}
 }
 
 // checkSilentWatches runs the scenario with a service that takes callRound to process one call of each node.
-func silentWatches(t *testing.T, nodes int, round time.Duration) {
-	d := &queuedDiscovery{perCall: round / time.Duration(nodes), version: 1, news: make(chan struct{})}
+func checkSilentWatches(t *testing.T, nodes int, callRound time.Duration) {
+	service := &queuedDiscovery{perCall: callRound / time.Duration(nodes), version: 1, news: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	var watching sync.WaitGroup
-	var each []*oneNode
+	var clients []*nodeClient
 	for i := range nodes {
-		n := &oneNode{queuedDiscovery: d, told: map[uint64]time.Time{}}
-		each = append(each, n)
-		r := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: nodes, AskWithin: 10 * time.Second}, testkit.Quiet)
-		r.client.Transport = n
+		node := &nodeClient{queuedDiscovery: service, receivedAt: map[uint64]time.Time{}}
+		clients = append(clients, node)
+		registry := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: nodes, MaxListRequestInterval: 10 * time.Second}, testkit.Quiet)
+		registry.client.Transport = node
 		watching.Go(func() {
-			time.Sleep(time.Duration(i) * 2 * round / time.Duration(nodes))
-			n.err = r.Watch(ctx, new(uint64(1)), func(l core.List) {
-				if n.told[l.Version].IsZero() {
-					n.told[l.Version] = time.Now()
+			time.Sleep(time.Duration(i) * 2 * callRound / time.Duration(nodes))
+			node.err = registry.Watch(ctx, new(uint64(1)), func(l core.List) {
+				if node.receivedAt[l.Version].IsZero() {
+					node.receivedAt[l.Version] = time.Now()
 				}
 			})
 		})
 	}
-	time.Sleep(2*round + 10*time.Second)
-	d.change(true) // all nodes receive version 2; their further calls are not answered
+	time.Sleep(2*callRound + 10*time.Second)
+	service.change(true) // all nodes receive version 2; their further calls are not answered
 	silentAt := time.Now()
 	time.Sleep(time.Second)
-	d.change(true)
+	service.change(true)
 	time.Sleep(time.Minute)
 	cancel()
 	watching.Wait()
 	worst := time.Duration(0)
-	for i, n := range each {
-		if !errors.Is(n.err, context.Canceled) {
-			t.Errorf("node %d: its watch ended: %v", i, n.err)
+	for i, node := range clients {
+		if !errors.Is(node.err, context.Canceled) {
+			t.Errorf("node %d: its watch ended: %v", i, node.err)
 		}
-		if n.told[2].IsZero() || n.told[3].IsZero() {
-			t.Fatalf("node %d: received %v, want versions 2 and 3", i, n.told)
+		if node.receivedAt[2].IsZero() || node.receivedAt[3].IsZero() {
+			t.Fatalf("node %d: received %v, want versions 2 and 3", i, node.receivedAt)
 		}
-		worst = max(worst, n.told[3].Sub(silentAt)-n.missedBy)
+		worst = max(worst, node.receivedAt[3].Sub(silentAt)-node.unansweredWait)
 	}
-	if worst > silentWithin {
-		t.Errorf("a node received the change %v after its wait was over, want %v at most", worst, silentWithin)
+	if worst > missedWithin {
+		t.Errorf("a node received the change %v after its wait was over, want %v at most", worst, missedWithin)
 	}
 	t.Logf("the last node received the change %v after its wait was over", worst)
 }
@@ -187,34 +187,34 @@
 // that has been open, that it went down.
 func TestCallErrors(t *testing.T) {
 	t.Parallel()
-	const crowded = 100 * time.Millisecond
+	const delay = 100 * time.Millisecond
 	const unavailable = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
 	const reset = "reset"
 	for name, c := range map[string]struct {
-		says  []string // the answers, in turn; see scriptedReplies
-		first bool // the error says how long the call took
-		cause decide.FailureCause
+		replies []string // the answers, in turn; see scriptedReplies
+		first   bool     // the error says how long the call took
+		cause   decide.FailureCause
 	}{
-		"silent, then silent":    {[]string{list(7, true, ""), "", ""}, true, decide.CauseUnreachable},
-		"silent, then refused":   {[]string{list(7, true, ""), "", unavailable}, true, decide.CauseCrowded},
-		"refused at once":        {[]string{unavailable}, true, decide.CauseCrowded},
-		"reset at once":          {[]string{reset}, true, decide.CauseCrowded},
-		"a watch is refused":     {[]string{list(7, true, ""), unavailable}, false, decide.CauseBroken},
-		"a watch is reset":       {[]string{list(7, true, ""), reset}, false, decide.CauseBroken},
+		"silent, then silent":    {[]string{listResponse(7, true, ""), "", ""}, true, decide.CauseUnreachable},
+		"silent, then refused":   {[]string{listResponse(7, true, ""), "", unavailable}, true, decide.CauseOverloaded},
+		"refused at once":        {[]string{unavailable}, true, decide.CauseOverloaded},
+		"reset at once":          {[]string{reset}, true, decide.CauseOverloaded},
+		"a watch is refused":     {[]string{listResponse(7, true, ""), unavailable}, false, decide.CauseBroken},
+		"a watch is reset":       {[]string{listResponse(7, true, ""), reset}, false, decide.CauseBroken},
 		"breaks off":             {[]string{"late " + testkit.OK("{\"version\"")[:44] + reset}, true, decide.CauseUseless},
 		"nonsense":               {[]string{testkit.OK("{")}, true, decide.CauseUseless},
-		"crowded":                {[]string{"late " + unavailable}, true, decide.CauseCrowded},
-		"crowded, then reset":    {[]string{"late " + reset}, true, decide.CauseCrowded},
-		"a watch ends by and by": {[]string{list(7, true, ""), "late " + unavailable}, false, decide.CauseWentDown},
+		"crowded":                {[]string{"late " + unavailable}, true, decide.CauseOverloaded},
+		"crowded, then reset":    {[]string{"late " + reset}, true, decide.CauseOverloaded},
+		"a watch ends by and by": {[]string{listResponse(7, true, ""), "late " + unavailable}, false, decide.CauseWentDown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := New(netip.MustParseAddrPort(testkit.Server(t, failing(c.says, crowded, reset))), decide.Settings{Nodes: 300}, testkit.Quiet)
-			d.asked.wait, d.asked.vary, d.asked.slack = crowded, 0, 20*crowded
-			if d.asked.crowd = time.Minute; c.cause == decide.CauseWentDown { // elsewhere, no refusal may count as late on a busy machine
-				d.asked.crowd = crowded
+			registry := New(netip.MustParseAddrPort(testkit.Server(t, scriptedReplies(c.replies, delay, reset))), decide.Settings{Nodes: 300}, testkit.Quiet)
+			registry.serviceTiming.wait, registry.serviceTiming.jitter, registry.serviceTiming.slack = delay, 0, 20*delay
+			if registry.serviceTiming.overloadWait = time.Minute; c.cause == decide.CauseWentDown { // elsewhere, no refusal may count as late on a busy machine
+				registry.serviceTiming.overloadWait = delay
 			}
-			err := d.Watch(t.Context(), nil, func(core.List) {})
+			err := registry.Watch(t.Context(), nil, func(core.List) {})
 			call := (*core.CallError)(nil)
 			if !errors.As(err, &call) {
 				t.Fatalf("%v", err)
@@ -229,7 +229,7 @@
 // scriptedReplies answers the calls on all connections with these texts, in turn; the last one is repeated. A text that
 // starts with "late " is sent after delay, and one that ends with reset is sent without that end, and its connection is
 // closed, by a reset if nothing was sent.
-func failing(says []string, late time.Duration, reset string) func(net.Conn) {
+func scriptedReplies(replies []string, delay time.Duration, reset string) func(net.Conn) {
 	var calls atomic.Int64
 	return func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -237,9 +237,9 @@
 				return
 			}
 			n := int(calls.Add(1))
-			text, waits := strings.CutPrefix(says[min(n, len(says))-1], "late ")
+			text, waits := strings.CutPrefix(replies[min(n, len(replies))-1], "late ")
 			if waits {
-				time.Sleep(late)
+				time.Sleep(delay)
 			}
 			text, resets := strings.CutSuffix(text, reset)
 			io.WriteString(c, text)
@@ -263,14 +263,14 @@
 		for _, within := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
 			t.Run(fmt.Sprint(answer, within), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					n := &oneNode{queuedDiscovery: &queuedDiscovery{perCall: answer, version: 1, news: make(chan struct{})}}
-					r := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: 300, AskWithin: within}, testkit.Quiet)
-					r.client.Transport = n
+					node := &nodeClient{queuedDiscovery: &queuedDiscovery{perCall: answer, version: 1, news: make(chan struct{})}}
+					registry := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: 300, MaxListRequestInterval: within}, testkit.Quiet)
+					registry.client.Transport = node
 					ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 					defer cancel()
-					var told time.Time
-					r.Watch(ctx, nil, func(core.List) { told = time.Now() })
-					if after := n.watched.Sub(told); n.watched.IsZero() || after != 0 {
+					var firstAnswerAt time.Time
+					registry.Watch(ctx, nil, func(core.List) { firstAnswerAt = time.Now() })
+					if after := node.watchedAt.Sub(firstAnswerAt); node.watchedAt.IsZero() || after != 0 {
 						t.Errorf("the watch is continued %v after the first answer, want at once", after)
 					}
 				})
--- a/internal/member/registry/local_test.go
+++ b/internal/member/registry/local_test.go
@@ -42,20 +42,20 @@
 		syscall.EMFILE: true, syscall.EINTR: true, syscall.ECONNREFUSED: false, syscall.ECONNRESET: false, syscall.EHOSTUNREACH: false} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := &oneNode{queuedDiscovery: &queuedDiscovery{version: 7, news: make(chan struct{})}}
-				r := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: 300}, testkit.Quiet)
-				r.client.Transport = &failingFirst{n, errno, 9}
+				node := &nodeClient{queuedDiscovery: &queuedDiscovery{version: 7, news: make(chan struct{})}}
+				registry := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: 300}, testkit.Quiet)
+				registry.client.Transport = &failingFirst{node, errno, 9}
 				began := time.Now()
-				l, err := r.Fetch(t.Context())
-				if again && (err != nil || l.Version != 7 || time.Since(began) != 9*localPause) {
+				l, err := registry.Fetch(t.Context())
+				if again && (err != nil || l.Version != 7 || time.Since(began) != 9*localRetryPause) {
 					t.Errorf("list %+v, error %v after %v; want version 7 after nine retries", l, err, time.Since(began))
 				}
 				if !again && !errors.Is(err, errno) {
 					t.Errorf("error %v, want %v at once", err, errno)
 				}
-				r.client.Transport = &failingFirst{n, errno, 1 << 30}
+				registry.client.Transport = &failingFirst{node, errno, 1 << 30}
 				began = time.Now()
-				if err := r.Watch(t.Context(), nil, func(core.List) {}); err == nil || time.Since(began) > callSlack {
+				if err := registry.Watch(t.Context(), nil, func(core.List) {}); err == nil || time.Since(began) > callTimeout {
 					t.Errorf("error %v after %v; a call has to end within its timeout whatever fails", err, time.Since(began))
 				}
 			})
--- a/internal/member/registry/registry_test.go
+++ b/internal/member/registry/registry_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("%s is accepted", bad)
 		}
 	}
-	if l, err := Decode([]byte(`{"version":1,"servers":[{"id":"a","state":"gone"}]}`)); err != nil || l.Entries[0].State != decide.Gone {
+	if l, err := Decode([]byte(`{"version":1,"servers":[{"id":"a","state":"gone"}]}`)); err != nil || l.Entries[0].State != decide.Removed {
 		t.Errorf("a server that is gone needs no address: %v", err)
 	}
 }
@@ -38,7 +38,7 @@
 // ms for each node, but at most by a fifth, to either side.
 func TestWatchWaitsByNodes(t *testing.T) {
 	t.Parallel()
-	for nodes, want := range map[int]struct{ wait, differ int }{1: {3000, 20}, 3: {3000, 60}, 40: {10000, 800}, 80: {20000, 1600}, 5000: {20000, 4000}} {
+	for nodes, want := range map[int]struct{ wait, deviation int }{1: {3000, 20}, 3: {3000, 60}, 40: {10000, 800}, 80: {20000, 1600}, 5000: {20000, 4000}} {
 		waits := make(chan string, 2)
 		service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if waits <- r.URL.Query().Get("timeout_ms"); len(waits) < cap(waits) {
@@ -47,19 +47,19 @@
 			}
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}))
-		d := New(netip.MustParseAddrPort(service.Listener.Addr().String()), decide.Settings{Nodes: nodes}, slog.New(slog.DiscardHandler))
-		if err := d.Watch(context.Background(), nil, func(core.List) {}); err == nil || errors.Is(err, context.Canceled) {
+		registry := New(netip.MustParseAddrPort(service.Listener.Addr().String()), decide.Settings{Nodes: nodes}, slog.New(slog.DiscardHandler))
+		if err := registry.Watch(context.Background(), nil, func(core.List) {}); err == nil || errors.Is(err, context.Canceled) {
 			t.Errorf("%d nodes: %v; want the refusal by the service", nodes, err)
 		}
 		service.Close()
-		if first, second := <-waits, <-waits; first != "" || off(second, want.wait) > want.differ {
-			t.Errorf("%d nodes: waits %q, %q; want none in the first call, and %d ms with a deviation of %d ms at most in the second", nodes, first, second, want.wait, want.differ)
+		if first, second := <-waits, <-waits; first != "" || deviation(second, want.wait) > want.deviation {
+			t.Errorf("%d nodes: waits %q, %q; want none in the first call, and %d ms with a deviation of %d ms at most in the second", nodes, first, second, want.wait, want.deviation)
 		}
 	}
 }
 
 // deviation returns the absolute difference between a number and the wanted one.
-func off(number string, want int) int {
+func deviation(number string, want int) int {
 	n, err := strconv.Atoi(number)
 	if err != nil {
 		return math.MaxInt
@@ -75,7 +75,7 @@
 			t.Error("entries are returned together with an error")
 		}
 		for _, e := range l.Entries {
-			if e.StartedAt < 0 || e.State != decide.Gone && e.Addr == "" {
+			if e.StartedAt < 0 || e.State != decide.Removed && e.Addr == "" {
 				t.Errorf("%+v", e)
 			}
 		}
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -275,7 +275,7 @@
 	}
 	ok := e.Code == decide.OK
 	b.learn(h, e.Elapsed.Seconds(), ok)
-	if ok || e.Over {
+	if ok || e.RequestDone {
 		delete(b.open, e.ID)
 		return nil
 	}
@@ -447,7 +447,7 @@
 		}
 		return []decide.Action{decide.Send{ID: e.ID, Server: best.id}}
 	case decide.AttemptEnded:
-		if !e.Over && e.Code != decide.OK {
+		if !e.RequestDone && e.Code != decide.OK {
 			return []decide.Action{decide.Fail{ID: e.ID}}
 		}
 	}
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -362,7 +362,7 @@
 	f, t := n.f, n.tries[a.ID]
 	s := f.byID[a.Server]
 	if t == nil || s == nil {
-		f.After(0, func() { n.tell(decide.AttemptEnded{ID: a.ID, Server: a.Server, Over: true, Code: decide.Moot}) })
+		f.After(0, func() { n.tell(decide.AttemptEnded{ID: a.ID, Server: a.Server, RequestDone: true, Code: decide.Moot}) })
 		return
 	}
 	at := &attempt{sent: f.Now()}
@@ -380,7 +380,7 @@
 		if code == decide.OK {
 			t.end(true, 0, false)
 		}
-		n.tell(decide.AttemptEnded{ID: a.ID, Attempt: number, Server: a.Server, Over: t.over, Elapsed: f.Now() - at.sent, Own: own, Code: code})
+		n.tell(decide.AttemptEnded{ID: a.ID, Attempt: number, Server: a.Server, RequestDone: t.over, Elapsed: f.Now() - at.sent, NodeTime: own, Code: code})
 	}
 	limit := t.deadline - f.Now()
 	if a.Timeout > 0 {
@@ -524,7 +524,7 @@
 	e := decide.ListUpdate{Kind: decide.ListChanges, Version: f.version, Entries: []decide.Server{{ID: s.id, Zone: s.Zone, Cell: s.Cell, Size: 1,
 		StartedAt: s.started + epochTime}}}
 	if s.down {
-		e.Entries[0].State = decide.Gone
+		e.Entries[0].State = decide.Removed
 	}
 	for _, n := range f.nodes {
 		f.After(f.sc.Lag, func() { n.tell(e) })
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -116,7 +116,7 @@
 	var heard []string
 	sc.Policy = Policy{make: func(*Fleet, decide.Settings, int64) Decider { return &listener{&heard} }}
 	Play(sc, 1)
-	want := []string{fmt.Sprint("8s 3 ", decide.Gone, " ", -time.Hour), fmt.Sprint("12s 3 ", decide.Ready, " 9s")}
+	want := []string{fmt.Sprint("8s 3 ", decide.Removed, " ", -time.Hour), fmt.Sprint("12s 3 ", decide.Ready, " 9s")}
 	if !slices.Equal(heard, want) {
 		t.Errorf("%q, want %q", heard, want)
 	}
--- a/internal/model/outcome.go
+++ b/internal/model/outcome.go
@@ -57,7 +57,7 @@
 func (f *Fleet) second() *Second { return f.at(f.Now()) }
 
 // census is what a decider that has modes tells of its servers.
-type census interface{ Census() decide.Census }
+type census interface{ ModeCounts() decide.ModeCounts }
 
 // observe looks at servers and nodes once a second.
 func (f *Fleet) observe() {
@@ -67,8 +67,8 @@
 	}
 	for _, n := range f.nodes {
 		if d, ok := n.decider.(census); ok {
-			c := d.Census()
-			s.Normal, s.Overloaded, s.Blocking, s.Apart = s.Normal+c.Normal, s.Overloaded+c.Overloaded, s.Blocking+c.Blocking, s.Apart+c.Apart
+			c := d.ModeCounts()
+			s.Normal, s.Overloaded, s.Blocking, s.Apart = s.Normal+c.Normal, s.Overloaded+c.Overloaded, s.Blocking+c.Blocking, s.Apart+c.Excluded
 		}
 	}
 	if i := int(f.Now() / time.Second); i > 0 && i < len(f.Timeline) {
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -87,7 +87,7 @@
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.Faults(path, raw)
+	fault := tomlfile.KeyErrors(path, raw)
 	within := func(key string, have, least, most float64) error {
 		if !(have >= least && have <= most) { // not a number either
 			return fault(key, "want %v to %v, have %v", least, most, have)
--- a/internal/model/version.go
+++ b/internal/model/version.go
@@ -58,7 +58,7 @@
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.Faults(path, raw)
+	fault := tomlfile.KeyErrors(path, raw)
 	policy := Policies()[0]
 	if f.Policy != "" {
 		var err error
--- a/internal/ops/ops.go
+++ b/internal/ops/ops.go
@@ -17,23 +17,23 @@
 const (
 	// MaxConnections is the most connections open at once. A further one replaces the oldest: as answers are written
 	// at once, the oldest has most likely not sent a complete call.
-	Connections = 8
+	MaxConnections = 8
 	// MaxDescriptors is the most file descriptors in use: the listener, the connections, and one just accepted.
-	Descriptors = Connections + 2
-	callWait    = 5 * time.Second // to read a whole call, and again to write its answer
-	headerLimit = 8 << 10         // of a call, in bytes
+	MaxDescriptors = MaxConnections + 2
+	callTimeout    = 5 * time.Second // to read a whole call, and again to write its answer
+	maxHeaderSize  = 8 << 10         // of a call, in bytes
 )
 
 // Server serves the second address on one listener.
 type Server struct {
-	door   *door
-	server *http.Server
+	listener *boundedListener
+	server   *http.Server
 }
 
 // New returns a server on a listener. healthy reports whether the process can serve requests; metrics writes the
 // answer to /stats. Neither may block.
-func New(l *net.TCPListener, healthy func() bool, figures io.WriterTo, log *slog.Logger) *Server {
-	s := &Server{door: &door{TCPListener: l}}
+func New(listener *net.TCPListener, healthy func() bool, metrics io.WriterTo, log *slog.Logger) *Server {
+	s := &Server{listener: &boundedListener{TCPListener: listener}}
 	handle := func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
@@ -45,14 +45,14 @@
 			w.Header().Set("Allow", "GET, HEAD")
 			http.Error(w, "GET only", http.StatusMethodNotAllowed)
 		case r.URL.Path == "/stats":
-			figures.WriteTo(w)
+			metrics.WriteTo(w)
 		case !healthy():
 			http.Error(w, "not able to serve", http.StatusServiceUnavailable)
 		default:
 			io.WriteString(w, "ok\n")
 		}
 	}
-	s.server = &http.Server{Handler: http.HandlerFunc(handle), ReadTimeout: callWait, WriteTimeout: callWait, MaxHeaderBytes: headerLimit,
+	s.server = &http.Server{Handler: http.HandlerFunc(handle), ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderSize,
 		DisableGeneralOptionsHandler: true, ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	s.server.SetKeepAlivesEnabled(false)
 	return s
@@ -60,7 +60,7 @@
 
 // Serve answers calls until Close, and then returns nil.
 func (s *Server) Serve() error {
-	err := s.server.Serve(s.door)
+	err := s.server.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -71,24 +71,24 @@
 func (s *Server) Close() { s.server.Close() }
 
 // boundedListener limits the number of connections open at once.
-type door struct {
+type boundedListener struct {
 	*net.TCPListener
 	retry accept.Retry
 	mu    sync.Mutex
-	open  []*conn // open connections, the oldest first
+	conns []*conn // open connections, the oldest first
 }
 
 // conn removes itself from its listener when it is closed. It embeds *net.TCPConn because net/http closes a connection
 // with a reset if it has no CloseWrite method.
 type conn struct {
 	*net.TCPConn
-	owner *door
-	once  sync.Once
+	listener *boundedListener
+	once     sync.Once
 }
 
 // Accept waits for the next connection. If MaxConnections are open already, it closes the oldest. It retries after
 // temporary errors, and fails only once the listener is closed.
-func (d *door) Accept() (net.Conn, error) {
+func (d *boundedListener) Accept() (net.Conn, error) {
 	raw, err := d.AcceptTCP()
 	for err != nil && d.retry.After(err) {
 		raw, err = d.AcceptTCP()
@@ -97,13 +97,13 @@
 		return nil, err
 	}
 	d.retry.Reset()
-	c := &conn{TCPConn: raw, owner: d}
+	c := &conn{TCPConn: raw, listener: d}
 	d.mu.Lock()
 	var oldest *conn
-	if len(d.open) >= Connections {
-		oldest = d.open[0]
+	if len(d.conns) >= MaxConnections {
+		oldest = d.conns[0]
 	}
-	d.open = append(d.open, c)
+	d.conns = append(d.conns, c)
 	d.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
@@ -116,11 +116,11 @@
 	err := net.ErrClosed
 	c.once.Do(func() {
 		err = c.TCPConn.Close()
-		c.owner.mu.Lock()
-		defer c.owner.mu.Unlock()
-		for i, o := range c.owner.open {
+		c.listener.mu.Lock()
+		defer c.listener.mu.Unlock()
+		for i, o := range c.listener.conns {
 			if o == c {
-				c.owner.open = append(c.owner.open[:i], c.owner.open[i+1:]...)
+				c.listener.conns = append(c.listener.conns[:i], c.listener.conns[i+1:]...)
 				return
 			}
 		}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -17,14 +17,14 @@
 	"starlingvalve/internal/testkit"
 )
 
-// serve starts a server, and returns its address.
-func serve(t *testing.T, healthy func() bool, figures io.WriterTo) string {
+// startServer starts a server, and returns its address.
+func startServer(t *testing.T, healthy func() bool, metrics io.WriterTo) string {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(l, healthy, figures, testkit.Quiet)
+	s := New(l, healthy, metrics, testkit.Quiet)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve() }()
 	t.Cleanup(func() {
@@ -64,8 +64,8 @@
 // Statuses for each kind of call, and the names, order and values of all metrics.
 func TestCalls(t *testing.T) {
 	var able atomic.Bool
-	f := stats.New([]string{"clip", "order"})
-	addr := serve(t, able.Load, f)
+	metrics := stats.New([]string{"clip", "order"})
+	addr := startServer(t, able.Load, metrics)
 	const host = " HTTP/1.1\r\nHost: h\r\n\r\n"
 	if status, _ := call(t, addr, "GET /healthcheck"+host); status != 503 {
 		t.Errorf("health check while the process can't serve: %d, want 503", status)
@@ -77,27 +77,27 @@
 			t.Errorf("%q: %d, want %d", text, status, want)
 		}
 	}
-	f.End("clip", 200)
-	f.End("clip", 429)
-	f.End("clip", 503)
-	f.End("order", 502)
-	f.End("invented", 200)
-	f.Sent()
-	f.Taken(3)
-	f.Taken(-1)
-	f.Cluster(12, 2)
-	f.Ended(int(decide.TimedOut))
-	f.Applied(int(serverlist.SourceWatch), 3)
-	f.List(41, 1500*time.Millisecond, true)
-	f.Usable(true)
-	f.Unvouched()
-	f.Called(0)
-	f.Called(int(decide.CauseCrowded))
-	f.Called(int(decide.CauseCrowded))
+	metrics.RequestEnded("clip", 200)
+	metrics.RequestEnded("clip", 429)
+	metrics.RequestEnded("clip", 503)
+	metrics.RequestEnded("order", 502)
+	metrics.RequestEnded("invented", 200)
+	metrics.AttemptSent()
+	metrics.AddInFlight(3)
+	metrics.AddInFlight(-1)
+	metrics.SetServers(12, 2)
+	metrics.AttemptEnded(int(decide.TimedOut))
+	metrics.ListApplied(int(serverlist.SourceWatch), 3)
+	metrics.SetList(41, 1500*time.Millisecond, true)
+	metrics.SetUsable(true)
+	metrics.RefusedNoList()
+	metrics.CallEnded(0)
+	metrics.CallEnded(int(decide.CauseOverloaded))
+	metrics.CallEnded(int(decide.CauseOverloaded))
 	g := guard.New(time.Second, nil)
-	f.Guarded(g)
-	g.May(guard.Attempt{Departed: true})
-	g.Ended(false)
+	metrics.SetGuard(g)
+	g.Admit(guard.Attempt{ClientGone: true})
+	g.RecordRequestEnd(false)
 	_, text := call(t, addr, "GET /stats"+host)
 	want := "gw.transactions.clip.answered:1|c\ngw.transactions.clip.deferred:2|c\ngw.transactions.clip.errored:0|c\n" +
 		"gw.transactions.order.answered:0|c\ngw.transactions.order.deferred:0|c\ngw.transactions.order.errored:1|c\n" +
@@ -119,8 +119,8 @@
 }
 
 // Callers that send nothing, or a part of a call, and keep their connections open do not keep others from being served.
-func TestMuteCallers(t *testing.T) {
-	addr := serve(t, func() bool { return true }, stats.New(nil))
+func TestUnresponsiveCallers(t *testing.T) {
+	addr := startServer(t, func() bool { return true }, stats.New(nil))
 	for i := range 100 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/internal/pace/pace.go
+++ b/internal/pace/pace.go
@@ -9,11 +9,11 @@
 	Grace = 1500 * time.Millisecond
 	// MinBytesPerSecond is the least mean rate of a body, in bytes per second, with Grace not counted: three quarters
 	// of the rate of the slowest well-behaved client.
-	Least = 48_000
+	MinBytesPerSecond = 48_000
 )
 
 // Deadline returns when more bytes of a body must have arrived, if its reading began at a time and so many bytes have
 // been received.
-func Deadline(began time.Time, brought int64) time.Time {
-	return began.Add(Grace + time.Duration(float64(brought)/Least*float64(time.Second)))
+func Deadline(began time.Time, received int64) time.Time {
+	return began.Add(Grace + time.Duration(float64(received)/MinBytesPerSecond*float64(time.Second)))
 }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -12,15 +12,15 @@
 // Gate lets one goroutine, the reader, read from a socket or accept connections while it is open, and makes it wait
 // while it is shut. The zero value is open. Any goroutine may open or shut it.
 type Gate struct {
-	mu     sync.Mutex
-	change sync.Cond
-	shut   bool
-	ended  bool // the reader does not wait any more
+	mu       sync.Mutex
+	changed  sync.Cond
+	shut     bool
+	released bool // the reader does not wait any more
 }
 
 // SetOpen opens or shuts the gate. deadline is the function that sets the socket's deadline for reading or accepting: a
 // deadline in the past interrupts the call in which the reader waits.
-func (g *Gate) Set(open bool, deadline func(time.Time) error) {
+func (g *Gate) SetOpen(open bool, deadline func(time.Time) error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.shut = !open
@@ -29,40 +29,40 @@
 	} else {
 		deadline(time.Unix(1, 0))
 	}
-	g.wake()
+	g.broadcast()
 }
 
 // Release ends the wait of the reader for good, so that it reads again and gets the error of its closed socket.
-func (g *Gate) End() {
+func (g *Gate) Release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.ended = true
-	g.wake()
+	g.released = true
+	g.broadcast()
 }
 
-func (g *Gate) wake() {
-	g.change.L = &g.mu
-	g.change.Broadcast()
+func (g *Gate) broadcast() {
+	g.changed.L = &g.mu
+	g.changed.Broadcast()
 }
 
 // IsShut reports whether the gate makes the reader wait now: it is shut and not released.
-func (g *Gate) Shut() bool {
+func (g *Gate) IsShut() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.shut && !g.ended
+	return g.shut && !g.released
 }
 
 // WaitAndRetry takes the error of a read. If a deadline caused the error, it waits until the gate is open or released
 // and returns true: read again. Otherwise it returns false at once.
-func (g *Gate) Retry(err error) bool {
+func (g *Gate) WaitAndRetry(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.change.L = &g.mu
-	for g.shut && !g.ended {
-		g.change.Wait()
+	g.changed.L = &g.mu
+	for g.shut && !g.released {
+		g.changed.Wait()
 	}
 	return true
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -28,39 +28,39 @@
 
 // Peers sends datagrams to the other nodes, and receives theirs. A nil *Peers sends none.
 type Peers struct {
-	conn  *net.UDPConn
-	nodes []netip.AddrPort
-	all   netip.AddrPort
-	self  int
-	queue chan datagram
-	gate  pause.Gate // shut while another process of this node sends and receives for it
-	log   *slog.Logger
+	conn      *net.UDPConn
+	nodes     []netip.AddrPort
+	broadcast netip.AddrPort
+	self      int
+	sendQueue chan datagram
+	gate      pause.Gate // shut while another process of this node sends and receives for it
+	log       *slog.Logger
 }
 
 // New returns peers that use the socket conn. nodes has the address of each node of the tier, with this node at index
 // self. broadcast, if it is valid, is one address that reaches every node.
-func New(conn *net.UDPConn, nodes []netip.AddrPort, all netip.AddrPort, self int, log *slog.Logger) *Peers {
-	return &Peers{conn: conn, nodes: nodes, all: all, self: self, queue: make(chan datagram, queueLength), log: log}
+func New(conn *net.UDPConn, nodes []netip.AddrPort, broadcast netip.AddrPort, self int, log *slog.Logger) *Peers {
+	return &Peers{conn: conn, nodes: nodes, broadcast: broadcast, self: self, sendQueue: make(chan datagram, queueLength), log: log}
 }
 
 // SetActive starts or stops sending and receiving. While it is stopped, another process that has the same socket does
 // both.
-func (p *Peers) Speak(on bool) {
+func (p *Peers) SetActive(on bool) {
 	if p != nil {
-		p.gate.Set(on, p.conn.SetReadDeadline)
+		p.gate.SetOpen(on, p.conn.SetReadDeadline)
 	}
 }
 
 // Send queues a datagram for the node with index to, or for all other nodes if toAll is set. It never blocks. The
 // datagram is dropped if the queue is full, if it is longer than DatagramLimit, or while sending is stopped.
 func (p *Peers) Send(to int, toAll bool, data []byte) {
-	if p == nil || len(data) > DatagramLimit || p.gate.Shut() {
+	if p == nil || len(data) > DatagramLimit || p.gate.IsShut() {
 		return
 	}
 	var dest []netip.AddrPort
 	switch {
-	case toAll && p.all.IsValid():
-		dest = []netip.AddrPort{p.all}
+	case toAll && p.broadcast.IsValid():
+		dest = []netip.AddrPort{p.broadcast}
 	case toAll:
 		for i, a := range p.nodes {
 			if i != p.self {
@@ -72,21 +72,21 @@
 	}
 	for _, a := range dest {
 		select {
-		case p.queue <- datagram{a, data}:
+		case p.sendQueue <- datagram{a, data}:
 		default:
 		}
 	}
 }
 
 // SendQueued sends the queued datagrams until ctx ends. Then it closes the socket, which ends Receive, too.
-func (p *Peers) Write(ctx context.Context) {
-	defer p.gate.End()
+func (p *Peers) SendQueued(ctx context.Context) {
+	defer p.gate.Release()
 	defer p.conn.Close()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case d := <-p.queue:
+		case d := <-p.sendQueue:
 			if _, err := p.conn.WriteToUDPAddrPort(d.data, d.to); err != nil {
 				p.log.Debug("datagram not sent", "to", d.to, "err", err)
 			}
@@ -96,7 +96,7 @@
 
 // Receive calls received with each datagram from another node of the tier, and with the index of that node, until the
 // socket is closed. Datagrams from other addresses, and those longer than DatagramLimit, are dropped.
-func (p *Peers) Read(received func(from int, data []byte)) {
+func (p *Peers) Receive(received func(from int, data []byte)) {
 	nodeAt := map[netip.AddrPort]int{}
 	for i, a := range p.nodes {
 		nodeAt[a] = i
@@ -107,7 +107,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil && p.gate.Retry(err) {
+		if err != nil && p.gate.WaitAndRetry(err) {
 			continue
 		}
 		if err != nil { // the destination of an earlier datagram refused it; go on, but avoid a busy loop
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,18 +29,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := New(conn, []netip.AddrPort{{}, address(other)}, netip.AddrPort{}, 0, testkit.Quiet)
+	peers := New(conn, []netip.AddrPort{{}, address(other)}, netip.AddrPort{}, 0, testkit.Quiet)
 	ctx, cancel := context.WithCancel(t.Context())
 	received, ended := make(chan string, 9), make(chan struct{})
-	go p.Write(ctx)
+	go peers.SendQueued(ctx)
 	go func() {
 		defer close(ended)
-		p.Read(func(from int, data []byte) { received <- fmt.Sprint(from, " ", string(data)) })
+		peers.Receive(func(from int, data []byte) { received <- fmt.Sprint(from, " ", string(data)) })
 	}()
-	p.Send(1, false, make([]byte, DatagramLimit+1))
-	p.Send(9, false, nil)
-	p.Send(1, false, []byte("one"))
-	p.Send(0, true, []byte("all"))
+	peers.Send(1, false, make([]byte, DatagramLimit+1))
+	peers.Send(9, false, nil)
+	peers.Send(1, false, []byte("one"))
+	peers.Send(0, true, []byte("all"))
 	buf := make([]byte, 2*DatagramLimit)
 	other.SetReadDeadline(time.Now().Add(testkit.Patient))
 	for _, want := range []string{"one", "all"} {
@@ -48,7 +48,7 @@
 			t.Errorf("datagram %q, %v; want %q", buf[:n], err, want)
 		}
 	}
-	own := address(p.conn)
+	own := address(peers.conn)
 	stranger.WriteToUDPAddrPort([]byte("lies"), own)
 	other.WriteToUDPAddrPort(make([]byte, DatagramLimit+1), own)
 	other.WriteToUDPAddrPort([]byte("hi"), own)
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -67,7 +67,7 @@
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.Faults(path, raw)
+	fault := tomlfile.KeyErrors(path, raw)
 	c := &Config{Path: f.Record.Path, FileBytes: 64 << 20, Files: 4, Sample: 1, PerSecond: 5000}
 	set(&c.FileBytes, f.Record.FileBytes)
 	set(&c.Files, f.Record.Files)
--- a/internal/rig/capacity/hollow/hollow.go
+++ b/internal/rig/capacity/hollow/hollow.go
@@ -251,27 +251,27 @@
 // idlePlane is a data plane with nothing to do, which notes what it is to follow.
 type idlePlane struct{ note func(what string) }
 
-// Hold notes the servers that are drained.
-func (p idlePlane) Hold(h core.Held) {
+// SetCordon notes the servers that are drained.
+func (p idlePlane) SetCordon(h core.Cordon) {
 	for id := range h.Servers {
 		p.note(ServerDrained(uint32(id)))
 	}
 }
 
-// Left reports that no request is in flight at them.
-func (idlePlane) Left(core.Held) (int, bool) { return 0, true }
+// OpenAttemptsAt reports that no request is in flight at them.
+func (idlePlane) OpenAttemptsAt(core.Cordon) (int, bool) { return 0, true }
 
-// Open reports that no request is in flight.
-func (idlePlane) Open() (int, bool) { return 0, true }
+// OpenRequests reports that no request is in flight.
+func (idlePlane) OpenRequests() (int, bool) { return 0, true }
 
-// Suspects names no server.
-func (idlePlane) Suspects() []string { return nil }
+// EjectedServers names no server.
+func (idlePlane) EjectedServers() []string { return nil }
 
-// Able reports that the node can serve.
-func (idlePlane) Able() bool { return true }
+// CanServe reports that the node can serve.
+func (idlePlane) CanServe() bool { return true }
 
-// Listed is an empty list.
-func (idlePlane) Listed() core.List { return core.List{} }
+// ServerList is an empty list.
+func (idlePlane) ServerList() core.List { return core.List{} }
 
 // Away does nothing.
 func (idlePlane) Away(bool) {}
--- a/internal/rig/capacity/hollow/hollow_test.go
+++ b/internal/rig/capacity/hollow/hollow_test.go
@@ -33,15 +33,15 @@
 // listing is the data plane of a voter that lists one backend.
 type listing struct{}
 
-func (listing) Hold(core.Held)               {}
-func (listing) Left(core.Held) (int, bool)   { return 0, true }
-func (listing) Open() (int, bool)            { return 0, true }
-func (listing) Suspects() []string           { return nil }
-func (listing) Away(bool)                    {}
-func (listing) Ends() map[string]health.Ends { return nil }
-func (listing) Resident() uint64             { return 0 }
-func (listing) Able() bool                   { return true }
-func (listing) Listed() core.List {
+func (listing) SetCordon(core.Cordon)                  {}
+func (listing) OpenAttemptsAt(core.Cordon) (int, bool) { return 0, true }
+func (listing) OpenRequests() (int, bool)              { return 0, true }
+func (listing) EjectedServers() []string               { return nil }
+func (listing) Away(bool)                              {}
+func (listing) Ends() map[string]health.Ends           { return nil }
+func (listing) Resident() uint64                       { return 0 }
+func (listing) CanServe() bool                         { return true }
+func (listing) ServerList() core.List {
 	return core.List{Full: true, Entries: []core.Entry{{Name: backend,
 		Server: decide.Server{ID: registry.ServerID(backend), Zone: "a", State: decide.Ready, Size: 1}}}}
 }
--- a/internal/rig/capacity/messages.go
+++ b/internal/rig/capacity/messages.go
@@ -80,7 +80,7 @@
 			v.plan(a.After, delivery{node, decide.TimerFired{}})
 		case decide.Send:
 			took := time.Duration(v.random.ExpFloat64() * float64(v.answer))
-			v.plan(took, delivery{node, decide.AttemptEnded{ID: a.ID, Server: a.Server, Over: true, Elapsed: max(took,
+			v.plan(took, delivery{node, decide.AttemptEnded{ID: a.ID, Server: a.Server, RequestDone: true, Elapsed: max(took,
 				simStep)}})
 		case decide.Probe:
 			v.plan(simStep, delivery{node, decide.ProbeEnded{Server: a.Server, Elapsed: simStep,
--- a/internal/rig/capacity/modules.go
+++ b/internal/rig/capacity/modules.go
@@ -37,9 +37,9 @@
 func nodeSettings(self, tenants int) decide.Settings {
 	s := decide.Settings{Nodes: int(Design.Nodes), Self: self, Zone: zoneOf(self), MaxAttempts: 4, MayOverlap: true,
 		MayCancel: true, MayProbe: true, MayMessage: true,
-		HoldOffs: true, MaxHoldOff: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, MinTick: 5 * time.Millisecond, AskForList: true, ReportVia: decide.ReportProbe,
+		HoldOffs: true, MaxHoldOff: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, MinTick: 5 * time.Millisecond, ListOnRequest: true, ReportVia: decide.ReportProbe,
 		ReportFields: []string{"in_flight",
-			"queue"}, ConnIdle: 30 * time.Second, AnswerSlack: 20 * time.Millisecond, AskWithin: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
+			"queue"}, ConnIdle: 30 * time.Second, AnswerSlack: 20 * time.Millisecond, MaxListRequestInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond,
 		ColdFrom: 1, ColdTime: time.Second, OverloadFactor: 2.5, OverloadTime: time.Second,
 		Classes: []decide.Class{{Name: requestClass.Name, Worth: 1, Aim: requestClass.Aim,
 			Deadline: requestClass.Patience, Effect: decide.Safe}}}
--- a/internal/rig/soak/check.go
+++ b/internal/rig/soak/check.go
@@ -297,7 +297,7 @@
 func (e *Evidence) counted() standin.Verdict {
 	v := standin.Verdict{Promise: "the guards of the nodes count no violation"}
 	for node, rules := range e.Guard {
-		for _, r := range guard.Each() {
+		for _, r := range guard.Rules() {
 			n, known := rules[r.String()]
 			if known {
 				v.Seen++
--- a/internal/serverlist/list.go
+++ b/internal/serverlist/list.go
@@ -42,7 +42,7 @@
 
 	Source Source `json:"-"`
 	// Stalled marks a List that holds no list: the watch has become unresponsive and is restarted.
-	Silent bool `json:"-"`
+	Stalled bool `json:"-"`
 	// StaleSince is set if the watch that brought this list was resumed too late: since that time the process may have
 	// counted as notified of the changes in this list.
 	StaleSince time.Time `json:"-"`
@@ -63,4 +63,4 @@
 func (c Cordon) Has(e Entry) bool { return c.Servers[e.ID] || c.Zones[e.Zone] }
 
 // empty reports whether no server is cordoned.
-func (c Cordon) none() bool { return len(c.Servers)+len(c.Zones) == 0 }
+func (c Cordon) empty() bool { return len(c.Servers)+len(c.Zones) == 0 }
--- a/internal/serverlist/view.go
+++ b/internal/serverlist/view.go
@@ -9,25 +9,25 @@
 const (
 	// MaxWatchGap is the longest time from an answer of a watch to the next call that continues it. A later call starts
 	// a new watch; changes within this time after the answer count as notified although no answer has brought them.
-	ContinueWithin = 200 * time.Millisecond
+	MaxWatchGap = 200 * time.Millisecond
 	// OlderListTrustedAfter is how long a list with a lower revision than the one in force has to stand before it makes
 	// draining or removed servers ready again: it may come from a replica of discovery that lags behind, or the
 	// revisions may have started again from the beginning.
-	OlderTrusted = 10 * time.Second
+	OlderListTrustedAfter = 10 * time.Second
 
-	offKept = time.Minute // how long a removed server is remembered
-	offMost = 8192        // removed servers are forgotten at once while more unavailable servers than this are remembered
+	removedKeptFor = time.Minute // how long a removed server is remembered
+	maxRemembered  = 8192        // removed servers are forgotten at once while more unavailable servers than this are remembered
 )
 
 // View is the server list as one process has it. It is not safe for concurrent use.
 type View struct {
-	entries  map[decide.ServerID]Entry // the listed servers, without the effect of the cordon
-	off      map[decide.ServerID]offServer
-	cordon   Cordon
-	ready    int  // entries whose state in force is Ready
-	known    bool // a list has been applied since the start or the last change of the source
-	revision uint64
-	source   Source
+	entries     map[decide.ServerID]Entry // the listed servers, without the effect of the cordon
+	unavailable map[decide.ServerID]unavailableServer
+	cordon      Cordon
+	ready       int  // entries whose state in force is Ready
+	known       bool // a list has been applied since the start or the last change of the source
+	revision    uint64
+	source      Source
 
 	appliedAt   time.Time // when the list last changed
 	confirmedAt time.Time // of the latest answer of discovery: there was nothing newer then
@@ -36,13 +36,13 @@
 }
 
 // unavailableServer is a server that is draining or has been removed.
-type offServer struct {
-	revision uint64      // the highest revision by which it is unavailable
-	started  decide.Time // when its process started
-	since    time.Time
-	gone     bool
-	bringsAt time.Time // a list with a lower revision has it as ready, and is trusted from then on; zero: none has
-	ready    Entry     // its entry in that list
+type unavailableServer struct {
+	revision         uint64      // the highest revision by which it is unavailable
+	startedAt        decide.Time // when its process started
+	unavailableSince time.Time
+	removed          bool
+	trustReadyAt     time.Time // a list with a lower revision has it as ready, and is trusted from then on; zero: none has
+	readyEntry       Entry     // its entry in that list
 }
 
 // Transition is the change of one server's state.
@@ -63,62 +63,62 @@
 
 // NewView returns a view without a list.
 func NewView() *View {
-	return &View{entries: map[decide.ServerID]Entry{}, off: map[decide.ServerID]offServer{}}
+	return &View{entries: map[decide.ServerID]Entry{}, unavailable: map[decide.ServerID]unavailableServer{}}
 }
 
 // Apply takes in a list or changes. The caller has to pass the update to the transport first and then to the module.
 func (v *View) Apply(l List, now time.Time) Update {
 	age := v.Age(now)
-	before := v.states(l)
+	before := v.affected(l)
 	if l.Full {
 		clear(v.entries)
 		v.ready = 0
 	}
 	entries := make([]Entry, 0, len(l.Entries))
 	for _, e := range l.Entries {
-		e = v.holdBack(e, l.Version, now)
-		v.take(e, l.Version, now)
+		e = v.keepUnavailable(e, l.Version, now)
+		v.setEntry(e, l.Version, now)
 		entries = append(entries, v.Effective(e))
 	}
-	entries = append(entries, v.believed(now, &l)...)
+	entries = append(entries, v.trustedByNow(now, &l)...)
 	l.Entries = entries
 	v.known, v.revision, v.source, v.appliedAt = true, l.Version, l.Source, now
-	u := Update{List: l, Age: age}
+	update := Update{List: l, Age: age}
 	for _, was := range before {
 		if is := v.state(was.ID); is != was.State {
-			u.Transitions = append(u.Transitions, Transition{Server: was, From: was.State, To: is, Revision: l.Version, Source: l.Source, Age: age})
+			update.Transitions = append(update.Transitions, Transition{Server: was, From: was.State, To: is, Revision: l.Version, Source: l.Source, Age: age})
 		}
 	}
-	v.noteGone(u.Transitions, now)
+	v.rememberRemoved(update.Transitions, now)
 	v.confirm(l.Source, now)
-	return u
+	return update
 }
 
 // Withdraw applies a list of a source that is no longer followed: only servers that are draining or removed by it
 // change, and the revision and the source of the list in force stay. The update holds the whole list in force.
 func (v *View) Withdraw(l List, now time.Time) Update {
-	off := List{Version: l.Version, Source: SourceNone}
+	unavailable := List{Version: l.Version, Source: SourceNone}
 	for _, e := range l.Entries {
-		if is, listed := v.entries[e.ID]; listed && e.State != decide.Ready {
-			is.State = e.State
-			off.Entries = append(off.Entries, is)
+		if entry, listed := v.entries[e.ID]; listed && e.State != decide.Ready {
+			entry.State = e.State
+			unavailable.Entries = append(unavailable.Entries, entry)
 		}
 	}
 	known, revision, source, applied := v.known, v.revision, v.source, v.appliedAt
-	u := v.Apply(off, now)
+	update := v.Apply(unavailable, now)
 	v.known, v.revision, v.source, v.appliedAt = known, revision, source, applied
 	if !known {
-		clear(v.off) // the revisions of the next source can't be compared with these
+		clear(v.unavailable) // the revisions of the next source can't be compared with these
 	}
-	u.List = List{Version: revision, Full: true, Source: SourceCordon}
+	update.List = List{Version: revision, Full: true, Source: SourceCordon}
 	for _, e := range v.entries {
-		u.List.Entries = append(u.List.Entries, v.Effective(e))
+		update.List.Entries = append(update.List.Entries, v.Effective(e))
 	}
-	return u
+	return update
 }
 
 // affected returns the servers that a list may change, with their states in force before it.
-func (v *View) states(l List) []Entry {
+func (v *View) affected(l List) []Entry {
 	list := make([]Entry, 0, len(l.Entries))
 	named := map[decide.ServerID]bool{}
 	for _, e := range l.Entries {
@@ -142,81 +142,81 @@
 func (v *View) state(id decide.ServerID) decide.ServerState {
 	e, listed := v.entries[id]
 	if !listed {
-		return decide.Gone
+		return decide.Removed
 	}
 	return v.Effective(e).State
 }
 
 // setEntry enters one entry of a list into the view.
-func (v *View) take(e Entry, revision uint64, now time.Time) {
-	if was, ok := v.entries[e.ID]; ok && v.Effective(was).State == decide.Ready {
+func (v *View) setEntry(e Entry, revision uint64, now time.Time) {
+	if previous, ok := v.entries[e.ID]; ok && v.Effective(previous).State == decide.Ready {
 		v.ready--
 	}
 	delete(v.entries, e.ID)
-	if e.State != decide.Gone {
+	if e.State != decide.Removed {
 		v.entries[e.ID] = e
 	}
 	if v.Effective(e).State == decide.Ready {
 		v.ready++
 	}
 	if e.State == decide.Ready {
-		delete(v.off, e.ID)
+		delete(v.unavailable, e.ID)
 		return
 	}
-	o, ok := v.off[e.ID]
+	unavailable, ok := v.unavailable[e.ID]
 	if !ok {
-		o = offServer{since: now, revision: revision, started: e.StartedAt}
+		unavailable = unavailableServer{unavailableSince: now, revision: revision, startedAt: e.StartedAt}
 	}
-	o.gone, o.revision = e.State == decide.Gone, max(o.revision, revision)
-	v.off[e.ID] = o
+	unavailable.removed, unavailable.revision = e.State == decide.Removed, max(unavailable.revision, revision)
+	v.unavailable[e.ID] = unavailable
 }
 
 // keepUnavailable returns an entry as it is to be set: draining instead of ready if a list with a higher revision had
 // the server as draining or removed. A server that has started since then is another process and stays ready. If no
 // list with a higher revision comes, the entry is trusted after OlderListTrustedAfter.
-func (v *View) holdBack(e Entry, revision uint64, now time.Time) Entry {
-	o, off := v.off[e.ID]
-	if !off || e.State != decide.Ready || revision >= o.revision || e.StartedAt > o.started {
+func (v *View) keepUnavailable(e Entry, revision uint64, now time.Time) Entry {
+	unavailable, known := v.unavailable[e.ID]
+	if !known || e.State != decide.Ready || revision >= unavailable.revision || e.StartedAt > unavailable.startedAt {
 		return e
 	}
-	if o.bringsAt.IsZero() {
-		o.bringsAt = now.Add(OlderTrusted)
+	if unavailable.trustReadyAt.IsZero() {
+		unavailable.trustReadyAt = now.Add(OlderListTrustedAfter)
 	}
-	o.ready = e
-	v.off[e.ID] = o
+	unavailable.readyEntry = e
+	v.unavailable[e.ID] = unavailable
 	e.State = decide.Draining
 	return e
 }
 
 // trustedByNow makes the servers ready whose entries keepUnavailable has kept back for long enough, and returns them.
 // Servers that have become ready or removed meanwhile are left out.
-func (v *View) believed(now time.Time, l *List) (entries []Entry) {
-	for id, o := range v.off {
-		if o.bringsAt.IsZero() || now.Before(o.bringsAt) {
+func (v *View) trustedByNow(now time.Time, l *List) (entries []Entry) {
+	for id, unavailable := range v.unavailable {
+		if unavailable.trustReadyAt.IsZero() || now.Before(unavailable.trustReadyAt) {
 			continue
 		}
 		if e, listed := v.entries[id]; !listed || e.State != decide.Draining {
-			o.bringsAt = time.Time{}
-			v.off[id] = o
+			unavailable.trustReadyAt = time.Time{}
+			v.unavailable[id] = unavailable
 			continue
 		}
-		v.take(o.ready, l.Version, now)
-		entries = append(entries, v.Effective(o.ready))
+		v.setEntry(unavailable.readyEntry, l.Version, now)
+		entries = append(entries, v.Effective(unavailable.readyEntry))
 	}
 	return entries
 }
 
 // rememberRemoved remembers the servers that a whole list no longer contains, and forgets those that were removed long
 // ago.
-func (v *View) noteGone(list []Transition, now time.Time) {
+func (v *View) rememberRemoved(list []Transition, now time.Time) {
 	for _, t := range list {
-		if _, off := v.off[t.Server.ID]; t.To == decide.Gone && !off {
-			v.off[t.Server.ID] = offServer{since: now, revision: t.Revision, started: t.Server.StartedAt, gone: true}
+		if _, known := v.unavailable[t.Server.ID]; t.To == decide.Removed && !known {
+			v.unavailable[t.Server.ID] = unavailableServer{unavailableSince: now, revision: t.Revision, startedAt: t.Server.StartedAt, removed: true}
 		}
 	}
-	for id, o := range v.off {
-		if o.gone && (now.Sub(o.since) > offKept || len(v.off) > offMost) {
-			delete(v.off, id)
+	for id, o := range v.unavailable {
+		if o.removed && (now.Sub(o.unavailableSince) > removedKeptFor || len(v.unavailable) > maxRemembered) {
+			delete(v.unavailable, id)
 		}
 	}
 }
@@ -234,7 +234,7 @@
 func (v *View) Confirm(source Source, now time.Time) Update {
 	v.confirm(source, now)
 	l := List{Version: v.revision, Source: source}
-	l.Entries = v.believed(now, &l)
+	l.Entries = v.trustedByNow(now, &l)
 	u := Update{List: l}
 	for _, e := range l.Entries {
 		u.Transitions = append(u.Transitions, Transition{Server: e, From: decide.Draining, To: e.State, Revision: l.Version, Source: source})
@@ -251,39 +251,39 @@
 
 // SourceChanged records that the list comes from another source from now on. Its revisions can't be compared with those
 // of the old one, so the whole list has to be requested. The entries stay in force until then.
-func (v *View) Moved(now time.Time) {
+func (v *View) SourceChanged(now time.Time) {
 	v.Unwatch(now)
 	v.known, v.revision = false, 0
-	clear(v.off)
+	clear(v.unavailable)
 }
 
 // SetCordon replaces the set of cordoned servers. The update holds the whole list in force; it has no transitions if no
 // state changes.
 func (v *View) SetCordon(c Cordon) Update {
-	was := v.cordon
+	previous := v.cordon
 	v.cordon = c
-	u := Update{List: List{Version: v.revision, Full: true, Source: SourceCordon}}
+	update := Update{List: List{Version: v.revision, Full: true, Source: SourceCordon}}
 	v.ready = 0
 	for _, e := range v.entries {
-		is := v.Effective(e)
-		if is.State == decide.Ready {
+		effective := v.Effective(e)
+		if effective.State == decide.Ready {
 			v.ready++
 		}
-		if e.State == decide.Ready && was.Has(e) != c.Has(e) {
+		if e.State == decide.Ready && previous.Has(e) != c.Has(e) {
 			from := decide.Ready
-			if was.Has(e) {
+			if previous.Has(e) {
 				from = decide.Draining
 			}
-			u.Transitions = append(u.Transitions, Transition{Server: is, From: from, To: is.State, Revision: v.revision, Source: SourceCordon})
+			update.Transitions = append(update.Transitions, Transition{Server: effective, From: from, To: effective.State, Revision: v.revision, Source: SourceCordon})
 		}
-		u.List.Entries = append(u.List.Entries, is)
+		update.List.Entries = append(update.List.Entries, effective)
 	}
-	return u
+	return update
 }
 
 // Effective returns an entry with its state in force: a cordoned server is draining.
 func (v *View) Effective(e Entry) Entry {
-	if e.State == decide.Ready && !v.cordon.none() && v.cordon.Has(e) {
+	if e.State == decide.Ready && !v.cordon.empty() && v.cordon.Has(e) {
 		e.State = decide.Draining
 	}
 	return e
--- a/internal/serverlist/view_test.go
+++ b/internal/serverlist/view_test.go
@@ -50,7 +50,7 @@
 	if watched, since := v.Watched(); watched || !since.Equal(began.Add(5*time.Second)) {
 		t.Errorf("watched %v since %v", watched, since)
 	}
-	v.Moved(began.Add(6 * time.Second))
+	v.SourceChanged(began.Add(6 * time.Second))
 	if v.Revision() != nil {
 		t.Error("the revision of the previous source is kept")
 	}
@@ -69,7 +69,7 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	want := map[decide.ServerID][2]decide.ServerState{1: {decide.Ready, decide.Draining}, 2: {decide.Ready, decide.Gone}, 3: {decide.Gone, decide.Ready}}
+	want := map[decide.ServerID][2]decide.ServerState{1: {decide.Ready, decide.Draining}, 2: {decide.Ready, decide.Removed}, 3: {decide.Removed, decide.Ready}}
 	if len(got) != len(want) || got[1] != want[1] || got[2] != want[2] || got[3] != want[3] {
 		t.Errorf("%v, want %v", got, want)
 	}
@@ -84,7 +84,7 @@
 	t.Parallel()
 	for name, off := range map[string]List{
 		"drains":    changes(9, entry(1, decide.Draining, 5)),
-		"gone":      changes(9, entry(1, decide.Gone, 5)),
+		"gone":      changes(9, entry(1, decide.Removed, 5)),
 		"not named": whole(9, entry(2, decide.Ready, 0)),
 	} {
 		v := NewView()
@@ -95,11 +95,11 @@
 			t.Errorf("%s: ready again by an older list", name)
 		}
 		expect(t, v, 2, decide.Ready)
-		v.Confirm(SourceWatch, began.Add(OlderTrusted))
+		v.Confirm(SourceWatch, began.Add(OlderListTrustedAfter))
 		if v.state(1) == decide.Ready {
 			t.Errorf("%s: ready again too soon", name)
 		}
-		u := v.Confirm(SourceWatch, began.Add(time.Second+OlderTrusted))
+		u := v.Confirm(SourceWatch, began.Add(time.Second+OlderListTrustedAfter))
 		if v.state(1) != decide.Ready || len(u.List.Entries) != 1 {
 			t.Errorf("%s: not ready again although the lower revisions stand: %+v", name, u)
 		}
@@ -119,9 +119,9 @@
 	v := NewView()
 	v.Apply(changes(9, entry(1, decide.Draining, 0)), began)
 	v.Apply(whole(8, entry(1, decide.Ready, 0)), began)
-	v.Apply(changes(10, entry(1, decide.Gone, 0)), began.Add(time.Second))
+	v.Apply(changes(10, entry(1, decide.Removed, 0)), began.Add(time.Second))
 	v.Confirm(SourceWatch, began.Add(time.Minute/2))
-	expect(t, v, 1, decide.Gone)
+	expect(t, v, 1, decide.Removed)
 }
 
 // Cordoned servers are draining whatever the list says, and are ready after the end of the cordon only if they are ready
@@ -155,7 +155,7 @@
 			now = now.Add(10 * time.Millisecond)
 			l := List{Version: rapid.Uint64Range(1, 9).Draw(t, "version"), Full: rapid.Bool().Draw(t, "full"), Source: SourceWatch}
 			for _, id := range rapid.SliceOfNDistinct(rapid.Uint32Range(1, 4), 0, 4, rapid.ID).Draw(t, "servers") {
-				l.Entries = append(l.Entries, entry(decide.ServerID(id), rapid.SampledFrom([]decide.ServerState{decide.Ready, decide.Draining, decide.Gone}).Draw(t, "state"), 0))
+				l.Entries = append(l.Entries, entry(decide.ServerID(id), rapid.SampledFrom([]decide.ServerState{decide.Ready, decide.Draining, decide.Removed}).Draw(t, "state"), 0))
 			}
 			v.Apply(l, now)
 			ready := 0
@@ -192,12 +192,12 @@
 		return Entry{Server: decide.Server{ID: id, State: s}}
 	}
 	v.Apply(List{Version: 7, Full: true, Source: SourceCall, Entries: []Entry{entry(1, decide.Ready), entry(2, decide.Ready), entry(3, decide.Draining)}}, now)
-	v.Moved(now)
+	v.SourceChanged(now)
 	u := v.Withdraw(List{Version: 8, Entries: []Entry{entry(1, decide.Draining), entry(3, decide.Ready), entry(4, decide.Ready)}}, now)
 	if len(u.Transitions) != 1 || u.Transitions[0].To != decide.Draining || !u.List.Full || len(u.List.Entries) != 3 {
 		t.Errorf("%+v", u)
 	}
-	if v.Revision() != nil || v.state(1) != decide.Draining || v.state(2) != decide.Ready || v.state(3) != decide.Draining || v.state(4) != decide.Gone {
+	if v.Revision() != nil || v.state(1) != decide.Draining || v.state(2) != decide.Ready || v.state(3) != decide.Draining || v.state(4) != decide.Removed {
 		t.Errorf("revision %v, states %v %v %v %v", v.Revision(), v.state(1), v.state(2), v.state(3), v.state(4))
 	}
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -14,49 +14,49 @@
 )
 
 // ClassCounts counts the ended requests of one class, by how they ended. The counts never go down.
-type Ends struct {
+type ClassCounts struct {
 	Answered atomic.Int64 // answered with 200
 	Deferred atomic.Int64 // refused with 429 or 503: a retry is harmless
 	Errored  atomic.Int64 // ended in any other way
 
-	bounds []time.Duration // upper bounds of the latency buckets, ascending; nil: latencies are not counted
-	took   []atomic.Int64  // 200 responses by latency: one bucket up to each bound, and one above the last
+	latencyBounds []time.Duration // upper bounds of the latency buckets, ascending; nil: latencies are not counted
+	latencies     []atomic.Int64  // 200 responses by latency: one bucket up to each bound, and one above the last
 }
 
 // Metrics holds the metrics of one process, counted from its start. A nil *Metrics counts nothing.
-type Figures struct {
-	names   []string
-	classes map[string]*Ends
+type Metrics struct {
+	classNames []string
+	classes    map[string]*ClassCounts
 
-	sends     atomic.Int64 // attempts whose last byte was written to a server, copies included and probes not
-	current   atomic.Int64 // requests received completely and not ended
-	size      atomic.Int64 // servers on the list
-	unhealthy atomic.Int64 // servers on the list to which the node sends no normal traffic
+	sends    atomic.Int64 // attempts whose last byte was written to a server, copies included and probes not
+	inFlight atomic.Int64 // requests received completely and not ended
+	servers  atomic.Int64 // servers on the list
+	avoided  atomic.Int64 // servers on the list to which the node sends no normal traffic
 
-	outcomes    [outcomeKinds]atomic.Int64 // attempts by outcome
-	lists       [sourceKinds]atomic.Int64  // applied lists by source
-	transitions atomic.Int64               // changes of the state of a server
-	revision    atomic.Int64 // of the list in force
-	listAge     atomic.Int64 // ms since the list was last known to be the newest that discovery has; -1: never
-	watched     atomic.Int64 // 1 while a watch keeps the list up to date, 0 otherwise
-	usable      atomic.Int64 // 1 while the list, or at least one server of it, is confirmed recently enough, 0 otherwise
-	unvouched   atomic.Int64 // requests refused because there was no valid list
-	calls       [callKinds]atomic.Int64 // calls to discovery by how they ended
-	guard       atomic.Pointer[guard.Guard]
+	outcomes      [outcomeKinds]atomic.Int64 // attempts by outcome
+	lists         [sourceKinds]atomic.Int64  // applied lists by source
+	transitions   atomic.Int64               // changes of the state of a server
+	revision      atomic.Int64               // of the list in force
+	listAgeMS     atomic.Int64               // ms since the list was last known to be the newest that discovery has; -1: never
+	watched       atomic.Int64               // 1 while a watch keeps the list up to date, 0 otherwise
+	usable        atomic.Int64               // 1 while the list, or at least one server of it, is confirmed recently enough, 0 otherwise
+	refusedNoList atomic.Int64               // requests refused because there was no valid list
+	calls         [callKinds]atomic.Int64    // calls to discovery by how they ended
+	guard         atomic.Pointer[guard.Guard]
 }
 
 // New returns the metrics of a node with these classes. Requests of other classes are not counted, as clients may send
 // any name.
-func New(classes []string) *Figures {
-	f := &Figures{names: classes, classes: map[string]*Ends{}}
+func New(classes []string) *Metrics {
+	f := &Metrics{classNames: classes, classes: map[string]*ClassCounts{}}
 	for _, name := range classes {
-		f.classes[name] = new(Ends)
+		f.classes[name] = new(ClassCounts)
 	}
 	return f
 }
 
 // Class returns the counts of a class, or nil if it is unknown.
-func (f *Figures) Class(name string) *Ends {
+func (f *Metrics) Class(name string) *ClassCounts {
 	if f == nil {
 		return nil
 	}
@@ -64,7 +64,7 @@
 }
 
 // RequestEnded counts a request of a class by the status of its final response.
-func (f *Figures) End(class string, status int) {
+func (f *Metrics) RequestEnded(class string, status int) {
 	e := f.Class(class)
 	switch {
 	case e == nil:
@@ -79,54 +79,54 @@
 
 // TrackLatency enables the counting of latencies of a class, in buckets with these upper bounds, which must be
 // ascending. It must be called before the first request of the class is answered.
-func (f *Figures) Time(class string, bounds []time.Duration) {
+func (f *Metrics) TrackLatency(class string, bounds []time.Duration) {
 	if e := f.Class(class); e != nil {
-		e.bounds, e.took = bounds, make([]atomic.Int64, len(bounds)+1)
+		e.latencyBounds, e.latencies = bounds, make([]atomic.Int64, len(bounds)+1)
 	}
 }
 
 // RecordLatency counts the time since the start of a request if its status is 200 and the latencies of its class are
 // counted.
-func (f *Figures) Took(class string, status int, began time.Time) {
+func (f *Metrics) RecordLatency(class string, status int, began time.Time) {
 	e := f.Class(class)
-	if e == nil || e.bounds == nil || status != 200 {
+	if e == nil || e.latencyBounds == nil || status != 200 {
 		return
 	}
-	i, _ := slices.BinarySearch(e.bounds, time.Since(began))
-	e.took[i].Add(1)
+	i, _ := slices.BinarySearch(e.latencyBounds, time.Since(began))
+	e.latencies[i].Add(1)
 }
 
 // LatencyCounts returns the number of responses in each latency bucket of a class, or nil if they are not counted.
-func (f *Figures) Times(class string) (counts []uint64) {
+func (f *Metrics) LatencyCounts(class string) (counts []uint64) {
 	e := f.Class(class)
 	if e == nil {
 		return nil
 	}
-	for i := range e.took {
-		counts = append(counts, uint64(e.took[i].Load()))
+	for i := range e.latencies {
+		counts = append(counts, uint64(e.latencies[i].Load()))
 	}
 	return counts
 }
 
 // EachClass calls visit with the counts of each class, in the order of New.
-func (f *Figures) Each(take func(class string, answered, deferred, errored int64)) {
-	for _, name := range f.names {
+func (f *Metrics) EachClass(visit func(class string, answered, deferred, errored int64)) {
+	for _, name := range f.classNames {
 		e := f.classes[name]
-		take(name, e.Answered.Load(), e.Deferred.Load(), e.Errored.Load())
+		visit(name, e.Answered.Load(), e.Deferred.Load(), e.Errored.Load())
 	}
 }
 
 // AttemptSent counts an attempt that was written completely to a server.
-func (f *Figures) Sent() {
+func (f *Metrics) AttemptSent() {
 	if f != nil {
 		f.sends.Add(1)
 	}
 }
 
 // AddInFlight changes the number of requests in flight: n is 1 for a request received completely, and -1 at its end.
-func (f *Figures) Taken(n int64) {
+func (f *Metrics) AddInFlight(n int64) {
 	if f != nil {
-		f.current.Add(n)
+		f.inFlight.Add(n)
 	}
 }
 
@@ -146,14 +146,14 @@
 )
 
 // SetGuard adds the counts of a guard to the metrics that are written.
-func (f *Figures) Guarded(g *guard.Guard) {
+func (f *Metrics) SetGuard(g *guard.Guard) {
 	if f != nil {
 		f.guard.Store(g)
 	}
 }
 
 // AttemptEnded counts an attempt by its outcome, a decide.OutcomeCode.
-func (f *Figures) Ended(outcome int) {
+func (f *Metrics) AttemptEnded(outcome int) {
 	if f != nil && outcome >= 0 && outcome < outcomeKinds {
 		f.outcomes[outcome].Add(1)
 	}
@@ -161,7 +161,7 @@
 
 // ListApplied counts an applied list by its source, a serverlist.Source, and the number of servers whose state it
 // changed.
-func (f *Figures) Applied(source, transitions int) {
+func (f *Metrics) ListApplied(source, transitions int) {
 	if f != nil && source >= 0 && source < sourceKinds {
 		f.lists[source].Add(1)
 		f.transitions.Add(int64(transitions))
@@ -170,12 +170,12 @@
 
 // SetList sets the gauges of the list in force: its revision, the time since discovery last confirmed it (negative:
 // never), and whether a watch keeps it up to date.
-func (f *Figures) List(revision uint64, age time.Duration, watched bool) {
+func (f *Metrics) SetList(revision uint64, age time.Duration, watched bool) {
 	if f == nil {
 		return
 	}
 	f.revision.Store(int64(revision))
-	f.listAge.Store(max(-1, age.Milliseconds()))
+	f.listAgeMS.Store(max(-1, age.Milliseconds()))
 	f.watched.Store(0)
 	if watched {
 		f.watched.Store(1)
@@ -184,14 +184,14 @@
 
 // CallEnded counts an ended call to discovery, or a failed watch, by its decide.FailureCause; 0 means that it was
 // answered.
-func (f *Figures) Called(cause int) {
+func (f *Metrics) CallEnded(cause int) {
 	if f != nil && cause >= 0 && cause < callKinds {
 		f.calls[cause].Add(1)
 	}
 }
 
 // SetUsable sets whether the list, or at least one server of it, is valid, so that requests can be sent.
-func (f *Figures) Usable(usable bool) {
+func (f *Metrics) SetUsable(usable bool) {
 	if f == nil {
 		return
 	}
@@ -202,37 +202,37 @@
 }
 
 // RefusedNoList counts a request that was refused because there was no valid list.
-func (f *Figures) Unvouched() {
+func (f *Metrics) RefusedNoList() {
 	if f != nil {
-		f.unvouched.Add(1)
+		f.refusedNoList.Add(1)
 	}
 }
 
 // SetServers sets the number of servers on the list, and how many of them get no normal traffic from this node.
-func (f *Figures) Cluster(size, unhealthy int) {
+func (f *Metrics) SetServers(size, unhealthy int) {
 	if f != nil {
-		f.size.Store(int64(size))
-		f.unhealthy.Store(int64(unhealthy))
+		f.servers.Store(int64(size))
+		f.avoided.Store(int64(unhealthy))
 	}
 }
 
 // WriteTo writes the metrics, one per line, in the form of statsd: counters as NAME:N|c, gauges as NAME:N|g.
-func (f *Figures) WriteTo(w io.Writer) (int64, error) {
-	text := make([]byte, 0, 256+128*len(f.names))
+func (f *Metrics) WriteTo(w io.Writer) (int64, error) {
+	text := make([]byte, 0, 256+128*len(f.classNames))
 	line := func(name string, v int64, kind string) {
 		text = append(append(text, "gw."...), name...)
 		text = append(strconv.AppendInt(append(text, ':'), v, 10), kind...)
 	}
-	for _, name := range f.names {
+	for _, name := range f.classNames {
 		e := f.classes[name]
 		line("transactions."+name+".answered", e.Answered.Load(), "|c\n")
 		line("transactions."+name+".deferred", e.Deferred.Load(), "|c\n")
 		line("transactions."+name+".errored", e.Errored.Load(), "|c\n")
 	}
 	line("sends", f.sends.Load(), "|c\n")
-	line("current", max(0, f.current.Load()), "|g\n")
-	line("cluster_size", f.size.Load(), "|g\n")
-	line("cluster_unhealthy", f.unhealthy.Load(), "|g\n")
+	line("current", max(0, f.inFlight.Load()), "|g\n")
+	line("cluster_size", f.servers.Load(), "|g\n")
+	line("cluster_unhealthy", f.avoided.Load(), "|g\n")
 	for i, name := range outcomeNames {
 		line("attempts."+name, f.outcomes[i].Load(), "|c\n")
 	}
@@ -241,20 +241,20 @@
 	}
 	line("transitions", f.transitions.Load(), "|c\n")
 	line("list.revision", f.revision.Load(), "|g\n")
-	line("list.age_ms", f.listAge.Load(), "|g\n")
+	line("list.age_ms", f.listAgeMS.Load(), "|g\n")
 	line("list.watched", f.watched.Load(), "|g\n")
 	line("list.usable", f.usable.Load(), "|g\n")
-	line("list.refused", f.unvouched.Load(), "|c\n")
+	line("list.refused", f.refusedNoList.Load(), "|c\n")
 	for i, name := range callNames {
 		line("calls."+name, f.calls[i].Load(), "|c\n")
 	}
 	g := f.guard.Load()
-	for _, rule := range guard.Each() {
+	for _, rule := range guard.Rules() {
 		refused, violated := g.Counts(rule)
 		line("guard."+rule.String()+".refused", refused, "|c\n")
 		line("guard."+rule.String()+".violated", violated, "|c\n")
 	}
-	line("guard.unwatched_sends", g.Stale(), "|c\n")
+	line("guard.unwatched_sends", g.StaleSends(), "|c\n")
 	n, err := w.Write(text)
 	return int64(n), err
 }
--- a/internal/supervise/config.go
+++ b/internal/supervise/config.go
@@ -38,9 +38,9 @@
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.Faults(path, raw)
+	fault := tomlfile.KeyErrors(path, raw)
 	s := f.Supervise
-	beside := tomlfile.Beside(path)
+	beside := tomlfile.RelativeTo(path)
 	if s.Folder == "" {
 		return nil, fault("supervise.folder", "is missing")
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -42,7 +42,7 @@
 		MayProbe: true, HoldOffs: true, MaxHoldOff: 2 * time.Second, ConnectTimeout: 2 * time.Second,
 		ConnIdle: time.Minute, MaxOpen: 100, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3, ColdTime: time.Second,
 		OverloadFactor: 2.5, OverloadTime: time.Second, ReportVia: decide.ReportProbe, MinTick: 5 * time.Millisecond,
-		AskWithin: 10 * time.Second, NotifiedWithin: 6 * time.Second,
+		MaxListRequestInterval: 10 * time.Second, NotifiedWithin: 6 * time.Second,
 		Classes: []decide.Class{class("read", decide.Safe), class("tag", decide.Keyed), class("order", decide.Unsafe)}}
 }
 
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -16,21 +16,21 @@
 // Decode decodes the text of a file, raw, into the value that into points to. Unknown keys and values of a wrong type
 // are errors. path is used in error messages only.
 func Decode(path string, raw []byte, into any) error {
-	d := toml.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	err := d.Decode(into)
+	decoder := toml.NewDecoder(bytes.NewReader(raw))
+	decoder.DisallowUnknownFields()
+	err := decoder.Decode(into)
 	if err == nil {
 		return nil
 	}
-	var strict *toml.StrictMissingError
-	var wrong *toml.DecodeError
+	var unknownKeys *toml.StrictMissingError
+	var decodeErr *toml.DecodeError
 	switch {
-	case errors.As(err, &strict) && len(strict.Errors) > 0:
-		line, _ := strict.Errors[0].Position()
-		return fmt.Errorf("%s:%d: %s: unknown key", path, line, strings.Join(strict.Errors[0].Key(), "."))
-	case errors.As(err, &wrong):
-		line, _ := wrong.Position()
-		return fmt.Errorf("%s:%d: %s: %s", path, line, strings.Join(wrong.Key(), "."), oneLine(wrong.Error()))
+	case errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0:
+		line, _ := unknownKeys.Errors[0].Position()
+		return fmt.Errorf("%s:%d: %s: unknown key", path, line, strings.Join(unknownKeys.Errors[0].Key(), "."))
+	case errors.As(err, &decodeErr):
+		line, _ := decodeErr.Position()
+		return fmt.Errorf("%s:%d: %s: %s", path, line, strings.Join(decodeErr.Key(), "."), oneLine(decodeErr.Error()))
 	}
 	return fmt.Errorf("%s: %s", path, oneLine(err.Error()))
 }
@@ -38,24 +38,24 @@
 // KeyErrors returns a function that creates errors about keys of a text that Decode accepted. The error has the line
 // of the key, or of the innermost enclosing table that is in the text if the key is not. Keys in an array of tables
 // are named like "peer[0].name".
-func Faults(path string, raw []byte) func(key, format string, args ...any) error {
+func KeyErrors(path string, raw []byte) func(key, format string, args ...any) error {
 	lines := keyLines(raw)
 	return func(key, format string, args ...any) error {
-		line, at := 0, key
-		for line = lines[at]; line == 0 && at != ""; line = lines[at] {
-			at = at[:max(0, strings.LastIndexByte(at, '.'))]
+		line, prefix := 0, key
+		for line = lines[prefix]; line == 0 && prefix != ""; line = lines[prefix] {
+			prefix = prefix[:max(0, strings.LastIndexByte(prefix, '.'))]
 		}
-		where := path
+		position := path
 		if line > 0 {
-			where = fmt.Sprintf("%s:%d", path, line)
+			position = fmt.Sprintf("%s:%d", path, line)
 		}
-		return fmt.Errorf("%s: %s: %s", where, key, oneLine(fmt.Sprintf(format, args...)))
+		return fmt.Errorf("%s: %s: %s", position, key, oneLine(fmt.Sprintf(format, args...)))
 	}
 }
 
 // RelativeTo returns a function that resolves the paths named in the file at path: relative to the file's folder,
 // unless they are absolute.
-func Beside(path string) func(name string) string {
+func RelativeTo(path string) func(name string) string {
 	return func(name string) string {
 		if filepath.IsAbs(name) {
 			return name
@@ -70,27 +70,27 @@
 // keyLines returns the line number of each key and each table in a well-formed file. Keys in an array of tables are
 // named like "peer[0].name".
 func keyLines(raw []byte) map[string]int {
-	lines, count := map[string]int{}, map[string]int{}
-	p := unstable.Parser{}
-	p.Reset(raw)
+	lines, tableCount := map[string]int{}, map[string]int{}
+	parser := unstable.Parser{}
+	parser.Reset(raw)
 	table := ""
-	for p.NextExpression() {
-		e := p.Expression()
+	for parser.NextExpression() {
+		expression := parser.Expression()
 		var parts []string
 		line := 0
-		for it := e.Key(); it.Next(); {
-			parts = append(parts, string(it.Node().Data))
+		for keyParts := expression.Key(); keyParts.Next(); {
+			parts = append(parts, string(keyParts.Node().Data))
 			if line == 0 {
-				line = p.Shape(it.Node().Raw).Start.Line
+				line = parser.Shape(keyParts.Node().Raw).Start.Line
 			}
 		}
 		name := strings.Join(parts, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.Table:
 			table, lines[name] = name+".", line
 		case unstable.ArrayTable:
-			table = fmt.Sprintf("%s[%d].", name, count[name])
-			count[name]++
+			table = fmt.Sprintf("%s[%d].", name, tableCount[name])
+			tableCount[name]++
 			lines[strings.TrimSuffix(table, ".")] = line
 		case unstable.KeyValue:
 			lines[table+name] = line
--- a/internal/upstream/http1/admit_test.go
+++ b/internal/upstream/http1/admit_test.go
@@ -13,7 +13,7 @@
 
 // newGuardedTransport returns a transport with a guard of its own, and one server that answers at once. grace is the
 // time after the notification of a drain in which attempts still do not count as violations.
-func guarded(t *testing.T, grace time.Duration) (*Transport, *guard.Guard) {
+func newGuardedTransport(t *testing.T, grace time.Duration) (*Transport, *guard.Guard) {
 	t.Helper()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
 	g := guard.New(grace, nil)
@@ -29,18 +29,18 @@
 func TestLateDrainIsCounted(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		stale time.Duration // how long before the list the node counts as notified; 0: the watch was resumed in time
-		want  int64
+		staleFor time.Duration // how long before the list the node counts as notified; 0: the watch was resumed in time
+		want     int64
 	}{"in time": {0, 0}, "within the grace": {time.Millisecond, 0}, "late": {time.Hour, 1}} {
-		b, g := guarded(t, time.Minute)
-		if r := b.do(t.Context(), b.find(1), get(testkit.Patient)); r.Code != decide.OK {
+		transport, g := newGuardedTransport(t, time.Minute)
+		if r := transport.do(t.Context(), transport.find(1), get(testkit.Patient)); r.Code != decide.OK {
 			t.Fatalf("%v %v", r.Code, r.Err)
 		}
 		l := core.List{Version: 2, Full: true}
-		if c.stale > 0 {
-			l.StaleSince = time.Now().Add(-c.stale)
+		if c.staleFor > 0 {
+			l.StaleSince = time.Now().Add(-c.staleFor)
 		}
-		b.Update(l)
+		transport.Update(l)
 		if _, violated := g.Counts(guard.Drain); violated != c.want {
 			t.Errorf("%s: %d violations, want %d", name, violated, c.want)
 		}
@@ -52,24 +52,24 @@
 // long its connection took to be made.
 func TestRefusalsAreCounted(t *testing.T) {
 	t.Parallel()
-	b, g := guarded(t, time.Minute)
-	h := b.find(1)
-	b.Update(core.List{Version: 2, Full: true})
-	if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.ConnectFailed {
+	transport, g := newGuardedTransport(t, time.Minute)
+	host := transport.find(1)
+	transport.Update(core.List{Version: 2, Full: true})
+	if r := transport.do(t.Context(), host, get(testkit.Patient)); r.Code != decide.ConnectFailed {
 		t.Errorf("to a closed host: %v", r.Code)
 	}
-	if _, refused := b.admit(t.Context(), h, get(testkit.Patient)); refused.Code != decide.ConnectFailed || refused.Err == nil {
+	if _, refused := transport.admit(t.Context(), host, get(testkit.Patient)); refused.Code != decide.ConnectFailed || refused.Err == nil {
 		t.Errorf("right before the first byte: %v %v, want a failure to connect", refused.Code, refused.Err)
 	}
 	if refused, _ := g.Counts(guard.Drain); refused != 1 {
 		t.Errorf("%d attempts refused by the drain rule, want 1", refused)
 	}
-	b, g = guarded(t, time.Minute)
-	h = b.find(1)
+	transport, g = newGuardedTransport(t, time.Minute)
+	host = transport.find(1)
 	for i, want := range []decide.OutcomeCode{decide.OK, decide.OK, decide.Moot} {
-		x := get(testkit.Patient)
-		x.ColdMost = 2
-		if r := b.do(t.Context(), h, x); r.Code != want {
+		exchange := get(testkit.Patient)
+		exchange.SlowStartLimit = 2
+		if r := transport.do(t.Context(), host, exchange); r.Code != want {
 			t.Errorf("attempt %d at a server in slow start: %v, want %v", i+1, r.Code, want)
 		}
 	}
--- a/internal/upstream/http1/backend_test.go
+++ b/internal/upstream/http1/backend_test.go
@@ -31,9 +31,9 @@
 func TestNothingLeftOver(t *testing.T) {
 	t.Parallel()
 	for name, more := range map[string]string{"copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", "start of one": "HTTP/1"} {
-		for _, late := range []time.Duration{0, reuse.Rest / 8, 2 * reuse.Rest} {
+		for _, late := range []time.Duration{0, reuse.Cooldown / 8, 2 * reuse.Cooldown} {
 			sent := make(chan struct{}, 9)
-			addr := testkit.Server(t, inPieces(func(c net.Conn) {
+			addr := testkit.Server(t, replying(func(c net.Conn) {
 				if late == 0 {
 					io.WriteString(c, testkit.OK("right")+more)
 				} else {
@@ -43,31 +43,31 @@
 				}
 				sent <- struct{}{}
 			}))
-			b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-			b.Update(testkit.Known(addr))
+			transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+			transport.Update(testkit.Known(addr))
 			for range 3 {
-				if r := b.do(t.Context(), b.find(1), get(testkit.Patient)); r.Code != decide.OK || string(r.Body) != "right" {
+				if r := transport.do(t.Context(), transport.find(1), get(testkit.Patient)); r.Code != decide.OK || string(r.Body) != "right" {
 					t.Errorf("%s after %v: %v %q", name, late, r.Code, r.Body)
 				}
 				<-sent
-				if text, open := "", true; late > 0 && len(b.find(1).idle) > 0 { // wait until the written data has arrived
-					c := b.find(1).idle[0]
-					for end := time.Now().Add(testkit.Patient); text == "" && open && time.Now().Before(end); text, open = c.behind() {
+				if text, open := "", true; late > 0 && len(transport.find(1).idleConns) > 0 { // wait until the written data has arrived
+					c := transport.find(1).idleConns[0]
+					for end := time.Now().Add(testkit.Patient); text == "" && open && time.Now().Before(end); text, open = c.pendingData() {
 						time.Sleep(time.Millisecond)
 					}
 				}
 			}
-			b.Update(core.List{Full: true})
+			transport.Update(core.List{Full: true})
 		}
 	}
 }
 
 // Errors that mean a shortage of this node are told apart from those of the server, which would otherwise count as
 // failing.
-func TestShortOf(t *testing.T) {
+func TestLocalShortage(t *testing.T) {
 	t.Parallel()
 	for e, want := range map[syscall.Errno]bool{syscall.EMFILE: true, syscall.ENFILE: true, syscall.EADDRNOTAVAIL: true, syscall.ECONNREFUSED: false, syscall.EHOSTUNREACH: false} {
-		if err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}); shortOf(err) != want {
+		if err := error(&net.OpError{Op: "dial", Err: os.NewSyscallError("socket", e)}); localShortage(err) != want {
 			t.Errorf("%v: local shortage %v, want %v", err, !want, want)
 		}
 	}
@@ -77,34 +77,34 @@
 // idle one. The attempt ends at once, even though its own context does not end.
 func TestUnwantedWhileConnecting(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { got.Add(1); return testkit.OK("x") }))
-	b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-	b.Update(testkit.Known(addr))
+	var requests atomic.Int64
+	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { requests.Add(1); return testkit.OK("x") }))
+	transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+	transport.Update(testkit.Known(addr))
 	for _, pooled := range []bool{false, true} {
 		if pooled {
-			c, err := b.connect(t.Context(), b.find(1), get(testkit.Patient))
+			c, err := transport.connect(t.Context(), transport.find(1), get(testkit.Patient))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.release(b.find(1), c, true)
+			transport.release(transport.find(1), c, true)
 		}
-		x := get(testkit.Patient)
+		exchange := get(testkit.Patient)
 		wanted, end := context.WithCancel(t.Context())
-		x.Wanted = wanted
+		exchange.RequestContext = wanted
 		end()
-		if r := b.do(t.Context(), b.find(1), x); r.Code != decide.Moot {
+		if r := transport.do(t.Context(), transport.find(1), exchange); r.Code != decide.Moot {
 			t.Errorf("pooled %v: %v (%v), want moot", pooled, r.Code, r.Err)
 		}
 	}
-	b.Update(core.List{Full: true})
-	if got.Load() > 0 || b.open != 0 {
-		t.Errorf("the server got %d requests, %d connections are open; want none of either", got.Load(), b.open)
+	transport.Update(core.List{Full: true})
+	if requests.Load() > 0 || transport.openConns != 0 {
+		t.Errorf("the server got %d requests, %d connections are open; want none of either", requests.Load(), transport.openConns)
 	}
 }
 
-// inPieces returns a server that calls reply for each request, which may write its response in pieces.
-func inPieces(reply func(net.Conn)) func(net.Conn) {
+// replying returns a server that calls reply for each request, which may write its response in pieces.
+func replying(reply func(net.Conn)) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
 		for {
@@ -134,89 +134,91 @@
 func TestAddressTakenOver(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-	b.Update(testkit.Known(addr))
-	if r := b.do(t.Context(), b.find(1), get(testkit.Patient)); r.Code != decide.OK || b.open != 1 {
-		t.Fatalf("%v, %d open", r.Code, b.open)
+	transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+	transport.Update(testkit.Known(addr))
+	if r := transport.do(t.Context(), transport.find(1), get(testkit.Patient)); r.Code != decide.OK || transport.openConns != 1 {
+		t.Fatalf("%v, %d open", r.Code, transport.openConns)
 	}
-	news := testkit.Known(addr, addr)
-	news.Entries[1].StartedAt = 1
+	update := testkit.Known(addr, addr)
+	update.Entries[1].StartedAt = 1
 	for _, full := range []bool{false, true} {
-		news.Full = full
-		b.Update(news)
-		if r := b.do(t.Context(), b.find(1), get(testkit.Patient)); r.Code != decide.ConnectFailed {
-			t.Errorf("to the old backend: outcome %v, want a failure to connect; %d connections open", r.Code, b.open)
+		update.Full = full
+		transport.Update(update)
+		if r := transport.do(t.Context(), transport.find(1), get(testkit.Patient)); r.Code != decide.ConnectFailed {
+			t.Errorf("to the old backend: outcome %v, want a failure to connect; %d connections open", r.Code, transport.openConns)
 		}
-		if r := b.do(t.Context(), b.find(2), get(testkit.Patient)); r.Code != decide.OK || b.open != 1 {
-			t.Errorf("to the new backend: outcome %v; %d connections open, want 1", r.Code, b.open)
+		if r := transport.do(t.Context(), transport.find(2), get(testkit.Patient)); r.Code != decide.OK || transport.openConns != 1 {
+			t.Errorf("to the new backend: outcome %v; %d connections open, want 1", r.Code, transport.openConns)
 		}
-		time.Sleep(2 * reuse.Rest)
+		time.Sleep(2 * reuse.Cooldown)
 	}
-	b.Update(core.List{Full: true})
+	transport.Update(core.List{Full: true})
 }
 
 // A machine that never answers connection attempts occupies only a part of the allowed connections.
 func TestDialsBounded(t *testing.T) {
 	t.Parallel()
-	b := New(testkit.Settings(), 192, 16, nil, testkit.Quiet)
-	b.Update(testkit.Known("127.0.0.1:1"))
-	h := b.find(1)
-	h.dials = 2
-	if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.Moot || b.open != 0 {
-		t.Errorf("outcome %v (%v), want moot; %d connections open, want none", r.Code, r.Err, b.open)
+	transport := New(testkit.Settings(), 192, 16, nil, testkit.Quiet)
+	transport.Update(testkit.Known("127.0.0.1:1"))
+	h := transport.find(1)
+	h.dialing = 2
+	if r := transport.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.Moot || transport.openConns != 0 {
+		t.Errorf("outcome %v (%v), want moot; %d connections open, want none", r.Code, r.Err, transport.openConns)
 	}
 }
 
 // A change while an attempt is connecting takes effect before its first byte: nothing is written.
 func TestLookAgainBeforeWriting(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int64
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { got.Add(1); return testkit.OK("x") }))
+	var requests atomic.Int64
+	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { requests.Add(1); return testkit.OK("x") }))
 	fresh := func() (*Transport, *host) {
-		b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-		b.Update(testkit.Known(addr))
-		return b, b.find(1)
+		transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+		transport.Update(testkit.Known(addr))
+		return transport, transport.find(1)
 	}
 	for name, c := range map[string]struct {
 		change func(*Transport, *core.Exchange, context.CancelFunc)
 		want   decide.OutcomeCode
 	}{
-		"draining": {func(b *Transport, _ *core.Exchange, _ context.CancelFunc) {
+		"draining": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
 			l := testkit.Known(addr)
 			l.Full, l.Entries[0].State = false, decide.Draining
-			b.Update(l)
+			transport.Update(l)
+		}, decide.ConnectFailed},
+		"gone from the list": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
+			transport.Update(core.List{Full: true})
 		}, decide.ConnectFailed},
-		"gone from the list": {func(b *Transport, _ *core.Exchange, _ context.CancelFunc) { b.Update(core.List{Full: true}) }, decide.ConnectFailed},
-		"restarted": {func(b *Transport, _ *core.Exchange, _ context.CancelFunc) {
+		"restarted": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
 			l := testkit.Known(addr)
 			l.Entries[0].StartedAt = 1
-			b.Update(l)
+			transport.Update(l)
 		}, decide.ConnectFailed},
-		"window over": {func(_ *Transport, x *core.Exchange, _ context.CancelFunc) { x.WriteBy = time.Now() }, decide.Moot},
-		"too late":    {func(_ *Transport, x *core.Exchange, _ context.CancelFunc) { x.Deadline = time.Now() }, decide.ConnectFailed},
+		"window over": {func(_ *Transport, exchange *core.Exchange, _ context.CancelFunc) { exchange.WriteBy = time.Now() }, decide.Moot},
+		"too late":    {func(_ *Transport, exchange *core.Exchange, _ context.CancelFunc) { exchange.Deadline = time.Now() }, decide.ConnectFailed},
 		"called off":  {func(_ *Transport, _ *core.Exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
 	} {
-		b, h := fresh()
+		transport, h := fresh()
 		// An idle connection, so that connecting succeeds whatever the time.
-		c1, err := b.connect(t.Context(), h, &core.Exchange{Deadline: time.Now().Add(testkit.Patient)})
+		c1, err := transport.connect(t.Context(), h, &core.Exchange{Deadline: time.Now().Add(testkit.Patient)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		x := get(testkit.Patient)
-		b.release(h, c1, true)
-		c.change(b, x, cancel)
-		if r := b.do(ctx, h, x); r.Code != c.want {
+		exchange := get(testkit.Patient)
+		transport.release(h, c1, true)
+		c.change(transport, exchange, cancel)
+		if r := transport.do(ctx, h, exchange); r.Code != c.want {
 			t.Errorf("%s: outcome %v (%v), want %v", name, r.Code, r.Err, c.want)
 		}
 		cancel()
-		b.Update(core.List{Full: true})
-		if b.open != 0 {
-			t.Errorf("%s: %d connections left", name, b.open)
+		transport.Update(core.List{Full: true})
+		if transport.openConns != 0 {
+			t.Errorf("%s: %d connections left", name, transport.openConns)
 		}
 	}
-	if got.Load() > 0 {
-		t.Errorf("the backend got %d requests", got.Load())
+	if requests.Load() > 0 {
+		t.Errorf("the backend got %d requests", requests.Load())
 	}
 }
 
@@ -232,24 +234,24 @@
 		t.Fatal(err)
 	}
 	defer refused.Close()
-	b := New(testkit.Settings(), 192, 1, nil, testkit.Quiet)
-	b.Update(testkit.Known(addr, other, refused.LocalAddr().String()))
+	transport := New(testkit.Settings(), 192, 1, nil, testkit.Quiet)
+	transport.Update(testkit.Known(addr, other, refused.LocalAddr().String()))
 	for i, want := range map[decide.ServerID]decide.OutcomeCode{1: decide.OK, 2: decide.OK, 3: decide.ConnectFailed, 4: decide.ConnectFailed} {
-		if r := b.do(t.Context(), b.find(i), get(testkit.Patient)); r.Code != want {
+		if r := transport.do(t.Context(), transport.find(i), get(testkit.Patient)); r.Code != want {
 			t.Errorf("backend %d: %v (%v)", i, r.Code, r.Err)
 		}
 	}
-	held, err := b.connect(t.Context(), b.find(1), &core.Exchange{Deadline: time.Now().Add(testkit.Patient)})
+	held, err := transport.connect(t.Context(), transport.find(1), &core.Exchange{Deadline: time.Now().Add(testkit.Patient)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := b.do(t.Context(), b.find(2), get(testkit.Patient)); r.Code != decide.Moot { // must not count against the backend
+	if r := transport.do(t.Context(), transport.find(2), get(testkit.Patient)); r.Code != decide.Moot { // must not count against the backend
 		t.Errorf("beyond the bound on connections: outcome %v, want moot", r.Code)
 	}
-	b.release(b.find(1), held, true)
-	b.CloseIdle(1)
-	if b.open != 0 {
-		t.Errorf("%d connections left", b.open)
+	transport.release(transport.find(1), held, true)
+	transport.CloseIdle(1)
+	if transport.openConns != 0 {
+		t.Errorf("%d connections left", transport.openConns)
 	}
 }
 
@@ -258,49 +260,49 @@
 func TestSilenceClosesIdle(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, func(c net.Conn) { io.Copy(io.Discard, c) })
-	for heard, want := range map[bool]int{false: 0, true: 1} {
-		b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-		b.Update(testkit.Known(addr))
-		h := b.find(1)
+	for responded, want := range map[bool]int{false: 0, true: 1} {
+		transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+		transport.Update(testkit.Known(addr))
+		host := transport.find(1)
 		var conns [2]*conn
 		for i := range conns {
 			var err error
-			if conns[i], err = b.connect(t.Context(), h, &core.Exchange{Deadline: time.Now().Add(testkit.Patient)}); err != nil {
+			if conns[i], err = transport.connect(t.Context(), host, &core.Exchange{Deadline: time.Now().Add(testkit.Patient)}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for _, c := range conns {
-			b.release(h, c, true)
+			transport.release(host, c, true)
 		}
-		time.Sleep(2 * reuse.Rest)
-		if heard {
-			h.heard = time.Now().Add(testkit.Patient)
+		time.Sleep(2 * reuse.Cooldown)
+		if responded {
+			host.lastResponseAt = time.Now().Add(testkit.Patient)
 		}
-		if r := b.do(t.Context(), h, get(time.Second)); r.Code != decide.TimedOut {
+		if r := transport.do(t.Context(), host, get(time.Second)); r.Code != decide.TimedOut {
 			t.Errorf("outcome %v (%v)", r.Code, r.Err)
 		}
-		if len(h.idle) != want {
-			t.Errorf("responded in the meantime: %v; %d idle connections kept, want %d", heard, len(h.idle), want)
+		if len(host.idleConns) != want {
+			t.Errorf("responded in the meantime: %v; %d idle connections kept, want %d", responded, len(host.idleConns), want)
 		}
-		b.Update(core.List{Full: true})
+		transport.Update(core.List{Full: true})
 	}
 }
 
 // A list of 10 000 servers is applied, applied again without change, and halved: hosts and addresses follow it.
 func TestManyHosts(t *testing.T) {
-	b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+	transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
 	l := testkit.Known(make([]string, 10_000)...)
 	for i := range l.Entries {
 		l.Entries[i].Addr = "127.0.0.1:" + time.Duration(i).String()
 	}
-	b.Update(l)
-	b.Update(l)
-	if len(b.hosts) != 10_000 || len(b.byAddr) != 10_000 {
-		t.Errorf("%d hosts, %d addresses", len(b.hosts), len(b.byAddr))
+	transport.Update(l)
+	transport.Update(l)
+	if len(transport.hosts) != 10_000 || len(transport.byAddr) != 10_000 {
+		t.Errorf("%d hosts, %d addresses", len(transport.hosts), len(transport.byAddr))
 	}
-	b.Update(core.List{Full: true, Entries: l.Entries[:5000]})
-	if len(b.hosts) != 5000 || len(b.byAddr) != 5000 {
-		t.Errorf("%d hosts, %d addresses", len(b.hosts), len(b.byAddr))
+	transport.Update(core.List{Full: true, Entries: l.Entries[:5000]})
+	if len(transport.hosts) != 5000 || len(transport.byAddr) != 5000 {
+		t.Errorf("%d hosts, %d addresses", len(transport.hosts), len(transport.byAddr))
 	}
 }
 
@@ -350,8 +352,8 @@
 		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", decide.Reset},
 		"no end":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", decide.OK},
 		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", decide.Reset},
-		"large":            {testkit.OK(strings.Repeat("x", 6*bodyLimit)), decide.OK},
-		"too large":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", longLimit+1), decide.Reset},
+		"large":            {testkit.OK(strings.Repeat("x", 6*maxBufferedBody)), decide.OK},
+		"too large":        {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", maxBodySize+1), decide.Reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -379,31 +381,31 @@
 	var drop atomic.Bool
 	addr := testkit.Server(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
-		for young := true; ; young = false {
+		for first := true; ; first = false {
 			if _, err := http.ReadRequest(in); err != nil {
 				return
 			}
-			if drop.Load() && !young {
+			if drop.Load() && !first {
 				c.(*net.TCPConn).SetLinger(0)
 				return
 			}
 			io.WriteString(c, testkit.OK("right"))
 		}
 	})
-	b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-	b.Update(testkit.Known(addr))
-	defer b.Update(core.List{Full: true})
-	h := b.find(1)
-	exchange := func(stood time.Duration) core.Result {
-		b.mu.Lock()
-		for _, c := range h.idle {
-			c.since = time.Now().Add(-max(stood, 2*reuse.Rest))
+	transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+	transport.Update(testkit.Known(addr))
+	defer transport.Update(core.List{Full: true})
+	host := transport.find(1)
+	exchange := func(idleTime time.Duration) core.Result {
+		transport.mu.Lock()
+		for _, c := range host.idleConns {
+			c.idleSince = time.Now().Add(-max(idleTime, 2*reuse.Cooldown))
 		}
-		drop.Store(stood > 100*time.Millisecond)
-		b.mu.Unlock()
-		return b.do(t.Context(), h, get(testkit.Patient))
+		drop.Store(idleTime > 100*time.Millisecond)
+		transport.mu.Unlock()
+		return transport.do(t.Context(), host, get(testkit.Patient))
 	}
-	broken := 0
+	resets := 0
 	for range 40 {
 		for range 3 {
 			if r := exchange(0); r.Code != decide.OK {
@@ -411,10 +413,10 @@
 			}
 		}
 		if r := exchange(300 * time.Millisecond); r.Code == decide.Reset {
-			broken++
+			resets++
 		}
 	}
-	if broken < 4 || broken > 15 {
-		t.Errorf("%d of 40 requests were reset on connections that were idle for too long; want 4 to 15, from which the limit is learned", broken)
+	if resets < 4 || resets > 15 {
+		t.Errorf("%d of 40 requests were reset on connections that were idle for too long; want 4 to 15, from which the limit is learned", resets)
 	}
 }
--- a/internal/upstream/http1/connect.go
+++ b/internal/upstream/http1/connect.go
@@ -15,39 +15,39 @@
 // or a new one. If the handshake of a new one fails, a connection that has become idle in the meantime is used. It
 // fails with errTooManyConns if the node or its share for this host has no capacity left; that is no fault of the
 // server.
-func (b *Transport) connect(ctx context.Context, h *host, x *core.Exchange) (*conn, error) {
-	var failed error
+func (b *Transport) connect(ctx context.Context, host *host, exchange *core.Exchange) (*conn, error) {
+	var dialErr error
 	for {
-		c, next, err := b.choose(h, writtenBy(x), failed != nil)
+		conn, decision, err := b.choose(host, writeDeadline(exchange), dialErr != nil)
 		switch {
-		case err != nil && failed != nil:
-			return nil, failed
+		case err != nil && dialErr != nil:
+			return nil, dialErr
 		case err != nil:
 			return nil, err
-		case next.Step == reuse.Dial:
-			if c, err = b.dial(ctx, h, x); err == nil {
-				return c, nil
+		case decision.Step == reuse.Dial:
+			if conn, err = b.dial(ctx, host, exchange); err == nil {
+				return conn, nil
 			}
-			if failed = err; ctx.Err() != nil || x.Unwanted(core.LookAge) || !time.Now().Before(x.Deadline) {
+			if dialErr = err; ctx.Err() != nil || exchange.RequestOver(core.MaxClientCheckAge) || !time.Now().Before(exchange.Deadline) {
 				return nil, err
 			}
 			continue
 		}
-		if next.Grow {
-			go b.grow(h)
+		if decision.AddConn {
+			go b.addConn(host)
 		}
-		if err := awaitRest(ctx, x, next.Wait); err != nil {
-			b.putBack(h, c)
+		if err := awaitCooldown(ctx, exchange, decision.Wait); err != nil {
+			b.putBack(host, conn)
 			return nil, err
 		}
-		if c, err = b.checkTaken(h, c); c != nil || err != nil {
-			return c, err
+		if conn, err = b.revalidate(host, conn); conn != nil || err != nil {
+			return conn, err
 		}
 	}
 }
 
 // writeDeadline returns the time by which a request must have been written completely.
-func writtenBy(x *core.Exchange) time.Time {
+func writeDeadline(x *core.Exchange) time.Time {
 	if !x.WriteBy.IsZero() && x.WriteBy.Before(x.Deadline) {
 		return x.WriteBy
 	}
@@ -58,56 +58,56 @@
 // it from the idle connections; for a new one it returns nil, and has counted the dial. writeBy is when the request must
 // have been written. noDial is set after a failed handshake: there is no second one, and only an idle connection will
 // do.
-func (b *Transport) choose(h *host, by time.Time, noDial bool) (*conn, reuse.Decision, error) {
+func (b *Transport) choose(host *host, writeBy time.Time, noDial bool) (*conn, reuse.Decision, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h.closed {
+	if host.closed {
 		return nil, reuse.Decision{}, errClosed
 	}
-	h.states = h.states[:0]
-	for _, c := range h.idle {
-		h.states = append(h.states, reuse.Idle{Used: c.used, For: time.Since(c.since)})
+	host.idleStates = host.idleStates[:0]
+	for _, conn := range host.idleConns {
+		host.idleStates = append(host.idleStates, reuse.Idle{Used: conn.used, IdleTime: time.Since(conn.idleSince)})
 	}
-	next := h.reuse.Choose(time.Since(b.made), h.states, time.Until(by))
-	if next.Step != reuse.Dial {
-		c := h.idle[next.Index]
-		h.idle = slices.Delete(h.idle, next.Index, next.Index+1)
-		b.take(c)
-		if next.Grow = next.Grow && !noDial && h.dials == 0 && b.open < b.limit; next.Grow {
-			b.countDial(h)
+	decision := host.reuse.Choose(time.Since(b.clockStart), host.idleStates, time.Until(writeBy))
+	if decision.Step != reuse.Dial {
+		conn := host.idleConns[decision.Index]
+		host.idleConns = slices.Delete(host.idleConns, decision.Index, decision.Index+1)
+		b.unlinkIdle(conn)
+		if decision.AddConn = decision.AddConn && !noDial && host.dialing == 0 && b.openConns < b.maxConns; decision.AddConn {
+			b.countDial(host)
 		}
-		return c, next, nil
+		return conn, decision, nil
 	}
-	if noDial || !b.mayDial(h) {
-		return nil, next, errTooMany
+	if noDial || !b.mayDial(host) {
+		return nil, decision, errTooManyConns
 	}
-	b.countDial(h)
-	return nil, next, nil
+	b.countDial(host)
+	return nil, decision, nil
 }
 
 // mayDial reports whether one more connection to h may be made. If maxConns is reached it closes an idle connection,
 // of any host, to stay within that.
 func (b *Transport) mayDial(h *host) bool {
-	return h.dials < max(2, b.limit/dialPart) && (b.open < b.limit || b.evict())
+	return h.dialing < max(2, b.maxConns/dialDivisor) && (b.openConns < b.maxConns || b.evict())
 }
 
 // countDial counts a connection to h as open and being made.
 func (b *Transport) countDial(h *host) {
-	b.open++
-	h.dials++
+	b.openConns++
+	h.dialing++
 }
 
 // awaitCooldown waits for the given time, the remaining cooldown of a connection. It returns early, with an error, if
 // the request ends.
-func awaitRest(ctx context.Context, x *core.Exchange, wait time.Duration) error {
+func awaitCooldown(ctx context.Context, exchange *core.Exchange, wait time.Duration) error {
 	if wait <= 0 {
 		return nil
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	var over <-chan struct{}
-	if x.Wanted != nil {
-		over = x.Wanted.Done()
+	if exchange.RequestContext != nil {
+		over = exchange.RequestContext.Done()
 	}
 	select {
 	case <-ctx.Done():
@@ -117,7 +117,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
-	case x.Wanted != nil && x.Wanted.Err() != nil:
+	case exchange.RequestContext != nil && exchange.RequestContext.Err() != nil:
 		return errUnwanted
 	}
 	return nil
@@ -125,15 +125,15 @@
 
 // revalidate returns c, which choose took from the idle connections, if it can still be used. Otherwise it closes c and
 // returns nil, with errClosed if the host is closed, or without an error if another connection should be chosen.
-func (b *Transport) checkTaken(h *host, c *conn) (*conn, error) {
+func (b *Transport) revalidate(h *host, c *conn) (*conn, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	switch {
 	case h.closed:
-		b.drop(c)
+		b.closeConn(c)
 		return nil, errClosed
 	case !b.usable(c):
-		b.drop(c)
+		b.closeConn(c)
 		return nil, nil
 	}
 	return c, nil
@@ -144,50 +144,50 @@
 func (b *Transport) putBack(h *host, c *conn) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if h.closed || b.open > b.limit {
-		b.drop(c)
+	if h.closed || b.openConns > b.maxConns {
+		b.closeConn(c)
 		return
 	}
-	at, _ := slices.BinarySearchFunc(h.idle, c, func(a, b *conn) int { return a.since.Compare(b.since) })
-	h.idle = slices.Insert(h.idle, at, c)
-	c.place = b.idle.PushBack(c)
+	at, _ := slices.BinarySearchFunc(h.idleConns, c, func(a, b *conn) int { return a.idleSince.Compare(b.idleSince) })
+	h.idleConns = slices.Insert(h.idleConns, at, c)
+	c.idleElement = b.idleConns.PushBack(c)
 }
 
 // dial makes a connection for one request; choose has counted it. It gives up when the request ends.
-func (b *Transport) dial(ctx context.Context, h *host, x *core.Exchange) (*conn, error) {
-	ctx, cancel := context.WithDeadline(ctx, x.Deadline)
+func (b *Transport) dial(ctx context.Context, h *host, exchange *core.Exchange) (*conn, error) {
+	ctx, cancel := context.WithDeadline(ctx, exchange.Deadline)
 	defer cancel()
-	if x.Wanted != nil {
-		defer context.AfterFunc(x.Wanted, cancel)()
+	if exchange.RequestContext != nil {
+		defer context.AfterFunc(exchange.RequestContext, cancel)()
 	}
 	return b.handshake(ctx, h)
 }
 
 // addConn makes an idle connection for later requests; choose has counted it.
-func (b *Transport) grow(h *host) {
+func (b *Transport) addConn(h *host) {
 	if c, err := b.handshake(context.Background(), h); err == nil {
 		b.release(h, c, true)
 	}
 }
 
 // handshake makes a connection within connectTimeout. If it fails, the connection is no longer counted as open.
-func (b *Transport) handshake(ctx context.Context, h *host) (*conn, error) {
+func (b *Transport) handshake(ctx context.Context, host *host) (*conn, error) {
 	began := time.Now()
-	d := net.Dialer{Timeout: b.connectTimeout}
-	tcp, err := d.DialContext(ctx, "tcp", h.addr)
+	dialer := net.Dialer{Timeout: b.connectTimeout}
+	tcp, err := dialer.DialContext(ctx, "tcp", host.addr)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h.dials--
+	host.dialing--
 	if err != nil {
-		b.open--
+		b.openConns--
 		if ctx.Err() == nil {
-			h.reuse.Dialled(b.connectTimeout)
+			host.reuse.RecordDial(b.connectTimeout)
 		}
 		return nil, err
 	}
 	now := time.Now()
-	h.reuse.Dialled(now.Sub(began))
-	c := &conn{Conn: tcp, host: h, since: now}
-	c.r = bufio.NewReader(c)
+	host.reuse.RecordDial(now.Sub(began))
+	c := &conn{Conn: tcp, host: host, idleSince: now}
+	c.reader = bufio.NewReader(c)
 	return c, nil
 }
--- a/internal/upstream/http1/connect_test.go
+++ b/internal/upstream/http1/connect_test.go
@@ -24,9 +24,9 @@
 // down: a second response some milliseconds after the first would be taken for the response to the next request. The
 // server measures the time between response and next request. Requests wait for the cooldown instead of making new
 // connections, except for one more when waits go on.
-func TestRest(t *testing.T) {
+func TestCooldown(t *testing.T) {
 	t.Parallel()
-	var early atomic.Int64
+	var tooEarly atomic.Int64
 	addr := testkit.Server(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
 		var answered time.Time
@@ -34,20 +34,20 @@
 			if _, err := http.ReadRequest(r); err != nil {
 				return
 			}
-			if !answered.IsZero() && time.Since(answered) < reuse.Rest {
-				early.Add(1)
+			if !answered.IsZero() && time.Since(answered) < reuse.Cooldown {
+				tooEarly.Add(1)
 			}
 			answered = time.Now() // taken before writing: the node starts its cooldown later
 			io.WriteString(c, testkit.OK("x"))
 		}
 	})
-	for _, open := range []int{1, 2, 4, 5, 8} {
-		b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-		b.Update(testkit.Known(addr))
-		h := b.find(1)
+	for _, connections := range []int{1, 2, 4, 5, 8} {
+		transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+		transport.Update(testkit.Known(addr))
+		host := transport.find(1)
 		var conns []*conn
-		for range open {
-			c, err := b.connect(t.Context(), h, get(testkit.Patient))
+		for range connections {
+			c, err := transport.connect(t.Context(), host, get(testkit.Patient))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,51 +55,51 @@
 			conns = append(conns, c)
 		}
 		for _, c := range conns {
-			b.release(h, c, true)
+			transport.release(host, c, true)
 		}
-		for i := range max(8, 2*open) {
-			time.Sleep(time.Duration(i%4) * reuse.Rest / 4) // part of the cooldown is over
-			if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.OK {
-				t.Errorf("%d open, request %d: %v (%v)", open, i, r.Code, r.Err)
+		for i := range max(8, 2*connections) {
+			time.Sleep(time.Duration(i%4) * reuse.Cooldown / 4) // part of the cooldown is over
+			if r := transport.do(t.Context(), host, get(testkit.Patient)); r.Code != decide.OK {
+				t.Errorf("%d open, request %d: %v (%v)", connections, i, r.Code, r.Err)
 			}
 		}
-		b.mu.Lock()
-		if b.open > open+1 {
-			t.Errorf("%d connections are open, want at most one more than the %d before", b.open, open)
+		transport.mu.Lock()
+		if transport.openConns > connections+1 {
+			t.Errorf("%d connections are open, want at most one more than the %d before", transport.openConns, connections)
 		}
-		b.mu.Unlock()
-		b.Update(core.List{Full: true})
+		transport.mu.Unlock()
+		transport.Update(core.List{Full: true})
 	}
-	if n := early.Load(); n > 0 {
+	if n := tooEarly.Load(); n > 0 {
 		t.Errorf("%d requests came on connections before the end of their cooldown", n)
 	}
 }
 
 const (
-	latest = 20 * time.Millisecond // the latest second response, after the first, that must not reach another request
-	heldUp = 4 * time.Millisecond  // the longest delay by the machine of a response sent in time
+	maxStrayDelay = 20 * time.Millisecond // the latest second response, after the first, that must not reach another request
+	scheduleDelay = 4 * time.Millisecond  // the longest delay by the machine of a response sent in time
 )
 
 // strayResponses counts second responses. The body of each is the path of no request.
-type strays struct {
-	mu     sync.Mutex
-	sent   int             // sent with the wanted delay, or at most scheduleDelay more
-	missed map[string]bool // by body: the machine delayed it so much that it may reach another request
+type strayResponses struct {
+	mu      sync.Mutex
+	sent    int             // sent with the wanted delay, or at most scheduleDelay more
+	tooLate map[string]bool // by body: the machine delayed it so much that it may reach another request
 }
 
 // send writes a second response with this text as its body, delay after the first one, which was written at answered.
 // writeLock guards writes to the connection.
-func (s *strays) send(c net.Conn, turn *sync.Mutex, answered time.Time, late time.Duration, text string) {
-	time.Sleep(time.Until(answered.Add(late)))
-	turn.Lock()
-	defer turn.Unlock()
+func (s *strayResponses) send(c net.Conn, writeLock *sync.Mutex, answered time.Time, delay time.Duration, text string) {
+	time.Sleep(time.Until(answered.Add(delay)))
+	writeLock.Lock()
+	defer writeLock.Unlock()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(answered) > late+heldUp/2 {
+	if time.Since(answered) > delay+scheduleDelay/2 {
 		return // the machine is late: the response would not have the wanted delay
 	}
 	io.WriteString(c, testkit.OK(text))
-	s.missed[text] = time.Since(answered) >= late+heldUp
+	s.tooLate[text] = time.Since(answered) >= delay+scheduleDelay
 	s.sent++
 }
 
@@ -108,28 +108,28 @@
 // never used.
 func TestLateSecondAnswer(t *testing.T) {
 	t.Parallel()
-	for _, late := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond, latest} {
+	for _, late := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond, maxStrayDelay} {
 		for _, callers := range []int{1, 3, 8} {
 			for _, limit := range []int{3, 64} {
 				t.Run(fmt.Sprint(late, " ", callers, " of ", limit), func(t *testing.T) {
 					t.Parallel()
-					lateSecondAnswers(t, late, callers, limit)
+					checkLateSecondAnswers(t, late, callers, limit)
 				})
 			}
 		}
 	}
 }
 
-func lateSecondAnswers(t *testing.T, late time.Duration, callers, limit int) {
-	s := strays{missed: map[string]bool{}}
-	together := min(callers, max(2, limit/dialPart)) // requests that the server answers at the same moment
+func checkLateSecondAnswers(t *testing.T, delay time.Duration, callers, limit int) {
+	strays := strayResponses{tooLate: map[string]bool{}}
+	concurrent := min(callers, max(2, limit/dialDivisor)) // requests that the server answers at the same moment
 	var arrived, count atomic.Int64
-	answer := make(chan struct{}, together)
+	answer := make(chan struct{}, concurrent)
 	addr := testkit.Server(t, func(c net.Conn) {
 		r := bufio.NewReader(c)
-		var turn sync.Mutex
-		var open sync.WaitGroup
-		defer open.Wait()
+		var writeLock sync.Mutex
+		var pending sync.WaitGroup
+		defer pending.Wait()
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -137,44 +137,44 @@
 			}
 			n := count.Add(1)
 			if req.URL.Path == "/together" {
-				if arrived.Add(1)%int64(together) == 0 {
-					for range together {
+				if arrived.Add(1)%int64(concurrent) == 0 {
+					for range concurrent {
 						answer <- struct{}{}
 					}
 				}
 				<-answer
 			} else if n%3 == 0 || strings.HasPrefix(req.URL.Path, "/after") {
 				// Keep the request open for a second response, should its connection have been reused too early.
-				time.Sleep(latest + heldUp)
+				time.Sleep(maxStrayDelay + scheduleDelay)
 			}
-			turn.Lock()
+			writeLock.Lock()
 			answered := time.Now()
 			io.WriteString(c, testkit.OK(req.URL.Path))
-			turn.Unlock()
+			writeLock.Unlock()
 			if n%2 == 0 || req.URL.Path == "/together" {
-				open.Go(func() { s.send(c, &turn, answered, late, fmt.Sprint("stray ", n)) })
+				pending.Go(func() { strays.send(c, &writeLock, answered, delay, fmt.Sprint("stray ", n)) })
 			}
 		}
 	})
-	b := New(testkit.Settings(), 192, limit, nil, testkit.Quiet)
-	b.Update(testkit.Known(addr))
-	h := b.find(1)
+	transport := New(testkit.Settings(), 192, limit, nil, testkit.Quiet)
+	transport.Update(testkit.Known(addr))
+	host := transport.find(1)
 	send := func(path string) core.Result {
-		x := get(testkit.Patient)
-		x.URL.Path = path
-		return b.do(t.Context(), h, x)
+		exchange := get(testkit.Patient)
+		exchange.URL.Path = path
+		return transport.do(t.Context(), host, exchange)
 	}
-	ask := func(path string) {
+	check := func(path string) {
 		r := send(path)
-		for path == "/together" && errors.Is(r.Err, errTooMany) { // at the bound; the other requests wait for this one
+		for path == "/together" && errors.Is(r.Err, errTooManyConns) { // at the bound; the other requests wait for this one
 			time.Sleep(time.Millisecond)
 			r = send(path)
 		}
-		s.mu.Lock()
-		defer s.mu.Unlock()
+		strays.mu.Lock()
+		defer strays.mu.Unlock()
 		switch text := string(r.Body); {
-		case r.Code == decide.Moot && errors.Is(r.Err, errTooMany): // the bound on connections is reached
-		case r.Code == decide.OK && s.missed[text]:
+		case r.Code == decide.Moot && errors.Is(r.Err, errTooManyConns): // the bound on connections is reached
+		case r.Code == decide.OK && strays.tooLate[text]:
 		case r.Code != decide.OK || text != path:
 			t.Errorf("%s: %v %q (%v)", path, r.Code, text, r.Err)
 		}
@@ -184,114 +184,120 @@
 		for caller := range callers {
 			all.Go(func() {
 				for i := range 4 {
-					time.Sleep(time.Duration((caller+i)%5) * latest / 5) // for a part of the cooldown
-					ask(fmt.Sprintf("/%d/%d/%d", round, caller, i))
+					time.Sleep(time.Duration((caller+i)%5) * maxStrayDelay / 5) // for a part of the cooldown
+					check(fmt.Sprintf("/%d/%d/%d", round, caller, i))
 				}
 			})
 		}
 		all.Wait()
-		for range together {
-			all.Go(func() { ask("/together") })
+		for range concurrent {
+			all.Go(func() { check("/together") })
 		}
 		all.Wait()
 		// All connections are cooling down now; requests are made one after the other.
 		for i := range 3 {
-			time.Sleep(latest / 3)
-			ask(fmt.Sprintf("/after/%d/%d", round, i))
+			time.Sleep(maxStrayDelay / 3)
+			check(fmt.Sprintf("/after/%d/%d", round, i))
 		}
 	}
-	b.Update(core.List{Full: true})
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.sent == 0 {
+	transport.Update(core.List{Full: true})
+	strays.mu.Lock()
+	defer strays.mu.Unlock()
+	if strays.sent == 0 {
 		t.Error("no second response was sent in time; the test shows nothing")
 	}
 }
 
 // A request that ends while it waits for a connection's cooldown ends at once: nothing is written, and the connection
 // goes back to the pool with its idle time unchanged.
-func TestEndsWhileConnectionRests(t *testing.T) {
+func TestEndsWhileConnectionCoolsDown(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		change func(*Transport, *core.Exchange, context.CancelFunc)
-		rests  time.Duration // so long that the request ends first on any machine
-		want   decide.OutcomeCode
-		open   int
+		change   func(*Transport, *core.Exchange, context.CancelFunc)
+		cooldown time.Duration // so long that the request ends first on any machine
+		want     decide.OutcomeCode
+		open     int
 	}{
 		"called off": {func(_ *Transport, _ *core.Exchange, cancel context.CancelFunc) { cancel() }, time.Hour, decide.Cancelled, 1},
-		"unwanted":   {func(_ *Transport, x *core.Exchange, _ context.CancelFunc) { x.Wanted.(*ending).end() }, time.Hour, decide.Moot, 1},
-		"gone from the list": {func(b *Transport, _ *core.Exchange, _ context.CancelFunc) { b.Update(core.List{Full: true}) }, 2 * time.Second,
+		"unwanted": {func(_ *Transport, exchange *core.Exchange, _ context.CancelFunc) {
+			exchange.RequestContext.(*endableContext).end()
+		}, time.Hour, decide.Moot, 1},
+		"gone from the list": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
+			transport.Update(core.List{Full: true})
+		}, 2 * time.Second,
 			decide.ConnectFailed, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var got atomic.Int64
-			addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { got.Add(1); return testkit.OK("x") }))
-			b := New(testkit.Settings(), 192, 1, nil, testkit.Quiet) // at most one connection
-			b.Update(testkit.Known(addr))
-			h := b.find(1)
-			if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.OK {
+			var requests atomic.Int64
+			addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { requests.Add(1); return testkit.OK("x") }))
+			transport := New(testkit.Settings(), 192, 1, nil, testkit.Quiet) // at most one connection
+			transport.Update(testkit.Known(addr))
+			host := transport.find(1)
+			if r := transport.do(t.Context(), host, get(testkit.Patient)); r.Code != decide.OK {
 				t.Fatalf("%v (%v)", r.Code, r.Err)
 			}
-			before, since := got.Load(), time.Now().Add(c.rests-reuse.Rest)
-			b.mu.Lock()
-			h.idle[0].since = since
-			b.mu.Unlock()
+			before, since := requests.Load(), time.Now().Add(c.cooldown-reuse.Cooldown)
+			transport.mu.Lock()
+			host.idleConns[0].idleSince = since
+			transport.mu.Unlock()
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			x := get(3 * c.rests)
+			exchange := get(3 * c.cooldown)
 			wanted, end := context.WithCancel(t.Context())
 			defer end()
-			x.Wanted = &ending{wanted, end}
+			exchange.RequestContext = &endableContext{wanted, end}
 			done := make(chan core.Result, 1)
-			go func() { done <- b.do(ctx, h, x) }()
+			go func() { done <- transport.do(ctx, host, exchange) }()
 			testkit.Until(t, "the connection is not waited for", func() bool {
-				b.mu.Lock()
-				defer b.mu.Unlock()
-				return len(h.idle) == 0 || len(done) > 0
+				transport.mu.Lock()
+				defer transport.mu.Unlock()
+				return len(host.idleConns) == 0 || len(done) > 0
 			})
-			c.change(b, x, cancel)
-			if r := <-done; r.Code != c.want || got.Load() != before {
-				t.Errorf("outcome %v (%v), want %v; %d requests were written, want none", r.Code, r.Err, c.want, got.Load()-before)
+			c.change(transport, exchange, cancel)
+			if r := <-done; r.Code != c.want || requests.Load() != before {
+				t.Errorf("outcome %v (%v), want %v; %d requests were written, want none", r.Code, r.Err, c.want, requests.Load()-before)
 			}
-			b.mu.Lock()
-			if b.open != c.open || len(h.idle) != c.open || c.open > 0 && !h.idle[0].since.Equal(since) {
-				t.Errorf("%d connections open, %d of them idle; want %d, with an unchanged idle time", b.open, len(h.idle), c.open)
+			transport.mu.Lock()
+			if transport.openConns != c.open || len(host.idleConns) != c.open || c.open > 0 && !host.idleConns[0].idleSince.Equal(since) {
+				t.Errorf("%d connections open, %d of them idle; want %d, with an unchanged idle time", transport.openConns, len(host.idleConns), c.open)
 			}
-			b.mu.Unlock()
-			b.Update(core.List{Full: true})
+			transport.mu.Unlock()
+			transport.Update(core.List{Full: true})
 		})
 	}
 }
 
 // A request with little time left, compared to the cooldown of the idle connection, does not wait for it: a new
 // connection is made.
-func TestLittleTimeIsNotSpentOnRest(t *testing.T) {
+func TestLittleTimeIsNotSpentOnCooldown(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
 	for name, change := range map[string]func(*core.Exchange){
-		"the deadline":     func(*core.Exchange) {},
-		"the keyed window": func(x *core.Exchange) { x.WriteBy, x.Deadline = x.Deadline, time.Now().Add(3*time.Hour) },
+		"the deadline": func(*core.Exchange) {},
+		"the keyed window": func(exchange *core.Exchange) {
+			exchange.WriteBy, exchange.Deadline = exchange.Deadline, time.Now().Add(3*time.Hour)
+		},
 	} {
-		b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-		b.Update(testkit.Known(addr))
-		h := b.find(1)
-		if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.OK {
+		transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+		transport.Update(testkit.Known(addr))
+		host := transport.find(1)
+		if r := transport.do(t.Context(), host, get(testkit.Patient)); r.Code != decide.OK {
 			t.Fatalf("%v (%v)", r.Code, r.Err)
 		}
 		since := time.Now().Add(time.Hour)
-		h.idle[0].since = since
-		x := get(testkit.Patient)
-		change(x)
-		if r := b.do(t.Context(), h, x); r.Code != decide.OK || b.open != 2 || !h.idle[0].since.Equal(since) {
-			t.Errorf("%s: outcome %v (%v), %d connections open, want 2", name, r.Code, r.Err, b.open)
+		host.idleConns[0].idleSince = since
+		exchange := get(testkit.Patient)
+		change(exchange)
+		if r := transport.do(t.Context(), host, exchange); r.Code != decide.OK || transport.openConns != 2 || !host.idleConns[0].idleSince.Equal(since) {
+			t.Errorf("%s: outcome %v (%v), %d connections open, want 2", name, r.Code, r.Err, transport.openConns)
 		}
-		b.Update(core.List{Full: true})
+		transport.Update(core.List{Full: true})
 	}
 }
 
 // endableContext is a context that a test can end.
-type ending struct {
+type endableContext struct {
 	context.Context
 	end context.CancelFunc
 }
@@ -307,31 +313,31 @@
 		t.Fatal(err)
 	}
 	defer refused.Close()
-	b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-	b.Update(testkit.Known(refused.LocalAddr().String()))
-	h := b.find(1)
-	if r := b.do(t.Context(), h, get(testkit.Patient)); r.Code != decide.ConnectFailed || !strings.Contains(r.Err.Error(), "refused") {
+	transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+	transport.Update(testkit.Known(refused.LocalAddr().String()))
+	host := transport.find(1)
+	if r := transport.do(t.Context(), host, get(testkit.Patient)); r.Code != decide.ConnectFailed || !strings.Contains(r.Err.Error(), "refused") {
 		t.Fatalf("with no idle connection: outcome %v (%v), want a refused connection", r.Code, r.Err)
 	}
 	tcp, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := &conn{Conn: tcp, host: h, since: time.Now(), used: true}
-	c.r = bufio.NewReader(c)
-	b.mu.Lock()
-	b.open++
-	b.mu.Unlock()
-	x := get(testkit.Patient)
-	x.Left = func(time.Duration) bool { // called once the handshake has failed: another exchange ends at this moment
+	c := &conn{Conn: tcp, host: host, idleSince: time.Now(), used: true}
+	c.reader = bufio.NewReader(c)
+	transport.mu.Lock()
+	transport.openConns++
+	transport.mu.Unlock()
+	exchange := get(testkit.Patient)
+	exchange.ClientGone = func(time.Duration) bool { // called once the handshake has failed: another exchange ends at this moment
 		if c != nil {
-			b.release(h, c, true)
+			transport.release(host, c, true)
 			c = nil
 		}
 		return false
 	}
-	if r := b.do(t.Context(), h, x); r.Code != decide.OK || b.open != 1 {
-		t.Errorf("with a connection idle by then: outcome %v (%v), %d connections open, want 1", r.Code, r.Err, b.open)
+	if r := transport.do(t.Context(), host, exchange); r.Code != decide.OK || transport.openConns != 1 {
+		t.Errorf("with a connection idle by then: outcome %v (%v), %d connections open, want 1", r.Code, r.Err, transport.openConns)
 	}
-	b.Update(core.List{Full: true})
+	transport.Update(core.List{Full: true})
 }
--- a/internal/upstream/http1/endings_test.go
+++ b/internal/upstream/http1/endings_test.go
@@ -15,35 +15,35 @@
 // be written: the server could have forgotten an earlier attempt with that key, and run the request again.
 func TestWindowEndsWithinWrite(t *testing.T) {
 	t.Parallel()
-	whole, done := make(chan bool, 1), make(chan bool)
+	receivedAll, done := make(chan bool, 1), make(chan bool)
 	const size = 4 << 20
 	addr := testkit.Server(t, func(c net.Conn) {
 		c.(*net.TCPConn).SetReadBuffer(4 << 10)
 		<-done // reads nothing before the window is over, so that the write cannot finish
 		n, _ := io.Copy(io.Discard, c)
-		whole <- n >= size
+		receivedAll <- n >= size
 	})
-	b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-	b.Update(testkit.Known(addr))
-	c, err := b.connect(t.Context(), b.find(1), get(testkit.Patient))
+	transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+	transport.Update(testkit.Known(addr))
+	c, err := transport.connect(t.Context(), transport.find(1), get(testkit.Patient))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
-	b.release(b.find(1), c, true)
-	x := get(testkit.Patient)
-	x.Method, x.Body, x.WriteBy = "POST", make([]byte, size), time.Now().Add(200*time.Millisecond)
-	r := b.do(t.Context(), b.find(1), x)
-	if r.Code != decide.ConnectFailed || time.Now().Before(x.WriteBy) || time.Until(x.Deadline) < testkit.Patient/2 {
-		t.Errorf("outcome %v (%v) with %v left until the deadline; want a failure to connect when the window ends", r.Code, r.Err, time.Until(x.Deadline))
+	transport.release(transport.find(1), c, true)
+	exchange := get(testkit.Patient)
+	exchange.Method, exchange.Body, exchange.WriteBy = "POST", make([]byte, size), time.Now().Add(200*time.Millisecond)
+	r := transport.do(t.Context(), transport.find(1), exchange)
+	if r.Code != decide.ConnectFailed || time.Now().Before(exchange.WriteBy) || time.Until(exchange.Deadline) < testkit.Patient/2 {
+		t.Errorf("outcome %v (%v) with %v left until the deadline; want a failure to connect when the window ends", r.Code, r.Err, time.Until(exchange.Deadline))
 	}
 	close(done)
-	if <-whole {
+	if <-receivedAll {
 		t.Error("the server received the whole request")
 	}
-	b.Update(core.List{Full: true})
-	if b.open != 0 {
-		t.Errorf("%d connections are open, want none", b.open)
+	transport.Update(core.List{Full: true})
+	if transport.openConns != 0 {
+		t.Errorf("%d connections are open, want none", transport.openConns)
 	}
 }
 
@@ -53,20 +53,20 @@
 	now := time.Now()
 	const s, kB = time.Second, 1 << 10
 	for name, c := range map[string]struct {
-		a    answer
+		a    responseBody
 		want time.Duration
 	}{
-		"a length is known: a stall of 8 s":                {answer{frame: byLength, taken: kB, wholeBy: now}, 8 * s},
-		"long, and it keeps its pace":                      {answer{frame: byChunks, taken: 800 * kB, waited: 95 * s, wholeBy: now}, 8 * s},
-		"long, and it trickles: it ends":                   {answer{frame: byLength, taken: 80 * kB, waited: 18 * s, wholeBy: now}, 0},
-		"long, half a second slower than the least pace":   {answer{frame: byClose, taken: 80 * kB, waited: 10*s + s/2, wholeBy: now}, 7*s + s/2},
-		"short so far: with its request":                   {answer{frame: byChunks, taken: kB, passed: now.Add(-s), wholeBy: now.Add(s)}, s},
-		"short so far, its time over: at once":             {answer{frame: byClose, taken: kB, passed: now.Add(-s), wholeBy: now}, 0},
-		"short so far and fast: it may be long":            {answer{frame: byChunks, taken: 60 * kB, passed: now.Add(-s), wholeBy: now.Add(-s)}, longWait},
-		"fast, and its time is not over":                   {answer{frame: byClose, taken: 60 * kB, passed: now.Add(-s), wholeBy: now.Add(s)}, s},
-		"fast at first, and it has stopped for a while: 0": {answer{frame: byChunks, taken: 60 * kB, passed: now.Add(-4 * s), wholeBy: now.Add(-s)}, -s},
+		"a length is known: a stall of 8 s":                {responseBody{framing: byLength, received: kB, completeBy: now}, 8 * s},
+		"long, and it keeps its pace":                      {responseBody{framing: byChunks, received: 800 * kB, waitTime: 95 * s, completeBy: now}, 8 * s},
+		"long, and it trickles: it ends":                   {responseBody{framing: byLength, received: 80 * kB, waitTime: 18 * s, completeBy: now}, 0},
+		"long, half a second slower than the least pace":   {responseBody{framing: byClose, received: 80 * kB, waitTime: 10*s + s/2, completeBy: now}, 7*s + s/2},
+		"short so far: with its request":                   {responseBody{framing: byChunks, received: kB, forwardedAt: now.Add(-s), completeBy: now.Add(s)}, s},
+		"short so far, its time over: at once":             {responseBody{framing: byClose, received: kB, forwardedAt: now.Add(-s), completeBy: now}, 0},
+		"short so far and fast: it may be long":            {responseBody{framing: byChunks, received: 60 * kB, forwardedAt: now.Add(-s), completeBy: now.Add(-s)}, longBodyPause},
+		"fast, and its time is not over":                   {responseBody{framing: byClose, received: 60 * kB, forwardedAt: now.Add(-s), completeBy: now.Add(s)}, s},
+		"fast at first, and it has stopped for a while: 0": {responseBody{framing: byChunks, received: 60 * kB, forwardedAt: now.Add(-4 * s), completeBy: now.Add(-s)}, -s},
 	} {
-		if got := c.a.patience(now).Sub(now).Round(time.Millisecond); got != c.want {
+		if got := c.a.nextDeadline(now).Sub(now).Round(time.Millisecond); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
 		}
 	}
--- a/internal/upstream/http1/upload.go
+++ b/internal/upstream/http1/upload.go
@@ -16,56 +16,56 @@
 
 const (
 	// chunkPrefix is the length, in bytes, of what precedes the data of a chunk: four hex digits, CR, LF.
-	chunkHead = 6
+	chunkPrefix = 6
 	// chunkSuffix is the most bytes that follow it: CR, LF, and after the last chunk the end of the body.
-	chunkTail = 7
+	chunkSuffix = 7
 
 	// minUnsentBody is the smallest body, in bytes, of which the operating system may not be able to send all at once.
-	unsentLeast = pieceSize
+	minUnsentBody = streamBufferSize
 )
 
 // upload streams to the server the part of the client's body that is still being received. Until its last byte is
 // written the request has not run, so each failure is known to be without effect; but bytes read from the client are
 // gone for another attempt. If the client leaves before the end, the last byte is not written. After the last byte,
 // the exchange's deadline is set to the client's patience from then on.
-func (b *Transport) upload(ctx context.Context, c *conn, x *core.Exchange) core.Result {
-	u := x.Upload
-	piece := make([]byte, pieceSize)
-	left := u.Length - int64(len(x.Body))
-	for ended := u.Length >= 0 && left == 0; !ended; {
-		n, err := u.Read(piece[chunkHead : pieceSize-chunkTail])
-		u.Spent = u.Spent || n > 0
-		left -= int64(n)
-		ended = errors.Is(err, io.EOF) || u.Length >= 0 && left <= 0
-		if err != nil && !ended || left < 0 && u.Length >= 0 || ended && u.Length >= 0 && left > 0 {
+func (b *Transport) upload(ctx context.Context, conn *conn, exchange *core.Exchange) core.Result {
+	body := exchange.Upload
+	buffer := make([]byte, streamBufferSize)
+	remaining := body.Length - int64(len(exchange.Body))
+	for ended := body.Length >= 0 && remaining == 0; !ended; {
+		n, err := body.Read(buffer[chunkPrefix : streamBufferSize-chunkSuffix])
+		body.PartlySent = body.PartlySent || n > 0
+		remaining -= int64(n)
+		ended = errors.Is(err, io.EOF) || body.Length >= 0 && remaining <= 0
+		if err != nil && !ended || remaining < 0 && body.Length >= 0 || ended && body.Length >= 0 && remaining > 0 {
 			// The fault is the client's, not the server's.
-			return core.Result{Code: decide.Moot, Client: u.Fault(), Err: fmt.Errorf("reading the client's body: %w", err)}
+			return core.Result{Code: decide.Moot, ClientErrorStatus: body.FailureStatus(), Err: fmt.Errorf("reading the client's body: %w", err)}
 		}
-		out := piece[chunkHead : chunkHead+n]
-		if u.Length < 0 {
-			out = chunked(piece, n, ended)
+		out := buffer[chunkPrefix : chunkPrefix+n]
+		if body.Length < 0 {
+			out = frameChunk(buffer, n, ended)
 		}
-		age := core.LookAge
+		maxAge := core.MaxClientCheckAge
 		if ended {
-			age = 0 // an older check may have missed that the client left: unread data of its body hid the end
+			maxAge = 0 // an older check may have missed that the client left: unread data of its body hid the end
 		}
-		c.SetDeadline(time.Now().Add(stallWait))
+		conn.SetDeadline(time.Now().Add(stallTimeout))
 		if ctx.Err() != nil { // an ended ctx sets a deadline too, as the end of the request may
 			return core.Result{Code: decide.Moot, Err: ctx.Err()}
 		}
-		if x.Unwanted(age) {
+		if exchange.RequestOver(maxAge) {
 			return core.Result{Code: decide.Moot, Err: errUnwanted}
 		}
-		if _, err := c.Write(out); err != nil {
+		if _, err := conn.Write(out); err != nil {
 			return core.Result{Code: decide.ConnectFailed, Err: err}
 		}
 	}
-	x.Deadline = time.Now().Add(u.Patience)
-	x.Whole = x.Deadline
-	c.until = x.Deadline
-	c.SetDeadline(x.Deadline)
-	if ctx.Err() != nil || x.Wanted != nil && x.Wanted.Err() != nil && c.unsent() > 0 {
-		c.SetDeadline(time.Unix(1, 0))
+	exchange.Deadline = time.Now().Add(body.Patience)
+	exchange.RequestDeadline = exchange.Deadline
+	conn.deadline = exchange.Deadline
+	conn.SetDeadline(exchange.Deadline)
+	if ctx.Err() != nil || exchange.RequestContext != nil && exchange.RequestContext.Err() != nil && conn.unsentBytes() > 0 {
+		conn.SetDeadline(time.Unix(1, 0))
 	}
 	return core.Result{}
 }
@@ -74,32 +74,32 @@
 // bytes of that body: the server cannot have begun it then, so this is right even where attempts must not be cancelled.
 // The caller calls the returned function, with the error of the exchange, once the exchange is over. It ends the
 // watching, and returns true if the request was aborted in this way; the connection must then be closed.
-func (c *conn) callOffUnsent(x *core.Exchange) (stop func(failed error) bool) {
-	if x.Upload == nil && len(x.Body) < unsentLeast || x.Wanted == nil {
+func (c *conn) abortUnsent(exchange *core.Exchange) (stop func(failed error) bool) {
+	if exchange.Upload == nil && len(exchange.Body) < minUnsentBody || exchange.RequestContext == nil {
 		return func(error) bool { return false }
 	}
-	over := context.AfterFunc(x.Wanted, func() {
-		if c.unsent() > 0 {
+	stopWatching := context.AfterFunc(exchange.RequestContext, func() {
+		if c.unsentBytes() > 0 {
 			c.SetDeadline(time.Unix(1, 0))
 		}
 	})
 	return func(failed error) bool {
-		over()
-		return failed != nil && x.Wanted.Err() != nil && c.discardUnsent()
+		stopWatching()
+		return failed != nil && exchange.RequestContext.Err() != nil && c.discardUnsent()
 	}
 }
 
 // discardUnsent makes the next Close discard the bytes that the operating system has not sent, as an orderly close
 // would still deliver them. It returns false if there are none.
 func (c *conn) discardUnsent() bool {
-	if c.unsent() == 0 {
+	if c.unsentBytes() == 0 {
 		return false
 	}
 	return c.Conn.(*net.TCPConn).SetLinger(0) == nil
 }
 
 // unsentBytes returns how many bytes written to the connection the operating system has not sent yet; 0 if unknown.
-func (c *conn) unsent() (n int) {
+func (c *conn) unsentBytes() (n int) {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return 0
@@ -114,15 +114,15 @@
 
 // frameChunk frames, in place, the n data bytes at offset chunkPrefix of the buffer as a chunk; n = 0 gives no chunk.
 // If ended is set, the end of the body follows. It returns the part of the buffer to be written.
-func chunked(piece []byte, n int, ended bool) []byte {
-	from, to := chunkHead, chunkHead+n
+func frameChunk(buffer []byte, n int, ended bool) []byte {
+	from, to := chunkPrefix, chunkPrefix+n
 	if n > 0 {
 		from = 0
-		copy(piece, fmt.Sprintf("%04x\r\n", n))
-		to += copy(piece[to:], "\r\n")
+		copy(buffer, fmt.Sprintf("%04x\r\n", n))
+		to += copy(buffer[to:], "\r\n")
 	}
 	if ended {
-		to += copy(piece[to:], "0\r\n\r\n")
+		to += copy(buffer[to:], "0\r\n\r\n")
 	}
-	return piece[from:to]
+	return buffer[from:to]
 }
--- a/internal/upstream/idle/idle.go
+++ b/internal/upstream/idle/idle.go
@@ -11,71 +11,71 @@
 const (
 	// Idle times are sorted into classes. firstBound is the upper bound of the first; each further bound is twice the
 	// one before it. With 12 bounds the last one is 51 s.
-	firstEdge = 25 * time.Millisecond
-	edges     = 12
+	firstBound = 25 * time.Millisecond
+	bounds     = 12
 	// halfLife is the time after which an observation counts half. After a few half-lives a learned limit is forgotten,
 	// and longer idle times are tried again.
 	halfLife = 10 * time.Second
 	// minBreaks is how many breaks above an idle time are needed to conclude that servers close there: fewer may be
 	// chance.
-	leastBad = 4.0
+	minBreaks = 4.0
 	// minUses is how many uses below an idle time are needed to know the rate of breaks there.
-	leastUsed = 20.0
+	minUses = 20.0
 	// Above a limit, the rate of breaks is at least rateFactor times the rate below it, plus rateMargin. With a smaller
 	// difference, breaks have another cause than the idle time.
-	factor = 3.0
-	margin = 0.1
+	rateFactor = 3.0
+	rateMargin = 0.1
 )
 
 // Limit learns the longest idle time of reusable connections, from counts of uses and breaks by class of idle time. The
 // zero value has no observations. It is not safe for concurrent use.
 type Limit struct {
-	at     time.Duration // the time up to which the counts have been decayed
-	used   [edges + 1]float64
-	broken [edges + 1]float64
+	lastUpdate time.Duration // the time up to which the counts have been decayed
+	uses       [bounds + 1]float64
+	breaks     [bounds + 1]float64
 }
 
 // Record adds the use of a connection that had been idle for age. now is the time on any monotonic clock. broken is
 // set if the connection was ended by the other side before the response was complete.
-func (l *Limit) Used(now, age time.Duration, broken bool) {
-	l.fade(now)
+func (l *Limit) Record(now, age time.Duration, broken bool) {
+	l.decay(now)
 	i := 0
-	for edge := firstEdge; i < edges && age >= edge; edge *= 2 {
+	for bound := firstBound; i < bounds && age >= bound; bound *= 2 {
 		i++
 	}
-	l.used[i]++
+	l.uses[i]++
 	if broken {
-		l.broken[i]++
+		l.breaks[i]++
 	}
 }
 
 // MaxIdle returns the idle time from which on connections should not be reused, or 0 if no limit is known. now is the
 // time on the clock of Record.
-func (l *Limit) Longest(now time.Duration) time.Duration {
-	l.fade(now)
-	belowUsed, belowBad, aboveUsed, aboveBad := 0.0, 0.0, 0.0, 0.0
-	for i := range l.used {
-		aboveUsed, aboveBad = aboveUsed+l.used[i], aboveBad+l.broken[i]
+func (l *Limit) MaxIdle(now time.Duration) time.Duration {
+	l.decay(now)
+	usesBelow, breaksBelow, usesAbove, breaksAbove := 0.0, 0.0, 0.0, 0.0
+	for i := range l.uses {
+		usesAbove, breaksAbove = usesAbove+l.uses[i], breaksAbove+l.breaks[i]
 	}
-	for i := range edges {
-		belowUsed, belowBad = belowUsed+l.used[i], belowBad+l.broken[i]
-		aboveUsed, aboveBad = aboveUsed-l.used[i], aboveBad-l.broken[i]
-		if belowUsed >= leastUsed && aboveBad >= leastBad && aboveBad/aboveUsed > factor*belowBad/belowUsed+margin {
-			return firstEdge << i
+	for i := range bounds {
+		usesBelow, breaksBelow = usesBelow+l.uses[i], breaksBelow+l.breaks[i]
+		usesAbove, breaksAbove = usesAbove-l.uses[i], breaksAbove-l.breaks[i]
+		if usesBelow >= minUses && breaksAbove >= minBreaks && breaksAbove/usesAbove > rateFactor*breaksBelow/usesBelow+rateMargin {
+			return firstBound << i
 		}
 	}
 	return 0
 }
 
 // decay reduces all counts by the time since the last call.
-func (l *Limit) fade(now time.Duration) {
-	if now <= l.at {
+func (l *Limit) decay(now time.Duration) {
+	if now <= l.lastUpdate {
 		return
 	}
-	keep := math.Exp2(-float64(now-l.at) / float64(halfLife))
-	for i := range l.used {
-		l.used[i] *= keep
-		l.broken[i] *= keep
+	keep := math.Exp2(-float64(now-l.lastUpdate) / float64(halfLife))
+	for i := range l.uses {
+		l.uses[i] *= keep
+		l.breaks[i] *= keep
 	}
-	l.at = now
+	l.lastUpdate = now
 }
--- a/internal/upstream/reuse/reuse_test.go
+++ b/internal/upstream/reuse/reuse_test.go
@@ -15,7 +15,7 @@
 	t.Parallel()
 	used := func(idle ...time.Duration) (all []Idle) {
 		for _, d := range idle {
-			all = append(all, Idle{Used: true, For: d})
+			all = append(all, Idle{Used: true, IdleTime: d})
 		}
 		return all
 	}
@@ -24,14 +24,14 @@
 		want Decision
 	}{
 		"none":                           {nil, Decision{Step: Dial}},
-		"one that has rested":            {used(Rest), Decision{Step: Use}},
-		"the most recent that has":       {used(9*time.Second, 2*Rest, 10*ms), Decision{Step: Use, Index: 1}},
-		"one never used needs no rest":   {[]Idle{{For: 0}}, Decision{Step: Use}},
-		"nor behind others":              {append(used(10*ms), Idle{For: ms}), Decision{Step: Use, Index: 1}},
-		"one that rests":                 {used(Rest - ms), Decision{Step: Wait, Wait: ms}},
-		"the one that rests longest":     {used(20*ms, 10*ms, 0), Decision{Step: Wait, Wait: Rest - 20*ms}},
-		"many that rest are no reason":   {used(9*ms, 8*ms, 7*ms, 6*ms, 5*ms, 4*ms, 3*ms), Decision{Step: Wait, Wait: Rest - 9*ms}},
-		"a moment before the rest's end": {used(Rest - 1), Decision{Step: Wait, Wait: 1}},
+		"one that has rested":            {used(Cooldown), Decision{Step: Use}},
+		"the most recent that has":       {used(9*time.Second, 2*Cooldown, 10*ms), Decision{Step: Use, Index: 1}},
+		"one never used needs no rest":   {[]Idle{{IdleTime: 0}}, Decision{Step: Use}},
+		"nor behind others":              {append(used(10*ms), Idle{IdleTime: ms}), Decision{Step: Use, Index: 1}},
+		"one that rests":                 {used(Cooldown - ms), Decision{Step: Wait, Wait: ms}},
+		"the one that rests longest":     {used(20*ms, 10*ms, 0), Decision{Step: Wait, Wait: Cooldown - 20*ms}},
+		"many that rest are no reason":   {used(9*ms, 8*ms, 7*ms, 6*ms, 5*ms, 4*ms, 3*ms), Decision{Step: Wait, Wait: Cooldown - 9*ms}},
+		"a moment before the rest's end": {used(Cooldown - 1), Decision{Step: Wait, Wait: 1}},
 	} {
 		if got := new(Server).Choose(0, c.idle, time.Second); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
@@ -42,12 +42,12 @@
 // A request does not wait for a cooldown that takes more than half of its remaining time.
 func TestLittleTimeLeft(t *testing.T) {
 	t.Parallel()
-	for left, want := range map[time.Duration]Step{time.Second: Wait, 40 * ms: Wait, 39 * ms: Dial, 0: Dial, -ms: Dial} {
-		if got := new(Server).Choose(0, []Idle{{Used: true, For: Rest - 20*ms}}, left); got.Step != want {
-			t.Errorf("%v left, 20 ms of cooldown to wait for: %+v, want step %v", left, got, want)
+	for timeLeft, want := range map[time.Duration]Step{time.Second: Wait, 40 * ms: Wait, 39 * ms: Dial, 0: Dial, -ms: Dial} {
+		if got := new(Server).Choose(0, []Idle{{Used: true, IdleTime: Cooldown - 20*ms}}, timeLeft); got.Step != want {
+			t.Errorf("%v left, 20 ms of cooldown to wait for: %+v, want step %v", timeLeft, got, want)
 		}
-		if got := new(Server).Choose(0, []Idle{{Used: true, For: Rest}}, left); got.Step != Use {
-			t.Errorf("%v left, a connection that has cooled down: %+v, want it used", left, got)
+		if got := new(Server).Choose(0, []Idle{{Used: true, IdleTime: Cooldown}}, timeLeft); got.Step != Use {
+			t.Errorf("%v left, a connection that has cooled down: %+v, want it used", timeLeft, got)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 // In any state of the pool, and with any history of handshakes, no used connection is given a request before its
 // cooldown is over, and no request waits for longer than one cooldown. A request with enough time left makes no new
 // connection beside idle ones.
-func TestNoneIsUsedBeforeItHasRested(t *testing.T) {
+func TestNoneIsUsedBeforeCooldownEnds(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
 		var s Server
@@ -63,26 +63,26 @@
 		for range rapid.IntRange(1, 30).Draw(r, "requests") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(r, "later"))
 			if rapid.Bool().Draw(r, "dialled") {
-				s.Dialled(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(r, "took")))
+				s.RecordDial(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(r, "took")))
 			}
 			var idle []Idle
 			for range rapid.IntRange(0, 12).Draw(r, "idle") {
-				idle = append(idle, Idle{Used: rapid.Bool().Draw(r, "used"), For: time.Duration(rapid.Int64Range(0, int64(3*Rest)).Draw(r, "for"))})
+				idle = append(idle, Idle{Used: rapid.Bool().Draw(r, "used"), IdleTime: time.Duration(rapid.Int64Range(0, int64(3*Cooldown)).Draw(r, "for"))})
 			}
-			slices.SortFunc(idle, func(a, b Idle) int { return int(b.For - a.For) })
-			left := time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(r, "left"))
-			d := s.Choose(now, idle, left)
+			slices.SortFunc(idle, func(a, b Idle) int { return int(b.IdleTime - a.IdleTime) })
+			timeLeft := time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(r, "left"))
+			d := s.Choose(now, idle, timeLeft)
 			if d.Step == Dial {
-				if len(idle) > 0 && left >= 2*Rest {
-					r.Fatalf("a new connection beside the idle ones %v, with %v left", idle, left)
+				if len(idle) > 0 && timeLeft >= 2*Cooldown {
+					r.Fatalf("a new connection beside the idle ones %v, with %v left", idle, timeLeft)
 				}
 				continue
 			}
 			c := idle[d.Index]
-			if c.Used && c.For+d.Wait < Rest {
+			if c.Used && c.IdleTime+d.Wait < Cooldown {
 				r.Fatalf("%+v uses a connection before its cooldown is over; idle: %v", d, idle)
 			}
-			if d.Wait < 0 || d.Wait > Rest || d.Step == Use && d.Wait > 0 {
+			if d.Wait < 0 || d.Wait > Cooldown || d.Step == Use && d.Wait > 0 {
 				r.Fatalf("%+v has a wrong wait; idle: %v", d, idle)
 			}
 		}
@@ -93,9 +93,9 @@
 func TestGrowsWhenWaitsCostAsMuch(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		dial, every time.Duration
-		most        int // most requests until a connection is added; 0: none is
-		least       int // fewest requests until then
+		dialTime, interval time.Duration
+		most               int // most requests until a connection is added; 0: none is
+		least              int // fewest requests until then
 	}{
 		"one after the other":    {0, 30 * ms, 5, 2},
 		"a slow handshake":       {50 * ms, 30 * ms, 30, 6},
@@ -103,17 +103,17 @@
 		"a wait every 5 seconds": {0, 5 * time.Second, 0, 0},
 	} {
 		var s Server
-		if c.dial > 0 {
-			s.Dialled(c.dial)
+		if c.dialTime > 0 {
+			s.RecordDial(c.dialTime)
 		}
-		grew := 0
-		for i := 1; i <= 200 && grew == 0; i++ {
-			if s.Choose(time.Duration(i)*c.every, []Idle{{Used: true}}, time.Second).Grow {
-				grew = i
+		addedAt := 0
+		for i := 1; i <= 200 && addedAt == 0; i++ {
+			if s.Choose(time.Duration(i)*c.interval, []Idle{{Used: true}}, time.Second).AddConn {
+				addedAt = i
 			}
 		}
-		if grew < c.least || grew > c.most {
-			t.Errorf("%s: a connection was added at request %d, want %d to %d", name, grew, c.least, c.most)
+		if addedAt < c.least || addedAt > c.most {
+			t.Errorf("%s: a connection was added at request %d, want %d to %d", name, addedAt, c.least, c.most)
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -229,7 +229,7 @@
 	if name == "probe_result" {
 		return Happening{Event: decide.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return Happening{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, Over: e.Over,
+	return Happening{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, RequestDone: e.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
@@ -277,7 +277,7 @@
 }
 
 var states = map[string]decide.ServerState{
-	"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Gone,
+	"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed,
 }
 
 func decodeList(raw json.RawMessage) (Happening, error) {
@@ -444,10 +444,10 @@
 		MayProbe: p.Caps.Probes, MayMessage: p.Caps.Peers, HoldOffs: p.Caps.RetryAfter,
 		MaxHoldOff: time.Duration(p.Caps.MaxRetryAfter), MarksRepeats: p.Habits.MarksRetry,
 		ConnectTimeout: time.Duration(p.Caps.ConnectTimeout), MinTick: time.Duration(p.Tick),
-		AskForList: p.Membership == "on_request", SizeKnown: p.WeightKind != "none",
+		ListOnRequest: p.Membership == "on_request", SizeKnown: p.WeightKind != "none",
 		SizeLive: p.WeightKind == "live", OverShareWorth: p.OverShare, WorthByWork: p.WorthBy == "work",
 		ReportVia: reportVias[p.Report.How], ReportFields: p.Report.Fields,
-		AnswerSlack: time.Duration(p.Invariants.AnswerSlack), AskWithin: time.Duration(p.Invariants.AskWithin),
+		AnswerSlack: time.Duration(p.Invariants.AnswerSlack), MaxListRequestInterval: time.Duration(p.Invariants.AskWithin),
 		DrainGrace: time.Duration(p.Invariants.DrainGrace), ColdFrom: p.Invariants.ColdFrom,
 		ColdTime: time.Duration(p.Invariants.Cold), OverloadFactor: p.Invariants.OverloadFactor,
 		OverloadTime: time.Duration(p.Invariants.TipAfter), Family: p.Family, Tier: p.Tier, Tiers: p.Tiers,
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -35,7 +35,7 @@
 func TestStart(t *testing.T) {
 	h := one(t, strings.ReplaceAll(start, "\n", ""))
 	s := h.Start.Settings
-	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.AskForList || !s.SizeLive || !s.MayOverlap ||
+	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.ListOnRequest || !s.SizeLive || !s.MayOverlap ||
 		s.ReportVia != decide.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
 		t.Errorf("%+v", h.Start)
 	}
@@ -56,7 +56,7 @@
 		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
 		e := h.Event.(decide.AttemptEnded)
-		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.Over || e.Report.InFlight != 7 || e.Report.Queue != 2 {
+		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.RequestDone || e.Report.InFlight != 7 || e.Report.Queue != 2 {
 			t.Errorf("code %s: %+v", code, e)
 		}
 	}
