--- a/decide/asking_test.go
+++ b/decide/asking_test.go
@@ -121,19 +121,19 @@
 // checkRestarts runs each case and checks that nine in ten of the restarted processes have a list in time.
 func checkRestarts(t *testing.T, cases []restartCase) {
 	const nodes, killed, readyWithin = 300, 210, 10 * time.Second
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, restart := range cases {
+		t.Run(restart.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range int64(2) {
 				fleet := newSubscribingFleet(nodes, 10*time.Second, seed)
 				fleet.now, fleet.changeAt = time.Second, time.Hour
-				fleet.discovery = &queuedDiscovery{workPerCall: c.callRound.perCall(nodes), overbook: c.overbook, fault: faultMixed}
+				fleet.discovery = &queuedDiscovery{workPerCall: restart.callRound.perCall(nodes), overbook: restart.overbook, fault: faultMixed}
 				for i := range fleet.nodes {
 					fleet.start(i)
 				}
-				fleet.run(c.startupTime)
-				fleet.listKnown = c.listKnown
-				fleet.discovery.downFrom, fleet.discovery.backAt = fleet.now, fleet.now+c.down
+				fleet.run(restart.startupTime)
+				fleet.listKnown = restart.listKnown
+				fleet.discovery.downFrom, fleet.discovery.backAt = fleet.now, fleet.now+restart.down
 				startedAt := fleet.now
 				for i := range killed {
 					fleet.start(i)
@@ -150,7 +150,7 @@
 				if at := readyTimes[killed*9/10-1]; at > readyWithin {
 					t.Errorf("seed %d: nine in ten are ready after %v, %v at most", seed, at, readyWithin)
 				}
-				t.Logf("%s: nine in ten after %v, all after %v", c.name, readyTimes[killed*9/10-1], readyTimes[killed-1])
+				t.Logf("%s: nine in ten after %v, all after %v", restart.name, readyTimes[killed*9/10-1], readyTimes[killed-1])
 			}
 		})
 	}
--- a/decide/audience_test.go
+++ b/decide/audience_test.go
@@ -46,24 +46,24 @@
 		}
 		for range 80 { // 2 s
 			now += 25 * time.Millisecond
-			for i, m := range fleet {
-				datagrams += deliverMessages(now, fleet, i, append([]Action(nil), m.Handle(now, TimerFired{})...))
+			for i, module := range fleet {
+				datagrams += deliverMessages(now, fleet, i, append([]Action(nil), module.Handle(now, TimerFired{})...))
 			}
 		}
 		if got := len(fleet[24].subset); got <= int(minSubsetSize) {
 			t.Fatalf("the subset of the busy node has %d servers", got)
 		}
 		datagramsPerSecond[nodes] = float64(datagrams) / float64(nodes) / 2
-		for i, m := range fleet {
-			for _, s := range m.subset {
+		for i, module := range fleet {
+			for _, server := range module.subset {
 				others := 0.0
-				for j, o := range fleet {
-					if j != i && o.known[s.ID].inSubset { // outside its subset a node has rare further attempts only
-						others += o.known[s.ID].n
+				for j, other := range fleet {
+					if j != i && other.known[server.ID].inSubset { // outside its subset a node has rare further attempts only
+						others += other.known[server.ID].n
 					}
 				}
-				if s.othersInFlight != others {
-					t.Fatalf("of %d nodes, node %d counts %v requests of others at server %d; they have %v", nodes, i, s.othersInFlight, s.ID, others)
+				if server.othersInFlight != others {
+					t.Fatalf("of %d nodes, node %d counts %v requests of others at server %d; they have %v", nodes, i, server.othersInFlight, server.ID, others)
 				}
 			}
 		}
@@ -77,11 +77,11 @@
 // tag still means the other one.
 func TestSharedTag(t *testing.T) {
 	module := newFleet(300, 200)[0]
-	a, b := module.ring[0], module.ring[100]
-	module.removeTag(b)
-	b.ringKey = b.ringKey&^(0xffff<<32) | uint64(a.tag())<<32 // the upper bits, and so its place in the ring, stay
-	module.tags[a.tag()] = append(module.tags[a.tag()], b)
-	from := func(place int) int {
+	first, second := module.ring[0], module.ring[100]
+	module.removeTag(second)
+	second.ringKey = second.ringKey&^(0xffff<<32) | uint64(first.tag())<<32 // the upper bits, and so its place in the ring, stay
+	module.tags[first.tag()] = append(module.tags[first.tag()], second)
+	nodeOf := func(place int) int {
 		for j := range 300 {
 			if start := place - gossip.Start(j, 200); start >= 0 && start < 8 {
 				return j
@@ -90,17 +90,17 @@
 		t.Fatalf("no subset contains server %d of the ring", place)
 		return 0
 	}
-	report := []byte{fullCountsMark, byte(a.tag() >> 8), byte(a.tag()), 5}
-	module.Handle(2*time.Second, MessageReceived{From: from(100), Data: report})
-	if a.othersInFlight != 0 || b.othersInFlight != 5 {
-		t.Errorf("report of a node whose subset contains the second server: %v and %v; want 0 and 5", a.othersInFlight, b.othersInFlight)
+	report := []byte{fullCountsMark, byte(first.tag() >> 8), byte(first.tag()), 5}
+	module.Handle(2*time.Second, MessageReceived{From: nodeOf(100), Data: report})
+	if first.othersInFlight != 0 || second.othersInFlight != 5 {
+		t.Errorf("report of a node whose subset contains the second server: %v and %v; want 0 and 5", first.othersInFlight, second.othersInFlight)
 	}
-	module.Handle(2*time.Second, MessageReceived{From: from(0), Data: report})
-	if a.othersInFlight != 5 || b.othersInFlight != 5 {
-		t.Errorf("and one of a node whose subset contains the first: %v and %v; want 5 and 5", a.othersInFlight, b.othersInFlight)
+	module.Handle(2*time.Second, MessageReceived{From: nodeOf(0), Data: report})
+	if first.othersInFlight != 5 || second.othersInFlight != 5 {
+		t.Errorf("and one of a node whose subset contains the first: %v and %v; want 5 and 5", first.othersInFlight, second.othersInFlight)
 	}
-	module.removeTag(b)
-	if got := module.serverByTag(a.tag(), from(100)); got != a {
+	module.removeTag(second)
+	if got := module.serverByTag(first.tag(), nodeOf(100)); got != first {
 		t.Error("the tag no longer means the server that has stayed")
 	}
 }
@@ -112,22 +112,22 @@
 	module, audience := fleet[0], gossip.Audience(300, 0, 200, 8, 8)
 	longArc, usualArc := fleet[audience[0]], fleet[audience[1]]
 	module.Handle(2*time.Second, MessageReceived{From: audience[1], Data: []byte{fullCountsMark}})
-	for _, s := range module.ring {
-		s.n = 2
+	for _, server := range module.ring {
+		server.n = 2
 	}
 	for now := 2 * time.Second; now < 4*time.Second; now += 25 * time.Millisecond {
 		module.peerReports[audience[0]].longArcAt = now
 		deliverMessages(now, fleet, 0, append([]Action(nil), module.Handle(now, TimerFired{})...))
 	}
-	for i, s := range longArc.ring {
-		if s.othersInFlight != 2 {
-			t.Errorf("server %d of the ring: the other node counts %v; want 2", i, s.othersInFlight)
+	for i, server := range longArc.ring {
+		if server.othersInFlight != 2 {
+			t.Errorf("server %d of the ring: the other node counts %v; want 2", i, server.othersInFlight)
 		}
 	}
 	reported := 0
-	for _, s := range usualArc.ring {
-		if reported += int(s.othersInFlight) / 2; s.inSubset && s.othersInFlight != 2 {
-			t.Errorf("server %d: a node whose subset contains it counts %v; want 2", s.ID, s.othersInFlight)
+	for _, server := range usualArc.ring {
+		if reported += int(server.othersInFlight) / 2; server.inSubset && server.othersInFlight != 2 {
+			t.Errorf("server %d: a node whose subset contains it counts %v; want 2", server.ID, server.othersInFlight)
 		}
 	}
 	if reported > 8+2*gossip.Slack {
@@ -143,19 +143,19 @@
 		module := newFleet(300, 200)[0]
 		now := 2 * time.Second
 		module.Handle(now, MessageReceived{From: 7, Data: slotsReport(module.subset[0].ID, 6)})
-		for _, s := range module.subset {
-			s.n = 1
+		for _, server := range module.subset {
+			server.n = 1
 		}
 		const silent = -1
 		step := func(counts ...int) { // what nodes 1, 2, ... report to have at each server
 			now += 25 * time.Millisecond
 			module.Handle(now, TimerFired{})
-			for i, n := range counts {
+			for i, count := range counts {
 				data := []byte{fullCountsMark}
-				for _, s := range module.subset {
-					data = append(data, byte(s.tag()>>8), byte(s.tag()), byte(n))
+				for _, server := range module.subset {
+					data = append(data, byte(server.tag()>>8), byte(server.tag()), byte(count))
 				}
-				if n != silent {
+				if count != silent {
 					module.Handle(now, MessageReceived{From: i + 1, Data: data})
 				}
 			}
@@ -198,30 +198,30 @@
 	for i := range 30 {
 		changes = append(changes, Server{ID: ServerID(i + 1), Zone: "a", Kind: "k", State: Draining, Size: 1})
 	}
-	for i, m := range fleet { // nodes have applied different parts of the change
-		m.Handle(now, ListUpdate{Kind: ListChanges, Entries: changes[:10+i%3*20]})
-		for _, s := range m.subset {
-			s.n = 1
+	for i, module := range fleet { // nodes have applied different parts of the change
+		module.Handle(now, ListUpdate{Kind: ListChanges, Entries: changes[:10+i%3*20]})
+		for _, server := range module.subset {
+			server.n = 1
 		}
 	}
 	for range 80 { // 2 s
 		now += 25 * time.Millisecond
-		for i, m := range fleet {
-			deliverMessages(now, fleet, i, append([]Action(nil), m.Handle(now, TimerFired{})...))
+		for i, module := range fleet {
+			deliverMessages(now, fleet, i, append([]Action(nil), module.Handle(now, TimerFired{})...))
 		}
 	}
-	actual, believed := 0.0, 0.0
-	for i, m := range fleet {
-		for _, s := range m.subset {
-			believed += s.othersInFlight
-			for j, o := range fleet {
-				if k := o.known[s.ID]; j != i && k != nil && k.inSubset {
+	actual, counted := 0.0, 0.0
+	for i, module := range fleet {
+		for _, server := range module.subset {
+			counted += server.othersInFlight
+			for j, other := range fleet {
+				if record := other.known[server.ID]; j != i && record != nil && record.inSubset {
 					actual++
 				}
 			}
 		}
 	}
-	if believed < 0.99*actual {
-		t.Errorf("the nodes count %.0f requests of others at their servers; there are %.0f", believed, actual)
+	if counted < 0.99*actual {
+		t.Errorf("the nodes count %.0f requests of others at their servers; there are %.0f", counted, actual)
 	}
 }
--- a/decide/coldworld_test.go
+++ b/decide/coldworld_test.go
@@ -113,14 +113,14 @@
 // drawWeights draws which part of all requests each node gets.
 func (f *coldFleet) drawWeights() {
 	busy := f.random.IntN(len(f.nodes))
-	for i, n := range f.nodes {
-		n.weight = 1
+	for i, node := range f.nodes {
+		node.weight = 1
 		switch {
 		case f.traffic == trafficUneven:
-			n.weight = math.Exp(f.random.NormFloat64())
+			node.weight = math.Exp(f.random.NormFloat64())
 		case f.traffic == trafficMoving:
 			if (i-busy+len(f.nodes))%len(f.nodes) < max(1, len(f.nodes)/5) {
-				n.weight = 20
+				node.weight = 20
 			}
 		}
 	}
@@ -259,15 +259,15 @@
 
 // deliver passes a node's messages to their recipients. On a lossy path some of them are lost.
 func (f *coldFleet) deliver(from int, messages []SendMessage) {
-	for _, a := range messages {
-		first, last := a.To, a.To
-		if a.ToAll {
+	for _, message := range messages {
+		first, last := message.To, message.To
+		if message.ToAll {
 			first, last = 0, len(f.nodes)-1
 		}
 		for j := first; j <= last; j++ {
 			lost := f.messages == messagesLossy && f.random.Float64() < coldMessageLoss
 			if j != from && f.nodes[j].up && !lost {
-				f.handle(j, MessageReceived{From: from, Data: a.Data})
+				f.handle(j, MessageReceived{From: from, Data: message.Data})
 			}
 		}
 	}
--- a/decide/endings_test.go
+++ b/decide/endings_test.go
@@ -49,28 +49,28 @@
 			ConnectTimeout: 100 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdFrom: 0.3, ColdTime: time.Second, OverloadFactor: 2, OverloadTime: time.Second,
 			MaxListRequestInterval: 10 * time.Second}
 		for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
-			c := Class{Name: fmt.Sprint("c", i), Worth: 1, Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), KeyScope: Scope(rapid.IntRange(0, 2).Draw(t, "scope")),
+			class := Class{Name: fmt.Sprint("c", i), Worth: 1, Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), KeyScope: Scope(rapid.IntRange(0, 2).Draw(t, "scope")),
 				Deadline: rapid.SampledFrom([]time.Duration{150 * time.Millisecond, 900 * time.Millisecond, 8 * time.Second}).Draw(t, "deadline")}
-			c.Aim, c.DedupWindow = c.Deadline/2, rapid.SampledFrom([]time.Duration{50 * time.Millisecond, time.Second, 8 * time.Second}).Draw(t, "window")
-			settings.Classes = append(settings.Classes, c)
+			class.Aim, class.DedupWindow = class.Deadline/2, rapid.SampledFrom([]time.Duration{50 * time.Millisecond, time.Second, 8 * time.Second}).Draw(t, "window")
+			settings.Classes = append(settings.Classes, class)
 		}
 		module := New(settings, 1)
 		now := Time(time.Hour)
 		requests, requestIDs := map[RequestID]*trackedRequest{}, []RequestID{}
 		listed := map[ServerID]Server{}
 		timers := 0
-		handle := func(e Event) {
-			for _, action := range append([]Action(nil), module.Handle(now, e)...) {
+		handle := func(event Event) {
+			for _, action := range append([]Action(nil), module.Handle(now, event)...) {
 				switch a := action.(type) {
 				case SetTimer:
 					timers++
 				case Send:
 					request := requests[a.ID]
-					s := listed[a.Server]
+					server := listed[a.Server]
 					switch {
 					case request.closed:
 						t.Fatalf("%s is over, and is sent to %d", a.ID, a.Server)
-					case s.State != Ready:
+					case server.State != Ready:
 						t.Fatalf("%s is sent to %d, which is not ready", a.ID, a.Server)
 					case now >= request.deadline:
 						t.Fatalf("%s is sent after its deadline", a.ID)
@@ -83,13 +83,13 @@
 						if !request.mayHaveRun(i) || request.class.Effect == Safe {
 							continue
 						}
-						was := request.servers[i]
-						if request.class.Effect == Unsafe || now >= request.sentAt[i]+request.class.DedupWindow || request.class.KeyScope == ScopeCell && was.Cell != s.Cell ||
-							request.class.KeyScope == ScopeZone && was.Zone != s.Zone {
-							t.Fatalf("%s, %v, may have run at %v, and is sent to %v", a.ID, request.class, was, s)
+						earlier := request.servers[i]
+						if request.class.Effect == Unsafe || now >= request.sentAt[i]+request.class.DedupWindow || request.class.KeyScope == ScopeCell && earlier.Cell != server.Cell ||
+							request.class.KeyScope == ScopeZone && earlier.Zone != server.Zone {
+							t.Fatalf("%s, %v, may have run at %v, and is sent to %v", a.ID, request.class, earlier, server)
 						}
 					}
-					request.sentAt, request.servers, request.attemptEnded, request.codes = append(request.sentAt, now), append(request.servers, s), append(request.attemptEnded, false), append(request.codes, OK)
+					request.sentAt, request.servers, request.attemptEnded, request.codes = append(request.sentAt, now), append(request.servers, server), append(request.attemptEnded, false), append(request.codes, OK)
 				case Refuse, Fail:
 					refusal, refused := action.(Refuse)
 					failure, _ := action.(Fail)
@@ -130,11 +130,11 @@
 			}
 			switch kind := rapid.IntRange(0, 9).Draw(t, "kind"); {
 			case kind <= 2:
-				c := rapid.SampledFrom(settings.Classes).Draw(t, "class")
+				class := rapid.SampledFrom(settings.Classes).Draw(t, "class")
 				id := RequestID(fmt.Sprint("r", n))
-				requests[id] = &trackedRequest{class: c, deadline: now + c.Deadline}
+				requests[id] = &trackedRequest{class: class, deadline: now + class.Deadline}
 				requestIDs = append(requestIDs, id)
-				handle(RequestArrived{ID: id, Class: c.Name, Patience: c.Deadline})
+				handle(RequestArrived{ID: id, Class: class.Name, Patience: class.Deadline})
 			case kind <= 5 && len(withOpenAttempts) > 0:
 				id := rapid.SampledFrom(withOpenAttempts).Draw(t, "request")
 				endAttempt(id, rapid.SampledFrom(requests[id].openAttempts()).Draw(t, "attempt"), OutcomeCode(rapid.IntRange(int(OK), int(Moot)).Draw(t, "code")))
@@ -150,13 +150,13 @@
 					handle(StreamStarted{ID: id, Attempt: i, Server: request.servers[i].ID, Elapsed: now - request.sentAt[i]})
 				}
 			case kind == 8:
-				s := Server{ID: ServerID(rapid.IntRange(1, 6).Draw(t, "server")), Zone: rapid.SampledFrom(settings.Zones).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
+				server := Server{ID: ServerID(rapid.IntRange(1, 6).Draw(t, "server")), Zone: rapid.SampledFrom(settings.Zones).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
 					State: ServerState(rapid.IntRange(0, 2).Draw(t, "state"))}
-				if was, ok := listed[s.ID]; ok {
-					s.Zone, s.Cell = was.Zone, was.Cell // a server does not move
+				if earlier, ok := listed[server.ID]; ok {
+					server.Zone, server.Cell = earlier.Zone, earlier.Cell // a server does not move
 				}
-				listed[s.ID] = s
-				handle(ListUpdate{Kind: ListChanges, Version: uint64(n), Entries: []Server{s}})
+				listed[server.ID] = server
+				handle(ListUpdate{Kind: ListChanges, Version: uint64(n), Entries: []Server{server}})
 			case kind == 9 && n%7 == 0:
 				handle(Shutdown{})
 				for _, id := range requestIDs {
--- a/decide/foreign_test.go
+++ b/decide/foreign_test.go
@@ -8,8 +8,8 @@
 
 // Requests that another site hands over get spare capacity only. At a load that leaves headroom they are served. In an
 // overload they are refused, whatever their worth, and the site's own requests are served as well as without them.
-func TestForeignNeverDisplacesOwn(t *testing.T) {
-	runLoad := func(own, foreign float64) (ownWithinAim, ownArrived, foreignServed, foreignArrived int, headroom float64) {
+func TestHandedOffRequestsNeverDisplaceOwn(t *testing.T) {
+	runLoad := func(own, handedOff float64) (ownWithinAim, ownArrived, handedOffServed, handedOffArrived int, headroom float64) {
 		simulation := newNodeSimulation(singleNodeSettings(), 8)
 		simulation.stepCost, simulation.coresPerServer = 10*time.Microsecond, 2
 		simulation.workOf = func(ServerID, string) time.Duration { return 4 * time.Millisecond }
@@ -23,14 +23,14 @@
 		simulation.sendAtRate(own*capacity, 6*time.Second, class)
 		simulation.run(2 * time.Second)
 		simulation.resetCounts()
-		if foreign > 0 {
-			simulation.sendForeign(foreign*capacity, 4*time.Second, "dear", &foreignServed, &foreignArrived)
+		if handedOff > 0 {
+			simulation.sendHandedOff(handedOff*capacity, 4*time.Second, "dear", &handedOffServed, &handedOffArrived)
 		}
 		simulation.run(4 * time.Second)
 		for _, c := range simulation.tallies {
 			ownWithinAim, ownArrived = ownWithinAim+c.withinAim, ownArrived+c.arrived
 		}
-		return ownWithinAim, ownArrived, foreignServed, foreignArrived, simulation.module.Headroom(simulation.now)
+		return ownWithinAim, ownArrived, handedOffServed, handedOffArrived, simulation.module.Headroom(simulation.now)
 	}
 	if _, _, served, arrived, headroom := runLoad(0.4, 0.2); served < arrived*95/100 || headroom < 1 {
 		t.Errorf("with capacity to spare %d of %d served, headroom %.1f", served, arrived, headroom)
@@ -45,9 +45,9 @@
 	}
 }
 
-// sendForeign has requests from another site arrive at random times for a period, and counts them apart from the site's
+// sendHandedOff has requests from another site arrive at random times for a period, and counts them apart from the site's
 // own: those that arrive, and those that are served.
-func (v *nodeSimulation) sendForeign(rate float64, length time.Duration, class string, served, arrived *int) {
+func (v *nodeSimulation) sendHandedOff(rate float64, length time.Duration, class string, served, arrived *int) {
 	sent := 0
 	for t := v.now; t < v.now+length; t += time.Duration(v.random.ExpFloat64() / rate * float64(time.Second)) {
 		sent++
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -92,14 +92,14 @@
 
 // newListWorld starts a fleet of nodes. A round is the time in which discovery can answer one call of each.
 func newListWorld(nodes int, round time.Duration, peers bool, seed int64) *listWorld {
-	w := &listWorld{now: time.Second, random: rand.New(rand.NewSource(seed)), nodes: make([]listNode, nodes), workPerCall: min(round/time.Duration(nodes), maxCallWork), slowdown: 1}
-	w.worksOnExpired, w.peerMessages, w.queueStaysShort = seed%2 == 0, peers, round <= time.Second
-	w.drainingSince = make([]time.Duration, max(16, nodes/2))
-	for i := range w.nodes {
-		w.nodes[i].list, w.nodes[i].notifiedAt = w.currentList(), make([]time.Duration, len(w.drainingSince))
-		w.startProcess(i)
-	}
-	return w
+	world := &listWorld{now: time.Second, random: rand.New(rand.NewSource(seed)), nodes: make([]listNode, nodes), workPerCall: min(round/time.Duration(nodes), maxCallWork), slowdown: 1}
+	world.worksOnExpired, world.peerMessages, world.queueStaysShort = seed%2 == 0, peers, round <= time.Second
+	world.drainingSince = make([]time.Duration, max(16, nodes/2))
+	for i := range world.nodes {
+		world.nodes[i].list, world.nodes[i].notifiedAt = world.currentList(), make([]time.Duration, len(world.drainingSince))
+		world.startProcess(i)
+	}
+	return world
 }
 
 // currentList is the list as discovery has it now.
@@ -262,12 +262,12 @@
 
 // breakWatch ends a node's watch, or its call, with a failure.
 func (w *listWorld) breakWatch(i int, cause FailureCause) {
-	n := &w.nodes[i]
-	if !n.watching && !n.calling {
+	node := &w.nodes[i]
+	if !node.watching && !node.calling {
 		return
 	}
-	n.watching, n.calling = false, false
-	n.generation++
+	node.watching, node.calling = false, false
+	node.generation++
 	w.handle(i, ListUpdate{Kind: ListFailed, Cause: cause})
 }
 
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -51,9 +51,9 @@
 		id++
 		class := []string{"dear", "cheap"}[id%2]
 		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, id)), Class: class, Patience: 2 * time.Second}) {
-			if s, ok := a.(Send); ok {
+			if send, ok := a.(Send); ok {
 				sent[class]++
-				outcomes = append(outcomes, due{now + latency, AttemptEnded{ID: s.ID, Server: s.Server, RequestDone: true, Elapsed: latency, Report: report}})
+				outcomes = append(outcomes, due{now + latency, AttemptEnded{ID: send.ID, Server: send.Server, RequestDone: true, Elapsed: latency, Report: report}})
 			}
 		}
 	}
--- a/decide/scale_test.go
+++ b/decide/scale_test.go
@@ -34,33 +34,33 @@
 // difference.
 func (m *Module) checkConsistency() error {
 	ready := 0
-	for id, s := range m.known {
-		if s.ID != id {
-			return fmt.Errorf("server %d is known as %d", s.ID, id)
+	for id, server := range m.known {
+		if server.ID != id {
+			return fmt.Errorf("server %d is known as %d", server.ID, id)
 		}
-		if s.inRing != (s.State == Ready) {
-			return fmt.Errorf("server %d: state %d, in the ring %v", id, s.State, s.inRing)
+		if server.inRing != (server.State == Ready) {
+			return fmt.Errorf("server %d: state %d, in the ring %v", id, server.State, server.inRing)
 		}
-		if s.inRing {
+		if server.inRing {
 			ready++
-			if i, ok := slices.BinarySearchFunc(m.ring, s, byRingKey); !ok || m.ring[i] != s {
+			if i, ok := slices.BinarySearchFunc(m.ring, server, byRingKey); !ok || m.ring[i] != server {
 				return fmt.Errorf("server %d is not in the ring", id)
 			}
-			if s.pools[byCell] != m.cells[s.Cell] || s.pools[byZone] != m.zones[s.Zone] {
+			if server.pools[byCell] != m.cells[server.Cell] || server.pools[byZone] != m.zones[server.Zone] {
 				return fmt.Errorf("server %d is not in its groups", id)
 			}
-		} else if s.pools[byMode] != nil || s.pools[byCell] != nil || s.pools[byZone] != nil || s.heap != nil || s.inSubset {
+		} else if server.pools[byMode] != nil || server.pools[byCell] != nil || server.pools[byZone] != nil || server.heap != nil || server.inSubset {
 			return fmt.Errorf("server %d is no longer ready and still in a pool, a heap or the subset", id)
 		}
-		if held := s.pools[byMode] != nil || s.heap != nil; s.inSubset != held {
-			return fmt.Errorf("server %d: in the subset %v, in a pool or a heap %v", id, s.inSubset, held)
+		if placed := server.pools[byMode] != nil || server.heap != nil; server.inSubset != placed {
+			return fmt.Errorf("server %d: in the subset %v, in a pool or a heap %v", id, server.inSubset, placed)
 		}
-		if s.ejected && s.inSubset && s.heap != &m.trials {
+		if server.ejected && server.inSubset && server.heap != &m.trials {
 			return fmt.Errorf("ejected server %d waits for no trial", id)
 		}
-		for by, p := range s.pools {
-			if p != nil && p.servers[s.poolIndex[by]] != s {
-				return fmt.Errorf("server %d: wrong slot in pool %d", id, by)
+		for grouping, pool := range server.pools {
+			if pool != nil && pool.servers[server.poolIndex[grouping]] != server {
+				return fmt.Errorf("server %d: wrong slot in pool %d", id, grouping)
 			}
 		}
 	}
@@ -71,14 +71,14 @@
 		return fmt.Errorf("the ring is out of order")
 	}
 	for _, heap := range []*timeHeap{&m.wakeups, &m.trials} {
-		for i, s := range heap.servers {
-			if s.heap != heap || s.heapIndex != i || i > 0 && heap.servers[(i-1)/2].dueAt > s.dueAt {
+		for i, server := range heap.servers {
+			if server.heap != heap || server.heapIndex != i || i > 0 && heap.servers[(i-1)/2].dueAt > server.dueAt {
 				return fmt.Errorf("a heap is out of order at %d", i)
 			}
 		}
 	}
-	for cell, p := range m.cells {
-		if len(p.servers) == 0 {
+	for cell, pool := range m.cells {
+		if len(pool.servers) == 0 {
 			return fmt.Errorf("the empty pool of cell %d has not been removed", cell)
 		}
 	}
@@ -124,8 +124,8 @@
 		recordSends := func(actions []Action) {
 			for _, a := range actions {
 				if s, ok := a.(Send); ok {
-					if st, known := state[s.Server]; !known || st != Ready {
-						t.Fatalf("seed %d: sent to server %d in state %v (known: %v)", seed, s.Server, st, known)
+					if serverState, known := state[s.Server]; !known || serverState != Ready {
+						t.Fatalf("seed %d: sent to server %d in state %v (known: %v)", seed, s.Server, serverState, known)
 					}
 					openAttempts = append(openAttempts, openAttempt{s, attempts[s.ID]})
 					attempts[s.ID]++
@@ -134,22 +134,22 @@
 		}
 		for step := range 3000 {
 			now += time.Duration(random.IntN(20)) * time.Millisecond
-			switch k := random.IntN(100); {
-			case k < 45:
+			switch choice := random.IntN(100); {
+			case choice < 45:
 				id++
 				recordSends(module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)), Class: []string{"dear", "cheap", "tag", "order"}[random.IntN(4)],
 					Patience: 2 * time.Second}))
-			case k < 85 && len(openAttempts) > 0:
+			case choice < 85 && len(openAttempts) > 0:
 				i := random.IntN(len(openAttempts))
-				o := openAttempts[i]
+				ended := openAttempts[i]
 				openAttempts = slices.Delete(openAttempts, i, i+1)
 				code := OK
 				if random.IntN(3) == 0 {
 					code = OutcomeCode(random.IntN(int(Moot) + 1))
 				}
-				recordSends(module.Handle(now, AttemptEnded{ID: o.s.ID, Attempt: o.n, Server: o.s.Server, RequestDone: code == OK, Code: code,
+				recordSends(module.Handle(now, AttemptEnded{ID: ended.s.ID, Attempt: ended.n, Server: ended.s.Server, RequestDone: code == OK, Code: code,
 					Elapsed: time.Duration(random.IntN(300)) * time.Millisecond, NodeTime: time.Duration(random.IntN(9)) * time.Millisecond}))
-			case k < 97:
+			case choice < 97:
 				recordSends(module.Handle(now, TimerFired{}))
 			default:
 				change()
@@ -174,11 +174,11 @@
 	module.known[1].consecutiveFailures = 2
 	for round := range 20 {
 		list := ListUpdate{Kind: ListChanges}
-		for _, s := range full.Entries[servers/3:][:servers/3] {
+		for _, server := range full.Entries[servers/3:][:servers/3] {
 			if round%2 == 0 {
-				s.State = Removed
+				server.State = Removed
 			}
-			list.Entries = append(list.Entries, s)
+			list.Entries = append(list.Entries, server)
 		}
 		module.Handle(now, list)
 		for range 20 {
--- a/decide/shared_test.go
+++ b/decide/shared_test.go
@@ -102,45 +102,45 @@
 func TestMalformedMessages(t *testing.T) {
 	module := newSharingNode(t, 0, 8)
 	tag := module.known[1].tag()
-	for _, e := range []MessageReceived{
+	for _, message := range []MessageReceived{
 		{From: -1, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}}, {From: 80, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}},
 		{From: 0, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}}, {From: 3, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag)}},
 		{From: 3, Data: nil}, {From: 3, Data: []byte{slotsReportMark}}, {From: 3, Data: slotsReport(99, 3)},
 	} {
-		module.Handle(2*time.Second, e)
+		module.Handle(2*time.Second, message)
 		if module.known[1].othersInFlight != 0 || module.slots != 0 {
-			t.Errorf("%+v changed what the module knows", e)
+			t.Errorf("%+v changed what the module knows", message)
 		}
 	}
 }
 
 // A node reports its requests in flight within a second, and reports once that it has none any more.
 func TestNodeReportsItsLoad(t *testing.T) {
-	a, b := newSharingNode(t, 0, 8), newSharingNode(t, 1, 8)
+	sender, receiver := newSharingNode(t, 0, 8), newSharingNode(t, 1, 8)
 	now := 2 * time.Second
 	var sent Send
-	for _, x := range a.Handle(now, RequestArrived{ID: "r", Class: "dear", Patience: time.Second}) {
-		if s, ok := x.(Send); ok {
+	for _, action := range sender.Handle(now, RequestArrived{ID: "r", Class: "dear", Patience: time.Second}) {
+		if s, ok := action.(Send); ok {
 			sent = s
 		}
 	}
 	exchange := func() (messages int) {
 		for range 40 {
 			now += 25 * time.Millisecond
-			for _, data := range messageData(a.Handle(now, TimerFired{})) {
+			for _, data := range messageData(sender.Handle(now, TimerFired{})) {
 				messages++
-				b.Handle(now, MessageReceived{From: 0, Data: data})
+				receiver.Handle(now, MessageReceived{From: 0, Data: data})
 			}
 		}
 		return messages
 	}
 	exchange()
-	if got := b.known[sent.Server].othersInFlight; got != 1 {
+	if got := receiver.known[sent.Server].othersInFlight; got != 1 {
 		t.Fatalf("the other node counts %v requests; want 1", got)
 	}
-	a.Handle(now, AttemptEnded{ID: "r", Server: sent.Server, RequestDone: true, Elapsed: time.Second, Code: OK})
+	sender.Handle(now, AttemptEnded{ID: "r", Server: sent.Server, RequestDone: true, Elapsed: time.Second, Code: OK})
 	exchange()
-	if got := b.known[sent.Server].othersInFlight; got != 0 {
+	if got := receiver.known[sent.Server].othersInFlight; got != 0 {
 		t.Errorf("the other node counts %v requests; want 0", got)
 	}
 	if messages := exchange(); messages > 0 {
@@ -152,7 +152,7 @@
 // time, the other nodes know within two seconds what a node has in flight.
 func TestLostLoadReportsAreRepaired(t *testing.T) {
 	for lost := range 8 {
-		a, b := newSharingNode(t, 0, 8), newSharingNode(t, 1, 8)
+		sender, receiver := newSharingNode(t, 0, 8), newSharingNode(t, 1, 8)
 		now := 2 * time.Second
 		messages, bytes, open := 0, 0, map[RequestID]Send{}
 		for i := range 200 {
@@ -160,27 +160,27 @@
 			id := RequestID(fmt.Sprint(i))
 			var actions []Action
 			if i < 120 {
-				actions = append(actions, a.Handle(now, RequestArrived{ID: id, Class: "dear", Patience: time.Minute})...)
+				actions = append(actions, sender.Handle(now, RequestArrived{ID: id, Class: "dear", Patience: time.Minute})...)
 			}
-			actions = append(actions, a.Handle(now, TimerFired{})...)
-			for _, x := range actions {
-				if s, ok := x.(Send); ok {
+			actions = append(actions, sender.Handle(now, TimerFired{})...)
+			for _, action := range actions {
+				if s, ok := action.(Send); ok {
 					open[s.ID] = s
 				}
 			}
 			for _, data := range messageData(actions) {
 				if messages, bytes = messages+1, bytes+len(data); messages%8 != lost {
-					b.Handle(now, MessageReceived{From: 0, Data: data})
+					receiver.Handle(now, MessageReceived{From: 0, Data: data})
 				}
 			}
-			if old := open[RequestID(fmt.Sprint(i-10))]; old.ID != "" {
-				delete(open, old.ID)
-				a.Handle(now, AttemptEnded{ID: old.ID, Server: old.Server, RequestDone: true, Elapsed: 250 * time.Millisecond, Code: OK})
+			if done := open[RequestID(fmt.Sprint(i-10))]; done.ID != "" {
+				delete(open, done.ID)
+				sender.Handle(now, AttemptEnded{ID: done.ID, Server: done.Server, RequestDone: true, Elapsed: 250 * time.Millisecond, Code: OK})
 			}
 		}
-		for id, s := range b.known {
-			if s.othersInFlight != a.known[id].n {
-				t.Errorf("every eighth message lost, from the %dth: server %d has %v, the other node counts %v", lost, id, a.known[id].n, s.othersInFlight)
+		for id, s := range receiver.known {
+			if s.othersInFlight != sender.known[id].n {
+				t.Errorf("every eighth message lost, from the %dth: server %d has %v, the other node counts %v", lost, id, sender.known[id].n, s.othersInFlight)
 			}
 		}
 		if messages < 20 || bytes > 30*messages {
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -92,20 +92,20 @@
 func TestBadSnapshot(t *testing.T) {
 	predecessor, now := trainedModule(t)
 	for name, corrupt := range map[string]func(*Snapshot){
-		"another version":  func(s *Snapshot) { s.Version++ },
-		"no number":        func(s *Snapshot) { s.Mean = math.NaN() },
-		"infinite":         func(s *Snapshot) { s.Servers[1].Rate = math.Inf(1) },
-		"negative":         func(s *Snapshot) { s.Servers[1].Room = -1 },
-		"no such mode":     func(s *Snapshot) { s.Servers[1].Imposed = 7 },
-		"blocked for ever": func(s *Snapshot) { s.Servers[1].ImposedUntil = -time.Hour },
-		"costs nothing":    func(s *Snapshot) { s.Classes[0].Relative = 0 },
-		"nothing learned":  func(s *Snapshot) { s.FleetRate = 0 },
+		"another version":  func(snapshot *Snapshot) { snapshot.Version++ },
+		"no number":        func(snapshot *Snapshot) { snapshot.Mean = math.NaN() },
+		"infinite":         func(snapshot *Snapshot) { snapshot.Servers[1].Rate = math.Inf(1) },
+		"negative":         func(snapshot *Snapshot) { snapshot.Servers[1].Room = -1 },
+		"no such mode":     func(snapshot *Snapshot) { snapshot.Servers[1].Imposed = 7 },
+		"blocked for ever": func(snapshot *Snapshot) { snapshot.Servers[1].ImposedUntil = -time.Hour },
+		"costs nothing":    func(snapshot *Snapshot) { snapshot.Classes[0].Relative = 0 },
+		"nothing learned":  func(snapshot *Snapshot) { snapshot.FleetRate = 0 },
 	} {
-		s := predecessor.Snapshot(now)
-		corrupt(&s)
+		snapshot := predecessor.Snapshot(now)
+		corrupt(&snapshot)
 		module := New(snapshotSettings(), 2)
 		module.Handle(now, snapshotList())
-		if err := module.Restore(now, s); err == nil || module.learned || module.answers != 0 || module.known[2].rate != 0 {
+		if err := module.Restore(now, snapshot); err == nil || module.learned || module.answers != 0 || module.known[2].rate != 0 {
 			t.Errorf("%s: %v, restored: %v", name, err, module.learned)
 		}
 	}
