--- a/decide/asking_test.go
+++ b/decide/asking_test.go
@@ -16,7 +16,8 @@
 // runOutage simulates a fleet whose watches all end when discovery goes down, and a change of the list at the moment at
 // which discovery is reachable again. It returns how long each node took from then on to apply the change, in ascending
 // order. It waits for atMost; a node that has not applied the change by then counts with the time waited.
-func runOutage(nodes int, maxListRequestInterval time.Duration, discovery *queuedDiscovery, down, atMost time.Duration, seed int64) []time.Duration {
+func runOutage(nodes int, maxListRequestInterval time.Duration, discovery *queuedDiscovery, down, atMost time.Duration,
+	seed int64) []time.Duration {
 	fleet := newSubscribingFleet(nodes, maxListRequestInterval, seed)
 	fleet.now, fleet.discovery, fleet.changeAt = time.Second, discovery, time.Hour
 	for i := range fleet.nodes {
@@ -29,7 +30,8 @@
 	}
 	discovery.calls, discovery.expired, discovery.refused = 0, 0, 0
 	fleet.run(discovery.backAt)
-	for fleet.now < discovery.backAt+atMost && slices.ContainsFunc(fleet.nodes, func(node subscribingNode) bool { return node.followedAt == 0 }) {
+	for fleet.now < discovery.backAt+atMost && slices.ContainsFunc(fleet.nodes,
+		func(node subscribingNode) bool { return node.followedAt == 0 }) {
 		fleet.run(fleet.now + time.Second)
 	}
 	var followTimes []time.Duration
@@ -44,8 +46,8 @@
 }
 
 // Guards against long waits between list requests. Every node must apply a change within 6 s of the moment at which
-// discovery has it and is reachable, whatever became of its earlier requests, and however long the settings let a node go
-// without a request. With backoffs that doubled up to 7.5 s, and requests spread over 5 s, or over 12 s where
+// discovery has it and is reachable, whatever became of its earlier requests, and however long the settings let a node
+// go without a request. With backoffs that doubled up to 7.5 s, and requests spread over 5 s, or over 12 s where
 // MaxListRequestInterval allowed it, that took 10 s and more.
 func TestChangeIsFollowedInTime(t *testing.T) {
 	t.Parallel()
@@ -53,7 +55,8 @@
 	faults := []struct {
 		discoveryFault
 		down time.Duration
-	}{{faultRefused, 0}, {faultRefused, 8 * time.Second}, {faultReset, 8 * time.Second}, {faultUnresponsive, 8 * time.Second}, {faultMixed, 8 * time.Second}}
+	}{{faultRefused, 0}, {faultRefused, 8 * time.Second}, {faultReset, 8 * time.Second},
+		{faultUnresponsive, 8 * time.Second}, {faultMixed, 8 * time.Second}}
 	for _, c := range []struct {
 		nodes      int
 		within     time.Duration
@@ -68,16 +71,19 @@
 		{300, 10 * time.Second, callRound(2 * time.Second), false},
 		{300, 10 * time.Second, callRound(5 * time.Second), false},
 	} {
-		t.Run(fmt.Sprint(c.nodes, " nodes ", c.within, " ", time.Duration(c.all), " each call charged: ", c.chargesAll), func(t *testing.T) {
+		t.Run(fmt.Sprint(c.nodes, " nodes ", c.within, " ", time.Duration(c.all),
+			" each call charged: ", c.chargesAll), func(t *testing.T) {
 			t.Parallel()
 			var worst time.Duration
 			calls := 0
 			for seed := range int64(2) {
 				for _, fault := range faults {
-					discovery := &queuedDiscovery{chargesWatches: c.chargesAll, workPerCall: c.all.perCall(c.nodes), overbook: 3, fault: fault.discoveryFault}
+					discovery := &queuedDiscovery{chargesWatches: c.chargesAll, workPerCall: c.all.perCall(c.nodes),
+						overbook: 3, fault: fault.discoveryFault}
 					took := runOutage(c.nodes, c.within, discovery, fault.down, atMost, seed)
 					if last := took[c.nodes-1]; last > applyWithin {
-						t.Errorf("seed %d, %s for %v: %v until all nodes have applied a change, %v at most", seed, fault.discoveryFault, fault.down, last, applyWithin)
+						t.Errorf("seed %d, %s for %v: %v until all nodes have applied a change, %v at most", seed,
+							fault.discoveryFault, fault.down, last, applyWithin)
 					}
 					worst, calls = max(worst, took[c.nodes-1]), max(calls, discovery.calls/c.nodes)
 				}
@@ -127,7 +133,8 @@
 			for seed := range int64(2) {
 				fleet := newSubscribingFleet(nodes, 10*time.Second, seed)
 				fleet.now, fleet.changeAt = time.Second, time.Hour
-				fleet.discovery = &queuedDiscovery{workPerCall: restart.callRound.perCall(nodes), overbook: restart.overbook, fault: faultMixed}
+				fleet.discovery = &queuedDiscovery{workPerCall: restart.callRound.perCall(nodes),
+					overbook: restart.overbook, fault: faultMixed}
 				for i := range fleet.nodes {
 					fleet.start(i)
 				}
@@ -150,25 +157,28 @@
 				if at := readyTimes[killed*9/10-1]; at > readyWithin {
 					t.Errorf("seed %d: nine in ten are ready after %v, %v at most", seed, at, readyWithin)
 				}
-				t.Logf("%s: nine in ten after %v, all after %v", restart.name, readyTimes[killed*9/10-1], readyTimes[killed-1])
+				t.Logf("%s: nine in ten after %v, all after %v", restart.name, readyTimes[killed*9/10-1],
+					readyTimes[killed-1])
 			}
 		})
 	}
 }
 
-// Guards against a discovery that stays overloaded for ever. It needs 8 s for one call from each node, and works on calls
-// that have timed out in its queue. All nodes get the list all the same after a while, as those whose calls time out make
-// fewer and fewer of them.
+// Guards against a discovery that stays overloaded for ever. It needs 8 s for one call from each node, and works on
+// calls that have timed out in its queue. All nodes get the list all the same after a while, as those whose calls time
+// out make fewer and fewer of them.
 func TestOverloadedDiscoveryServesAll(t *testing.T) {
 	t.Parallel()
 	const atMost = time.Minute
 	for seed := range int64(1) {
-		discovery := &queuedDiscovery{workPerCall: callRound(8 * time.Second).perCall(300), overbook: 3, fault: faultRefused}
+		discovery := &queuedDiscovery{workPerCall: callRound(8 * time.Second).perCall(300), overbook: 3,
+			fault: faultRefused}
 		followTimes := runOutage(300, 10*time.Second, discovery, 8*time.Second, atMost, seed)
 		if last := followTimes[len(followTimes)-1]; last > atMost*2/3 {
 			t.Errorf("seed %d: all are served after %v", seed, last)
 		}
-		t.Logf("half after %v, nine in ten after %v, all after %v; %d calls, %d of them timed out in the queue", followTimes[149], followTimes[269], followTimes[299], discovery.calls, discovery.expired)
+		t.Logf("half after %v, nine in ten after %v, all after %v; %d calls, %d of them timed out in the queue",
+			followTimes[149], followTimes[269], followTimes[299], discovery.calls, discovery.expired)
 	}
 }
 
@@ -183,7 +193,10 @@
 		module := fleet.nodes[0].module
 		requestsList := func() bool {
 			fleet.now += 25 * time.Millisecond
-			return slices.ContainsFunc(module.Handle(fleet.now, TimerFired{}), func(a Action) bool { _, ok := a.(Subscribe); return ok })
+			return slices.ContainsFunc(module.Handle(fleet.now, TimerFired{}), func(a Action) bool {
+				_, ok := a.(Subscribe)
+				return ok
+			})
 		}
 		for !requestsList() {
 		}
--- a/decide/askingfleet_test.go
+++ b/decide/askingfleet_test.go
@@ -1,7 +1,7 @@
 package decide
 
-// A simulation, in virtual time, of many modules that get their list from one discovery service. It also does the part of
-// the code between them: what the membership and core packages do with a call and its outcome.
+// A simulation, in virtual time, of many modules that get their list from one discovery service. It also does the part
+// of the code between them: what the membership and core packages do with a call and its outcome.
 
 import (
 	"container/heap"
@@ -10,7 +10,7 @@
 )
 
 const (
-	discoveryTimeout    = 2 * time.Second         // discovery ends a call that has waited so long in its queue with status 503
+	discoveryTimeout    = 2 * time.Second         // after which discovery ends a call in its queue with status 503
 	unansweredCallLimit = 3001 * time.Millisecond // after which the node gives up a call that has no answer
 	quickFailure        = time.Millisecond        // until a refusal or a reset is noticed
 )
@@ -26,9 +26,9 @@
 	faultMixed        discoveryFault = "any of these"
 )
 
-// queuedDiscovery is one service for all nodes that works through calls in turn. A watch is a sequence of calls, and the
-// next one, which follows an answer at once, takes no turn in the queue: on the operators' benchmark the first answers of
-// six nodes come at the same moments whether or not each node continues its watch at once.
+// queuedDiscovery is one service for all nodes that works through calls in turn. A watch is a sequence of calls, and
+// the next one, which follows an answer at once, takes no turn in the queue: on the operators' benchmark the first
+// answers of six nodes come at the same moments whether or not each node continues its watch at once.
 type queuedDiscovery struct {
 	chargesWatches   bool          // a stricter service: a watch's further calls take a turn as well
 	workPerCall      time.Duration // its work for one call
@@ -141,13 +141,15 @@
 }
 
 func newSubscribingFleet(nodes int, maxListRequestInterval time.Duration, seed int64) *subscribingFleet {
-	return &subscribingFleet{nodes: make([]subscribingNode, nodes), maxListRequestInterval: maxListRequestInterval, listKnown: true, random: rand.New(rand.NewSource(seed))}
+	return &subscribingFleet{nodes: make([]subscribingNode, nodes), maxListRequestInterval: maxListRequestInterval,
+		listKnown: true, random: rand.New(rand.NewSource(seed))}
 }
 
 // start starts a new process of a node.
 func (f *subscribingFleet) start(i int) {
 	settings := fleetSettings(i)
-	settings.Nodes, settings.ListOnRequest, settings.MaxListRequestInterval, settings.MayMessage, settings.MayProbe = len(f.nodes), true, f.maxListRequestInterval, false, false
+	settings.Nodes, settings.ListOnRequest, settings.MaxListRequestInterval, settings.MayMessage, settings.MayProbe =
+		len(f.nodes), true, f.maxListRequestInterval, false, false
 	node := &f.nodes[i]
 	*node = subscribingNode{module: New(settings, f.random.Int63()), generation: node.generation + 1}
 	cached := ListUpdate{Kind: ListCached}
@@ -175,7 +177,8 @@
 		return // it waits for changes until breakWatch ends it
 	}
 	end, result := f.discovery.call(f.now, f.random)
-	heap.Push(&f.callEnds, callEnd{endsAt: end, node: i, generation: node.generation, keepsWatch: keepsWatch, result: result})
+	heap.Push(&f.callEnds, callEnd{endsAt: end, node: i, generation: node.generation, keepsWatch: keepsWatch,
+		result: result})
 }
 
 // endCall passes the outcome of a call to the module, as core.Loop does.
--- a/decide/audience_test.go
+++ b/decide/audience_test.go
@@ -15,7 +15,8 @@
 	return fleet
 }
 
-// deliverMessages delivers the messages among a node's actions, and returns the number of datagrams that other nodes got.
+// deliverMessages delivers the messages among a node's actions, and returns the number of datagrams that other nodes
+// got.
 func deliverMessages(now Time, fleet []*Module, from int, actions []Action) (datagrams int) {
 	for _, a := range actions {
 		w, ok := a.(SendMessage)
@@ -29,10 +30,10 @@
 	return datagrams
 }
 
-// In a fleet of 300 each node knows how many requests all others have in flight at the servers of its subset, although each
-// node sends its load reports only to the few nodes whose subsets contain those servers. If reports went to all nodes, each
-// would get 299 datagrams per second here. And the number per node does not grow with the fleet, if there are as many more
-// servers.
+// In a fleet of 300 each node knows how many requests all others have in flight at the servers of its subset, although
+// each node sends its load reports only to the few nodes whose subsets contain those servers. If reports went to all
+// nodes, each would get 299 datagrams per second here. And the number per node does not grow with the fleet, if there
+// are as many more servers.
 func TestLoadReportsReachNodesWhoseSubsetContainsTheServer(t *testing.T) {
 	datagramsPerSecond := map[int]float64{}
 	for _, nodes := range []int{75, 300} {
@@ -58,28 +59,30 @@
 			for _, server := range module.subset {
 				others := 0.0
 				for j, other := range fleet {
-					if j != i && other.known[server.ID].inSubset { // outside its subset a node has rare further attempts only
+					if j != i && other.known[server.ID].inSubset { // elsewhere a node has rare further attempts only
 						others += other.known[server.ID].n
 					}
 				}
 				if server.othersInFlight != others {
-					t.Fatalf("of %d nodes, node %d counts %v requests of others at server %d; they have %v", nodes, i, server.othersInFlight, server.ID, others)
+					t.Fatalf("of %d nodes, node %d counts %v requests of others at server %d; they have %v", nodes, i,
+						server.othersInFlight, server.ID, others)
 				}
 			}
 		}
 	}
 	if datagramsPerSecond[300] > 30 || datagramsPerSecond[300] > 1.3*datagramsPerSecond[75] {
-		t.Errorf("a node of 300 gets %.0f datagrams per second, one of 75 %.0f", datagramsPerSecond[300], datagramsPerSecond[75])
+		t.Errorf("a node of 300 gets %.0f datagrams per second, one of 75 %.0f", datagramsPerSecond[300],
+			datagramsPerSecond[75])
 	}
 }
 
-// Where two servers share a tag, a node's report is of the one that its subset contains. When one of them is removed, the
-// tag still means the other one.
+// Where two servers share a tag, a node's report is of the one that its subset contains. When one of them is removed,
+// the tag still means the other one.
 func TestSharedTag(t *testing.T) {
 	module := newFleet(300, 200)[0]
 	first, second := module.ring[0], module.ring[100]
 	module.removeTag(second)
-	second.ringKey = second.ringKey&^(0xffff<<32) | uint64(first.tag())<<32 // the upper bits, and so its place in the ring, stay
+	second.ringKey = second.ringKey&^(0xffff<<32) | uint64(first.tag())<<32 // its place in the ring stays
 	module.tags[first.tag()] = append(module.tags[first.tag()], second)
 	nodeOf := func(place int) int {
 		for j := range 300 {
@@ -93,11 +96,13 @@
 	report := []byte{fullCountsMark, byte(first.tag() >> 8), byte(first.tag()), 5}
 	module.Handle(2*time.Second, MessageReceived{From: nodeOf(100), Data: report})
 	if first.othersInFlight != 0 || second.othersInFlight != 5 {
-		t.Errorf("report of a node whose subset contains the second server: %v and %v; want 0 and 5", first.othersInFlight, second.othersInFlight)
+		t.Errorf("report of a node whose subset contains the second server: %v and %v; want 0 and 5",
+			first.othersInFlight, second.othersInFlight)
 	}
 	module.Handle(2*time.Second, MessageReceived{From: nodeOf(0), Data: report})
 	if first.othersInFlight != 5 || second.othersInFlight != 5 {
-		t.Errorf("and one of a node whose subset contains the first: %v and %v; want 5 and 5", first.othersInFlight, second.othersInFlight)
+		t.Errorf("and one of a node whose subset contains the first: %v and %v; want 5 and 5", first.othersInFlight,
+			second.othersInFlight)
 	}
 	module.removeTag(second)
 	if got := module.serverByTag(first.tag(), nodeOf(100)); got != first {
@@ -135,9 +140,10 @@
 	}
 }
 
-// Guards against servers that look empty because the network between nodes carries no datagrams. A node that gets no report
-// at all estimates the others' requests from its own, by the part of all that its own were; once reports come again it goes
-// by them. Where reports of some nodes still come, those that send none have died, and their requests no longer count.
+// Guards against servers that look empty because the network between nodes carries no datagrams. A node that gets no
+// report at all estimates the others' requests from its own, by the part of all that its own were; once reports come
+// again it goes by them. Where reports of some nodes still come, those that send none have died, and their requests no
+// longer count.
 func TestMissingReportsAreNoEmptyFleet(t *testing.T) {
 	for _, allSilent := range []bool{true, false} {
 		module := newFleet(300, 200)[0]
@@ -186,8 +192,8 @@
 	}
 }
 
-// While the list changes, nodes that have applied different parts of the change still know of one another's requests at the
-// servers that both their subsets contain.
+// While the list changes, nodes that have applied different parts of the change still know of one another's requests at
+// the servers that both their subsets contain.
 func TestLoadReportsWhileTheListChanges(t *testing.T) {
 	fleet := newFleet(120, 60)
 	now := 2 * time.Second
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -27,7 +27,7 @@
 	inTime       map[string]int                       // requests served within 600 ms of their first try, by class
 	arrivedAt    map[decide.RequestID]time.Duration
 	refused, failed,
-	listRequests, lastID, logLines int // list requests; the number of the latest request; log lines
+	listRequests, lastID, logLines int // lastID is the number of the latest request
 }
 
 // harnessEvent is an event that the module gets at a later time.
@@ -36,14 +36,15 @@
 	event decide.Event
 }
 
-// harnessSettings are those of a fleet of one node. Its classes are "dear", safe requests of high worth, "cheap", safe ones
-// of low worth, and "once", unsafe ones of low worth.
+// harnessSettings are those of a fleet of one node. Its classes are "dear", safe requests of high worth, "cheap", safe
+// ones of low worth, and "once", unsafe ones of low worth.
 func harnessSettings() decide.Settings {
-	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, MaxListRequestInterval: 10 * time.Second,
-		ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second, OverloadFactor: 2.5,
-		OverloadTime: time.Second, HoldOffs: true, MaxHoldOff: time.Second,
+	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond,
+		MaxListRequestInterval: 10 * time.Second, ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3,
+		ColdTime: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: time.Second, HoldOffs: true, MaxHoldOff: time.Second,
 		Classes: []decide.Class{
-			{Name: "dear", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, Effect: decide.Safe},
+			{Name: "dear", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond,
+				Effect: decide.Safe},
 			{Name: "cheap", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: decide.Safe},
 			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
 }
@@ -51,11 +52,14 @@
 // newNodeHarness starts a module with a list of so many servers. Each of them answers after 50 ms, unless the test sets
 // another delay.
 func newNodeHarness(t *testing.T, settings decide.Settings, servers int) *nodeHarness {
-	harness := &nodeHarness{t: t, module: decide.New(settings, 5), now: time.Hour, sent: map[decide.ServerID]int{}, ended: map[decide.RequestID]bool{},
-		finalActions: map[decide.RequestID]decide.Action{}, attempts: map[decide.RequestID]int{}, patience: 2 * time.Second,
+	harness := &nodeHarness{t: t, module: decide.New(settings, 5), now: time.Hour, sent: map[decide.ServerID]int{},
+		ended: map[decide.RequestID]bool{}, finalActions: map[decide.RequestID]decide.Action{},
+		attempts: map[decide.RequestID]int{}, patience: 2 * time.Second,
 		inTime: map[string]int{}, arrivedAt: map[decide.RequestID]time.Duration{}}
 	harness.extraWork = func(decide.RequestID) time.Duration { return 0 }
-	harness.outcomeOf = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return 50 * time.Millisecond, decide.OK }
+	harness.outcomeOf = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		return 50 * time.Millisecond, decide.OK
+	}
 	var list []decide.Server
 	for i := range servers {
 		list = append(list, decide.Server{ID: decide.ServerID(i + 1), Zone: "z"})
@@ -64,8 +68,8 @@
 	return harness
 }
 
-// handle passes an event to the module and schedules what follows from its actions: outcomes, timers, repeats of refused
-// clients and, as discovery is down, the failure of each list request after a second.
+// handle passes an event to the module and schedules what follows from its actions: outcomes, timers, repeats of
+// refused clients and, as discovery is down, the failure of each list request after a second.
 func (r *nodeHarness) handle(event decide.Event) {
 	for _, a := range r.module.Handle(r.now, event) {
 		switch a := a.(type) {
@@ -78,18 +82,21 @@
 			if delay > a.Timeout {
 				delay, code = a.Timeout, decide.TimedOut
 			}
-			r.scheduled = append(r.scheduled, harnessEvent{r.now + delay, decide.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: code, Elapsed: delay}})
+			r.scheduled = append(r.scheduled, harnessEvent{r.now + delay,
+				decide.AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, Code: code, Elapsed: delay}})
 		case decide.CancelAttempt:
-			r.scheduled = append(r.scheduled, harnessEvent{r.now + time.Millisecond, decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
+			r.scheduled = append(r.scheduled, harnessEvent{r.now + time.Millisecond,
+				decide.AttemptEnded{ID: a.ID, Attempt: a.Attempt, Code: decide.Cancelled}})
 		case decide.Refuse:
 			r.refused++
 			r.ended[a.ID], r.finalActions[a.ID] = true, a
 			r.holdOffs = append(r.holdOffs, a.HoldOff)
 			firstID, repeats, _ := strings.Cut(string(a.ID), "/")
-			if left := r.patience - (r.now + a.HoldOff - r.arrivedAt[decide.RequestID(firstID)]); len(repeats) < r.retries && left > 0 {
+			if left := r.patience - (r.now + a.HoldOff - r.arrivedAt[decide.RequestID(firstID)]); len(repeats) < r.retries &&
+				left > 0 {
 				id := decide.RequestID(firstID + "/" + repeats + "x")
-				r.scheduled = append(r.scheduled, harnessEvent{r.now + a.HoldOff, decide.RequestArrived{ID: id, Class: strings.TrimRight(firstID,
-					"0123456789"), Patience: left}})
+				r.scheduled = append(r.scheduled, harnessEvent{r.now + a.HoldOff,
+					decide.RequestArrived{ID: id, Class: strings.TrimRight(firstID, "0123456789"), Patience: left}})
 			}
 		case decide.Fail:
 			r.failed++
@@ -100,7 +107,8 @@
 			r.logLines++
 		case decide.Subscribe:
 			r.listRequests++
-			r.scheduled = append(r.scheduled, harnessEvent{r.now + time.Second, decide.ListUpdate{Kind: decide.ListFailed}})
+			r.scheduled = append(r.scheduled, harnessEvent{r.now + time.Second,
+				decide.ListUpdate{Kind: decide.ListFailed}})
 		}
 	}
 }
@@ -122,7 +130,8 @@
 			if ended, ok := scheduled.event.(decide.AttemptEnded); ok {
 				ended.RequestDone = r.ended[ended.ID] || ended.Code == decide.OK
 				first, _, _ := strings.Cut(string(ended.ID), "/")
-				if ended.Code == decide.OK && !r.ended[ended.ID] && r.now-r.arrivedAt[decide.RequestID(first)] < 600*time.Millisecond {
+				if ended.Code == decide.OK && !r.ended[ended.ID] &&
+					r.now-r.arrivedAt[decide.RequestID(first)] < 600*time.Millisecond {
 					r.inTime[strings.TrimRight(first, "0123456789")]++
 				}
 				r.ended[ended.ID] = ended.RequestDone
@@ -149,9 +158,9 @@
 
 func (r *nodeHarness) resetCounts() { r.sent, r.refused, r.failed = map[decide.ServerID]int{}, 0, 0 }
 
-// Guards against sending on to a server that has stopped answering, and against a burst when it comes back. The server is
-// ejected and its requests are answered elsewhere, also while discovery is down and the list does not change. Once it
-// answers again it gets slow start, as it may have restarted cold.
+// Guards against sending on to a server that has stopped answering, and against a burst when it comes back. The server
+// is ejected and its requests are answered elsewhere, also while discovery is down and the list does not change. Once
+// it answers again it gets slow start, as it may have restarted cold.
 func TestUnresponsiveServerWhileListIsDown(t *testing.T) {
 	settings := harnessSettings()
 	settings.ListOnRequest = true
@@ -219,7 +228,8 @@
 		}
 		harness.run(5*time.Millisecond, 200, c.class)
 		harness.run(time.Second, 0, c.class)
-		if n := harness.sent[1] + harness.sent[2] + harness.sent[3]; (n == 2) != c.again || (harness.failed == 1) == c.again {
+		if n := harness.sent[1] + harness.sent[2] + harness.sent[3]; (n == 2) != c.again ||
+			(harness.failed == 1) == c.again {
 			t.Errorf("%s after code %d: %d sends, %d failed", c.class, c.code, n, harness.failed)
 		}
 	}
@@ -236,7 +246,8 @@
 	}
 	harness.run(10*time.Second, 100, "cheap")
 	if harness.sent[2] > 60 {
-		t.Errorf("%d of %d sends went to the server that fails", harness.sent[2], harness.sent[1]+harness.sent[2]+harness.sent[3]+harness.sent[4])
+		t.Errorf("%d of %d sends went to the server that fails", harness.sent[2],
+			harness.sent[1]+harness.sent[2]+harness.sent[3]+harness.sent[4])
 	}
 }
 
@@ -244,7 +255,9 @@
 func TestAllSlowAtOnceEjectsNobody(t *testing.T) {
 	harness := newNodeHarness(t, harnessSettings(), 4)
 	harness.run(5*time.Second, 80, "cheap")
-	harness.outcomeOf = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return 150 * time.Millisecond, decide.OK }
+	harness.outcomeOf = func(decide.ServerID) (time.Duration, decide.OutcomeCode) {
+		return 150 * time.Millisecond, decide.OK
+	}
 	harness.resetCounts()
 	harness.run(5*time.Second, 80, "cheap")
 	if harness.logLines > 0 {
@@ -275,7 +288,8 @@
 func TestOverloadShedsByWorth(t *testing.T) {
 	harness := newNodeHarness(t, harnessSettings(), 3)
 	busyUntil := map[decide.ServerID]time.Duration{}
-	harness.outcomeOf = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	// Each server works on one request at a time, for 20 ms each.
+	harness.outcomeOf = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
 		busyUntil[id] = max(busyUntil[id], harness.now) + 20*time.Millisecond
 		return busyUntil[id] - harness.now, decide.OK
 	}
@@ -284,7 +298,8 @@
 		for _, c := range []string{"dear", "cheap", "cheap", "cheap"} {
 			before := harness.refused
 			harness.lastID++
-			harness.handle(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(harness.lastID)), Class: c, Patience: time.Second})
+			harness.handle(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(harness.lastID)), Class: c,
+				Patience: time.Second})
 			refused[c] += harness.refused - before
 		}
 		harness.run(15*time.Millisecond, 0, "")
@@ -294,8 +309,8 @@
 	}
 }
 
-// With an empty list, or one whose servers all drain, a request is refused at once. A request without time left, a class
-// that the settings lack, settings without classes, and outcomes of unknown requests do no harm.
+// With an empty list, or one whose servers all drain, a request is refused at once. A request without time left, a
+// class that the settings lack, settings without classes, and outcomes of unknown requests do no harm.
 func TestNoUsableServerOrOddSettings(t *testing.T) {
 	drained := []decide.Server{{ID: 1, State: decide.Draining}}
 	for _, list := range [][]decide.Server{nil, drained} {
@@ -341,8 +356,8 @@
 	}
 }
 
-// Full answers in a row lengthen the block: many nodes that each send again after one oc-validity would keep an overloaded
-// server overloaded.
+// Full answers in a row lengthen the block: many nodes that each send again after one oc-validity would keep an
+// overloaded server overloaded.
 func TestFullAnswersBackOff(t *testing.T) {
 	harness := newNodeHarness(t, harnessSettings(), 1)
 	harness.outcomeOf = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Millisecond, decide.Full }
@@ -359,9 +374,10 @@
 	}
 }
 
-// Guards against requests going into a lost zone, and against a burst at its servers when they return. The zone's servers
-// and nodes fail together: its servers stop answering, this node gets twice the traffic, and the list says so only seconds
-// later. Then the servers come back as new processes, and get slow start. The remaining servers go on serving throughout.
+// Guards against requests going into a lost zone, and against a burst at its servers when they return. The zone's
+// servers and nodes fail together: its servers stop answering, this node gets twice the traffic, and the list says so
+// only seconds later. Then the servers come back as new processes, and get slow start. The remaining servers go on
+// serving throughout.
 func TestZoneLostWithItsNodesAndBackCold(t *testing.T) {
 	settings := harnessSettings()
 	settings.Nodes = 2
@@ -407,7 +423,8 @@
 	harness.resetCounts()
 	harness.run(time.Second, 120, "cheap")
 	for id, n := range harness.sent {
-		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 { // a warm one serves 30/s for this node; there are two nodes
+		// A warm server serves 30 requests per second of this node, and there are two nodes.
+		if budget := 2.5 * 0.3 * 30; lost(id) && float64(n) > budget/2+2 {
 			t.Errorf("cold server %d got %d in its first second", id, n)
 		}
 	}
@@ -419,10 +436,10 @@
 	}
 }
 
-// Guards against thresholds that come from what a lightly loaded fleet happened to have in flight. One class suddenly takes
-// eleven times as long: no server is ejected for it, and most requests of the other class are still served. Without a least
-// number of requests allowed at each server (minWindow), 60 of 300 were served in time. Some requests are still refused,
-// as the node can't know that the servers could take more.
+// Guards against thresholds that come from what a lightly loaded fleet happened to have in flight. One class suddenly
+// takes eleven times as long: no server is ejected for it, and most requests of the other class are still served.
+// Without a least number of requests allowed at each server (minWindow), 60 of 300 were served in time. Some requests
+// are still refused, as the node can't know that the servers could take more.
 func TestOneClassSuddenlyExpensive(t *testing.T) {
 	harness := newNodeHarness(t, harnessSettings(), 6)
 	mixed := func(length time.Duration) {
@@ -445,7 +462,8 @@
 		t.Errorf("%d servers ejected because of expensive requests", harness.logLines)
 	}
 	if harness.inTime["cheap"] < 190 {
-		t.Errorf("%d of 300 of the class of unchanged cost were served in time, %d refused", harness.inTime["cheap"], harness.refused)
+		t.Errorf("%d of 300 of the class of unchanged cost were served in time, %d refused", harness.inTime["cheap"],
+			harness.refused)
 	}
 	least, most := harness.sent[1], harness.sent[1]
 	for _, n := range harness.sent {
@@ -456,14 +474,15 @@
 	}
 }
 
-// Overload in which each refused client retries twice: the class of high worth is still served, the servers' queues stay
-// short, and hold-offs differ, so that refused clients don't come back all at once.
+// Overload in which each refused client retries twice: the class of high worth is still served, the servers' queues
+// stay short, and hold-offs differ, so that refused clients don't come back all at once.
 func TestOverloadWithClientRetries(t *testing.T) {
 	harness := newNodeHarness(t, harnessSettings(), 4)
 	harness.retries, harness.patience = 2, 1200*time.Millisecond
 	busyUntil := map[decide.ServerID]time.Duration{}
 	longest := time.Duration(0)
-	harness.outcomeOf = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	// Each server works on one request at a time, for 20 ms each.
+	harness.outcomeOf = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
 		busyUntil[id] = max(busyUntil[id], harness.now) + 20*time.Millisecond
 		longest = max(longest, busyUntil[id]-harness.now)
 		return busyUntil[id] - harness.now, decide.OK
@@ -483,7 +502,8 @@
 		t.Errorf("%d of 200 requests of the class of high worth in time", harness.inTime["dear"])
 	}
 	if harness.inTime["cheap"] < 1000 {
-		t.Errorf("%d requests of the class of low worth in time, of some 1800 that the servers could do", harness.inTime["cheap"])
+		t.Errorf("%d requests of the class of low worth in time, of some 1800 that the servers could do",
+			harness.inTime["cheap"])
 	}
 	if longest > 300*time.Millisecond {
 		t.Errorf("a server's queue of %v", longest)
@@ -497,8 +517,8 @@
 	}
 }
 
-// Guards against a burst that no single node can see: the first requests of many nodes, all at once, to a server that has
-// just started.
+// Guards against a burst that no single node can see: the first requests of many nodes, all at once, to a server that
+// has just started.
 func TestManyNodesTogetherSpareAColdServer(t *testing.T) {
 	const nodes = 60
 	settings := harnessSettings()
@@ -526,7 +546,8 @@
 		harness.run(settings.OverloadTime, 4, "cheap")
 		total += harness.sent[3]
 	}
-	if budget := settings.OverloadFactor * settings.ColdFrom * 24 * settings.OverloadTime.Seconds(); float64(total) > budget {
+	if budget := settings.OverloadFactor * settings.ColdFrom * 24 *
+		settings.OverloadTime.Seconds(); float64(total) > budget {
 		t.Errorf("%d sends to a cold server, its budget is %.0f", total, budget)
 	}
 }
@@ -573,15 +594,17 @@
 	}
 }
 
-// Guards against forgetting how fast a lightly loaded fleet answers. If the queues of a minute's overload came to be taken
-// for the normal latency, they would be allowed to grow until the servers slow down.
+// Guards against forgetting how fast a lightly loaded fleet answers. If the queues of a minute's overload came to be
+// taken for the normal latency, they would be allowed to grow until the servers slow down.
 func TestLongOverloadDoesNotLengthenQueues(t *testing.T) {
 	settings := harnessSettings()
-	settings.Classes[1].Aim = 10 * time.Second // such a long target allows long queues: only the unloaded latency bounds them
+	// Such a long latency target allows long queues: only the unloaded latency bounds them.
+	settings.Classes[1].Aim = 10 * time.Second
 	harness := newNodeHarness(t, settings, 4)
 	busyUntil := map[decide.ServerID]time.Duration{}
 	var waits, answers time.Duration
-	harness.outcomeOf = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) { // one request at a time, 20 ms each
+	// Each server works on one request at a time, for 20 ms each.
+	harness.outcomeOf = func(id decide.ServerID) (time.Duration, decide.OutcomeCode) {
 		busyUntil[id] = max(busyUntil[id], harness.now) + 20*time.Millisecond
 		waits, answers = waits+busyUntil[id]-harness.now, answers+1
 		return busyUntil[id] - harness.now, decide.OK
--- a/decide/closedloop_test.go
+++ b/decide/closedloop_test.go
@@ -9,11 +9,12 @@
 	"time"
 )
 
-// A simulation, in virtual time, of one node with its clients and servers. Clients are either connections that send their
-// next request once they have an answer (a closed loop), or arrivals at a given rate (an open loop). Servers have a number
-// of cores. The node has one core of its own, whose queue adds delay that no server causes.
+// A simulation, in virtual time, of one node with its clients and servers. Clients are either connections that send
+// their next request once they have an answer (a closed loop), or arrivals at a given rate (an open loop). Servers have
+// a number of cores. The node has one core of its own, whose queue adds delay that no server causes.
 
-// timedEvent is a function that is to run at a time. Those of the same time run in the order in which they were scheduled.
+// timedEvent is a function that is to run at a time. Those of the same time run in the order in which they were
+// scheduled.
 type timedEvent struct {
 	at       Time
 	sequence int
@@ -61,7 +62,8 @@
 
 // newNodeSimulation starts a node with a list of so many servers.
 func newNodeSimulation(settings Settings, servers int) *nodeSimulation {
-	simulation := &nodeSimulation{module: New(settings, 7), now: time.Hour, random: rand.New(rand.NewPCG(3, 4)), serverCoresFreeAt: map[ServerID][]Time{}, onEnd: map[RequestID]func(bool){},
+	simulation := &nodeSimulation{module: New(settings, 7), now: time.Hour, random: rand.New(rand.NewPCG(3, 4)),
+		serverCoresFreeAt: map[ServerID][]Time{}, onEnd: map[RequestID]func(bool){},
 		attempts: map[RequestID]int{}}
 	simulation.resetCounts()
 	simulation.handle(ListUpdate{Kind: ListCached, Entries: cachedServerList(servers).Entries})
@@ -132,7 +134,8 @@
 						delete(v.onEnd, a.ID)
 						finish(true)
 					}
-					v.handle(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server, RequestDone: v.onEnd[a.ID] == nil, Elapsed: v.now - sentAt, NodeTime: own, Code: code})
+					v.handle(AttemptEnded{ID: a.ID, Attempt: attempt, Server: a.Server,
+						RequestDone: v.onEnd[a.ID] == nil, Elapsed: v.now - sentAt, NodeTime: own, Code: code})
 					if v.onEnd[a.ID] == nil {
 						delete(v.attempts, a.ID)
 					}
@@ -169,8 +172,8 @@
 	return
 }
 
-// sendRequest has a request of a class arrive now, and calls then when it has ended. The request counts as within its aim
-// if it is served in at most the given time.
+// sendRequest has a request of a class arrive now, and calls then when it has ended. The request counts as within its
+// aim if it is served in at most the given time.
 func (v *nodeSimulation) sendRequest(class string, aim time.Duration, then func(served bool)) {
 	v.lastID++
 	id, began := RequestID(fmt.Sprint(class, " ", v.lastID)), v.now
@@ -277,7 +280,8 @@
 		simulation.resetCounts()
 		simulation.run(500 * time.Millisecond)
 		if limit := 4 * time.Duration(conns) * coreStepCost; simulation.longestAnswer > limit {
-			t.Errorf("%d connections: an answer took %v after the change, %v of that is the node's own queue", conns, simulation.longestAnswer, limit/2)
+			t.Errorf("%d connections: an answer took %v after the change, %v of that is the node's own queue", conns,
+				simulation.longestAnswer, limit/2)
 		}
 	}
 }
@@ -303,8 +307,10 @@
 		simulation.run(2 * time.Second)
 		simulation.resetCounts()
 		simulation.run(6 * time.Second)
-		if n := simulation.refusals(); n > 0 || simulation.tallyOf("dear").withinAim < 1000 || simulation.tallyOf("cheap").withinAim < 5000 {
-			t.Errorf("%d connections: %d refused, expensive %+v, cheap %+v", conns, n, *simulation.tallyOf("dear"), *simulation.tallyOf("cheap"))
+		if n := simulation.refusals(); n > 0 || simulation.tallyOf("dear").withinAim < 1000 ||
+			simulation.tallyOf("cheap").withinAim < 5000 {
+			t.Errorf("%d connections: %d refused, expensive %+v, cheap %+v", conns, n, *simulation.tallyOf("dear"),
+				*simulation.tallyOf("cheap"))
 		}
 	}
 }
@@ -326,8 +332,8 @@
 }
 
 // The same, from 256 to 1,024 connections, at servers whose unloaded latency is about as long as what counts as lightly
-// loaded. There no answer raises the limit on requests in flight, and the rate smoothed over seconds is still that of the
-// 256. All answers come well within the aims.
+// loaded. There no answer raises the limit on requests in flight, and the rate smoothed over seconds is still that of
+// the 256. All answers come well within the aims.
 func TestRiseAtSlowServersShedsNothing(t *testing.T) {
 	for _, work := range []time.Duration{5 * time.Millisecond, 50 * time.Millisecond, 65 * time.Millisecond} {
 		simulation := newNodeSimulation(singleNodeSettings(), 8)
@@ -377,8 +383,8 @@
 	}
 }
 
-// An overload of fast servers, by 1.5 and by 3 times their capacity: the class of high worth is still served, the servers
-// stay busy, and what is served is served in time.
+// An overload of fast servers, by 1.5 and by 3 times their capacity: the class of high worth is still served, the
+// servers stay busy, and what is served is served in time.
 func TestOverloadOfFastServers(t *testing.T) {
 	for _, times := range []float64{1.5, 3} {
 		simulation := newNodeSimulation(singleNodeSettings(), 8)
@@ -402,7 +408,8 @@
 			t.Errorf("%v times: %d%% of the class of high worth in time: %+v", times, got, expensive)
 		}
 		if got := (expensive.withinAim + cheap.withinAim) * 100 / (5 * capacity); got < 85 {
-			t.Errorf("%v times: %d%% of what the servers can do: high worth %+v, low worth %+v", times, got, expensive, cheap)
+			t.Errorf("%v times: %d%% of what the servers can do: high worth %+v, low worth %+v", times, got, expensive,
+				cheap)
 		}
 		if late := expensive.served + cheap.served - expensive.withinAim - cheap.withinAim; late > expensive.served/20 {
 			t.Errorf("%v times: %d answers too late", times, late)
@@ -424,7 +431,7 @@
 	}
 	simulation.sendAtRate(2000, 2*time.Second, class)
 	simulation.run(2 * time.Second)
-	simulation.stepCost = 400 * time.Microsecond // a second process takes most of the core: 1,250 requests a second are left
+	simulation.stepCost = 400 * time.Microsecond // a second process takes most of the core: 1,250 a second are left
 	simulation.sendAtRate(2000, 4*time.Second, class)
 	simulation.run(4 * time.Second)
 	byNode, byServers := 0, 0
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -11,8 +11,8 @@
 const (
 	// coldSeedsEnv is the environment variable with the number of seeds to run.
 	coldSeedsEnv = "COLD_SEEDS"
-	// defaultColdSeeds is the number of seeds where the variable is not set. Of those with 300 nodes, whose runs take the
-	// longest, only the first defaultColdLargeSeeds are run then.
+	// defaultColdSeeds is the number of seeds where the variable is not set. Of those with 300 nodes, whose runs take
+	// the longest, only the first defaultColdLargeSeeds are run then.
 	defaultColdSeeds, defaultColdLargeSeeds = 50, 1
 	// coldMinUsedPart is the least part of the cold servers' capacity that must be used, as a mean over the runs of one
 	// fleet size.
@@ -40,8 +40,8 @@
 }
 
 // Guards against overloading servers in slow start, where no node sees what the others send. In every window of
-// Settings.OverloadTime, all nodes together send a cold server at most N + 2 x root of N + 2 requests of mean work, where N
-// is what the settings allow it then and the rest is for chance. Nor do cold servers stay unused.
+// Settings.OverloadTime, all nodes together send a cold server at most N + 2*sqrt(N) + 2 requests of mean work,
+// where N is what the settings allow it then and the rest is for chance. Nor do cold servers stay unused.
 func TestColdServersAreSparedByTheSumOfAllNodes(t *testing.T) {
 	seeds, large := requestedSeeds(t), math.MaxInt
 	if seeds == 0 {
@@ -60,8 +60,8 @@
 	checkColdRuns(t, runs)
 }
 
-// Guards against budgets of cold servers that accumulate without limit: nodes spent all at once what they had saved in an
-// idle period, and with each of these seeds a cold server got more than its bound.
+// Guards against budgets of cold servers that accumulate without limit: nodes spent all at once what they had saved in
+// an idle period, and with each of these seeds a cold server got more than its bound.
 func TestBudgetsOfColdServersAreNotSavedUp(t *testing.T) {
 	var runs []coldScenario
 	for seed := range requestedSeeds(t) {
@@ -98,7 +98,8 @@
 			totals[scenario.nodeCount] = &coldTotal{}
 		}
 		total := totals[scenario.nodeCount]
-		total.runs, total.worstRatio, total.usedPart = total.runs+1, max(total.worstRatio, verdict.worstRatio), total.usedPart+verdict.usedPart
+		total.runs, total.worstRatio, total.usedPart = total.runs+1, max(total.worstRatio, verdict.worstRatio),
+			total.usedPart+verdict.usedPart
 		if len(verdict.excess) > 0 {
 			total.overBound++
 		}
--- a/decide/coldverdict_test.go
+++ b/decide/coldverdict_test.go
@@ -22,9 +22,9 @@
 	windows    int          // all windows, also those that don't count
 }
 
-// judge checks every window of Settings.OverloadTime that ends with an attempt. The window's bound is N + 2 x root of N + 2
-// requests, where N is Settings.OverloadFactor times what the server can do in it. A window counts only if over two thirds
-// of its work came from nodes that had been notified of the server's start.
+// judge checks every window of Settings.OverloadTime that ends with an attempt. The window's bound is
+// N + 2*sqrt(N) + 2 requests, where N is Settings.OverloadFactor times what the server can do in it. A window counts only
+// if over two thirds of its work came from nodes that had been notified of the server's start.
 func (f *coldFleet) judge() (verdict coldVerdict) {
 	sentWork, possibleWork := 0.0, 0.0
 	for _, id := range f.serverIDs {
--- a/decide/coldworld_test.go
+++ b/decide/coldworld_test.go
@@ -1,8 +1,8 @@
 package decide
 
 // A simulation, in virtual time, of a fleet of nodes that run the real module and share the same servers. Some of the
-// servers start cold. The simulation records which attempts each cold server gets, and which of them came from nodes that
-// had been notified of its start; coldverdict_test.go compares that with what the settings allow.
+// servers start cold. The simulation records which attempts each cold server gets, and which of them came from nodes
+// that had been notified of its start; coldverdict_test.go compares that with what the settings allow.
 
 import (
 	"container/heap"
@@ -204,8 +204,8 @@
 	return f.settings.ColdFrom + (1-f.settings.ColdFrom)*warmth
 }
 
-// sendAttempt has a server take an attempt of node i, or refuse it, and schedules its outcome. A server whose queue holds
-// ten requests for each core answers that it is full.
+// sendAttempt has a server take an attempt of node i, or refuse it, and schedules its outcome. A server whose queue
+// holds ten requests for each core answers that it is full.
 func (f *coldFleet) sendAttempt(i int, send Send) {
 	node, server := f.nodes[i], f.servers[send.Server]
 	request := node.pending[send.ID]
@@ -252,7 +252,8 @@
 		result.Code = ConnectFailed
 	} else {
 		held := float64(len(server.heldUntil))
-		result.Report = &Report{InFlight: held, Queue: math.Max(0, held-coldServerCores), HasInFlight: true, HasQueue: true}
+		result.Report = &Report{InFlight: held, Queue: math.Max(0, held-coldServerCores), HasInFlight: true,
+			HasQueue: true}
 	}
 	f.scheduleEvent(i, f.now+result.Elapsed, result)
 }
@@ -304,7 +305,8 @@
 			f.lastRequestID++
 			id := RequestID(fmt.Sprint(f.lastRequestID))
 			node.pending[id] = request
-			f.handle(i, RequestArrived{ID: id, Class: coldClasses[request.class].name, Patience: request.deadline - f.now})
+			f.handle(i, RequestArrived{ID: id, Class: coldClasses[request.class].name,
+				Patience: request.deadline - f.now})
 			return
 		}
 	}
@@ -335,7 +337,8 @@
 	for i, node := range f.nodes {
 		processNumber, entry := node.processNumber, server.entry
 		f.schedule(f.now+time.Duration((0.05+within*f.random.Float64())*float64(time.Second)), func() {
-			if node.processNumber == processNumber && node.up { // a process that started later has the entry from its first list
+			// A process that started later has the entry from its first list.
+			if node.processNumber == processNumber && node.up {
 				node.notified[entry.ID] = server.startsCold
 				f.handle(i, ListUpdate{Kind: ListChanges, Entries: []Server{entry}})
 			}
@@ -343,8 +346,8 @@
 	}
 }
 
-// scheduleColdStarts schedules the starts of the cold servers. Each is a server that was unreachable and rejoins under its
-// old id, or a new server that replaces one that drains.
+// scheduleColdStarts schedules the starts of the cold servers. Each is a server that was unreachable and rejoins under
+// its old id, or a new server that replaces one that drains.
 func (f *coldFleet) scheduleColdStarts() {
 	for k := range f.coldCount {
 		id := ServerID(k + 1)
@@ -374,8 +377,8 @@
 	}
 }
 
-// restartHalf schedules restarts of half of the nodes, drawn at random, while the servers warm up. Each node is back within
-// a second. The node of a fleet of one is replaced without a pause.
+// restartHalf schedules restarts of half of the nodes, drawn at random, while the servers warm up. Each node is back
+// within a second. The node of a fleet of one is replaced without a pause.
 func (f *coldFleet) restartHalf() {
 	for i := range f.nodes {
 		if f.random.IntN(2) == 0 || len(f.nodes) == 1 && f.random.IntN(2) == 0 {
--- a/decide/endings_test.go
+++ b/decide/endings_test.go
@@ -37,21 +37,27 @@
 	return !c.attemptEnded[i] || c.codes[i] != Full && c.codes[i] != ConnectFailed && c.codes[i] != Moot
 }
 
-// Whatever order the ends of requests and attempts come in, in virtual time and under random settings: each request gets
-// one final answer, or none once its client has left. Nothing is sent for a request that is over. An unsafe request that
-// may have run is not sent again, and a keyed one only to servers that drop repeats of it. A request is refused only where
-// a repeat does no harm. Once all attempts have ended the module holds nothing of the requests.
+// Whatever order the ends of requests and attempts come in, in virtual time and under random settings: each request
+// gets one final answer, or none once its client has left. Nothing is sent for a request that is over. An unsafe
+// request that may have run is not sent again, and a keyed one only to servers that drop repeats of it. A request is
+// refused only where a repeat does no harm. Once all attempts have ended the module holds nothing of the requests.
 func TestEndingsCross(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		settings := Settings{Nodes: rapid.SampledFrom([]int{1, 3, 40}).Draw(t, "nodes"), Zones: []string{"a", "b"}, Zone: "a", MaxAttempts: rapid.IntRange(0, 5).Draw(t, "attempts"),
-			MayOverlap: rapid.Bool().Draw(t, "overlap"), MayCancel: rapid.Bool().Draw(t, "cancel"), ListOnRequest: rapid.Bool().Draw(t, "ask"), MayProbe: true,
-			ConnectTimeout: 100 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdFrom: 0.3, ColdTime: time.Second, OverloadFactor: 2, OverloadTime: time.Second,
+		settings := Settings{Nodes: rapid.SampledFrom([]int{1, 3, 40}).Draw(t, "nodes"), Zones: []string{"a", "b"},
+			Zone: "a", MaxAttempts: rapid.IntRange(0, 5).Draw(t, "attempts"),
+			MayOverlap: rapid.Bool().Draw(t, "overlap"), MayCancel: rapid.Bool().Draw(t, "cancel"),
+			ListOnRequest: rapid.Bool().Draw(t, "ask"), MayProbe: true,
+			ConnectTimeout: 100 * time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdFrom: 0.3,
+			ColdTime: time.Second, OverloadFactor: 2, OverloadTime: time.Second,
 			MaxListRequestInterval: 10 * time.Second}
 		for i := range rapid.IntRange(1, 4).Draw(t, "classes") {
-			class := Class{Name: fmt.Sprint("c", i), Worth: 1, Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")), KeyScope: Scope(rapid.IntRange(0, 2).Draw(t, "scope")),
-				Deadline: rapid.SampledFrom([]time.Duration{150 * time.Millisecond, 900 * time.Millisecond, 8 * time.Second}).Draw(t, "deadline")}
-			class.Aim, class.DedupWindow = class.Deadline/2, rapid.SampledFrom([]time.Duration{50 * time.Millisecond, time.Second, 8 * time.Second}).Draw(t, "window")
+			class := Class{Name: fmt.Sprint("c", i), Worth: 1, Effect: Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
+				KeyScope: Scope(rapid.IntRange(0, 2).Draw(t, "scope")),
+				Deadline: rapid.SampledFrom([]time.Duration{150 * time.Millisecond, 900 * time.Millisecond,
+					8 * time.Second}).Draw(t, "deadline")}
+			class.Aim, class.DedupWindow = class.Deadline/2, rapid.SampledFrom([]time.Duration{50 * time.Millisecond,
+				time.Second, 8 * time.Second}).Draw(t, "window")
 			settings.Classes = append(settings.Classes, class)
 		}
 		module := New(settings, 1)
@@ -84,12 +90,15 @@
 							continue
 						}
 						earlier := request.servers[i]
-						if request.class.Effect == Unsafe || now >= request.sentAt[i]+request.class.DedupWindow || request.class.KeyScope == ScopeCell && earlier.Cell != server.Cell ||
+						if request.class.Effect == Unsafe || now >= request.sentAt[i]+request.class.DedupWindow ||
+							request.class.KeyScope == ScopeCell && earlier.Cell != server.Cell ||
 							request.class.KeyScope == ScopeZone && earlier.Zone != server.Zone {
-							t.Fatalf("%s, %v, may have run at %v, and is sent to %v", a.ID, request.class, earlier, server)
+							t.Fatalf("%s, %v, may have run at %v, and is sent to %v", a.ID, request.class, earlier,
+								server)
 						}
 					}
-					request.sentAt, request.servers, request.attemptEnded, request.codes = append(request.sentAt, now), append(request.servers, server), append(request.attemptEnded, false), append(request.codes, OK)
+					request.sentAt, request.servers, request.attemptEnded, request.codes = append(request.sentAt, now),
+						append(request.servers, server), append(request.attemptEnded, false), append(request.codes, OK)
 				case Refuse, Fail:
 					refusal, refused := action.(Refuse)
 					failure, _ := action.(Fail)
@@ -99,7 +108,8 @@
 						t.Fatalf("%s is over, and gets %#v", id, a)
 					}
 					for i := range request.sentAt {
-						if refused && request.mayHaveRun(i) && (request.class.Effect == Unsafe || request.class.Effect == Keyed && request.class.KeyScope != ScopeAll) {
+						if refused && request.mayHaveRun(i) && (request.class.Effect == Unsafe ||
+							request.class.Effect == Keyed && request.class.KeyScope != ScopeAll) {
 							t.Fatalf("%s, %v, may have run and is refused", id, request.class)
 						}
 					}
@@ -118,7 +128,8 @@
 				request.finalAnswers, request.closed = request.finalAnswers+1, true
 			}
 			request.attemptEnded[i], request.codes[i] = true, code
-			handle(AttemptEnded{ID: id, Attempt: i, Server: request.servers[i].ID, RequestDone: request.closed, Elapsed: now - request.sentAt[i], Code: code})
+			handle(AttemptEnded{ID: id, Attempt: i, Server: request.servers[i].ID, RequestDone: request.closed,
+				Elapsed: now - request.sentAt[i], Code: code})
 		}
 		for n := range rapid.IntRange(5, 120).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond
@@ -137,7 +148,8 @@
 				handle(RequestArrived{ID: id, Class: class.Name, Patience: class.Deadline})
 			case kind <= 5 && len(withOpenAttempts) > 0:
 				id := rapid.SampledFrom(withOpenAttempts).Draw(t, "request")
-				endAttempt(id, rapid.SampledFrom(requests[id].openAttempts()).Draw(t, "attempt"), OutcomeCode(rapid.IntRange(int(OK), int(Moot)).Draw(t, "code")))
+				endAttempt(id, rapid.SampledFrom(requests[id].openAttempts()).Draw(t, "attempt"),
+					OutcomeCode(rapid.IntRange(int(OK), int(Moot)).Draw(t, "code")))
 			case kind == 6 && len(requestIDs) > 0: // the client leaves, perhaps after its answer
 				id := rapid.SampledFrom(requestIDs).Draw(t, "request")
 				requests[id].closed, requests[id].abandoned = true, true
@@ -147,10 +159,12 @@
 				if request := requests[id]; !request.closed {
 					i := request.openAttempts()[0]
 					request.closed, request.streaming, request.finalAnswers = true, true, request.finalAnswers+1
-					handle(StreamStarted{ID: id, Attempt: i, Server: request.servers[i].ID, Elapsed: now - request.sentAt[i]})
+					handle(StreamStarted{ID: id, Attempt: i, Server: request.servers[i].ID,
+						Elapsed: now - request.sentAt[i]})
 				}
 			case kind == 8:
-				server := Server{ID: ServerID(rapid.IntRange(1, 6).Draw(t, "server")), Zone: rapid.SampledFrom(settings.Zones).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
+				server := Server{ID: ServerID(rapid.IntRange(1, 6).Draw(t, "server")),
+					Zone: rapid.SampledFrom(settings.Zones).Draw(t, "zone"), Cell: rapid.IntRange(0, 1).Draw(t, "cell"),
 					State: ServerState(rapid.IntRange(0, 2).Draw(t, "state"))}
 				if earlier, ok := listed[server.ID]; ok {
 					server.Zone, server.Cell = earlier.Zone, earlier.Cell // a server does not move
@@ -187,7 +201,8 @@
 			}
 		}
 		for _, id := range requestIDs {
-			if request := requests[id]; !request.closed || request.finalAnswers > 1 || request.finalAnswers == 0 && !request.abandoned {
+			if request := requests[id]; !request.closed || request.finalAnswers > 1 ||
+				request.finalAnswers == 0 && !request.abandoned {
 				t.Fatalf("%s: over %v, %d final answers", id, request.closed, request.finalAnswers)
 			}
 		}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -11,7 +11,8 @@
 func Example() {
 	m := decide.New(decide.Settings{
 		Nodes: 1, MaxAttempts: 3, ColdFrom: 0.5, ColdTime: 5 * time.Second,
-		Classes: []decide.Class{{Name: "page", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: decide.Safe}},
+		Classes: []decide.Class{{Name: "page", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second,
+			Effect: decide.Safe}},
 	}, 1)
 	clock := 10 * time.Second
 	m.Handle(clock, decide.ListUpdate{Kind: decide.ListCached, Entries: []decide.Server{{ID: 7, State: decide.Ready}}})
--- a/decide/foreign_test.go
+++ b/decide/foreign_test.go
@@ -8,8 +8,10 @@
 
 // Requests that another site hands over get spare capacity only. At a load that leaves headroom they are served. In an
 // overload they are refused, whatever their worth, and the site's own requests are served as well as without them.
+// Guards against work from other sites that displaces the site's own.
 func TestHandedOffRequestsNeverDisplaceOwn(t *testing.T) {
-	runLoad := func(own, handedOff float64) (ownWithinAim, ownArrived, handedOffServed, handedOffArrived int, headroom float64) {
+	runLoad := func(own, handedOff float64) (ownWithinAim, ownArrived, handedOffServed, handedOffArrived int,
+		headroom float64) {
 		simulation := newNodeSimulation(singleNodeSettings(), 8)
 		simulation.stepCost, simulation.coresPerServer = 10*time.Microsecond, 2
 		simulation.workOf = func(ServerID, string) time.Duration { return 4 * time.Millisecond }
@@ -38,15 +40,15 @@
 	alone, arrived, _, _, _ := runLoad(1.3, 0)
 	beside, arrivedBeside, served, _, headroom := runLoad(1.3, 0.4)
 	if got, want := float64(beside)/float64(arrivedBeside), float64(alone)/float64(arrived); got < want-0.03 {
-		t.Errorf("own served %.3f in time, %.3f without requests from elsewhere (%d of those served)", got, want, served)
+		t.Errorf("own served %.3f in time, %.3f without hand-offs (%d hand-offs served)", got, want, served)
 	}
 	if headroom > 30 {
 		t.Errorf("headroom %.1f in an overload", headroom)
 	}
 }
 
-// sendHandedOff has requests from another site arrive at random times for a period, and counts them apart from the site's
-// own: those that arrive, and those that are served.
+// sendHandedOff has requests from another site arrive at random times for a period, and counts them apart from the
+// site's own: those that arrive, and those that are served.
 func (v *nodeSimulation) sendHandedOff(rate float64, length time.Duration, class string, served, arrived *int) {
 	sent := 0
 	for t := v.now; t < v.now+length; t += time.Duration(v.random.ExpFloat64() / rate * float64(time.Second)) {
@@ -64,9 +66,9 @@
 	}
 }
 
-// Guards against requests from other sites at a node that refuses nobody, while another node of its site must refuse the
-// site's own requests. The overloaded node notifies the others, and they take nothing from other sites until a second after
-// the last notice. Notices are rare, and there are none where no other site hands work over.
+// Guards against requests from other sites at a node that refuses nobody, while another node of its site must refuse
+// the site's own requests. The overloaded node notifies the others, and they take nothing from other sites until a
+// second after the last notice. Notices are rare, and there are none where no other site hands work over.
 func TestOverloadedNodesNotifyTheOthers(t *testing.T) {
 	settings := func(self int, notify bool) Settings {
 		s := singleNodeSettings()
@@ -76,7 +78,8 @@
 	noticesOf := func(notify bool) (notices []SendMessage) {
 		module := New(settings(0, notify), 7) // it knows no server, and refuses every request
 		for i := range 500 {
-			for _, a := range module.Handle(time.Hour+Time(i)*time.Millisecond, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: time.Second}) {
+			for _, a := range module.Handle(time.Hour+Time(i)*time.Millisecond,
+				RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: time.Second}) {
 				if w, ok := a.(SendMessage); ok {
 					notices = append(notices, w)
 				}
@@ -109,7 +112,7 @@
 		t.Fatal("nothing taken with capacity to spare")
 	}
 	simulation.handle(MessageReceived{From: 0, Data: []byte("something else")})
-	simulation.handle(MessageReceived{From: 1, Data: notices[0].Data}) // its own notice, as when it is sent to a broadcast address
+	simulation.handle(MessageReceived{From: 1, Data: notices[0].Data}) // its own notice, as of a broadcast
 	if !served() {
 		t.Error("a datagram without meaning keeps work from other sites out")
 	}
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// The module is to be ported to other languages by hand. So each of its files, and each line of the files that decide, must
-// be short enough to be read in one go. The operators' limit on the lines of all files together no longer holds (incident
-// 44).
+// The module is to be ported to other languages by hand. So each of its files, and each line of the files that decide,
+// must be short enough to be read in one go. The operators' limit on the lines of all files together no longer holds
+// (incident 44).
 func TestModuleLimits(t *testing.T) {
 	const maxLines, maxColumns = 1200, 110
 	files, err := filepath.Glob("*.go")
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -1,21 +1,21 @@
 package decide
 
-// These tests guard against requests by an expired list: a process counts as notified of a change 6 s after discovery had
-// the change and could be reached, whatever became of the process's list requests, and must not go on sending by an older
-// list.
+// These tests guard against requests by an expired list: a process counts as notified of a change 6 s after discovery
+// had the change and could be reached, whatever became of the process's list requests, and must not go on sending by an
+// older list.
 //
 // How it came about, in a fleet of 300 processes: a reload moved discovery to another address, which ended a process's
 // watch. The first list request there was spread over 3.9 s. It then waited 2 s in discovery's queue in vain, as many
-// processes had been reloaded, and the next one was delayed again: the first answer came 8.6 s after the reload. A server
-// had begun to drain 0.7 s after the reload, and requests went to it up to 0.64 s after the process counted as notified.
-// (In discovery's log: answers at 9.0 s with version 5 and at 18.7 s with version 15, the reload at 10.1 s, the change at
-// 10.84 s; the process counted as notified at 16.84 s.)
+// processes had been reloaded, and the next one was delayed again: the first answer came 8.6 s after the reload. A
+// server had begun to drain 0.7 s after the reload, and requests went to it up to 0.64 s after the process counted as
+// notified. (In discovery's log: answers at 9.0 s with version 5 and at 18.7 s with version 15, the reload at 10.1 s,
+// the change at 10.84 s; the process counted as notified at 16.84 s.)
 //
 // The cause: nothing bounded the use of a list that no watch keeps up to date, and the waits before a request, in
 // discovery's queue and after a failure were chosen in three places, independently of one another.
 //
-// The tests run modules against a model of discovery, in virtual time, through random sequences of such events, and check
-// every request that the modules send.
+// The tests run modules against a model of discovery, in virtual time, through random sequences of such events, and
+// check every request that the modules send.
 
 import (
 	"fmt"
@@ -25,7 +25,7 @@
 )
 
 const (
-	notifyBound      = 6 * time.Second        // from a change, with discovery reachable, until a process counts as notified
+	notifyBound      = 6 * time.Second        // from a change, if discovery is reachable, until a process is notified
 	listSendGrace    = 550 * time.Millisecond // for which requests may still go to a draining server after that
 	listWorldStep    = 25 * time.Millisecond  // of virtual time
 	clientInterval   = 100 * time.Millisecond // between two clients' requests at a process
@@ -33,8 +33,8 @@
 	assumedDownAfter = 9 * time.Second        // a process that has had no answer for so long may take discovery for down
 )
 
-// listWorld is a model of discovery, and the nodes whose processes request the list from it. Discovery works through its
-// calls in turn.
+// listWorld is a model of discovery, and the nodes whose processes request the list from it. Discovery works through
+// its calls in turn.
 type listWorld struct {
 	now               time.Duration
 	random            *rand.Rand
@@ -55,14 +55,14 @@
 	drainingSince     []time.Duration // when each server began to drain; 0: it is ready
 	openCalls         []discoveryCall // calls under way
 
-	sent, refused, expiredSends int    // requests of clients; late: those sent by an expired list
-	firstExpiredSend            string // describes the first of these
+	sent, refused, expiredSends int    // clients' requests; expiredSends: those sent by an expired list
+	firstExpiredSend            string // describes the first expired send
 }
 
 // listNode is a node and the process that it runs.
 type listNode struct {
 	module           *Module
-	generation       int             // of its connections to discovery: ends of calls of an earlier generation are dropped
+	generation       int             // of its calls: the ends of calls of an earlier one are dropped
 	startedAt        time.Duration   // of this process
 	hasAnswer        bool            // this process has had an answer from discovery
 	calling          bool            // a list request is under way
@@ -92,11 +92,13 @@
 
 // newListWorld starts a fleet of nodes. A round is the time in which discovery can answer one call of each.
 func newListWorld(nodes int, round time.Duration, peers bool, seed int64) *listWorld {
-	world := &listWorld{now: time.Second, random: rand.New(rand.NewSource(seed)), nodes: make([]listNode, nodes), workPerCall: min(round/time.Duration(nodes), maxCallWork), slowdown: 1}
+	world := &listWorld{now: time.Second, random: rand.New(rand.NewSource(seed)), nodes: make([]listNode, nodes),
+		workPerCall: min(round/time.Duration(nodes), maxCallWork), slowdown: 1}
 	world.worksOnExpired, world.peerMessages, world.queueStaysShort = seed%2 == 0, peers, round <= time.Second
 	world.drainingSince = make([]time.Duration, max(16, nodes/2))
 	for i := range world.nodes {
-		world.nodes[i].list, world.nodes[i].notifiedAt = world.currentList(), make([]time.Duration, len(world.drainingSince))
+		world.nodes[i].list, world.nodes[i].notifiedAt = world.currentList(), make([]time.Duration,
+			len(world.drainingSince))
 		world.startProcess(i)
 	}
 	return world
@@ -118,7 +120,9 @@
 func (w *listWorld) startProcess(i int) {
 	node := &w.nodes[i]
 	settings := fleetSettings(i % 3)
-	settings.Nodes, settings.Self, settings.ListOnRequest, settings.MaxListRequestInterval, settings.MayMessage, settings.MayProbe, settings.NotifiedWithin = len(w.nodes), i, true, 10*time.Second, w.peerMessages, false, notifyBound
+	settings.Nodes, settings.Self, settings.ListOnRequest, settings.MaxListRequestInterval, settings.MayMessage,
+		settings.MayProbe, settings.NotifiedWithin =
+		len(w.nodes), i, true, 10*time.Second, w.peerMessages, false, notifyBound
 	node.module, node.startedAt, node.hasAnswer = New(settings, w.random.Int63()), w.now, false
 	node.calling, node.watching = false, false
 	node.generation++
@@ -153,25 +157,29 @@
 
 // sendMessage delivers a readiness query or report to another node in the next step. One in eight is lost.
 func (w *listWorld) sendMessage(from int, message SendMessage) {
-	if !message.ToAll && message.To != from && (message.Data[0] == queryMark || message.Data[0] == readinessMark) && w.random.Intn(8) > 0 {
+	if !message.ToAll && message.To != from && (message.Data[0] == queryMark || message.Data[0] == readinessMark) &&
+		w.random.Intn(8) > 0 {
 		w.messages = append(w.messages, listMessage{from, message.To, message.Data})
 	}
 }
 
-// checkSend checks that a request is not sent to a server of which the node counts as notified that it drains. A process
-// that has had no answer for assumedDownAfter may use the list of its configuration.
+// checkSend checks that a request is not sent to a server of which the node counts as notified that it drains. A
+// process that has had no answer for assumedDownAfter may use the list of its configuration.
 func (w *listWorld) checkSend(i int, send Send) {
 	node := &w.nodes[i]
 	w.sent++
-	if at, bound := w.notifiedSince(node, int(send.Server)-1); bound && w.now > at+listSendGrace && (node.hasAnswer || w.now < node.startedAt+assumedDownAfter) {
+	if at, bound := w.notifiedSince(node, int(send.Server)-1); bound && w.now > at+listSendGrace &&
+		(node.hasAnswer || w.now < node.startedAt+assumedDownAfter) {
 		if w.expiredSends++; w.firstExpiredSend == "" {
-			w.firstExpiredSend = fmt.Sprintf("node %d, started at %v, sends to server %d at %v, %v after it counted as notified", i, node.startedAt, send.Server, w.now, w.now-at)
+			w.firstExpiredSend = fmt.Sprintf(
+				"node %d, started at %v, sends to server %d at %v, %v after it counted as notified",
+				i, node.startedAt, send.Server, w.now, w.now-at)
 		}
 	}
 }
 
-// notifiedSince is the time since when a node counts as notified that a server drains, and whether there is one: that of
-// the answer which said so, else notifyBound after the server began to drain and discovery was reachable.
+// notifiedSince is the time since when a node counts as notified that a server drains, and whether there is one: that
+// of the answer which said so, else notifyBound after the server began to drain and discovery was reachable.
 func (w *listWorld) notifiedSince(node *listNode, server int) (time.Duration, bool) {
 	at := w.drainingSince[server]
 	if at == 0 {
@@ -271,8 +279,9 @@
 	w.handle(i, ListUpdate{Kind: ListFailed, Cause: cause})
 }
 
-// drainSome has up to an eighth of the servers begin to drain, and sends the change to all nodes with a watch. No server
-// becomes ready again, so that each drain is checked to the end of the run. At least half of the servers stay ready.
+// drainSome has up to an eighth of the servers begin to drain, and sends the change to all nodes with a watch. No
+// server becomes ready again, so that each drain is checked to the end of the run. At least half of the servers stay
+// ready.
 func (w *listWorld) drainSome() {
 	drained := 0
 	for _, at := range w.drainingSince {
@@ -347,7 +356,8 @@
 
 // run simulates a period of time with a random sequence of events.
 func (w *listWorld) run(length time.Duration) {
-	kinds := []string{"restart", "reload", "reload", "broken", "slow", "back to speed", "change", "change", "silent", "cut", "down"}
+	kinds := []string{"restart", "reload", "reload", "broken", "slow", "back to speed", "change", "change", "silent",
+		"cut", "down"}
 	end := w.now + length
 	next := w.now + 3*time.Second
 	for ; w.now < end; w.now += listWorldStep {
@@ -359,7 +369,8 @@
 	}
 }
 
-// step simulates what happens in one step: ends of outages and calls, messages, and each node's tick and client requests.
+// step simulates what happens in one step: ends of outages and calls, messages, and each node's tick and client
+// requests.
 func (w *listWorld) step() {
 	if w.down && w.now >= w.outageEndsAt {
 		w.down, w.lastOutageEndedAt = false, w.now
@@ -406,15 +417,16 @@
 	}
 }
 
-// runListWorlds simulates worlds of a kind with several seeds. None may send by an expired list, and at least half of all
-// requests must be sent to a server.
+// runListWorlds simulates worlds of a kind with several seeds. None may send by an expired list, and at least half of
+// all requests must be sent to a server.
 func runListWorlds(t *testing.T, nodes int, round time.Duration, peers bool) {
 	sent, refused := 0, 0
 	for seed := range int64(min(20, 300/nodes+1)) {
 		world := newListWorld(nodes, round, peers, 100*int64(nodes)+seed)
 		world.run(25 * time.Second)
 		if world.expiredSends > 0 {
-			t.Errorf("seed %d: %d requests by an expired list, the first: %s", seed, world.expiredSends, world.firstExpiredSend)
+			t.Errorf("seed %d: %d requests by an expired list, the first: %s", seed, world.expiredSends,
+				world.firstExpiredSend)
 		}
 		sent, refused = sent+world.sent, refused+world.refused
 	}
@@ -425,10 +437,10 @@
 }
 
 // No process sends by an expired list: not one that has just started, whatever became of its list requests, and however
-// many processes send such requests beside it. And most client requests are served all the same. One case is left out: an
-// outage of discovery followed by congestion, where nodes can't send one another messages. Calls time out or are refused
-// in both, so that a process by itself can't see that the outage is over, and takes discovery for down until the
-// congestion ends.
+// many processes send such requests beside it. And most client requests are served all the same. One case is left out:
+// an outage of discovery followed by congestion, where nodes can't send one another messages. Calls time out or are
+// refused in both, so that a process by itself can't see that the outage is over, and takes discovery for down until
+// the congestion ends.
 func TestNothingIsSentByAListThatIsTooOld(t *testing.T) {
 	t.Parallel()
 	for _, nodes := range []int{1, 5, 30, 300, 900} {
@@ -446,9 +458,9 @@
 	}
 }
 
-// Guards against a successor that uses the list it was handed for too long. A process takes over from another one, which is
-// notified of a drain a moment later and ends. That notification counts for the whole node, but the successor's own list
-// requests time out in discovery's queue. So the list that was handed over is valid for 2 s only.
+// Guards against a successor that uses the list it was handed for too long. A process takes over from another one,
+// which is notified of a drain a moment later and ends. That notification counts for the whole node, but the
+// successor's own list requests time out in discovery's queue. So the list that was handed over is valid for 2 s only.
 func TestSuccessorDoesNotOutliveWhatItWasHanded(t *testing.T) {
 	t.Parallel()
 	settings := fleetSettings(0)
@@ -478,7 +490,8 @@
 		successor.Handle(now, TimerFired{})
 	}
 	for i := range 10 {
-		for _, a := range successor.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "safe", Patience: time.Second}) {
+		for _, a := range successor.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "safe",
+			Patience: time.Second}) {
 			if s, ok := a.(Send); ok {
 				t.Errorf("sent to server %d, 2 s after the list was handed over", s.Server)
 			}
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -28,8 +28,9 @@
 	return list
 }
 
-// runTraffic simulates some seconds of traffic at one node, four requests per second, each answered after the given latency
-// and with the given report. It returns how many requests of each class were sent to a server, and the time at the end.
+// runTraffic simulates some seconds of traffic at one node, four requests per second, each answered after the given
+// latency and with the given report. It returns how many requests of each class were sent to a server, and the time at
+// the end.
 func runTraffic(module *Module, from Time, seconds int, latency time.Duration, report *Report) (map[string]int, Time) {
 	sent, id := map[string]int{}, 0
 	now := from
@@ -50,10 +51,12 @@
 		}
 		id++
 		class := []string{"dear", "cheap"}[id%2]
-		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, id)), Class: class, Patience: 2 * time.Second}) {
+		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, id)), Class: class,
+			Patience: 2 * time.Second}) {
 			if send, ok := a.(Send); ok {
 				sent[class]++
-				outcomes = append(outcomes, due{now + latency, AttemptEnded{ID: send.ID, Server: send.Server, RequestDone: true, Elapsed: latency, Report: report}})
+				outcomes = append(outcomes, due{now + latency, AttemptEnded{ID: send.ID, Server: send.Server,
+					RequestDone: true, Elapsed: latency, Report: report}})
 			}
 		}
 	}
@@ -99,9 +102,9 @@
 	}
 }
 
-// A node of a large fleet, whose own count of requests in flight at a server is nearly always 0, sheds by delay. In light
-// load nothing is shed; in an overload the class of low worth is, and in a heavier one also part of the class of high
-// worth. What the node has learned of the overload lapses, so that it does not refuse requests for ever.
+// A node of a large fleet, whose own count of requests in flight at a server is nearly always 0, sheds by delay. In
+// light load nothing is shed; in an overload the class of low worth is, and in a heavier one also part of the class of
+// high worth. What the node has learned of the overload lapses, so that it does not refuse requests for ever.
 func TestLowTrafficNodeShedsByDelayAndRecovers(t *testing.T) {
 	module := New(lowTrafficSettings(600), 3)
 	module.Handle(time.Hour, cachedServerList(180))
@@ -142,8 +145,8 @@
 	}
 }
 
-// A server is ejected after three failed connects in a row, as after other failures. Two may just mean that its connection
-// table is full.
+// A server is ejected after three failed connects in a row, as after other failures. Two may just mean that its
+// connection table is full.
 func TestFailedConnectsCountAsConsecutiveFailures(t *testing.T) {
 	m := New(lowTrafficSettings(600), 1)
 	m.Handle(time.Hour, cachedServerList(1))
@@ -151,7 +154,8 @@
 		id := RequestID(fmt.Sprint(i))
 		now := time.Hour + time.Duration(i)*time.Second
 		m.Handle(now, RequestArrived{ID: id, Class: "dear", Patience: time.Second})
-		m.Handle(now+100*time.Millisecond, AttemptEnded{ID: id, Server: 1, Code: ConnectFailed, Elapsed: 100 * time.Millisecond})
+		m.Handle(now+100*time.Millisecond, AttemptEnded{ID: id, Server: 1, Code: ConnectFailed,
+			Elapsed: 100 * time.Millisecond})
 		if got, want := m.subset[0].ejected, i == 2; got != want {
 			t.Errorf("after %d failed connects: ejected %v", i+1, got)
 		}
--- a/decide/mode_test.go
+++ b/decide/mode_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// An overall drop probability q falls on other requests first (q2), and on priority requests (q1) only for what remains.
+// An overall drop probability q falls on other requests first (q2), and on priority requests (q1) only for what
+// remains.
 func TestShedSplit(t *testing.T) {
 	for _, c := range []struct{ q, n1, n2, q1, q2 float64 }{
 		{0.3, 50, 50, 0, 0.6},  // others suffice
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -25,7 +25,8 @@
 	for seed := int64(1); seed <= 60; seed++ {
 		w := runWorld(seed, 15*time.Second, nil)
 		if len(w.violations) > 0 {
-			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.violations), strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
+			t.Fatalf("seed %d: %d violations, the first:\n%s", seed, len(w.violations),
+				strings.Join(w.violations[:min(5, len(w.violations))], "\n"))
 		}
 	}
 }
@@ -42,7 +43,8 @@
 	})
 }
 
-// Two worlds with the same seed: the same events, in the same order, give the same actions. The module is deterministic.
+// Two worlds with the same seed: the same events, in the same order, give the same actions. The module is
+// deterministic.
 func TestSameEventsSameActions(t *testing.T) {
 	w := newWorld(7)
 	w.run(10*time.Second, arrivalsPerSecond, false)
@@ -58,8 +60,8 @@
 	}
 }
 
-// The checker of world_test.go finds each kind of violation: the module's actions are altered so that they break one rule
-// at a time, and the checker must report that rule.
+// The checker of world_test.go finds each kind of violation: the module's actions are altered so that they break one
+// rule at a time, and the checker must report that rule.
 func TestCheckerCatches(t *testing.T) {
 	perAction := func(change func(*world, decide.Action) []decide.Action) func(*world, []decide.Action) []decide.Action {
 		return func(w *world, in []decide.Action) (out []decide.Action) {
@@ -152,7 +154,8 @@
 		{"its budget is", func(w *world, a decide.Action) []decide.Action {
 			if s, ok := a.(decide.Send); ok {
 				for _, id := range w.serverIDs {
-					if l := w.servers[id]; l.startNotified && l.drainNotifiedAt == 0 && w.now-l.StartedAt < 2*time.Second {
+					if l := w.servers[id]; l.startNotified && l.drainNotifiedAt == 0 &&
+						w.now-l.StartedAt < 2*time.Second {
 						s.Server = id
 					}
 				}
--- a/decide/scale_test.go
+++ b/decide/scale_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Large fleets: the cost of a decision or of a change of the list must not grow with the number of servers, and the data
-// structures that serve this must agree with a scan over all servers.
+// Large fleets: the cost of a decision or of a change of the list must not grow with the number of servers, and the
+// data structures that serve this must agree with a scan over all servers.
 
 // largeFleetSettings are lowTrafficSettings for one node, with a keyed and an unsafe class beside the two safe ones.
 func largeFleetSettings() Settings {
 	settings := lowTrafficSettings(1)
 	settings.Classes = append(settings.Classes,
-		Class{Name: "tag", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Keyed, KeyScope: ScopeCell, DedupWindow: 8 * time.Second},
+		Class{Name: "tag", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Keyed, KeyScope: ScopeCell,
+			DedupWindow: 8 * time.Second},
 		Class{Name: "order", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Unsafe})
 	return settings
 }
@@ -49,7 +50,8 @@
 			if server.pools[byCell] != m.cells[server.Cell] || server.pools[byZone] != m.zones[server.Zone] {
 				return fmt.Errorf("server %d is not in its groups", id)
 			}
-		} else if server.pools[byMode] != nil || server.pools[byCell] != nil || server.pools[byZone] != nil || server.heap != nil || server.inSubset {
+		} else if server.pools[byMode] != nil || server.pools[byCell] != nil || server.pools[byZone] != nil ||
+			server.heap != nil || server.inSubset {
 			return fmt.Errorf("server %d is no longer ready and still in a pool, a heap or the subset", id)
 		}
 		if placed := server.pools[byMode] != nil || server.heap != nil; server.inSubset != placed {
@@ -108,7 +110,8 @@
 				clear(state)
 			}
 			for range random.IntN([]int{3, 40, 400}[random.IntN(3)]) {
-				s := Server{ID: ServerID(1 + random.IntN(300)), Zone: fmt.Sprint(random.IntN(3)), Cell: random.IntN(9), State: ServerState(random.IntN(3))}
+				s := Server{ID: ServerID(1 + random.IntN(300)), Zone: fmt.Sprint(random.IntN(3)), Cell: random.IntN(9),
+					State: ServerState(random.IntN(3))}
 				if random.IntN(4) == 0 {
 					s.StartedAt = now - time.Duration(random.IntN(10))*time.Second
 				}
@@ -137,7 +140,8 @@
 			switch choice := random.IntN(100); {
 			case choice < 45:
 				id++
-				recordSends(module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)), Class: []string{"dear", "cheap", "tag", "order"}[random.IntN(4)],
+				recordSends(module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)),
+					Class:    []string{"dear", "cheap", "tag", "order"}[random.IntN(4)],
 					Patience: 2 * time.Second}))
 			case choice < 85 && len(openAttempts) > 0:
 				i := random.IntN(len(openAttempts))
@@ -147,8 +151,10 @@
 				if random.IntN(3) == 0 {
 					code = OutcomeCode(random.IntN(int(Moot) + 1))
 				}
-				recordSends(module.Handle(now, AttemptEnded{ID: ended.s.ID, Attempt: ended.n, Server: ended.s.Server, RequestDone: code == OK, Code: code,
-					Elapsed: time.Duration(random.IntN(300)) * time.Millisecond, NodeTime: time.Duration(random.IntN(9)) * time.Millisecond}))
+				recordSends(module.Handle(now, AttemptEnded{ID: ended.s.ID, Attempt: ended.n, Server: ended.s.Server,
+					RequestDone: code == OK, Code: code,
+					Elapsed:  time.Duration(random.IntN(300)) * time.Millisecond,
+					NodeTime: time.Duration(random.IntN(9)) * time.Millisecond}))
 			case choice < 97:
 				recordSends(module.Handle(now, TimerFired{}))
 			default:
@@ -210,8 +216,8 @@
 	}
 }
 
-// H is rounded up or down at random, at each node by itself. If all nodes rounded alike, they would send to the same server
-// at the same moment.
+// H is rounded up or down at random, at each node by itself. If all nodes rounded alike, they would send to the same
+// server at the same moment.
 func TestRoundingDiffersBetweenNodes(t *testing.T) {
 	same, sum := 0, 0.0
 	a, b := New(largeFleetSettings(), 1), New(largeFleetSettings(), 2)
@@ -259,7 +265,8 @@
 	classes, tenants := len(module.classes), len(module.tenants)
 	for i := range 20_000 {
 		id := RequestID(fmt.Sprint(i))
-		for _, a := range module.Handle(now, RequestArrived{ID: id, Class: fmt.Sprint("path", i%3000), Tenant: fmt.Sprint("t", i), Key: fmt.Sprint(i),
+		for _, a := range module.Handle(now, RequestArrived{ID: id, Class: fmt.Sprint("path", i%3000),
+			Tenant: fmt.Sprint("t", i), Key: fmt.Sprint(i),
 			Patience: time.Second}) {
 			if s, ok := a.(Send); ok {
 				module.Handle(now, AttemptEnded{ID: id, Server: s.Server, RequestDone: true, Elapsed: time.Millisecond})
@@ -270,8 +277,10 @@
 		}
 	}
 	module.Handle(now+time.Second, TimerFired{})
-	if len(module.classes) != classes || len(module.tenants) != tenants || len(module.classList) != classes+1 || len(module.requests) > 0 || len(module.openRequests) > 0 {
-		t.Errorf("%d classes, %d tenants, %d requests, %d open", len(module.classes), len(module.tenants), len(module.requests), len(module.openRequests))
+	if len(module.classes) != classes || len(module.tenants) != tenants || len(module.classList) != classes+1 ||
+		len(module.requests) > 0 || len(module.openRequests) > 0 {
+		t.Errorf("%d classes, %d tenants, %d requests, %d open", len(module.classes), len(module.tenants),
+			len(module.requests), len(module.openRequests))
 	}
 }
 
@@ -299,8 +308,8 @@
 	return m, now
 }
 
-// A decision, with its outcome and its share of the ticks, allocates little, and not more in a large fleet than in a small
-// one.
+// A decision, with its outcome and its share of the ticks, allocates little, and not more in a large fleet than in a
+// small one.
 func TestDecisionAllocates(t *testing.T) {
 	for _, servers := range []int{12, 1000, 10_000} {
 		m, now := warmedUpModule(servers)
--- a/decide/shared_test.go
+++ b/decide/shared_test.go
@@ -8,12 +8,14 @@
 
 // fleetSettings are those of one of 80 nodes that may probe servers and send one another messages.
 func fleetSettings(self int) Settings {
-	return Settings{Nodes: 80, Self: self, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, MaxAttempts: 4, MayOverlap: true,
-		MayCancel: true, MayProbe: true, MayMessage: true, ReportVia: ReportProbe, ReportFields: []string{"inflight", "queue"},
-		HoldOffs: true, MaxHoldOff: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, MinTick: time.Millisecond,
-		MaxListRequestInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3, ColdTime: 8 * time.Second,
-		OverloadFactor: 2.5, OverloadTime: time.Second,
-		Classes: []Class{{Name: "dear", Worth: 12, Aim: 800 * time.Millisecond, Deadline: 1600 * time.Millisecond, Effect: Safe},
+	return Settings{Nodes: 80, Self: self, Zone: "a", Zones: []string{"a"}, Kinds: []string{"k"}, MaxAttempts: 4,
+		MayOverlap: true, MayCancel: true, MayProbe: true, MayMessage: true, ReportVia: ReportProbe,
+		ReportFields: []string{"inflight", "queue"},
+		HoldOffs:     true, MaxHoldOff: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond, MinTick: time.Millisecond,
+		MaxListRequestInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3,
+		ColdTime: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: time.Second,
+		Classes: []Class{
+			{Name: "dear", Worth: 12, Aim: 800 * time.Millisecond, Deadline: 1600 * time.Millisecond, Effect: Safe},
 			{Name: "cheap", Worth: 1, Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Effect: Safe}}}
 }
 
@@ -66,7 +68,8 @@
 	}
 	served := func() bool {
 		now += time.Millisecond
-		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(now)), Class: "dear", Patience: time.Second}) {
+		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(now)), Class: "dear",
+			Patience: time.Second}) {
 			if _, ok := a.(Send); ok {
 				return true
 			}
@@ -103,8 +106,10 @@
 	module := newSharingNode(t, 0, 8)
 	tag := module.known[1].tag()
 	for _, message := range []MessageReceived{
-		{From: -1, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}}, {From: 80, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}},
-		{From: 0, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}}, {From: 3, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag)}},
+		{From: -1, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}},
+		{From: 80, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}},
+		{From: 0, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag), 200}},
+		{From: 3, Data: []byte{fullCountsMark, byte(tag >> 8), byte(tag)}},
 		{From: 3, Data: nil}, {From: 3, Data: []byte{slotsReportMark}}, {From: 3, Data: slotsReport(99, 3)},
 	} {
 		module.Handle(2*time.Second, message)
@@ -160,7 +165,8 @@
 			id := RequestID(fmt.Sprint(i))
 			var actions []Action
 			if i < 120 {
-				actions = append(actions, sender.Handle(now, RequestArrived{ID: id, Class: "dear", Patience: time.Minute})...)
+				actions = append(actions, sender.Handle(now, RequestArrived{ID: id, Class: "dear",
+					Patience: time.Minute})...)
 			}
 			actions = append(actions, sender.Handle(now, TimerFired{})...)
 			for _, action := range actions {
@@ -175,12 +181,14 @@
 			}
 			if done := open[RequestID(fmt.Sprint(i-10))]; done.ID != "" {
 				delete(open, done.ID)
-				sender.Handle(now, AttemptEnded{ID: done.ID, Server: done.Server, RequestDone: true, Elapsed: 250 * time.Millisecond, Code: OK})
+				sender.Handle(now, AttemptEnded{ID: done.ID, Server: done.Server, RequestDone: true,
+					Elapsed: 250 * time.Millisecond, Code: OK})
 			}
 		}
 		for id, s := range receiver.known {
 			if s.othersInFlight != sender.known[id].n {
-				t.Errorf("every eighth message lost, from the %dth: server %d has %v, the other node counts %v", lost, id, sender.known[id].n, s.othersInFlight)
+				t.Errorf("every eighth message lost, from the %dth: server %d has %v, the other node counts %v", lost,
+					id, sender.known[id].n, s.othersInFlight)
 			}
 		}
 		if messages < 20 || bytes > 30*messages {
@@ -189,9 +197,9 @@
 	}
 }
 
-// Guards against list requests of a whole fleet at the same moment: they all go to one service, where most would time out
-// in its queue. The nodes of a large fleet spread their first requests over seconds, and those whose request has failed
-// spread the next ones, too. Three nodes send theirs within the first second.
+// Guards against list requests of a whole fleet at the same moment: they all go to one service, where most would time
+// out in its queue. The nodes of a large fleet spread their first requests over seconds, and those whose request has
+// failed spread the next ones, too. Three nodes send theirs within the first second.
 func TestListRequestsAreSpread(t *testing.T) {
 	busiestSecond := func(nodes int, fail bool) (perSecond int) {
 		requests := map[int]int{}
@@ -204,7 +212,8 @@
 				for _, a := range module.Handle(now, TimerFired{}) {
 					if _, ok := a.(Subscribe); ok {
 						requests[int(now/time.Second)]++
-						module.Handle(now, ListUpdate{Kind: map[bool]ListKind{true: ListFailed, false: ListChanges}[fail]})
+						module.Handle(now, ListUpdate{
+							Kind: map[bool]ListKind{true: ListFailed, false: ListChanges}[fail]})
 					}
 				}
 			}
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// trainedModule is a module with four servers after ten seconds of traffic with a latency of 100 ms. The last server has
-// failed all its requests and is ejected.
+// trainedModule is a module with four servers after ten seconds of traffic with a latency of 100 ms. The last server
+// has failed all its requests and is ejected.
 func trainedModule(t *testing.T) (*Module, Time) {
 	t.Helper()
 	module := New(snapshotSettings(), 1)
@@ -27,7 +27,8 @@
 				if s.Server == 4 {
 					code = Reset
 				}
-				module.Handle(now, AttemptEnded{ID: id, Server: s.Server, RequestDone: code == OK, Elapsed: 100 * time.Millisecond, Code: code})
+				module.Handle(now, AttemptEnded{ID: id, Server: s.Server, RequestDone: code == OK,
+					Elapsed: 100 * time.Millisecond, Code: code})
 			}
 		}
 	}
@@ -36,8 +37,9 @@
 }
 
 func snapshotSettings() Settings {
-	return Settings{Nodes: 1, MaxAttempts: 1, MayCancel: true, ConnectTimeout: time.Second, ColdFrom: 0.3, ColdTime: 5 * time.Second,
-		Classes: []Class{{Name: "read", Worth: 1, Aim: 600 * time.Millisecond, Deadline: time.Second, Effect: Safe}}}
+	return Settings{Nodes: 1, MaxAttempts: 1, MayCancel: true, ConnectTimeout: time.Second, ColdFrom: 0.3,
+		ColdTime: 5 * time.Second,
+		Classes:  []Class{{Name: "read", Worth: 1, Aim: 600 * time.Millisecond, Deadline: time.Second, Effect: Safe}}}
 }
 
 func snapshotList() ListUpdate {
@@ -73,11 +75,16 @@
 	predecessor.now = later
 	for id := ServerID(2); id <= 4; id++ {
 		oldServer, newServer := predecessor.known[id], successor.known[id]
-		if want, got := predecessor.highThreshold(oldServer), successor.highThreshold(newServer); math.Abs(got-want) > 0.05*want || got <= fresh.highThreshold(fresh.known[id]) {
-			t.Errorf("server %d: H %v, was %v, %v without a snapshot", id, got, want, fresh.highThreshold(fresh.known[id]))
+		if want, got := predecessor.highThreshold(oldServer),
+			successor.highThreshold(newServer); math.Abs(got-want) > 0.05*want ||
+			got <= fresh.highThreshold(fresh.known[id]) {
+			t.Errorf("server %d: H %v, was %v, %v without a snapshot", id, got, want,
+				fresh.highThreshold(fresh.known[id]))
 		}
-		if oldServer.ejected != newServer.ejected || math.Abs(predecessor.latencyOf(oldServer)-successor.latencyOf(newServer)) > 0.01 {
-			t.Errorf("server %d: ejected %v, latency %v; was %v, %v", id, newServer.ejected, successor.latencyOf(newServer), oldServer.ejected, predecessor.latencyOf(oldServer))
+		if oldServer.ejected != newServer.ejected ||
+			math.Abs(predecessor.latencyOf(oldServer)-successor.latencyOf(newServer)) > 0.01 {
+			t.Errorf("server %d: ejected %v, latency %v; was %v, %v", id, newServer.ejected,
+				successor.latencyOf(newServer), oldServer.ejected, predecessor.latencyOf(oldServer))
 		}
 	}
 	if !successor.known[4].ejected {
@@ -105,15 +112,16 @@
 		corrupt(&snapshot)
 		module := New(snapshotSettings(), 2)
 		module.Handle(now, snapshotList())
-		if err := module.Restore(now, snapshot); err == nil || module.learned || module.answers != 0 || module.known[2].rate != 0 {
+		if err := module.Restore(now, snapshot); err == nil || module.learned || module.answers != 0 ||
+			module.known[2].rate != 0 {
 			t.Errorf("%s: %v, restored: %v", name, err, module.learned)
 		}
 	}
 }
 
 // Guards against a late first list request of a process that takes over from another one, in a fleet of any size. What
-// discovery announces counts for it from 2 s after it begins to serve. When its first request was spread over the time in
-// which those of a whole fleet are spread, it came up to 3.9 s after the start.
+// discovery announces counts for it from 2 s after it begins to serve. When its first request was spread over the time
+// in which those of a whole fleet are spread, it came up to 3.9 s after the start.
 func TestSuccessorRequestsTheListSoon(t *testing.T) {
 	t.Parallel()
 	for seed := range int64(50) {
--- a/decide/suspects_test.go
+++ b/decide/suspects_test.go
@@ -7,8 +7,8 @@
 	"starlingvalve/decide"
 )
 
-// tightSettings have aims of two to four times what a request takes on an idle server, keys that a cell remembers for less
-// than a second, and a slow start of 24 s.
+// tightSettings have aims of two to four times what a request takes on an idle server, keys that a cell remembers for
+// less than a second, and a slow start of 24 s.
 func tightSettings() decide.Settings {
 	s := harnessSettings()
 	s.MaxAttempts, s.MayOverlap = 6, true
@@ -34,9 +34,9 @@
 	return func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return d, decide.OK }
 }
 
-// Guards against refusing everything for ever after a stall in which all servers were ejected. Once they answer again the
-// node must serve again. When trial requests timed out after a third of the aim, which is less than a request takes here,
-// none was ever answered.
+// Guards against refusing everything for ever after a stall in which all servers were ejected. Once they answer again
+// the node must serve again. When trial requests timed out after a third of the aim, which is less than a request takes
+// here, none was ever answered.
 func TestWholeFleetOfOutliersReturns(t *testing.T) {
 	harness := tightHarness(t, 8)
 	harness.outcomeOf = func(decide.ServerID) (time.Duration, decide.OutcomeCode) { return time.Hour, decide.TimedOut }
@@ -87,12 +87,13 @@
 	harness.resetCounts()
 	harness.run(3*time.Second, 60, "booking")
 	if harness.sent[2] == 0 || harness.sent[2] > 30 {
-		t.Errorf("%d of 180 sends went to the server that may be cold; want some, and fewer than its share of 45", harness.sent[2])
+		t.Errorf("%d of 180 sends went to the server that may be cold; want some, and fewer than its share of 45",
+			harness.sent[2])
 	}
 }
 
-// Guards against hardly using a fleet whose servers have all restarted. The budget of a cold server is a part of what warm
-// servers did before: none is warm now, and what the cold ones do is no measure.
+// Guards against hardly using a fleet whose servers have all restarted. The budget of a cold server is a part of what
+// warm servers did before: none is warm now, and what the cold ones do is no measure.
 func TestFleetThatStartsAnewIsUsed(t *testing.T) {
 	harness := tightHarness(t, 8)
 	var restarted []decide.Server
@@ -108,9 +109,9 @@
 	}
 }
 
-// Guards against limits that stay too high when the subset grows. A node that has just started uses a few servers, and gets
-// many answers from each. Later it uses all servers, and gets few from each. The peak rate of the few is then no measure of
-// the requests that a server may hold.
+// Guards against limits that stay too high when the subset grows. A node that has just started uses a few servers, and
+// gets many answers from each. Later it uses all servers, and gets few from each. The peak rate of the few is then no
+// measure of the requests that a server may hold.
 func TestLimitsFollowTheSubset(t *testing.T) {
 	settings := tightSettings()
 	settings.Nodes = 11
@@ -147,8 +148,8 @@
 	}
 }
 
-// Some eight requests that a full server rejects at the same moment count as one full answer. The server is used again soon
-// after, and not after a block that has doubled eight times.
+// Some eight requests that a full server rejects at the same moment count as one full answer. The server is used again
+// soon after, and not after a block that has doubled eight times.
 func TestBurstOfFullAnswersIsOne(t *testing.T) {
 	harness := tightHarness(t, 4)
 	full := harness.now + 100*time.Millisecond
@@ -170,8 +171,8 @@
 	}
 }
 
-// A full answer blocks a server for no longer than a few times what a request takes, here 30 ms, as a place in its queue is
-// free again by then. So a server that rejects one request in four still gets requests.
+// A full answer blocks a server for no longer than a few times what a request takes, here 30 ms, as a place in its
+// queue is free again by then. So a server that rejects one request in four still gets requests.
 func TestFullAnswersCountByTheTimeOfRequests(t *testing.T) {
 	harness := tightHarness(t, 4)
 	harness.outcomeOf = answerAfter(30 * time.Millisecond)
--- a/decide/transfer_test.go
+++ b/decide/transfer_test.go
@@ -52,7 +52,8 @@
 		module.Handle(now, AttemptEnded{ID: id, Server: 1, RequestDone: true, Elapsed: 10 * time.Second, Code: OK})
 	}
 	// A request whose body has been consumed gets no further attempt. As it never ran it may be refused.
-	actions := module.Handle(now, AttemptEnded{ID: "d", Server: 1, Elapsed: time.Second, Code: ConnectFailed, BodyConsumed: true})
+	actions := module.Handle(now, AttemptEnded{ID: "d", Server: 1, Elapsed: time.Second, Code: ConnectFailed,
+		BodyConsumed: true})
 	if len(actions) != 1 {
 		t.Fatalf("body consumed: %+v", actions)
 	}
--- a/decide/wallclock_test.go
+++ b/decide/wallclock_test.go
@@ -5,13 +5,15 @@
 	"time"
 )
 
-// Guards against servers without slow start, or with one that does not end, when a wall clock is wrong. The list gives a
-// server's start by a wall clock, which may have been stepped by an hour in either direction before this process began or
-// since. A start that the previous list did not have yet begins slow start all the same, which ends after ColdTime.
+// Guards against servers without slow start, or with one that does not end, when a wall clock is wrong. The list gives
+// a server's start by a wall clock, which may have been stepped by an hour in either direction before this process
+// began or since. A start that the previous list did not have yet begins slow start all the same, which ends after
+// ColdTime.
 func TestSlowStartThoughTheWallClockWasStepped(t *testing.T) {
 	t.Parallel()
 	const second, hour = time.Second, time.Hour
-	for name, step := range map[string]time.Duration{"none": 0, "an hour ahead": hour, "an hour back": -hour, "seconds ahead": 9 * second, "seconds back": -9 * second} {
+	for name, step := range map[string]time.Duration{"none": 0, "an hour ahead": hour, "an hour back": -hour,
+		"seconds ahead": 9 * second, "seconds back": -9 * second} {
 		settings := fleetSettings(0)
 		settings.ColdFrom, settings.ColdTime = 0.1, 8*second
 		module := New(settings, 1)
--- a/decide/world_test.go
+++ b/decide/world_test.go
@@ -93,7 +93,8 @@
 // sameScope tells whether two servers share their knowledge of keys. The checker has its own implementation of that
 // rule, so that it does not depend on the module's.
 func sameScope(scope decide.Scope, a, b *listedServer) bool {
-	return scope == decide.ScopeAll || scope == decide.ScopeZone && a.Zone == b.Zone || scope == decide.ScopeCell && a.Cell == b.Cell
+	return scope == decide.ScopeAll || scope == decide.ScopeZone && a.Zone == b.Zone ||
+		scope == decide.ScopeCell && a.Cell == b.Cell
 }
 
 // neverRan tells whether an outcome proves that the server did not execute the request.
@@ -130,7 +131,8 @@
 		}
 		if request.class.Effect == decide.Unsafe {
 			w.reportViolation("unsafe request sent again")
-		} else if !sameScope(request.class.KeyScope, server, w.servers[earlier.server]) || w.now > earlier.sentAt+request.class.DedupWindow {
+		} else if !sameScope(request.class.KeyScope, server, w.servers[earlier.server]) ||
+			w.now > earlier.sentAt+request.class.DedupWindow {
 			w.reportViolation("keyed request sent outside its group or window")
 		}
 	}
@@ -144,7 +146,8 @@
 				sentWithinWindow++
 			}
 		}
-		if limit := w.settings.OverloadFactor * capacityPart * w.capacity * w.settings.OverloadTime.Seconds(); float64(sentWithinWindow) > limit+3 {
+		if limit := w.settings.OverloadFactor * capacityPart * w.capacity *
+			w.settings.OverloadTime.Seconds(); float64(sentWithinWindow) > limit+3 {
 			w.reportViolation("cold server %d was sent %d, its budget is %.1f", send.Server, sentWithinWindow, limit)
 		}
 	}
@@ -185,8 +188,8 @@
 			w.reportViolation("forbidden or unknown cancel")
 			return
 		}
-		w.schedule(time.Millisecond, scheduledEvent{id: action.ID, event: decide.AttemptEnded{ID: action.ID, Attempt: action.Attempt,
-			Server: request.attempts[action.Attempt].server, Code: decide.Cancelled}})
+		w.schedule(time.Millisecond, scheduledEvent{id: action.ID, event: decide.AttemptEnded{ID: action.ID,
+			Attempt: action.Attempt, Server: request.attempts[action.Attempt].server, Code: decide.Cancelled}})
 	case decide.Probe:
 		if !w.settings.MayProbe {
 			w.reportViolation("forbidden probe")
@@ -240,18 +243,19 @@
 		code, took = decide.TimedOut, limit
 	}
 	if request.class.Streamed && code == decide.OK && took > 10*time.Millisecond && w.random.Intn(2) == 0 {
-		w.schedule(took/2, scheduledEvent{event: decide.StreamStarted{ID: send.ID, Attempt: attempt, Server: send.Server, Elapsed: took / 2}})
+		w.schedule(took/2, scheduledEvent{event: decide.StreamStarted{ID: send.ID, Attempt: attempt,
+			Server: send.Server, Elapsed: took / 2}})
 	}
 	var report *decide.Report
 	if w.random.Intn(3) == 0 {
 		report = &decide.Report{InFlight: float64(w.random.Intn(30)), HasInFlight: w.random.Intn(4) > 0}
 	}
-	w.schedule(took, scheduledEvent{id: send.ID, event: decide.AttemptEnded{ID: send.ID, Attempt: attempt, Server: send.Server, Elapsed: took,
-		Code: code, Report: report}})
+	w.schedule(took, scheduledEvent{id: send.ID, event: decide.AttemptEnded{ID: send.ID, Attempt: attempt,
+		Server: send.Server, Elapsed: took, Code: code, Report: report}})
 }
 
-// deliver passes a scheduled event to the module as a network would: one outcome for each attempt, and none for a request
-// that the node no longer knows.
+// deliver passes a scheduled event to the module as a network would: one outcome for each attempt, and none for a
+// request that the node no longer knows.
 func (w *world) deliver(scheduled scheduledEvent) {
 	switch event := scheduled.event.(type) {
 	case decide.AttemptEnded:
@@ -339,8 +343,8 @@
 	w.handle(decide.ListUpdate{Kind: kind, Entries: entries})
 }
 
-// changeList makes one random change: a server drains, is removed, restarts or is added; or the whole list comes again, or
-// discovery fails.
+// changeList makes one random change: a server drains, is removed, restarts or is added; or the whole list comes again,
+// or discovery fails.
 func (w *world) changeList() {
 	server := w.servers[w.serverIDs[w.random.Intn(len(w.serverIDs))]].Server
 	switch w.random.Intn(6) {
@@ -387,12 +391,14 @@
 	w.applyList(decide.ListCached, all)
 }
 
-// run simulates a period of time with so many arrivals per second. The node may be restarted during it if restarts is set.
+// run simulates a period of time with so many arrivals per second. The node may be restarted during it if restarts is
+// set.
 func (w *world) run(length time.Duration, rate float64, restarts bool) {
 	const step = 5 * time.Millisecond
 	for end := w.now + length; w.now < end; w.now += step {
 		sort.SliceStable(w.queue, func(i, j int) bool {
-			return w.queue[i].at < w.queue[j].at || w.queue[i].at == w.queue[j].at && w.queue[i].sequence < w.queue[j].sequence
+			return w.queue[i].at < w.queue[j].at ||
+				w.queue[i].at == w.queue[j].at && w.queue[i].sequence < w.queue[j].sequence
 		})
 		for len(w.queue) > 0 && w.queue[0].at <= w.now {
 			event := w.queue[0]
@@ -422,17 +428,21 @@
 // newWorld draws settings and classes at random, within what the interface permits, and starts the node.
 func newWorld(seed int64) *world {
 	random := rand.New(rand.NewSource(seed))
-	w := &world{random: random, now: time.Hour, servers: map[decide.ServerID]*listedServer{}, sendTimes: map[decide.ServerID][]time.Duration{}}
+	w := &world{random: random, now: time.Hour, servers: map[decide.ServerID]*listedServer{},
+		sendTimes: map[decide.ServerID][]time.Duration{}}
 	randomMillis := func(lo, hi int) time.Duration { return time.Duration(lo+random.Intn(hi-lo)) * time.Millisecond }
-	w.settings = decide.Settings{Nodes: 1 + random.Intn(6), Zone: "z0", MaxAttempts: 1 + random.Intn(5), MayOverlap: random.Intn(2) == 0,
-		MayCancel: random.Intn(3) > 0, MayProbe: random.Intn(2) == 0, MayMessage: random.Intn(2) == 0, HoldOffs: random.Intn(2) == 0,
+	w.settings = decide.Settings{Nodes: 1 + random.Intn(6), Zone: "z0", MaxAttempts: 1 + random.Intn(5),
+		MayOverlap: random.Intn(2) == 0, MayCancel: random.Intn(3) > 0, MayProbe: random.Intn(2) == 0,
+		MayMessage: random.Intn(2) == 0, HoldOffs: random.Intn(2) == 0,
 		MaxHoldOff: time.Second, ConnectTimeout: 100 * time.Millisecond, MinTick: 5 * time.Millisecond,
 		ListOnRequest: random.Intn(2) == 0, AnswerSlack: 20 * time.Millisecond, MaxListRequestInterval: 10 * time.Second,
-		DrainGrace: randomMillis(0, 1000), ColdFrom: 0.3, ColdTime: randomMillis(3000, 9000), OverloadFactor: 2.5, OverloadTime: time.Second}
+		DrainGrace: randomMillis(0, 1000), ColdFrom: 0.3, ColdTime: randomMillis(3000, 9000), OverloadFactor: 2.5,
+		OverloadTime: time.Second}
 	for i, n := 0, 1+random.Intn(4); i < n; i++ {
 		aim := randomMillis(100, 1500)
-		w.settings.Classes = append(w.settings.Classes, decide.Class{Name: fmt.Sprint("c", i), Worth: float64(random.Intn(13)), Aim: aim,
-			Deadline: 2*aim + randomMillis(0, 2000), LateWorth: float64(random.Intn(2)) / 2, Effect: decide.Effect(random.Intn(3)),
+		w.settings.Classes = append(w.settings.Classes, decide.Class{Name: fmt.Sprint("c", i),
+			Worth: float64(random.Intn(13)), Aim: aim, Deadline: 2*aim + randomMillis(0, 2000),
+			LateWorth: float64(random.Intn(2)) / 2, Effect: decide.Effect(random.Intn(3)),
 			KeyScope: decide.Scope(random.Intn(3)), DedupWindow: randomMillis(100, 4000), Streamed: random.Intn(4) == 0})
 	}
 	if random.Intn(3) == 0 {
