--- a/decide/asking_test.go
+++ b/decide/asking_test.go
@@ -31,18 +31,18 @@
 	discovery.calls, discovery.expired, discovery.refused = 0, 0, 0
 	fleet.run(discovery.backAt)
 	for fleet.now < discovery.backAt+atMost && slices.ContainsFunc(fleet.nodes,
-		func(node subscribingNode) bool { return node.followedAt == 0 }) {
+		func(node subscribingNode) bool { return node.appliedAt == 0 }) {
 		fleet.run(fleet.now + time.Second)
 	}
-	var followTimes []time.Duration
+	var applyTimes []time.Duration
 	for _, node := range fleet.nodes {
-		if node.followedAt == 0 {
-			node.followedAt = fleet.now
+		if node.appliedAt == 0 {
+			node.appliedAt = fleet.now
 		}
-		followTimes = append(followTimes, node.followedAt-discovery.backAt)
+		applyTimes = append(applyTimes, node.appliedAt-discovery.backAt)
 	}
-	slices.Sort(followTimes)
-	return followTimes
+	slices.Sort(applyTimes)
+	return applyTimes
 }
 
 // Guards against long waits between list requests. Every node must apply a change within 6 s of the moment at which
@@ -173,12 +173,12 @@
 	for seed := range int64(1) {
 		discovery := &queuedDiscovery{workPerCall: callRound(8 * time.Second).perCall(300), overbook: 3,
 			fault: faultRefused}
-		followTimes := runOutage(300, 10*time.Second, discovery, 8*time.Second, atMost, seed)
-		if last := followTimes[len(followTimes)-1]; last > atMost*2/3 {
+		applyTimes := runOutage(300, 10*time.Second, discovery, 8*time.Second, atMost, seed)
+		if last := applyTimes[len(applyTimes)-1]; last > atMost*2/3 {
 			t.Errorf("seed %d: all are served after %v", seed, last)
 		}
 		t.Logf("half after %v, nine in ten after %v, all after %v; %d calls, %d of them timed out in the queue",
-			followTimes[149], followTimes[269], followTimes[299], discovery.calls, discovery.expired)
+			applyTimes[149], applyTimes[269], applyTimes[299], discovery.calls, discovery.expired)
 	}
 }
 
--- a/decide/askingfleet_test.go
+++ b/decide/askingfleet_test.go
@@ -80,7 +80,7 @@
 	calling    bool          // a list request is under way
 	began      time.Duration // when its latest call began
 	watching   bool          // a watch is open
-	followedAt time.Duration // when it had applied the change; 0: not yet
+	appliedAt  time.Duration // when it had applied the change of the list; 0: not yet
 	listSince  time.Duration // when it had a list; 0: not yet
 	generation int           // of its connections to discovery: ends of calls of an earlier generation are dropped
 }
@@ -123,7 +123,7 @@
 	discovery              *queuedDiscovery
 	changeAt               time.Duration // when server 1 begins to drain
 	listKnown              bool          // a process starts with a list
-	maxListRequestInterval time.Duration // Settings.AskWithin
+	maxListRequestInterval time.Duration // Settings.MaxListRequestInterval
 	callEnds               callEnds
 	now                    time.Duration
 	random                 *rand.Rand
@@ -225,8 +225,8 @@
 	if node.listSince == 0 {
 		node.listSince = f.now
 	}
-	if s := node.module.known[changedServer.ID]; node.followedAt == 0 && s != nil && s.State == Draining {
-		node.followedAt = f.now
+	if s := node.module.known[changedServer.ID]; node.appliedAt == 0 && s != nil && s.State == Draining {
+		node.appliedAt = f.now
 	}
 }
 
--- a/decide/audience_test.go
+++ b/decide/audience_test.go
@@ -32,8 +32,8 @@
 
 // In a fleet of 300 each node knows how many requests all others have in flight at the servers of its subset, although
 // each node sends its load reports only to the few nodes whose subsets contain those servers. If reports went to all
-// nodes, each would get 299 datagrams per second here. And the number per node does not grow with the fleet, if there
-// are as many more servers.
+// nodes, each would get 299 datagrams per second here. And the number per node does not grow with the fleet, as long as
+// the number of servers grows with it.
 func TestLoadReportsReachNodesWhoseSubsetContainsTheServer(t *testing.T) {
 	datagramsPerSecond := map[int]float64{}
 	for _, nodes := range []int{75, 300} {
@@ -141,9 +141,9 @@
 }
 
 // Guards against servers that look empty because the network between nodes carries no datagrams. A node that gets no
-// report at all estimates the others' requests from its own, by the part of all that its own were; once reports come
-// again it goes by them. Where reports of some nodes still come, those that send none have died, and their requests no
-// longer count.
+// report at all estimates the others' requests from its own, by the share that its own had in all requests before; once
+// reports come again it goes by them. Where reports of some nodes still come, those that send none have died, and their
+// requests no longer count.
 func TestMissingReportsAreNoEmptyFleet(t *testing.T) {
 	for _, allSilent := range []bool{true, false} {
 		module := newFleet(300, 200)[0]
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -283,8 +283,8 @@
 	}
 }
 
-// Overload sheds the class of low worth first. The class of high worth is refused at most a sixth as
-// often, at a third of the arrivals.
+// Overload sheds the class of low worth first. The class of high worth is refused at most a sixth as often, at a third of
+// the arrivals.
 func TestOverloadShedsByWorth(t *testing.T) {
 	harness := newNodeHarness(t, harnessSettings(), 3)
 	busyUntil := map[decide.ServerID]time.Duration{}
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -345,7 +345,7 @@
 	}
 }
 
-// goDown begins an outage of discovery of one to nine seconds, which ends all watches and calls.
+// goDown begins an outage of discovery of one to eight seconds, which ends all watches and calls.
 func (w *listWorld) goDown() {
 	w.down, w.hangsWhileDown, w.refusesWhileDown = true, w.random.Intn(3) == 0, w.random.Intn(2) == 0
 	w.outageEndsAt = w.now + time.Second + time.Duration(w.random.Intn(8))*time.Second
