--- a/decide/scale_test.go
+++ b/decide/scale_test.go
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Large fleets: the cost of a decision or of a change of the list must not grow with the number of servers, and the data
-// structures that serve this must agree with a scan over all servers.
+// Large fleets: the cost of a decision or of a change of the list must not grow with the number of servers, and the
+// data structures that serve this must agree with a scan over all servers.
 
 // largeFleetSettings are lowTrafficSettings for one node, with a keyed and an unsafe class beside the two safe ones.
 func largeFleetSettings() Settings {
 	settings := lowTrafficSettings(1)
 	settings.Classes = append(settings.Classes,
-		Class{Name: "tag", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Keyed, KeyScope: ScopeCell, DedupWindow: 8 * time.Second},
+		Class{Name: "tag", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Keyed, KeyScope: ScopeCell,
+			DedupWindow: 8 * time.Second},
 		Class{Name: "order", Worth: 1, Aim: time.Second, Deadline: 2 * time.Second, Effect: Unsafe})
 	return settings
 }
@@ -34,33 +35,34 @@
 // difference.
 func (m *Module) checkConsistency() error {
 	ready := 0
-	for id, s := range m.known {
-		if s.ID != id {
-			return fmt.Errorf("server %d is known as %d", s.ID, id)
+	for id, server := range m.known {
+		if server.ID != id {
+			return fmt.Errorf("server %d is known as %d", server.ID, id)
 		}
-		if s.inRing != (s.State == Ready) {
-			return fmt.Errorf("server %d: state %d, in the ring %v", id, s.State, s.inRing)
+		if server.inRing != (server.State == Ready) {
+			return fmt.Errorf("server %d: state %d, in the ring %v", id, server.State, server.inRing)
 		}
-		if s.inRing {
+		if server.inRing {
 			ready++
-			if i, ok := slices.BinarySearchFunc(m.ring, s, byRingKey); !ok || m.ring[i] != s {
+			if i, ok := slices.BinarySearchFunc(m.ring, server, byRingKey); !ok || m.ring[i] != server {
 				return fmt.Errorf("server %d is not in the ring", id)
 			}
-			if s.pools[byCell] != m.cells[s.Cell] || s.pools[byZone] != m.zones[s.Zone] {
+			if server.pools[byCell] != m.cells[server.Cell] || server.pools[byZone] != m.zones[server.Zone] {
 				return fmt.Errorf("server %d is not in its groups", id)
 			}
-		} else if s.pools[byMode] != nil || s.pools[byCell] != nil || s.pools[byZone] != nil || s.heap != nil || s.inSubset {
+		} else if server.pools[byMode] != nil || server.pools[byCell] != nil || server.pools[byZone] != nil ||
+			server.heap != nil || server.inSubset {
 			return fmt.Errorf("server %d is no longer ready and still in a pool, a heap or the subset", id)
 		}
-		if held := s.pools[byMode] != nil || s.heap != nil; s.inSubset != held {
-			return fmt.Errorf("server %d: in the subset %v, in a pool or a heap %v", id, s.inSubset, held)
+		if placed := server.pools[byMode] != nil || server.heap != nil; server.inSubset != placed {
+			return fmt.Errorf("server %d: in the subset %v, in a pool or a heap %v", id, server.inSubset, placed)
 		}
-		if s.ejected && s.inSubset && s.heap != &m.trials {
+		if server.ejected && server.inSubset && server.heap != &m.trials {
 			return fmt.Errorf("ejected server %d waits for no trial", id)
 		}
-		for by, p := range s.pools {
-			if p != nil && p.servers[s.poolIndex[by]] != s {
-				return fmt.Errorf("server %d: wrong slot in pool %d", id, by)
+		for grouping, pool := range server.pools {
+			if pool != nil && pool.servers[server.poolIndex[grouping]] != server {
+				return fmt.Errorf("server %d: wrong slot in pool %d", id, grouping)
 			}
 		}
 	}
@@ -71,14 +73,14 @@
 		return fmt.Errorf("the ring is out of order")
 	}
 	for _, heap := range []*timeHeap{&m.wakeups, &m.trials} {
-		for i, s := range heap.servers {
-			if s.heap != heap || s.heapIndex != i || i > 0 && heap.servers[(i-1)/2].dueAt > s.dueAt {
+		for i, server := range heap.servers {
+			if server.heap != heap || server.heapIndex != i || i > 0 && heap.servers[(i-1)/2].dueAt > server.dueAt {
 				return fmt.Errorf("a heap is out of order at %d", i)
 			}
 		}
 	}
-	for cell, p := range m.cells {
-		if len(p.servers) == 0 {
+	for cell, pool := range m.cells {
+		if len(pool.servers) == 0 {
 			return fmt.Errorf("the empty pool of cell %d has not been removed", cell)
 		}
 	}
@@ -108,7 +110,8 @@
 				clear(state)
 			}
 			for range random.IntN([]int{3, 40, 400}[random.IntN(3)]) {
-				s := Server{ID: ServerID(1 + random.IntN(300)), Zone: fmt.Sprint(random.IntN(3)), Cell: random.IntN(9), State: ServerState(random.IntN(3))}
+				s := Server{ID: ServerID(1 + random.IntN(300)), Zone: fmt.Sprint(random.IntN(3)), Cell: random.IntN(9),
+					State: ServerState(random.IntN(3))}
 				if random.IntN(4) == 0 {
 					s.StartedAt = now - time.Duration(random.IntN(10))*time.Second
 				}
@@ -124,8 +127,8 @@
 		recordSends := func(actions []Action) {
 			for _, a := range actions {
 				if s, ok := a.(Send); ok {
-					if st, known := state[s.Server]; !known || st != Ready {
-						t.Fatalf("seed %d: sent to server %d in state %v (known: %v)", seed, s.Server, st, known)
+					if serverState, known := state[s.Server]; !known || serverState != Ready {
+						t.Fatalf("seed %d: sent to server %d in state %v (known: %v)", seed, s.Server, serverState, known)
 					}
 					openAttempts = append(openAttempts, openAttempt{s, attempts[s.ID]})
 					attempts[s.ID]++
@@ -134,22 +137,25 @@
 		}
 		for step := range 3000 {
 			now += time.Duration(random.IntN(20)) * time.Millisecond
-			switch k := random.IntN(100); {
-			case k < 45:
+			switch choice := random.IntN(100); {
+			case choice < 45:
 				id++
-				recordSends(module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)), Class: []string{"dear", "cheap", "tag", "order"}[random.IntN(4)],
+				recordSends(module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)),
+					Class:    []string{"dear", "cheap", "tag", "order"}[random.IntN(4)],
 					Patience: 2 * time.Second}))
-			case k < 85 && len(openAttempts) > 0:
+			case choice < 85 && len(openAttempts) > 0:
 				i := random.IntN(len(openAttempts))
-				o := openAttempts[i]
+				ended := openAttempts[i]
 				openAttempts = slices.Delete(openAttempts, i, i+1)
 				code := OK
 				if random.IntN(3) == 0 {
 					code = OutcomeCode(random.IntN(int(Moot) + 1))
 				}
-				recordSends(module.Handle(now, AttemptEnded{ID: o.s.ID, Attempt: o.n, Server: o.s.Server, RequestDone: code == OK, Code: code,
-					Elapsed: time.Duration(random.IntN(300)) * time.Millisecond, NodeTime: time.Duration(random.IntN(9)) * time.Millisecond}))
-			case k < 97:
+				recordSends(module.Handle(now, AttemptEnded{ID: ended.s.ID, Attempt: ended.n, Server: ended.s.Server,
+					RequestDone: code == OK, Code: code,
+					Elapsed:  time.Duration(random.IntN(300)) * time.Millisecond,
+					NodeTime: time.Duration(random.IntN(9)) * time.Millisecond}))
+			case choice < 97:
 				recordSends(module.Handle(now, TimerFired{}))
 			default:
 				change()
@@ -174,11 +180,11 @@
 	module.known[1].consecutiveFailures = 2
 	for round := range 20 {
 		list := ListUpdate{Kind: ListChanges}
-		for _, s := range full.Entries[servers/3:][:servers/3] {
+		for _, server := range full.Entries[servers/3:][:servers/3] {
 			if round%2 == 0 {
-				s.State = Removed
+				server.State = Removed
 			}
-			list.Entries = append(list.Entries, s)
+			list.Entries = append(list.Entries, server)
 		}
 		module.Handle(now, list)
 		for range 20 {
@@ -210,8 +216,8 @@
 	}
 }
 
-// H is rounded up or down at random, at each node by itself. If all nodes rounded alike, they would send to the same server
-// at the same moment.
+// H is rounded up or down at random, at each node by itself. If all nodes rounded alike, they would send to the same
+// server at the same moment.
 func TestRoundingDiffersBetweenNodes(t *testing.T) {
 	same, sum := 0, 0.0
 	a, b := New(largeFleetSettings(), 1), New(largeFleetSettings(), 2)
@@ -259,7 +265,8 @@
 	classes, tenants := len(module.classes), len(module.tenants)
 	for i := range 20_000 {
 		id := RequestID(fmt.Sprint(i))
-		for _, a := range module.Handle(now, RequestArrived{ID: id, Class: fmt.Sprint("path", i%3000), Tenant: fmt.Sprint("t", i), Key: fmt.Sprint(i),
+		for _, a := range module.Handle(now, RequestArrived{ID: id, Class: fmt.Sprint("path", i%3000),
+			Tenant: fmt.Sprint("t", i), Key: fmt.Sprint(i),
 			Patience: time.Second}) {
 			if s, ok := a.(Send); ok {
 				module.Handle(now, AttemptEnded{ID: id, Server: s.Server, RequestDone: true, Elapsed: time.Millisecond})
@@ -270,8 +277,10 @@
 		}
 	}
 	module.Handle(now+time.Second, TimerFired{})
-	if len(module.classes) != classes || len(module.tenants) != tenants || len(module.classList) != classes+1 || len(module.requests) > 0 || len(module.openRequests) > 0 {
-		t.Errorf("%d classes, %d tenants, %d requests, %d open", len(module.classes), len(module.tenants), len(module.requests), len(module.openRequests))
+	if len(module.classes) != classes || len(module.tenants) != tenants || len(module.classList) != classes+1 ||
+		len(module.requests) > 0 || len(module.openRequests) > 0 {
+		t.Errorf("%d classes, %d tenants, %d requests, %d open", len(module.classes), len(module.tenants),
+			len(module.requests), len(module.openRequests))
 	}
 }
 
@@ -299,8 +308,8 @@
 	return m, now
 }
 
-// A decision, with its outcome and its share of the ticks, allocates little, and not more in a large fleet than in a small
-// one.
+// A decision, with its outcome and its share of the ticks, allocates little, and not more in a large fleet than in a
+// small one.
 func TestDecisionAllocates(t *testing.T) {
 	for _, servers := range []int{12, 1000, 10_000} {
 		m, now := warmedUpModule(servers)
