--- a/internal/admit/admit.go
+++ b/internal/admit/admit.go
@@ -106,11 +106,11 @@
 // Victim returns the connection to close for a new one: one from which nothing has been read before an idle one, and
 // either of these before one whose head has stalled. It returns nil if none has been without progress for long enough.
 func (r *ConnSet) Victim(now time.Duration) *Conn {
-	for _, of := range []struct {
+	for _, candidate := range []struct {
 		s     State
 		least time.Duration
 	}{{NothingRead, NothingReadTimeout}, {Idle, IdleTimeout}, {ReadingHead, StalledHeadTimeout}} {
-		if e := r.lists[of.s].Front(); e != nil && now-e.Value.(*Conn).lastProgress >= of.least {
+		if e := r.lists[candidate.s].Front(); e != nil && now-e.Value.(*Conn).lastProgress >= candidate.least {
 			return e.Value.(*Conn)
 		}
 	}
--- a/internal/admit/admit_test.go
+++ b/internal/admit/admit_test.go
@@ -56,7 +56,8 @@
 	for _, step := range []struct {
 		at   time.Duration
 		want *Conn
-	}{{NothingReadTimeout - 1, nil}, {NothingReadTimeout, silent}, {StalledHeadTimeout, stalled}, {IdleTimeout, idle}, {time.Hour, nil}} {
+	}{{NothingReadTimeout - 1, nil}, {NothingReadTimeout, silent}, {StalledHeadTimeout, stalled},
+		{IdleTimeout, idle}, {time.Hour, nil}} {
 		got := r.Victim(step.at)
 		if got != step.want {
 			t.Errorf("at %v: %v, want %v", step.at, got, step.want)
--- a/internal/chunk/chunk_test.go
+++ b/internal/chunk/chunk_test.go
@@ -10,21 +10,21 @@
 )
 
 // decode passes text to a decoder in pieces of piece bytes. rest is the number of bytes after the body.
-func decode(text []byte, piece int) (body []byte, rest int, d Decoder, err error) {
-	for at := 0; at < len(text) && !d.Done(); {
-		content, used, err := d.Next(text[at:min(len(text), at+piece)])
+func decode(text []byte, piece int) (body []byte, rest int, decoder Decoder, err error) {
+	for at := 0; at < len(text) && !decoder.Done(); {
+		content, used, err := decoder.Next(text[at:min(len(text), at+piece)])
 		body = append(body, content...)
 		if at += used; err != nil {
-			return body, 0, d, err
+			return body, 0, decoder, err
 		}
 		rest = len(text) - at
 	}
-	return body, rest, d, nil
+	return body, rest, decoder, nil
 }
 
 // Each valid form of a body is decoded, and each invalid one is rejected with its error, in pieces of any size.
 func TestForms(t *testing.T) {
-	for _, c := range []struct {
+	for _, form := range []struct {
 		text, body string
 		rest       int
 		err        error
@@ -49,9 +49,10 @@
 		{text: "0\r\n" + strings.Repeat("X: y\r\n", maxTrailers), err: ErrTooLong},
 	} {
 		for _, piece := range []int{1, 2, 7, 1 << 20} {
-			body, rest, d, err := decode([]byte(c.text), piece)
-			if string(body) != c.body || rest != c.rest || !errors.Is(err, c.err) || d.Done() != (c.err == nil && !c.open) {
-				t.Errorf("%.40q by %d: %q, %d bytes after it, done %v, %v", c.text, piece, body, rest, d.Done(), err)
+			body, rest, d, err := decode([]byte(form.text), piece)
+			if string(body) != form.body || rest != form.rest || !errors.Is(err, form.err) ||
+				d.Done() != (form.err == nil && !form.open) {
+				t.Errorf("%.40q by %d: %q, %d bytes after it, done %v, %v", form.text, piece, body, rest, d.Done(), err)
 			}
 		}
 	}
@@ -63,11 +64,12 @@
 	f.Add([]byte("fffffffffffffff\r\nx"), 3)
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
 		piece = max(1, min(piece, 1<<16))
-		body, _, d, err := decode(text, piece)
-		if whole, _, e, err2 := decode(text, 1<<20); !bytes.Equal(whole, body) || e.Done() != d.Done() || (err == nil) != (err2 == nil) {
+		body, _, decoder, err := decode(text, piece)
+		if whole, _, wholeDecoder, err2 := decode(text, 1<<20); !bytes.Equal(whole, body) ||
+			wholeDecoder.Done() != decoder.Done() || (err == nil) != (err2 == nil) {
 			t.Fatalf("by %d %q %v, at once %q %v", piece, body, err, whole, err2)
 		}
-		if err != nil || !d.Done() || bytes.Contains(text, []byte(" ;")) || bytes.Contains(text, []byte("\t;")) {
+		if err != nil || !decoder.Done() || bytes.Contains(text, []byte(" ;")) || bytes.Contains(text, []byte("\t;")) {
 			return // the library does not accept a space before extensions, which the RFC allows
 		}
 		std, err := io.ReadAll(httputil.NewChunkedReader(bytes.NewReader(text)))
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -35,17 +35,20 @@
 	index := len(request.attempts)
 	request.attempts = append(request.attempts, current)
 	request.outstanding++
-	refused := l.guard.Admit(guard.Attempt{Now: now, Deadline: request.Deadline, ClientDeadline: request.Deadline, Over: request.over || l.ending || index >= max(1, l.settings.MaxAttempts),
-		Effect: effect, MayHaveRun: mayHaveRun})
+	refused := l.guard.Admit(guard.Attempt{Now: now, Deadline: request.Deadline, ClientDeadline: request.Deadline,
+		Over: request.over || l.ending || index >= max(1, l.settings.MaxAttempts), Effect: effect, MayHaveRun: mayHaveRun})
 	if refused != guard.None {
 		l.attemptEnded(a, index, Result{Code: decide.Moot, Err: refused})
 		return
 	}
 	if l.debug {
-		l.log.Debug("send", "request", a.ID, "attempt", index, "server", a.Server, "left", time.Until(request.Deadline), "list age", l.view.Age(now))
+		l.log.Debug("send", "request", a.ID, "attempt", index, "server", a.Server,
+			"left", time.Until(request.Deadline), "list age", l.view.Age(now))
 	}
-	exchange := &Exchange{Method: request.Method, URL: request.URL, Header: request.Header, Body: request.Body, Deadline: request.Deadline, RequestDeadline: request.Deadline, RequestContext: request.ctx, ClientGone: request.ClientGone,
-		Effect: effect, MayHaveRun: mayHaveRun, SlowStartLimit: a.SlowStartLimit, OnWritten: l.metrics.AttemptSent}
+	exchange := &Exchange{Method: request.Method, URL: request.URL, Header: request.Header, Body: request.Body,
+		Deadline: request.Deadline, RequestDeadline: request.Deadline, RequestContext: request.ctx,
+		ClientGone: request.ClientGone, Effect: effect, MayHaveRun: mayHaveRun, SlowStartLimit: a.SlowStartLimit,
+		OnWritten: l.metrics.AttemptSent}
 	if a.Timeout != 0 && now.Add(a.Timeout).Before(request.Deadline) {
 		exchange.Deadline = now.Add(a.Timeout)
 	}
@@ -102,7 +105,8 @@
 	switch {
 	case request.over:
 	case result.Code == decide.OK:
-		request.answer <- Answer{Status: http.StatusOK, Header: result.Header, Body: result.Body, AttemptTime: time.Since(ended.sentAt)}
+		request.answer <- Answer{Status: http.StatusOK, Header: result.Header, Body: result.Body,
+			AttemptTime: time.Since(ended.sentAt)}
 		request.over = true
 	case result.ClientErrorStatus > 0: // the request is invalid: other backends would reject it too, and the backend has not failed
 		request.answer <- Answer{Status: result.ClientErrorStatus}
@@ -110,25 +114,26 @@
 	}
 	l.metrics.AttemptEnded(int(result.Code))
 	if l.debug {
-		l.log.Debug("attempt ended", "request", send.ID, "attempt", index, "server", send.Server, "code", result.Code, "took", time.Since(ended.sentAt), "over", request.over, "err", result.Err)
+		l.log.Debug("attempt ended", "request", send.ID, "attempt", index, "server", send.Server,
+			"code", result.Code, "took", time.Since(ended.sentAt), "over", request.over, "err", result.Err)
 	}
 	if request.over {
 		l.closeRequest(request)
 	}
 	elapsed := time.Since(ended.sentAt)
-	l.handle(decide.AttemptEnded{ID: send.ID, Attempt: index, Server: send.Server, RequestDone: request.over, Elapsed: elapsed, NodeTime: ended.ownTime(result.EndedAt, l.lag.current(), elapsed),
-		Code: result.Code, Report: result.Report, BodyConsumed: request.Upload != nil && request.Upload.PartlySent})
+	l.handle(decide.AttemptEnded{ID: send.ID, Attempt: index, Server: send.Server, RequestDone: request.over,
+		Elapsed: elapsed, NodeTime: ended.ownTime(result.EndedAt, l.lag.current(), elapsed), Code: result.Code, Report: result.Report, BodyConsumed: request.Upload != nil && request.Upload.PartlySent})
 }
 
 // bodyWritten handles the end of an upload: the body has been written to the server whole, and the client's patience
 // counts from now on.
-func (l *Loop) bodyWritten(r *Request, current *attempt, index int) {
+func (l *Loop) bodyWritten(request *Request, current *attempt, index int) {
 	l.metrics.AttemptSent()
 	l.post(func() {
 		current.sentAt = time.Now()
 		current.startedAt = current.sentAt
-		r.Deadline = current.sentAt.Add(r.Upload.Patience)
-		l.handle(decide.BodyEnded{ID: r.Arrived.ID, Attempt: index, Patience: r.Upload.Patience})
+		request.Deadline = current.sentAt.Add(request.Upload.Patience)
+		l.handle(decide.BodyEnded{ID: request.Arrived.ID, Attempt: index, Patience: request.Upload.Patience})
 	})
 }
 
@@ -137,18 +142,20 @@
 	elapsed := time.Since(current.sentAt)
 	current.streaming = true
 	l.closeRequest(request) // this attempt stays outstanding until the answer has been streamed
-	request.answer <- Answer{Status: http.StatusOK, Header: result.Header, Body: result.Body, Length: result.Length, AttemptTime: elapsed,
-		Rest: &streamedBody{Rest: result.Rest, end: func(code decide.OutcomeCode) {
+	request.answer <- Answer{Status: http.StatusOK, Header: result.Header, Body: result.Body, Length: result.Length,
+		AttemptTime: elapsed, Rest: &streamedBody{Rest: result.Rest, end: func(code decide.OutcomeCode) {
 			current.cancel()
 			l.post(func() {
 				current.ended = true
 				if request.outstanding--; request.outstanding == 0 {
 					delete(l.requests, send.ID)
 				}
-				l.handle(decide.AttemptEnded{ID: send.ID, Attempt: index, Server: send.Server, RequestDone: true, Elapsed: time.Since(current.sentAt), Code: code, Report: result.Report})
+				l.handle(decide.AttemptEnded{ID: send.ID, Attempt: index, Server: send.Server, RequestDone: true,
+					Elapsed: time.Since(current.sentAt), Code: code, Report: result.Report})
 			})
 		}}}
-	l.handle(decide.StreamStarted{ID: send.ID, Attempt: index, Server: send.Server, Elapsed: elapsed, NodeTime: current.ownTime(result.EndedAt, l.lag.current(), elapsed)})
+	l.handle(decide.StreamStarted{ID: send.ID, Attempt: index, Server: send.Server, Elapsed: elapsed,
+		NodeTime: current.ownTime(result.EndedAt, l.lag.current(), elapsed)})
 }
 
 // streamedBody is a Rest that reports its end to the loop.
--- a/internal/core/do.go
+++ b/internal/core/do.go
@@ -66,18 +66,18 @@
 
 // runAttempt makes an attempt in the front's goroutine, and abandons the request if ctx ends meanwhile. It returns when
 // the attempt has ended: by the request's deadline, or when it is cancelled.
-func (l *Loop) runAttempt(ctx context.Context, r *Request, attempt func()) {
-	stop := context.AfterFunc(ctx, func() { l.post(func() { l.abandon(r) }) })
+func (l *Loop) runAttempt(ctx context.Context, request *Request, attempt func()) {
+	stop := context.AfterFunc(ctx, func() { l.post(func() { l.abandon(request) }) })
 	defer stop()
 	attempt()
 }
 
 // drainUploadAttempts runs the attempts of an abandoned request that are still queued. All of them have been cancelled,
 // so each ends at once and reports that to the module.
-func (l *Loop) drainUploadAttempts(r *Request) {
+func (l *Loop) drainUploadAttempts(request *Request) {
 	for {
 		select {
-		case run := <-r.uploadAttempts:
+		case run := <-request.uploadAttempts:
 			run()
 		default:
 			return
@@ -86,11 +86,11 @@
 }
 
 // deadline returns the request's deadline. With an Upload it takes the lock, because bodyWritten moves the deadline.
-func (l *Loop) deadline(r *Request) (at time.Time) {
-	if r.Upload == nil {
-		return r.Deadline
+func (l *Loop) deadline(request *Request) (at time.Time) {
+	if request.Upload == nil {
+		return request.Deadline
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return r.Deadline
+	return request.Deadline
 }
--- a/internal/core/endings_test.go
+++ b/internal/core/endings_test.go
@@ -16,26 +16,26 @@
 // has been notified of it. The fault: 504 was returned in place of it, for a request that had been served.
 func TestAnswerAndTimeOut(t *testing.T) {
 	t.Parallel()
-	f := newFakes()
-	s := loopSettings()
-	s.MayCancel = false // else the attempt would run in Do's own goroutine
-	l := startLoop(t, s, f)
+	ports := newFakes()
+	settings := loopSettings()
+	settings.MayCancel = false // else the attempt would run in Do's own goroutine
+	loop := startLoop(t, settings, ports)
 	answered := make(chan Answer, 1)
 	const wait = 100 * time.Millisecond
-	r := newTestRequest("order", "q", wait)
-	go func() { a, _ := l.Do(t.Context(), r); answered <- a }()
-	f.expect(t, "do /order")
-	l.post(func() {
-		for time.Until(r.Deadline) > -3*answerGrace { // under the lock, so that Do's timeout fires and then waits for the lock
+	request := newTestRequest("order", "q", wait)
+	go func() { a, _ := loop.Do(t.Context(), request); answered <- a }()
+	ports.expect(t, "do /order")
+	loop.post(func() {
+		for time.Until(request.Deadline) > -3*answerGrace { // under the lock, so that Do's timeout fires and then waits for the lock
 			time.Sleep(answerGrace)
 		}
-		l.finish("q", Answer{Status: http.StatusOK, Body: []byte("x")})
+		loop.finish("q", Answer{Status: http.StatusOK, Body: []byte("x")})
 	})
 	if a := <-answered; a.Status != http.StatusOK || string(a.Body) != "x" {
 		t.Errorf("%+v", a)
 	}
-	f.reply <- Result{Code: decide.OK}
-	for l.isOpen("q") {
+	ports.reply <- Result{Code: decide.OK}
+	for loop.isOpen("q") {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -44,26 +44,26 @@
 // it, or if it comes from a source that has been replaced since.
 func TestOlderFetched(t *testing.T) {
 	t.Parallel()
-	f := newFakes()
-	l := startLoop(t, loopSettings(), f)
-	f.expect(t, "watch from 1")
+	ports := newFakes()
+	loop := startLoop(t, loopSettings(), ports)
+	ports.expect(t, "watch from 1")
 	draining := oneServer[0]
 	draining.State = decide.Draining
-	f.lists <- List{Version: 9, Full: true, Entries: []Entry{draining}}
-	f.expect(t, "update 9")
-	for l.CanServe() {
+	ports.lists <- List{Version: 9, Full: true, Entries: []Entry{draining}}
+	ports.expect(t, "update 9")
+	for loop.CanServe() {
 		time.Sleep(time.Millisecond)
 	}
-	l.post(func() {
-		l.handleFetchedList(f, List{Version: 3, Full: true, Entries: oneServer}, nil)
-		l.handleFetchedList(newFakes(), List{Version: 30, Full: true, Entries: oneServer}, nil)
+	loop.post(func() {
+		loop.handleFetchedList(ports, List{Version: 3, Full: true, Entries: oneServer}, nil)
+		loop.handleFetchedList(newFakes(), List{Version: 30, Full: true, Entries: oneServer}, nil)
 	})
-	if l.CanServe() || *l.view.Revision() != 9 {
-		t.Errorf("version %d is in force", *l.view.Revision())
+	if loop.CanServe() || *loop.view.Revision() != 9 {
+		t.Errorf("version %d is in force", *loop.view.Revision())
 	}
-	l.post(func() { l.handleFetchedList(f, List{Version: 10, Full: true, Entries: oneServer}, nil) })
-	if !l.CanServe() || *l.view.Revision() != 10 {
-		t.Errorf("a newer list is not applied: version %d is in force", *l.view.Revision())
+	loop.post(func() { loop.handleFetchedList(ports, List{Version: 10, Full: true, Entries: oneServer}, nil) })
+	if !loop.CanServe() || *loop.view.Revision() != 10 {
+		t.Errorf("a newer list is not applied: version %d is in force", *loop.view.Revision())
 	}
 }
 
@@ -71,26 +71,27 @@
 // open.
 func TestEndClosesMembership(t *testing.T) {
 	t.Parallel()
-	f := newFakes()
+	ports := newFakes()
 	ctx, cancel := context.WithCancel(context.Background())
-	l, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: f, Membership: f, Messenger: f, Log: quiet})
+	loop, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: ports, Membership: ports,
+		Messenger: ports, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { defer close(done); l.Run(List{Version: 1, Entries: oneServer}) }()
-	f.expect(t, "watch from 1")
+	go func() { defer close(done); loop.Run(List{Version: 1, Entries: oneServer}) }()
+	ports.expect(t, "watch from 1")
 	cancel()
 	<-done
-	close(f.calls)
+	close(ports.calls)
 	var last string
-	for call := range f.calls {
+	for call := range ports.calls {
 		if last = call; strings.HasPrefix(call, "close") {
 			break
 		}
 	}
-	if last != "close membership" || len(f.calls) > 0 {
-		t.Errorf("the last call was %q, with %d calls after it; want the membership closed last", last, len(f.calls))
+	if last != "close membership" || len(ports.calls) > 0 {
+		t.Errorf("the last call was %q, with %d calls after it; want the membership closed last", last, len(ports.calls))
 	}
 }
 
@@ -99,26 +100,27 @@
 // node had no list for 23 s.
 func TestMovesAreSpread(t *testing.T) {
 	t.Parallel()
-	const loops, most = 20, 6 * time.Second
-	s := loopSettings()
-	s.Nodes, s.MayMessage, s.MayProbe = 300, false, false
+	const loops, latest = 20, 6 * time.Second
+	settings := loopSettings()
+	settings.Nodes, settings.MayMessage, settings.MayProbe = 300, false, false
 	ctx, cancel := context.WithCancel(context.Background())
 	var running, requests sync.WaitGroup
 	t.Cleanup(func() { cancel(); running.Wait() })
 	requestedAfter := make([]time.Duration, loops)
 	for i := range loops {
-		f, to := newFakes(), newFakes()
-		l, err := New(ctx, Options{Settings: s, Seed: int64(i), Transport: f, Membership: f, Messenger: f, Log: quiet})
+		ports, newPorts := newFakes(), newFakes()
+		loop, err := New(ctx, Options{Settings: settings, Seed: int64(i), Transport: ports, Membership: ports,
+			Messenger: ports, Log: quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
-		running.Go(func() { l.Run(List{Version: 1, Entries: oneServer}) })
+		running.Go(func() { loop.Run(List{Version: 1, Entries: oneServer}) })
 		requests.Go(func() {
-			l.SetMembership(to)
+			loop.SetMembership(newPorts)
 			moved := time.Now()
 			for requestedAfter[i] = testTimeout; time.Since(moved) < testTimeout; {
 				select {
-				case call := <-to.calls:
+				case call := <-newPorts.calls:
 					if call == "watch from nothing" {
 						requestedAfter[i] = time.Since(moved)
 						return
@@ -130,7 +132,7 @@
 	}
 	requests.Wait()
 	slices.Sort(requestedAfter)
-	if requestedAfter[loops-1] > most || requestedAfter[loops/2] < time.Second {
-		t.Errorf("lists requested after %v, want them spread, and the last within %v", requestedAfter, most)
+	if requestedAfter[loops-1] > latest || requestedAfter[loops/2] < time.Second {
+		t.Errorf("lists requested after %v, want them spread, and the last within %v", requestedAfter, latest)
 	}
 }
--- a/internal/core/exchange.go
+++ b/internal/core/exchange.go
@@ -59,7 +59,8 @@
 // GuardAttempt returns what the guard needs to know of this attempt at a time. maxAge is how old a check of the
 // client's presence may be.
 func (x *Exchange) GuardAttempt(now time.Time, maxAge time.Duration) guard.Attempt {
-	return guard.Attempt{Now: now, Probe: x.Probe, TimeLeft: x.TimeLeft, Deadline: x.Deadline, ClientDeadline: x.RequestDeadline, ClientGone: x.ClientGone != nil && x.ClientGone(maxAge),
+	return guard.Attempt{Now: now, Probe: x.Probe, TimeLeft: x.TimeLeft, Deadline: x.Deadline,
+		ClientDeadline: x.RequestDeadline, ClientGone: x.ClientGone != nil && x.ClientGone(maxAge),
 		Effect: x.Effect, MayHaveRun: x.MayHaveRun, WriteBy: x.WriteBy, ListValidUntil: x.ListValidUntil}
 }
 
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -10,11 +10,11 @@
 
 // SetCordon replaces the set of cordoned servers. No new requests are sent to them from now on. Servers whose cordon
 // does not change are not affected.
-func (l *Loop) SetCordon(h Cordon) {
+func (l *Loop) SetCordon(cordon Cordon) {
 	l.post(func() {
-		if u := l.view.SetCordon(h); len(u.Transitions) > 0 {
+		if update := l.view.SetCordon(cordon); len(update.Transitions) > 0 {
 			// ListCached, because this answers no list request of the module.
-			l.publishUpdate(u, decide.ListCached)
+			l.publishUpdate(update, decide.ListCached)
 		}
 	})
 }
@@ -22,12 +22,12 @@
 // OpenAttemptsAt is the number of attempts that have not ended at the servers of a cordon. If the cordon has zones,
 // attempts at servers that are no longer listed count too, as their zone is not known. ok is false once the loop has
 // ended.
-func (l *Loop) OpenAttemptsAt(h Cordon) (n int, ok bool) {
+func (l *Loop) OpenAttemptsAt(cordon Cordon) (n int, ok bool) {
 	ok = l.post(func() {
-		for _, r := range l.requests {
-			for _, t := range r.attempts {
-				e, listed := l.view.Entry(t.server)
-				if !t.ended && (h.Servers[t.server] || listed && h.Zones[e.Zone] || !listed && len(h.Zones) > 0) {
+		for _, request := range l.requests {
+			for _, open := range request.attempts {
+				entry, listed := l.view.Entry(open.server)
+				if !open.ended && (cordon.Servers[open.server] || listed && cordon.Zones[entry.Zone] || !listed && len(cordon.Zones) > 0) {
 					n++
 				}
 			}
--- a/internal/core/lag.go
+++ b/internal/core/lag.go
@@ -47,9 +47,9 @@
 		if _, err := m.r.Read(b[:]); err != nil {
 			return
 		}
-		now := float64(min(m.clock()-m.sent.Load(), maxLag))
-		old := float64(m.lag.Load())
-		m.lag.Store(int64(old + lagGain*(now-old)))
+		reading := float64(min(m.clock()-m.sent.Load(), maxLag))
+		previous := float64(m.lag.Load())
+		m.lag.Store(int64(previous + lagGain*(reading-previous)))
 		m.sent.Store(0)
 	}
 }
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -63,8 +63,8 @@
 			l.handleWatchAnswer(list)
 			return
 		}
-		if u := l.view.Withdraw(list, time.Now()); len(u.Transitions) > 0 {
-			l.publishUpdate(u, decide.ListCached)
+		if update := l.view.Withdraw(list, time.Now()); len(update.Transitions) > 0 {
+			l.publishUpdate(update, decide.ListCached)
 		}
 	})
 }
@@ -83,11 +83,11 @@
 // source, because its versions need not continue those of the old one. The watch at the old source is ended here: it
 // may hang, and would count as open. To the module this is a failed list request: all nodes may change the source at
 // the same moment, and the module spreads their requests over time.
-func (l *Loop) SetMembership(to Membership) {
+func (l *Loop) SetMembership(membership Membership) {
 	l.post(func() {
 		l.endWatchCall()
 		l.membership.Close()
-		l.membership = to
+		l.membership = membership
 		l.view.SourceChanged(time.Now())
 		if l.settings.ListOnRequest {
 			l.handle(decide.ListUpdate{Kind: decide.ListFailed, Cause: decide.CauseMoved})
@@ -147,8 +147,8 @@
 
 // confirmList records that discovery has no newer list, and publishes entries of an older list that are trusted by now.
 func (l *Loop) confirmList(source serverlist.Source) {
-	if u := l.view.Confirm(source, time.Now()); len(u.List.Entries) > 0 {
-		l.publishUpdate(u, decide.ListChanges)
+	if update := l.view.Confirm(source, time.Now()); len(update.List.Entries) > 0 {
+		l.publishUpdate(update, decide.ListChanges)
 	}
 	l.guard.SetWatched(l.view.Watched())
 }
@@ -171,7 +171,8 @@
 // publishUpdate passes an update of the list to the transport and then to the module. The transport is first, so that
 // no request is sent to a server that the list excludes.
 func (l *Loop) publishUpdate(update serverlist.Update, kind decide.ListKind) {
-	event := decide.ListUpdate{Kind: kind, Version: update.List.Version, Age: changeAge(update), Entries: make([]decide.Server, 0, len(update.List.Entries))}
+	event := decide.ListUpdate{Kind: kind, Version: update.List.Version, Age: changeAge(update),
+		Entries: make([]decide.Server, 0, len(update.List.Entries))}
 	for _, entry := range update.List.Entries {
 		event.Entries = append(event.Entries, entry.Server)
 	}
@@ -185,12 +186,12 @@
 const maxPushDelay = time.Millisecond
 
 // changeAge is the longest time ago that the changes in an update may have happened; 0: not known.
-func changeAge(u serverlist.Update) time.Duration {
-	onWatch := u.List.Source == serverlist.SourceWatch || u.List.Source == serverlist.SourcePush
-	if onWatch && u.Age > 0 && u.List.StaleSince.IsZero() {
-		return min(u.Age, maxPushDelay)
+func changeAge(update serverlist.Update) time.Duration {
+	onWatch := update.List.Source == serverlist.SourceWatch || update.List.Source == serverlist.SourcePush
+	if onWatch && update.Age > 0 && update.List.StaleSince.IsZero() {
+		return min(update.Age, maxPushDelay)
 	}
-	return max(0, u.Age)
+	return max(0, update.Age)
 }
 
 // logTransitions logs in one line what an update has changed, its source, and the age of the list that it replaces.
@@ -198,7 +199,8 @@
 func (l *Loop) logTransitions(update serverlist.Update) {
 	l.metrics.ListApplied(int(update.List.Source), len(update.Transitions))
 	_, ready := l.view.Size()
-	attrs := []any{"revision", update.List.Version, "source", update.List.Source, "whole", update.List.Full, "servers", len(update.List.Entries), "ready", ready}
+	attrs := []any{"revision", update.List.Version, "source", update.List.Source, "whole", update.List.Full,
+		"servers", len(update.List.Entries), "ready", ready}
 	if len(update.Transitions) == 0 {
 		l.log.Info("list", attrs...)
 		return
@@ -211,11 +213,12 @@
 			names = append(names, transition.Server.Name)
 		}
 		if l.debug {
-			l.log.Debug("server", "name", transition.Server.Name, "id", transition.Server.ID, "from", stateNames[transition.From], "to", stateNames[transition.To], "revision", transition.Revision)
+			l.log.Debug("server", "name", transition.Server.Name, "id", transition.Server.ID,
+				"from", stateNames[transition.From], "to", stateNames[transition.To], "revision", transition.Revision)
 		}
 	}
-	l.log.Info("list", append(attrs, "became ready", count[decide.Ready], "draining", count[decide.Draining], "gone", count[decide.Removed],
-		"first off", strings.Join(names, ","), "believed for", update.Age.Round(time.Millisecond))...)
+	l.log.Info("list", append(attrs, "became ready", count[decide.Ready], "draining", count[decide.Draining],
+		"gone", count[decide.Removed], "first off", strings.Join(names, ","), "believed for", update.Age.Round(time.Millisecond))...)
 }
 
 var stateNames = map[decide.ServerState]string{decide.Ready: "ready", decide.Draining: "draining", decide.Removed: "gone"}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -95,7 +95,8 @@
 	if options.Messenger == nil {
 		options.Messenger = noMessenger{}
 	}
-	return &Loop{classes: classes, module: decide.New(options.Settings, options.Seed), settings: options.Settings, transport: options.Transport, membership: options.Membership,
+	return &Loop{classes: classes, module: decide.New(options.Settings, options.Seed), settings: options.Settings,
+		transport: options.Transport, membership: options.Membership,
 		messenger: options.Messenger, remote: options.Remote, log: options.Log, lag: lag, ctx: ctx, initialised: make(chan struct{}), wakeTimer: time.NewTimer(time.Hour), startedAt: now,
 		clockBase: time.Duration(now.Add(faultpoint.WallStep).UnixNano()), requests: map[decide.RequestID]*Request{},
 		metrics: options.Metrics, learned: options.Learned, guard: options.Guard, view: serverlist.NewView(), debug: options.Log.Enabled(ctx, slog.LevelDebug)}, nil
@@ -148,7 +149,7 @@
 
 // Run starts the loop with the given list, which is the last one that the node knew, and fires the module's timers. It
 // returns after the context has ended and all goroutines that the loop started have returned.
-func (l *Loop) Run(known List) {
+func (l *Loop) Run(initial List) {
 	var metering sync.WaitGroup
 	metering.Go(l.lag.run)
 	defer metering.Wait()
@@ -157,11 +158,11 @@
 	defer l.wakeTimer.Stop()
 	defer l.EndBy(time.Time{})
 	l.mu.Lock()
-	known.Full = true
-	if known.Source == serverlist.SourceNone {
-		known.Source = serverlist.SourceCache
+	initial.Full = true
+	if initial.Source == serverlist.SourceNone {
+		initial.Source = serverlist.SourceCache
 	}
-	l.applyList(known, decide.ListCached)
+	l.applyList(initial, decide.ListCached)
 	if l.learned != nil {
 		if err := l.module.Restore(l.now(), *l.learned); err != nil {
 			l.log.Warn("the snapshot of the predecessor cannot be restored", "err", err)
@@ -259,8 +260,8 @@
 	case decide.Fail:
 		l.finish(a.ID, Answer{Status: http.StatusBadGateway})
 	case decide.CancelAttempt:
-		if r := l.requests[a.ID]; r != nil && a.Attempt >= 0 && a.Attempt < len(r.attempts) && l.settings.MayCancel {
-			r.attempts[a.Attempt].cancel()
+		if request := l.requests[a.ID]; request != nil && a.Attempt >= 0 && a.Attempt < len(request.attempts) && l.settings.MayCancel {
+			request.attempts[a.Attempt].cancel()
 		}
 	case decide.SetTimer:
 		timer := runningTimer{time.Now().Add(a.After), a.Token}
@@ -274,10 +275,10 @@
 	case decide.Subscribe:
 		l.subscribe(a.On)
 	case decide.FetchList:
-		d := l.membership
+		membership := l.membership
 		l.work.Go(func() {
-			n, err := d.Fetch(l.ctx)
-			l.post(func() { l.handleFetchedList(d, n, err) })
+			list, err := membership.Fetch(l.ctx)
+			l.post(func() { l.handleFetchedList(membership, list, err) })
 		})
 	case decide.CloseIdle:
 		l.transport.CloseIdle(a.Server)
@@ -288,19 +289,19 @@
 
 // arrive passes a request from the front to the module. A request whose id is still open is answered with 409: the
 // module would not answer it, and its effect could happen twice.
-func (l *Loop) arrive(r *Request) {
-	if l.requests[r.Arrived.ID] != nil {
-		r.answer <- Answer{Status: http.StatusConflict}
+func (l *Loop) arrive(request *Request) {
+	if l.requests[request.Arrived.ID] != nil {
+		request.answer <- Answer{Status: http.StatusConflict}
 		return
 	}
-	if c := l.classes[r.Arrived.Class]; c.Effect == decide.Keyed {
-		r.dedupWindow = c.DedupWindow
+	if c := l.classes[request.Arrived.Class]; c.Effect == decide.Keyed {
+		request.dedupWindow = c.DedupWindow
 	}
-	l.requests[r.Arrived.ID] = r
-	r.ctx, r.cancel = context.WithCancel(l.ctx)
-	r.Arrived.Patience, r.Arrived.Uploading = time.Until(r.Deadline), r.Upload != nil
-	l.handle(r.Arrived)
-	r.arriving = false
+	l.requests[request.Arrived.ID] = request
+	request.ctx, request.cancel = context.WithCancel(l.ctx)
+	request.Arrived.Patience, request.Arrived.Uploading = time.Until(request.Deadline), request.Upload != nil
+	l.handle(request.Arrived)
+	request.arriving = false
 }
 
 // handOff hands a request that the module has refused off to another site, if Remote accepts it, and reports whether it
@@ -312,8 +313,8 @@
 		return false
 	}
 	mayHaveRun := request.outstanding > 0
-	for _, t := range request.attempts {
-		mayHaveRun = mayHaveRun || !t.neverRan
+	for _, earlier := range request.attempts {
+		mayHaveRun = mayHaveRun || !earlier.neverRan
 	}
 	class, known := l.classes[request.Arrived.Class]
 	if !known {
@@ -351,13 +352,13 @@
 }
 
 // abandon ends a request whose client has gone.
-func (l *Loop) abandon(r *Request) {
-	if l.requests[r.Arrived.ID] == r && !r.over {
-		if r.cancelHandOff != nil {
-			r.cancelHandOff()
+func (l *Loop) abandon(request *Request) {
+	if l.requests[request.Arrived.ID] == request && !request.over {
+		if request.cancelHandOff != nil {
+			request.cancelHandOff()
 		}
-		l.closeRequest(r)
-		l.handle(decide.RequestAbandoned{ID: r.Arrived.ID})
+		l.closeRequest(request)
+		l.handle(decide.RequestAbandoned{ID: request.Arrived.ID})
 	}
 }
 
@@ -384,38 +385,38 @@
 	}
 	l.ending = true
 	l.handle(decide.Shutdown{})
-	for _, r := range l.requests {
-		if r.cancelHandOff != nil {
-			r.cancelHandOff()
+	for _, request := range l.requests {
+		if request.cancelHandOff != nil {
+			request.cancelHandOff()
 		}
-		for _, t := range r.attempts {
-			if !t.ended && !t.streaming {
-				t.cancel()
+		for _, open := range request.attempts {
+			if !open.ended && !open.streaming {
+				open.cancel()
 			}
 		}
 	}
 }
 
 // finish gives a request its final answer, unless it has one.
-func (l *Loop) finish(id decide.RequestID, a Answer) {
-	if r := l.requests[id]; r != nil && !r.over {
-		r.answer <- a
-		l.closeRequest(r)
+func (l *Loop) finish(id decide.RequestID, answer Answer) {
+	if request := l.requests[id]; request != nil && !request.over {
+		request.answer <- answer
+		l.closeRequest(request)
 	}
 }
 
 // closeRequest marks a request as over: nothing more is sent for it. It is removed once its last attempt has ended.
-func (l *Loop) closeRequest(r *Request) {
-	r.over = true
-	r.cancel()
-	if r.outstanding == 0 {
-		delete(l.requests, r.Arrived.ID)
+func (l *Loop) closeRequest(request *Request) {
+	request.over = true
+	request.cancel()
+	if request.outstanding == 0 {
+		delete(l.requests, request.Arrived.ID)
 	}
 }
 
 // ReceiveMessage passes a datagram from another node to the module.
-func (l *Loop) ReceiveMessage(from int, data []byte) {
-	l.post(func() { l.handle(decide.MessageReceived{From: from, Data: data}) })
+func (l *Loop) ReceiveMessage(sender int, data []byte) {
+	l.post(func() { l.handle(decide.MessageReceived{From: sender, Data: data}) })
 }
 
 // probe checks a server in a goroutine of its own: by its load report, or by its health check where there are none.
@@ -425,14 +426,15 @@
 	if l.settings.ReportVia == decide.ReportNone {
 		path = "/health/live"
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	l.work.Go(func() {
 		result := Result{Code: decide.ConnectFailed, Err: errUnlisted}
 		if server != nil {
 			result = server.Probe(l.ctx, path)
 		}
 		l.post(func() {
-			l.handle(decide.ProbeEnded{Server: id, Code: result.Code, Elapsed: time.Since(began), Report: result.Report})
+			l.handle(decide.ProbeEnded{Server: id, Code: result.Code, Elapsed: time.Since(startedAt),
+				Report: result.Report})
 		})
 	})
 }
--- a/internal/core/ports_test.go
+++ b/internal/core/ports_test.go
@@ -101,63 +101,66 @@
 var oneServer = []Entry{{Addr: "127.0.0.1:1", Server: decide.Server{ID: 1, Zone: "z", State: decide.Ready, Size: 1}}}
 
 func loopSettings() decide.Settings {
-	return decide.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayCancel: true, MayMessage: true, MayProbe: true,
+	return decide.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayCancel: true,
+		MayMessage: true, MayProbe: true,
 		ConnectTimeout: time.Second, ReportVia: decide.ReportProbe, MaxListRequestInterval: 10 * time.Second, ListOnRequest: true,
 		Classes: []decide.Class{{Name: "read", Worth: 1, Aim: time.Second, Deadline: 10 * time.Second, Effect: decide.Safe},
 			{Name: "order", Worth: 1, Aim: time.Second, Deadline: 10 * time.Second, Effect: decide.Unsafe}}}
 }
 
-func startLoop(t *testing.T, s decide.Settings, f *fakePorts) *Loop {
+func startLoop(t *testing.T, settings decide.Settings, ports *fakePorts) *Loop {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	l, err := New(ctx, Options{Settings: s, Seed: 1, Transport: f, Membership: f, Messenger: f, Log: quiet})
+	loop, err := New(ctx, Options{Settings: settings, Seed: 1, Transport: ports, Membership: ports, Messenger: ports,
+		Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { defer close(done); l.Run(List{Version: 1, Entries: oneServer}) }()
+	go func() { defer close(done); loop.Run(List{Version: 1, Entries: oneServer}) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return l
+	return loop
 }
 
-func newTestRequest(class, id string, wait time.Duration) *Request {
-	return &Request{Arrived: decide.RequestArrived{ID: decide.RequestID(id), Class: class}, Deadline: time.Now().Add(wait), Method: http.MethodGet,
+func newTestRequest(class, id string, patience time.Duration) *Request {
+	return &Request{Arrived: decide.RequestArrived{ID: decide.RequestID(id), Class: class},
+		Deadline: time.Now().Add(patience), Method: http.MethodGet,
 		URL: &url.URL{Path: "/" + class, Host: "h"}}
 }
 
 // The loop carries out every action, including those that the module does not use today.
 func TestActions(t *testing.T) {
 	t.Parallel()
-	f := newFakes()
-	l := startLoop(t, loopSettings(), f)
-	act := func(a decide.Action) { l.post(func() { l.execute(a) }) }
+	ports := newFakes()
+	loop := startLoop(t, loopSettings(), ports)
+	act := func(a decide.Action) { loop.post(func() { loop.execute(a) }) }
 	act(decide.Probe{Server: 1})
-	f.expect(t, "probe /stats")
+	ports.expect(t, "probe /stats")
 	act(decide.Probe{Server: 9}) // not listed
 	act(decide.CloseIdle{Server: 1})
-	f.expect(t, "close 1")
+	ports.expect(t, "close 1")
 	act(decide.FetchList{})
-	f.expect(t, "fetch")
-	f.expect(t, "update 3")
+	ports.expect(t, "fetch")
+	ports.expect(t, "update 3")
 	act(decide.Subscribe{On: true})
-	f.expect(t, "watch from 3")
-	f.lists <- List{Version: 4}
-	f.expect(t, "update 4")
+	ports.expect(t, "watch from 3")
+	ports.lists <- List{Version: 4}
+	ports.expect(t, "update 4")
 	act(decide.Subscribe{On: false})
-	f.expect(t, "watch ended")
+	ports.expect(t, "watch ended")
 	act(decide.SendMessage{To: 1, Data: []byte("one")})
-	f.expect(t, "send 1 false one")
+	ports.expect(t, "send 1 false one")
 	act(decide.Log{Line: "line"})
 
 	answered := make(chan Answer, 1)
-	go func() { a, _ := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); answered <- a }()
-	f.expect(t, "do /order")
-	if a, _ := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); a.Status != http.StatusConflict {
+	go func() { a, _ := loop.Do(t.Context(), newTestRequest("order", "q", testTimeout)); answered <- a }()
+	ports.expect(t, "do /order")
+	if a, _ := loop.Do(t.Context(), newTestRequest("order", "q", testTimeout)); a.Status != http.StatusConflict {
 		t.Errorf("the same id again: status %d", a.Status)
 	}
 	act(decide.CancelAttempt{ID: "q", Attempt: 7})
 	act(decide.CancelAttempt{ID: "q", Attempt: 0})
-	f.expect(t, "called off")
+	ports.expect(t, "called off")
 	if a := <-answered; a.Status != http.StatusBadGateway {
 		t.Errorf("status %d: a cancelled attempt may have run", a.Status)
 	}
@@ -165,12 +168,12 @@
 	act(decide.Refuse{ID: "q"})
 	act(decide.Fail{ID: "nobody"})
 	fired := make(chan struct{})
-	l.post(func() { l.execute(decide.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
+	loop.post(func() { loop.execute(decide.SetTimer{After: time.Millisecond, Token: 9}); close(fired) })
 	<-fired
 	for left := true; left; time.Sleep(time.Millisecond) {
-		l.post(func() {
+		loop.post(func() {
 			left = false
-			for _, timer := range l.timers {
+			for _, timer := range loop.timers {
 				left = left || timer.token == 9
 			}
 		})
@@ -181,26 +184,28 @@
 // even if the server is unresponsive. An id may be used again once its request is over.
 func TestDoEnds(t *testing.T) {
 	t.Parallel()
-	f := newFakes()
-	l := startLoop(t, loopSettings(), f)
+	ports := newFakes()
+	loop := startLoop(t, loopSettings(), ports)
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan bool, 1)
-	go func() { _, ok := l.Do(ctx, newTestRequest("order", "q", testTimeout)); gone <- ok }()
-	f.expect(t, "do /order")
+	go func() { _, ok := loop.Do(ctx, newTestRequest("order", "q", testTimeout)); gone <- ok }()
+	ports.expect(t, "do /order")
 	cancel()
-	f.expect(t, "called off")
+	ports.expect(t, "called off")
 	if <-gone {
 		t.Error("a client that has gone is answered")
 	}
-	for l.isOpen("q") {
+	for loop.isOpen("q") {
 		time.Sleep(time.Millisecond)
 	}
-	f.reply <- Result{Code: decide.OK, Body: []byte("x")}
-	if a, ok := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); !ok || a.Status != 200 || string(a.Body) != "x" {
+	ports.reply <- Result{Code: decide.OK, Body: []byte("x")}
+	if a, ok := loop.Do(t.Context(), newTestRequest("order", "q", testTimeout)); !ok || a.Status != 200 ||
+		string(a.Body) != "x" {
 		t.Errorf("%+v, %v", a, ok)
 	}
 	began := time.Now()
-	if a, ok := l.Do(t.Context(), newTestRequest("order", "r", 500*time.Millisecond)); !ok || a.Status < 500 || a.Status == 503 || time.Since(began) > testTimeout/2 {
+	if a, ok := loop.Do(t.Context(), newTestRequest("order", "r", 500*time.Millisecond)); !ok || a.Status < 500 ||
+		a.Status == 503 || time.Since(began) > testTimeout/2 {
 		t.Errorf("after %v: %+v, %v; want a failure, as the unsafe request may have run", time.Since(began), a, ok)
 	}
 }
@@ -215,14 +220,14 @@
 func TestMove(t *testing.T) {
 	t.Parallel()
 	from, to := newFakes(), newFakes()
-	l := startLoop(t, loopSettings(), from)
+	loop := startLoop(t, loopSettings(), from)
 	from.expect(t, "watch from 1") // the module requests the list by itself
-	l.SetMembership(to)
+	loop.SetMembership(to)
 	from.expect(t, "close membership")
 	to.expect(t, "watch from nothing")
 	to.lists <- List{Version: 0, Full: true}
 	from.expect(t, "update 0")
-	for l.CanServe() {
+	for loop.CanServe() {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -250,41 +255,45 @@
 // cancelled. The request's id stays open until the hand-off has ended.
 func TestCrossing(t *testing.T) {
 	t.Parallel()
-	ports, remote := newFakes(), &fakeRemote{offers: make(chan bool, 9), end: make(chan HandOffResult, 9), cancelled: make(chan struct{})}
+	ports, remote := newFakes(), &fakeRemote{offers: make(chan bool, 9), end: make(chan HandOffResult, 9),
+		cancelled: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
-	l, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: ports, Membership: ports, Remote: remote, Log: quiet})
+	loop, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: ports, Membership: ports,
+		Remote: remote, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { defer close(done); l.Run(List{Version: 1, Full: true}) }() // no servers, so that all requests are refused
+	go func() { defer close(done); loop.Run(List{Version: 1, Full: true}) }() // no servers, so that all requests are refused
 	t.Cleanup(func() { cancel(); <-done })
-	for i, c := range []struct {
+	for i, step := range []struct {
 		class  string
 		how    HandOffResult
 		status int
-	}{{"order", HandOffServed, 200}, {"order", HandOffNotRun, 503}, {"order", HandOffUncertain, 502}, {"read", HandOffUncertain, 503}, {"read", HandOffServed, 200}} {
-		remote.end <- c.how
+	}{{"order", HandOffServed, 200}, {"order", HandOffNotRun, 503}, {"order", HandOffUncertain, 502},
+		{"read", HandOffUncertain, 503}, {"read", HandOffServed, 200}} {
+		remote.end <- step.how
 		id := fmt.Sprint("q", i)
-		a, ok := l.Do(t.Context(), newTestRequest(c.class, id, testTimeout))
-		if !ok || a.Status != c.status || (c.status == 200) != (string(a.Body) == "abroad") {
-			t.Errorf("%s, %v: %+v, %v", c.class, c.how, a, ok)
+		a, ok := loop.Do(t.Context(), newTestRequest(step.class, id, testTimeout))
+		if !ok || a.Status != step.status || (step.status == 200) != (string(a.Body) == "abroad") {
+			t.Errorf("%s, %v: %+v, %v", step.class, step.how, a, ok)
 		}
 		if ran := <-remote.offers; ran {
 			t.Error("the offer says that the request may have run")
 		}
-		if l.isOpen(decide.RequestID(id)) {
+		if loop.isOpen(decide.RequestID(id)) {
 			t.Error("the request is still open")
 		}
 	}
-	if a, _ := l.Do(t.Context(), newTestRequest("unheard-of", "x", testTimeout)); a.Status != 503 || len(remote.offers) > 0 {
+	if a, _ := loop.Do(t.Context(), newTestRequest("unheard-of", "x", testTimeout)); a.Status != 503 ||
+		len(remote.offers) > 0 {
 		t.Errorf("an unknown class: %+v", a)
 	}
 	client, leave := context.WithCancel(t.Context())
 	answered := make(chan bool, 1)
-	go func() { _, ok := l.Do(client, newTestRequest("order", "q", testTimeout)); answered <- ok }()
+	go func() { _, ok := loop.Do(client, newTestRequest("order", "q", testTimeout)); answered <- ok }()
 	<-remote.offers
-	if a, _ := l.Do(t.Context(), newTestRequest("order", "q", testTimeout)); a.Status != http.StatusConflict {
+	if a, _ := loop.Do(t.Context(), newTestRequest("order", "q", testTimeout)); a.Status != http.StatusConflict {
 		t.Errorf("the same id during the hand-off: %+v", a)
 	}
 	leave()
@@ -292,7 +301,7 @@
 	if <-answered {
 		t.Error("a client that has gone is answered")
 	}
-	for l.isOpen("q") {
+	for loop.isOpen("q") {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -68,21 +68,21 @@
 func (s Split) Total() int { return s.Node + s.Clients + s.Servers }
 
 // Divide splits a limit of open files. A limit below MinLimit is an error.
-func Divide(limit int, u Uses) (Split, error) {
+func Divide(limit int, uses Uses) (Split, error) {
 	if limit < MinLimit {
 		return Split{}, fmt.Errorf("%d file descriptors are too few: at least %d are required", limit, MinLimit)
 	}
-	own := node + MaxRefused + MaxEvicted + accepted + u.Operators
-	if u.Link {
-		own += link
+	reserved := node + MaxRefused + MaxEvicted + accepted + uses.Operators
+	if uses.Link {
+		reserved += link
 	}
-	if u.Fleet {
-		own += fleet
+	if uses.Fleet {
+		reserved += fleet
 	}
-	if u.Recorder {
-		own += recorder
+	if uses.Recorder {
+		reserved += recorder
 	}
-	forConns := max(limit-own, int(float64(limit)*minConnShare))
+	forConns := max(limit-reserved, int(float64(limit)*minConnShare))
 	clients := int(float64(forConns) * clientShare)
 	return Split{Node: limit - forConns, Clients: clients, Servers: forConns - clients}, nil
 }
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -10,25 +10,25 @@
 func TestDivide(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(-1, 4096).Draw(t, "limit")
-		u := Uses{Operators: rapid.SampledFrom([]int{0, 10}).Draw(t, "operators"),
+		uses := Uses{Operators: rapid.SampledFrom([]int{0, 10}).Draw(t, "operators"),
 			Link: rapid.Bool().Draw(t, "link"), Fleet: rapid.Bool().Draw(t, "fleet"),
 			Recorder: rapid.Bool().Draw(t, "recorder")}
-		s, err := Divide(limit, u)
+		split, err := Divide(limit, uses)
 		if limit < MinLimit {
 			if err == nil {
-				t.Fatalf("%d descriptors pass: %+v", limit, s)
+				t.Fatalf("%d descriptors pass: %+v", limit, split)
 			}
 			return
 		}
 		if err != nil {
-			t.Fatalf("%+v: %v", u, err)
+			t.Fatalf("%+v: %v", uses, err)
 		}
-		if s.Node+s.Clients+s.Servers != limit || s.Clients < limit/8 || s.Servers < s.Clients || s.Servers > s.Clients+1 {
-			t.Fatalf("%d: %+v", limit, s)
+		if split.Node+split.Clients+split.Servers != limit || split.Clients < limit/8 || split.Servers < split.Clients || split.Servers > split.Clients+1 {
+			t.Fatalf("%d: %+v", limit, split)
 		}
 		bare, err := Divide(limit, Uses{})
-		if err != nil || limit >= 128 && s.Node < bare.Node+u.Operators || s.Node < node+MaxRefused+MaxEvicted {
-			t.Fatalf("%d for the node itself, without the optional parts %+v, %v", s.Node, bare, err)
+		if err != nil || limit >= 128 && split.Node < bare.Node+uses.Operators || split.Node < node+MaxRefused+MaxEvicted {
+			t.Fatalf("%d for the node itself, without the optional parts %+v, %v", split.Node, bare, err)
 		}
 	})
 }
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -87,15 +87,16 @@
 }
 
 // NewHandler returns a handler that buffers at most maxBodies bytes of request bodies at a time.
-func NewHandler(l *core.Loop, s decide.Settings, maxBodies int64, log *slog.Logger) *Handler {
-	f := &Handler{loop: l, log: log, classes: map[string]decide.Class{}, longestDeadline: s.LongestDeadline(), maxOpenRequests: math.MaxInt64, maxBodyBytes: maxBodies}
-	if m := s.MaxOpen; m > 0 {
-		f.maxOpenRequests = int64(m)
+func NewHandler(loop *core.Loop, settings decide.Settings, maxBodies int64, log *slog.Logger) *Handler {
+	handler := &Handler{loop: loop, log: log, classes: map[string]decide.Class{},
+		longestDeadline: settings.LongestDeadline(), maxOpenRequests: math.MaxInt64, maxBodyBytes: maxBodies}
+	if limit := settings.MaxOpen; limit > 0 {
+		handler.maxOpenRequests = int64(limit)
 	}
-	for _, c := range s.Classes {
-		f.classes[c.Name] = c
+	for _, class := range settings.Classes {
+		handler.classes[class.Name] = class
 	}
-	return f
+	return handler
 }
 
 // Drain has the health check say from now on that the node is not ready, and has each request answered by end.
@@ -189,7 +190,7 @@
 	tracked := &answerTracker{ResponseWriter: w}
 	w = tracked
 	defer func() { f.Guard.RecordRequestEnd(tracked.answered) }()
-	began := time.Now() // must not be later than the check of the client's presence
+	startedAt := time.Now() // must not be later than the check of the client's presence
 	if f.ClientGone != nil && f.ClientGone(r) {
 		reject(w, http.StatusBadRequest, "the client has closed") // or has closed only its own direction, and reads this
 		return
@@ -216,13 +217,14 @@
 	if f.ClientGone != nil {
 		client, cancel := context.WithCancel(ctx)
 		defer cancel()
-		presence = &clientPresence{handler: f, request: r, cancel: cancel, began: began}
+		presence = &clientPresence{handler: f, request: r, cancel: cancel, startedAt: startedAt}
 		ctx, req.ClientGone = client, presence.gone
 	}
 	result, ok := f.loop.Do(ctx, req)
-	f.Metrics.RecordLatency(class, result.Status, began)
+	f.Metrics.RecordLatency(class, result.Status, startedAt)
 	if f.OnComplete != nil {
-		completed := &CompletedRequest{Request: req, Answer: result, ClientGone: !ok, Began: began, Took: time.Since(began), Patience: patience}
+		completed := &CompletedRequest{Request: req, Answer: result, ClientGone: !ok, Began: startedAt,
+			Took: time.Since(startedAt), Patience: patience}
 		defer func() { f.OnComplete(completed) }() // deferred until the client has its answer
 	}
 	if !ok {
@@ -305,17 +307,18 @@
 	if r.ContentLength == 0 {
 		return nil, nil, 0, ""
 	}
-	u := &upload{control: http.NewResponseController(w), body: r.Body, began: time.Now(), length: r.ContentLength}
-	body, err := io.ReadAll(io.LimitReader(u, BodyLimit)) // the buffer grows with what arrives, not by Content-Length
+	reader := &upload{control: http.NewResponseController(w), body: r.Body, startedAt: time.Now(), length: r.ContentLength}
+	body, err := io.ReadAll(io.LimitReader(reader, BodyLimit)) // the buffer grows with what arrives, not by Content-Length
 	if err == nil && len(body) == BodyLimit && r.ContentLength != BodyLimit {
-		u.Upload = core.Upload{Reader: u, Length: r.ContentLength, FailureStatus: func() int { status, _ := u.fault(); return status }}
-		return body, u, 0, ""
+		reader.Upload = core.Upload{Reader: reader, Length: r.ContentLength,
+			FailureStatus: func() int { status, _ := reader.fault(); return status }}
+		return body, reader, 0, ""
 	}
 	if err != nil {
-		status, problem = u.fault()
+		status, problem = reader.fault()
 		return nil, nil, status, problem
 	}
-	u.control.SetReadDeadline(time.Time{}) // else the deadline would end the watch for the client's leaving
+	reader.control.SetReadDeadline(time.Time{}) // else the deadline would end the watch for the client's leaving
 	return body, nil, 0, ""
 }
 
@@ -324,7 +327,7 @@
 	core.Upload
 	control    *http.ResponseController
 	body       io.Reader
-	began      time.Time
+	startedAt  time.Time
 	received   int64  // bytes
 	length     int64  // by Content-Length; -1: not known
 	onReceived func() // if set, called once, when the body is complete
@@ -337,7 +340,7 @@
 // Read reads more of the body. It fails if the client is slower than package pace allows, and with errTooLong once the
 // body is longer than maxRequestBody.
 func (u *upload) Read(p []byte) (int, error) {
-	u.control.SetReadDeadline(pace.Deadline(u.began, u.received))
+	u.control.SetReadDeadline(pace.Deadline(u.startedAt, u.received))
 	n, err := u.body.Read(p)
 	if u.received += int64(n); u.received > maxRequestBody {
 		err = errTooLong
@@ -365,13 +368,16 @@
 
 // newRequest builds the loop's request from an HTTP request that has been checked, and its body or the beginning of it.
 func newRequest(r *http.Request, class string, patience time.Duration, body []byte) *core.Request {
-	e := decide.RequestArrived{ID: decide.RequestID(r.Header.Get("X-Correlation-Id")), Class: class, Tenant: r.Header.Get("X-Account"),
-		Key: queryValue(r.URL.RawQuery, "obj"), Repeat: r.Header.Get("X-Repeat") == "1", Write: flagSet(r.Header.Get("X-Facts"), "write")}
-	if us, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil && us >= 0 && us < maxPatience.Seconds()*1e6 {
-		e.WorkHint, e.HasHint = time.Duration(us*float64(time.Microsecond)), true
-	}
-	return &core.Request{Arrived: e, Deadline: time.Now().Add(patience - answerMargin), Method: r.Method, Body: body,
-		URL:    &url.URL{Host: r.Host, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery, ForceQuery: r.URL.ForceQuery},
+	event := decide.RequestArrived{ID: decide.RequestID(r.Header.Get("X-Correlation-Id")), Class: class,
+		Tenant: r.Header.Get("X-Account"), Key: queryValue(r.URL.RawQuery, "obj"),
+		Repeat: r.Header.Get("X-Repeat") == "1", Write: flagSet(r.Header.Get("X-Facts"), "write")}
+	if microseconds, err := strconv.ParseFloat(r.Header.Get("X-Weight-Hint"), 64); err == nil &&
+		microseconds >= 0 && microseconds < maxPatience.Seconds()*1e6 {
+		event.WorkHint, event.HasHint = time.Duration(microseconds*float64(time.Microsecond)), true
+	}
+	return &core.Request{Arrived: event, Deadline: time.Now().Add(patience - answerMargin), Method: r.Method, Body: body,
+		URL: &url.URL{Host: r.Host, Path: r.URL.Path, RawPath: r.URL.RawPath, RawQuery: r.URL.RawQuery,
+			ForceQuery: r.URL.ForceQuery},
 		Header: endToEnd(r.Header)}
 }
 
@@ -405,26 +411,26 @@
 
 // endToEnd returns a copy of a header without the hop-by-hop fields and those that the node sets itself.
 // X-Correlation-Id and Idempotency-Key, which identify a request, are kept even if Connection names them.
-func endToEnd(h http.Header) http.Header {
-	out := h.Clone()
-	for _, field := range h["Connection"] {
+func endToEnd(header http.Header) http.Header {
+	forwarded := header.Clone()
+	for _, field := range header["Connection"] {
 		for name := range strings.SplitSeq(field, ",") {
 			switch name = http.CanonicalHeaderKey(strings.TrimSpace(name)); name {
 			case "X-Correlation-Id", "Idempotency-Key":
 			default:
-				out.Del(name)
+				forwarded.Del(name)
 			}
 		}
 	}
 	for _, name := range ownFields {
-		delete(out, name)
+		delete(forwarded, name)
 	}
-	return out
+	return forwarded
 }
 
 // ownFields are the hop-by-hop fields and those that the node sets itself, in canonical form.
-var ownFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
-	"Content-Length", "X-Time-Left", "X-Backend-Load", "X-Unprocessed"}
+var ownFields = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
+	"Upgrade", "Expect", "Content-Length", "X-Time-Left", "X-Backend-Load", "X-Unprocessed"}
 
 // writeAnswer writes an answer without a Rest. It is called at most once per request.
 func (f *Handler) writeAnswer(w http.ResponseWriter, answer core.Answer) {
@@ -446,11 +452,11 @@
 	}()
 	if f.Foreign { // the other site gets an answer only whole, so it is buffered
 		var body []byte
-		err := answer.Rest.Copy(func(p []byte) error {
-			if len(answer.Body)+len(body)+len(p) > maxForeignAnswer {
+		err := answer.Rest.Copy(func(piece []byte) error {
+			if len(answer.Body)+len(body)+len(piece) > maxForeignAnswer {
 				return errTooLong
 			}
-			body = append(body, p...)
+			body = append(body, piece...)
 			return nil
 		})
 		if err != nil {
@@ -462,9 +468,9 @@
 	}
 	f.setHeader(w, answer)
 	control := http.NewResponseController(w)
-	send := func(p []byte) error {
+	send := func(piece []byte) error {
 		control.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := w.Write(p); err != nil {
+		if _, err := w.Write(piece); err != nil {
 			return err
 		}
 		return control.Flush()
@@ -497,27 +503,28 @@
 
 // setHeader sets the header fields of an answer, except Content-Length.
 func (f *Handler) setHeader(w http.ResponseWriter, answer core.Answer) {
-	h := w.Header()
+	header := w.Header()
 	if answer.Header != nil {
-		closing := h["Connection"]
+		closing := header["Connection"]
 		for name, values := range endToEnd(answer.Header) {
-			h[name] = values
+			header[name] = values
 		}
 		if closing != nil {
-			h["Connection"] = closing
+			header["Connection"] = closing
 		}
 	}
-	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+	if header["Content-Type"] == nil {
+		header["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	f.closeIfLast(w)
 	if answer.Status == http.StatusConflict {
-		h.Set("Connection", "close")
+		header.Set("Connection", "close")
 	}
 	if answer.Status == http.StatusServiceUnavailable {
-		h.Set("X-Refused-By", [...]string{decide.ByServers: "servers", decide.ByNode: "node", decide.ByList: "list"}[answer.Reason])
+		header.Set("X-Refused-By", [...]string{
+			decide.ByServers: "servers", decide.ByNode: "node", decide.ByList: "list"}[answer.Reason])
 	}
 	if answer.HoldOff > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(answer.HoldOff.Seconds(), 'f', 3, 64))
+		header.Set("Retry-After", strconv.FormatFloat(answer.HoldOff.Seconds(), 'f', 3, 64))
 	}
 }
--- a/internal/front/handler_test.go
+++ b/internal/front/handler_test.go
@@ -11,7 +11,8 @@
 // A Connection header that names a request's id or key does not remove it: without them a retry can't be recognised.
 func TestConnectionHeaderKeepsIdentity(t *testing.T) {
 	t.Parallel()
-	h := endToEnd(http.Header{"Connection": {"X-Hop, x-correlation-id", "idempotency-key"}, "X-Hop": {"1"}, "X-Correlation-Id": {"q"}, "Idempotency-Key": {"k"}})
+	h := endToEnd(http.Header{"Connection": {"X-Hop, x-correlation-id", "idempotency-key"}, "X-Hop": {"1"},
+		"X-Correlation-Id": {"q"}, "Idempotency-Key": {"k"}})
 	if len(h) != 2 || h.Get("X-Correlation-Id") != "q" || h.Get("Idempotency-Key") != "k" {
 		t.Errorf("%v is forwarded", h)
 	}
@@ -19,7 +20,8 @@
 
 // queryValue returns the same value as url.Values.Get.
 func TestQueryValue(t *testing.T) {
-	for query, want := range map[string]string{"": "", "obj=7f": "7f", "a=1&obj=x%20y&obj=2": "x y", "o%62j=z": "z", "obj": "", "objx=1": "",
+	for query, want := range map[string]string{"": "", "obj=7f": "7f", "a=1&obj=x%20y&obj=2": "x y", "o%62j=z": "z",
+		"obj": "", "objx=1": "",
 		"obj=a;b": "", "obj=%zz&obj=ok": "ok", "a=b+c&obj=b+c": "b c"} {
 		if got := queryValue(query, "obj"); got != want {
 			t.Errorf("%q: %q, want %q", query, got, want)
@@ -30,33 +32,34 @@
 // A request handed off from another site that does not fit the settings here is answered with 503, which says that it
 // has not run. The same request from a client gets a 4xx status, which blames the client.
 func TestForeignMisfit(t *testing.T) {
-	s := decide.Settings{Classes: []decide.Class{{Name: "read", Effect: decide.Safe}, {Name: "tag", Effect: decide.Keyed}}}
-	for _, c := range []struct {
+	settings := decide.Settings{Classes: []decide.Class{{Name: "read", Effect: decide.Safe},
+		{Name: "tag", Effect: decide.Keyed}}}
+	for _, step := range []struct {
 		method, path string
-		own          int
+		clientStatus int
 	}{{"GET", "/unheard-of", 404}, {"POST", "/read", 405}, {"GET", "/read", 400}} {
 		for _, foreign := range []bool{false, true} {
-			h := NewHandler(nil, s, 1<<20, nil)
-			h.Foreign = foreign
+			handler := NewHandler(nil, settings, 1<<20, nil)
+			handler.Foreign = foreign
 			w := httptest.NewRecorder()
-			h.ServeHTTP(w, httptest.NewRequest(c.method, c.path, nil))
-			want := c.own
+			handler.ServeHTTP(w, httptest.NewRequest(step.method, step.path, nil))
+			want := step.clientStatus
 			if foreign {
 				want = 503
 			}
 			if w.Code != want {
-				t.Errorf("%s %s, foreign %v: %d, want %d", c.method, c.path, foreign, w.Code, want)
+				t.Errorf("%s %s, foreign %v: %d, want %d", step.method, step.path, foreign, w.Code, want)
 			}
 		}
 	}
-	h := NewHandler(nil, s, 1<<20, nil)
-	h.Foreign = true
+	handler := NewHandler(nil, settings, 1<<20, nil)
+	handler.Foreign = true
 	r := httptest.NewRequest("POST", "/tag", nil)
 	r.Header.Set("X-Correlation-Id", "q")
 	r.Header.Set("X-Time-Left", "1")
 	r.Header.Set("Idempotency-Key", "k")
 	w := httptest.NewRecorder()
-	if h.ServeHTTP(w, r); w.Code != 503 {
+	if handler.ServeHTTP(w, r); w.Code != 503 {
 		t.Errorf("a keyed hand-off: %d", w.Code)
 	}
 }
--- a/internal/front/http1/admission.go
+++ b/internal/front/http1/admission.go
@@ -48,7 +48,7 @@
 	closed       chan struct{}  // signalled when a connection has been closed
 	refusals     sync.WaitGroup // goroutines that refuse connections
 
-	began time.Time // the zero of the clock of conns
+	epoch time.Time // the zero of the clock of conns
 	mu    sync.Mutex
 	conns *admit.ConnSet
 }
@@ -77,11 +77,12 @@
 }
 
 // newAdmission returns an admission on a listener, with at most limit open connections.
-func newAdmission(l *net.TCPListener, limit int) *admission {
-	return &admission{TCPListener: l, acceptTCP: l.AcceptTCP, began: time.Now(), conns: admit.New(limit), countRefused: func(string) {}, closed: make(chan struct{}, 1)}
+func newAdmission(listener *net.TCPListener, limit int) *admission {
+	return &admission{TCPListener: listener, acceptTCP: listener.AcceptTCP, epoch: time.Now(),
+		conns: admit.New(limit), countRefused: func(string) {}, closed: make(chan struct{}, 1)}
 }
 
-func (a *admission) now() time.Duration { return time.Since(a.began) }
+func (a *admission) now() time.Duration { return time.Since(a.epoch) }
 
 // Accept returns the next connection that is within the limit. Others are refused, by up to descriptors.MaxRefused
 // goroutines at once that wait for the request, and beyond that without waiting. It fails only once the listener is
@@ -195,14 +196,14 @@
 	defer tcp.Close()
 	tcp.SetReadDeadline(time.Now().Add(refuseWait))
 	var text [4 << 10]byte
-	n, class := 0, ""
-	for class == "" && n < len(text) {
-		more, err := tcp.Read(text[n:]) // closing with unread input would reset the connection
+	received, class := 0, ""
+	for class == "" && received < len(text) {
+		more, err := tcp.Read(text[received:]) // closing with unread input would reset the connection
 		if err != nil {
 			break // the client is refused all the same, and counted without a class
 		}
-		n += more
-		class = requestClass(text[:n])
+		received += more
+		class = requestClass(text[:received])
 	}
 	a.writeRefusal(tcp, class)
 }
@@ -241,7 +242,9 @@
 	if err != nil {
 		return 0, err
 	}
-	if failed := raw.Control(func(fd uintptr) { n, _, err = syscall.Recvfrom(int(fd), into, flags|syscall.MSG_DONTWAIT) }); failed != nil {
+	if failed := raw.Control(func(fd uintptr) {
+		n, _, err = syscall.Recvfrom(int(fd), into, flags|syscall.MSG_DONTWAIT)
+	}); failed != nil {
 		err = failed
 	}
 	return max(0, n), err
@@ -307,11 +310,11 @@
 func (a *admission) closeStalled() {
 	var stalled []*clientConn
 	a.mu.Lock()
-	for _, c := range a.conns.WithoutRequest() {
-		a.evict(c.Owner.(*clientConn))
+	for _, conn := range a.conns.WithoutRequest() {
+		a.evict(conn.Owner.(*clientConn))
 	}
-	for _, c := range a.conns.WithRequest() {
-		conn := c.Owner.(*clientConn)
+	for _, conn := range a.conns.WithRequest() {
+		conn := conn.Owner.(*clientConn)
 		if conn.scan.state != scanHead {
 			a.evict(conn)
 			continue
@@ -325,8 +328,8 @@
 		}
 	}
 	a.mu.Unlock()
-	for _, c := range stalled {
-		c.Close()
+	for _, conn := range stalled {
+		conn.Close()
 	}
 }
 
--- a/internal/front/http1/admission_test.go
+++ b/internal/front/http1/admission_test.go
@@ -60,11 +60,12 @@
 // the machine once ended the front, and the process with it.
 func TestAcceptErrorsEndNothing(t *testing.T) {
 	t.Parallel()
-	a, dial, accept := newTestAdmission(t, 3)
-	errs := []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
+	admission, dial, accept := newTestAdmission(t, 3)
+	errs := []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
+		syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
 		syscall.ENETUNREACH, syscall.EINTR}
-	next := a.acceptTCP
-	a.acceptTCP = func() (*net.TCPConn, error) {
+	next := admission.acceptTCP
+	admission.acceptTCP = func() (*net.TCPConn, error) {
 		if len(errs) == 0 {
 			return next()
 		}
@@ -77,8 +78,8 @@
 	if len(errs) > 0 {
 		t.Errorf("%d errors were not returned to Accept", len(errs))
 	}
-	a.Close()
-	if _, err := a.Accept(); !errors.Is(err, net.ErrClosed) {
+	admission.Close()
+	if _, err := admission.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("a closed listener: %v", err)
 	}
 }
@@ -87,9 +88,9 @@
 // arrives as its connection is evicted is not passed on. A refused request is counted under its class.
 func TestAdmission(t *testing.T) {
 	t.Parallel()
-	a, dial, accept := newTestAdmission(t, 3)
+	admission, dial, accept := newTestAdmission(t, 3)
 	counted := make(chan string, 1)
-	a.countRefused = func(class string) { counted <- class }
+	admission.countRefused = func(class string) { counted <- class }
 	var conns [3]*clientConn
 	for i := range conns {
 		dial()
@@ -101,9 +102,10 @@
 	silent.set(admit.ReadingHead, 0)
 	refused := dial()
 	done := make(chan *clientConn)
-	go func() { c, _ := a.Accept(); done <- c.(*clientConn) }()
+	go func() { c, _ := admission.Accept(); done <- c.(*clientConn) }()
 	io.WriteString(refused, "GET /read?obj=1 HTTP/1.1\r\nHost: h\r\n")
-	if resp, err := http.ReadResponse(bufio.NewReader(refused), nil); err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
+	if resp, err := http.ReadResponse(bufio.NewReader(refused), nil); err != nil ||
+		resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
 		t.Fatalf("want a refusal, as no connection can be evicted: %v, %v", resp, err)
 	}
 	if class := <-counted; class != "read" {
@@ -119,15 +121,15 @@
 	}
 	dial()
 	fourth := accept()
-	if !idle.wasEvicted() || busy.wasEvicted() || a.openConns() != 3 {
-		t.Errorf("the wrong connection was evicted second; %d open", a.openConns())
+	if !idle.wasEvicted() || busy.wasEvicted() || admission.openConns() != 3 {
+		t.Errorf("the wrong connection was evicted second; %d open", admission.openConns())
 	}
 	for _, c := range []*clientConn{busy, third, fourth, idle, silent} {
 		c.Close()
 	}
-	a.refusals.Wait()
-	if a.openConns() != 0 {
-		t.Errorf("%d open", a.openConns())
+	admission.refusals.Wait()
+	if admission.openConns() != 0 {
+		t.Errorf("%d open", admission.openConns())
 	}
 }
 
@@ -155,13 +157,13 @@
 // meanwhile.
 func TestEvictedAreClosedFirst(t *testing.T) {
 	const limit = 8
-	a, dial, accept := newTestAdmission(t, limit)
+	admission, dial, accept := newTestAdmission(t, limit)
 	var first []*clientConn
 	for range limit {
 		dial()
 		first = append(first, accept())
 	}
-	a.began = a.began.Add(-2 * admit.NothingReadTimeout) // all may be evicted now, but are not closed, as nobody reads
+	admission.epoch = admission.epoch.Add(-2 * admit.NothingReadTimeout) // all may be evicted now, but are not closed, as nobody reads
 	for range descriptors.MaxEvicted {
 		dial()
 		accept()
@@ -170,7 +172,7 @@
 	var accepting sync.WaitGroup
 	defer accepting.Wait()
 	accepting.Go(func() {
-		if c, err := a.Accept(); err == nil {
+		if c, err := admission.Accept(); err == nil {
 			accepted <- c
 		}
 	})
@@ -180,7 +182,7 @@
 			t.Errorf("a new connection gets %q", text)
 		}
 	}
-	if open, held := a.open.Load(), a.openConns(); open != limit+descriptors.MaxEvicted || held != limit {
+	if open, held := admission.open.Load(), admission.openConns(); open != limit+descriptors.MaxEvicted || held != limit {
 		t.Errorf("%d connections are open, %d of them not evicted", open, held)
 	}
 	first[0].Close()
@@ -190,6 +192,6 @@
 		c.Close()
 	case <-time.After(testkit.Patient):
 		t.Error("no connection is accepted after an evicted one has been closed")
-		a.Close()
+		admission.Close()
 	}
 }
--- a/internal/front/http1/endings_test.go
+++ b/internal/front/http1/endings_test.go
@@ -140,33 +140,33 @@
 func TestEvictedIsRefused(t *testing.T) {
 	t.Parallel()
 	for _, at := range []int{0, 1, len(text) - 1} {
-		a, dial, _ := newTestAdmission(t, 3)
+		admission, dial, _ := newTestAdmission(t, 3)
 		began := make(chan *clientConn, 1)
-		f := newTestFront(a)
-		f.server.ConnState = func(c net.Conn, s http.ConnState) {
-			if f.admission.track(c, s); s == http.StateNew {
-				began <- c.(*clientConn)
+		testFront := newTestFront(admission)
+		testFront.server.ConnState = func(conn net.Conn, s http.ConnState) {
+			if testFront.admission.track(conn, s); s == http.StateNew {
+				began <- conn.(*clientConn)
 			}
 		}
-		end := f.serve()
+		end := testFront.serve()
 		client := dial()
-		c := <-began
+		conn := <-began
 		io.WriteString(client, text[:at])
 		for end, read := time.Now().Add(testkit.Patient), 0; read < at && time.Now().Before(end); time.Sleep(time.Millisecond) {
-			c.owner.mu.Lock()
-			read = c.scan.headBytes
-			c.owner.mu.Unlock()
+			conn.owner.mu.Lock()
+			read = conn.scan.headBytes
+			conn.owner.mu.Unlock()
 		}
-		c.owner.mu.Lock() // what arrives now is not scanned, and perhaps not read, before the connection is evicted
+		conn.owner.mu.Lock() // what arrives now is not scanned, and perhaps not read, before the connection is evicted
 		io.WriteString(client, text[at:])
-		c.owner.evict(c)
-		c.owner.mu.Unlock()
+		conn.owner.evict(conn)
+		conn.owner.mu.Unlock()
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil || resp.StatusCode != 503 || !resp.Close {
 			t.Errorf("at %d: %v %v; want a refusal", at, resp, err)
 		}
 		end()
-		if n := f.admission.open.Load(); n != 0 {
+		if n := testFront.admission.open.Load(); n != 0 {
 			t.Errorf("%d connections are open", n)
 		}
 	}
@@ -177,12 +177,12 @@
 func TestLeftBeforeTaken(t *testing.T) {
 	t.Parallel()
 	for _, behind := range []string{"", "G", text, strings.Repeat(text, 200)} { // the last one exceeds net/http's buffer
-		a, dial, _ := newTestAdmission(t, 3)
+		admission, dial, _ := newTestAdmission(t, 3)
 		client := dial()
 		io.WriteString(client, text+behind)
 		client.(*net.TCPConn).CloseWrite() // while the connection waits in the listener's queue
-		f := newTestFront(a)
-		end := f.serve()
+		testFront := newTestFront(admission)
+		end := testFront.serve()
 		resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 		if err != nil || resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%d bytes after it: %v %v; want 400, as no answer comes", len(behind), resp, err)
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -41,19 +41,21 @@
 type connKey struct{}
 
 // New returns a front that keeps at most conns client connections open. It sets the hooks of h that check connections.
-func New(tcp *net.TCPListener, conns int, h *front.Handler, log *slog.Logger) *Front {
-	f := &Front{handler: h, admission: newAdmission(tcp, conns), log: log}
-	h.Evicted = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).wasEvicted() }
-	h.ClientGone = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).clientGone() }
-	h.DisconnectHidden = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).disconnectHidden() }
-	h.ConnectionPressure = f.admission.underPressure
-	f.admission.countRefused = func(class string) { h.Metrics.RequestEnded(class, http.StatusServiceUnavailable) }
-	h.AmbiguousEnd = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).ambiguousEnd() }
-	f.server = &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: f.admission.track, DisableGeneralOptionsHandler: true,
+func New(listener *net.TCPListener, limit int, handler *front.Handler, log *slog.Logger) *Front {
+	newFront := &Front{handler: handler, admission: newAdmission(listener, limit), log: log}
+	handler.Evicted = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).wasEvicted() }
+	handler.ClientGone = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).clientGone() }
+	handler.DisconnectHidden = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).disconnectHidden() }
+	handler.ConnectionPressure = newFront.admission.underPressure
+	newFront.admission.countRefused = func(class string) {
+		handler.Metrics.RequestEnded(class, http.StatusServiceUnavailable)
+	}
+	handler.AmbiguousEnd = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).ambiguousEnd() }
+	newFront.server = &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: newFront.admission.track, DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
-	return f
+	return newFront
 }
 
 // Serve implements core.Front.
@@ -94,10 +96,10 @@
 	// From now on each answer closes its connection. Requests that are still with the loop at end are answered then.
 	// Answers that are being written may go on while they make progress, but not if the client takes nothing or the
 	// server sends nothing. http.Server.Shutdown would close connections whose next head is being read.
-	for until := time.Now().Add(f.handler.LongestDeadline() + drainSlack); f.admission.open.Load() > 0; time.Sleep(drainPollInterval) {
+	for latest := time.Now().Add(f.handler.LongestDeadline() + drainSlack); f.admission.open.Load() > 0; time.Sleep(drainPollInterval) {
 		f.admission.closeWithoutRequest() // including connections that have become idle since
 		now := time.Now()
-		if now.After(until) {
+		if now.After(latest) {
 			f.log.Warn("drained with connections open", "connections", f.admission.open.Load())
 			return
 		}
--- a/internal/front/http1/scan.go
+++ b/internal/front/http1/scan.go
@@ -86,7 +86,7 @@
 
 // endLine handles the end of a line of a head.
 func (s *requestScan) endLine() {
-	cut := len(s.line) == maxLineKept
+	truncated := len(s.line) == maxLineKept
 	line := bytes.TrimSuffix(s.line, []byte("\r"))
 	s.line = s.line[:0]
 	if len(line) == 0 {
@@ -104,12 +104,12 @@
 	}
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
-		n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
-		s.afterLength, s.lengthUncertain = true, s.lengthUncertain || cut
-		if s.hasLength = true; err != nil || n < 0 {
-			n = 0 // net/http rejects the request
+		length, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
+		s.afterLength, s.lengthUncertain = true, s.lengthUncertain || truncated
+		if s.hasLength = true; err != nil || length < 0 {
+			length = 0 // net/http rejects the request
 		}
-		s.bodyLeft = n
+		s.bodyLeft = length
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
 		s.chunked = true
 	}
--- a/internal/front/presence.go
+++ b/internal/front/presence.go
@@ -16,14 +16,14 @@
 	handler      *Handler // provides ClientGone, which has to be set, and DisconnectHidden
 	request      *http.Request
 	cancel       func()       // called by each check that finds the client gone
-	began        time.Time    // when the request was taken up; the first check was made then or later
+	startedAt    time.Time    // when the request was taken up; the first check was made then or later
 	lastSeen     atomic.Int64 // when the last check that found the client there was started, in ns since began
 	presumedGone atomic.Bool  // it can't be seen whether the client is there, and it counts as gone
 }
 
 // gone reports whether the client has left. It makes a check unless the last one is more recent than maxAge.
 func (p *clientPresence) gone(maxAge time.Duration) bool {
-	now := time.Since(p.began)
+	now := time.Since(p.startedAt)
 	if now-time.Duration(p.lastSeen.Load()) < maxAge {
 		return false
 	}
--- a/internal/front/presence_test.go
+++ b/internal/front/presence_test.go
@@ -17,7 +17,7 @@
 		DisconnectHidden: func(*http.Request) bool { return hidden },
 	}
 	newPresence := func(waited time.Duration) *clientPresence {
-		return &clientPresence{handler: handler, began: time.Now().Add(-waited), cancel: func() { cancelled++ }}
+		return &clientPresence{handler: handler, startedAt: time.Now().Add(-waited), cancel: func() { cancelled++ }}
 	}
 	p := newPresence(0)
 	if p.gone(time.Hour) || checks != 0 {
@@ -29,7 +29,7 @@
 			t.Errorf("%d checks, want one for both calls", checks)
 		}
 	}
-	p.began = p.began.Add(-time.Hour) // as if that check were an hour ago
+	p.startedAt = p.startedAt.Add(-time.Hour) // as if that check were an hour ago
 	if p.gone(time.Minute) || checks != 2 {
 		t.Errorf("%d checks, want another after an hour", checks)
 	}
@@ -38,8 +38,8 @@
 		t.Error("a client that could not be seen for an hour counts as there")
 	}
 	p = newPresence(0)
-	p.began = time.Now()
-	if p.gone(0) && time.Since(p.began) < disconnectHiddenWait {
+	p.startedAt = time.Now()
+	if p.gone(0) && time.Since(p.startedAt) < disconnectHiddenWait {
 		t.Error("a client that could not be seen for a moment counts as gone")
 	}
 	hidden, gone = false, true
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -158,9 +158,9 @@
 // RecordSentBefore checks attempts at a server that were sent before the process knew that the server is draining or
 // removed. The process may have counted as notified of that earlier, since the time notified, because its watch was
 // resumed too late. lastSent is the time of the latest of these attempts.
-func (g *Guard) RecordSentBefore(lastSent, notified time.Time) {
-	if g != nil && !notified.IsZero() && lastSent.Sub(notified) > g.drainGrace {
-		g.RecordViolation(Drain, Attempt{Now: lastSent, UnavailableSince: notified})
+func (g *Guard) RecordSentBefore(lastSent, notifiedAt time.Time) {
+	if g != nil && !notifiedAt.IsZero() && lastSent.Sub(notifiedAt) > g.drainGrace {
+		g.RecordViolation(Drain, Attempt{Now: lastSent, UnavailableSince: notifiedAt})
 	}
 }
 
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -16,7 +16,8 @@
 
 // good is an attempt that breaks no rule.
 func good() Attempt {
-	return Attempt{Now: now, TimeLeft: time.Second, Deadline: now.Add(time.Second), ClientDeadline: now.Add(time.Second), Effect: decide.Unsafe}
+	return Attempt{Now: now, TimeLeft: time.Second, Deadline: now.Add(time.Second),
+		ClientDeadline: now.Add(time.Second), Effect: decide.Unsafe}
 }
 
 // plantedFaults holds for each rule of attempts a fault that breaks it: before is the one that Admit has to refuse, after
@@ -69,7 +70,8 @@
 			g.RecordSent(after, after.Now)
 			for _, other := range Rules() {
 				refused, violated := g.Counts(other)
-				if want := int64(len(slices.DeleteFunc([]Rule{r}, func(x Rule) bool { return x != other }))); refused != want || violated != want {
+				if want := int64(len(slices.DeleteFunc([]Rule{r}, func(x Rule) bool { return x != other }))); refused != want ||
+					violated != want {
 					t.Errorf("%v: refused %d, broken %d, want %d each", other, refused, violated, want)
 				}
 			}
@@ -94,7 +96,7 @@
 // Attempts just within the bounds of each rule are neither refused nor counted.
 func TestBounds(t *testing.T) {
 	t.Parallel()
-	for name, change := range map[string]func(*Attempt){
+	for name, modify := range map[string]func(*Attempt){
 		"safe again":            func(a *Attempt) { a.Effect, a.MayHaveRun = decide.Safe, true },
 		"keyed, in its window":  func(a *Attempt) { a.Effect, a.MayHaveRun, a.WriteBy = decide.Keyed, true, now.Add(1) },
 		"just in time":          func(a *Attempt) { a.Deadline = now.Add(1) },
@@ -102,7 +104,7 @@
 		"a probe has no client": func(a *Attempt) { a.Probe, a.ClientDeadline, a.MayHaveRun = true, time.Time{}, true },
 	} {
 		a := good()
-		change(&a)
+		modify(&a)
 		g := New(grace, nil)
 		if r := g.Admit(a); r != None {
 			t.Errorf("%s: refused for %v", name, r)
@@ -170,8 +172,10 @@
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(t, name))
 		}
-		a := Attempt{Now: now, Deadline: now.Add(span("deadline")), Effect: rapid.SampledFrom([]decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "effect"),
-			Over: rapid.Bool().Draw(t, "over"), ClientGone: rapid.Bool().Draw(t, "departed"), MayHaveRun: rapid.Bool().Draw(t, "ran"),
+		a := Attempt{Now: now, Deadline: now.Add(span("deadline")),
+			Effect: rapid.SampledFrom([]decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "effect"),
+			Over:   rapid.Bool().Draw(t, "over"), ClientGone: rapid.Bool().Draw(t, "departed"),
+			MayHaveRun:    rapid.Bool().Draw(t, "ran"),
 			SlowStartSent: rapid.IntRange(0, 5).Draw(t, "cold"), SlowStartLimit: rapid.IntRange(0, 5).Draw(t, "most")}
 		a.ClientDeadline = a.Deadline.Add(max(0, span("patience")))
 		a.TimeLeft = max(0, a.Deadline.Sub(now))
--- a/internal/serverlist/view.go
+++ b/internal/serverlist/view.go
@@ -67,38 +67,39 @@
 }
 
 // Apply takes in a list or changes. The caller has to pass the update to the transport first and then to the module.
-func (v *View) Apply(l List, now time.Time) Update {
+func (v *View) Apply(list List, now time.Time) Update {
 	age := v.Age(now)
-	before := v.affected(l)
-	if l.Full {
+	before := v.affected(list)
+	if list.Full {
 		clear(v.entries)
 		v.ready = 0
 	}
-	entries := make([]Entry, 0, len(l.Entries))
-	for _, e := range l.Entries {
-		e = v.keepUnavailable(e, l.Version, now)
-		v.setEntry(e, l.Version, now)
+	entries := make([]Entry, 0, len(list.Entries))
+	for _, e := range list.Entries {
+		e = v.keepUnavailable(e, list.Version, now)
+		v.setEntry(e, list.Version, now)
 		entries = append(entries, v.Effective(e))
 	}
-	entries = append(entries, v.trustedByNow(now, &l)...)
-	l.Entries = entries
-	v.known, v.revision, v.source, v.appliedAt = true, l.Version, l.Source, now
-	update := Update{List: l, Age: age}
+	entries = append(entries, v.trustedByNow(now, &list)...)
+	list.Entries = entries
+	v.known, v.revision, v.source, v.appliedAt = true, list.Version, list.Source, now
+	update := Update{List: list, Age: age}
 	for _, was := range before {
 		if is := v.state(was.ID); is != was.State {
-			update.Transitions = append(update.Transitions, Transition{Server: was, From: was.State, To: is, Revision: l.Version, Source: l.Source, Age: age})
+			update.Transitions = append(update.Transitions, Transition{Server: was, From: was.State, To: is,
+				Revision: list.Version, Source: list.Source, Age: age})
 		}
 	}
 	v.rememberRemoved(update.Transitions, now)
-	v.confirm(l.Source, now)
+	v.confirm(list.Source, now)
 	return update
 }
 
 // Withdraw applies a list of a source that is no longer followed: only servers that are draining or removed by it
 // change, and the revision and the source of the list in force stay. The update holds the whole list in force.
-func (v *View) Withdraw(l List, now time.Time) Update {
-	unavailable := List{Version: l.Version, Source: SourceNone}
-	for _, e := range l.Entries {
+func (v *View) Withdraw(list List, now time.Time) Update {
+	unavailable := List{Version: list.Version, Source: SourceNone}
+	for _, e := range list.Entries {
 		if entry, listed := v.entries[e.ID]; listed && e.State != decide.Ready {
 			entry.State = e.State
 			unavailable.Entries = append(unavailable.Entries, entry)
@@ -118,24 +119,24 @@
 }
 
 // affected returns the servers that a list may change, with their states in force before it.
-func (v *View) affected(l List) []Entry {
-	list := make([]Entry, 0, len(l.Entries))
+func (v *View) affected(list List) []Entry {
+	servers := make([]Entry, 0, len(list.Entries))
 	named := map[decide.ServerID]bool{}
-	for _, e := range l.Entries {
+	for _, e := range list.Entries {
 		if !named[e.ID] {
 			named[e.ID] = true
 			e.State = v.state(e.ID)
-			list = append(list, e)
+			servers = append(servers, e)
 		}
 	}
-	if l.Full {
+	if list.Full {
 		for id, e := range v.entries {
 			if !named[id] {
-				list = append(list, v.Effective(e))
+				servers = append(servers, v.Effective(e))
 			}
 		}
 	}
-	return list
+	return servers
 }
 
 // state is a server's state in force; Removed if it is not listed.
@@ -190,7 +191,7 @@
 
 // trustedByNow makes the servers ready whose entries keepUnavailable has kept back for long enough, and returns them.
 // Servers that have become ready or removed meanwhile are left out.
-func (v *View) trustedByNow(now time.Time, l *List) (entries []Entry) {
+func (v *View) trustedByNow(now time.Time, list *List) (entries []Entry) {
 	for id, unavailable := range v.unavailable {
 		if unavailable.trustReadyAt.IsZero() || now.Before(unavailable.trustReadyAt) {
 			continue
@@ -200,7 +201,7 @@
 			v.unavailable[id] = unavailable
 			continue
 		}
-		v.setEntry(unavailable.readyEntry, l.Version, now)
+		v.setEntry(unavailable.readyEntry, list.Version, now)
 		entries = append(entries, v.Effective(unavailable.readyEntry))
 	}
 	return entries
@@ -208,14 +209,15 @@
 
 // rememberRemoved remembers the servers that a whole list no longer contains, and forgets those that were removed long
 // ago.
-func (v *View) rememberRemoved(list []Transition, now time.Time) {
-	for _, t := range list {
+func (v *View) rememberRemoved(transitions []Transition, now time.Time) {
+	for _, t := range transitions {
 		if _, known := v.unavailable[t.Server.ID]; t.To == decide.Removed && !known {
-			v.unavailable[t.Server.ID] = unavailableServer{unavailableSince: now, revision: t.Revision, startedAt: t.Server.StartedAt, removed: true}
+			v.unavailable[t.Server.ID] = unavailableServer{unavailableSince: now, revision: t.Revision,
+				startedAt: t.Server.StartedAt, removed: true}
 		}
 	}
-	for id, o := range v.unavailable {
-		if o.removed && (now.Sub(o.unavailableSince) > removedKeptFor || len(v.unavailable) > maxRemembered) {
+	for id, unavailable := range v.unavailable {
+		if unavailable.removed && (now.Sub(unavailable.unavailableSince) > removedKeptFor || len(v.unavailable) > maxRemembered) {
 			delete(v.unavailable, id)
 		}
 	}
@@ -233,13 +235,14 @@
 // force: they are of an older list that is trusted by now.
 func (v *View) Confirm(source Source, now time.Time) Update {
 	v.confirm(source, now)
-	l := List{Version: v.revision, Source: source}
-	l.Entries = v.trustedByNow(now, &l)
-	u := Update{List: l}
-	for _, e := range l.Entries {
-		u.Transitions = append(u.Transitions, Transition{Server: e, From: decide.Draining, To: e.State, Revision: l.Version, Source: source})
+	list := List{Version: v.revision, Source: source}
+	list.Entries = v.trustedByNow(now, &list)
+	update := Update{List: list}
+	for _, e := range list.Entries {
+		update.Transitions = append(update.Transitions, Transition{Server: e, From: decide.Draining, To: e.State,
+			Revision: list.Version, Source: source})
 	}
-	return u
+	return update
 }
 
 // Unwatch records that no watch is open any more.
@@ -274,7 +277,8 @@
 			if previous.Has(e) {
 				from = decide.Draining
 			}
-			update.Transitions = append(update.Transitions, Transition{Server: effective, From: from, To: effective.State, Revision: v.revision, Source: SourceCordon})
+			update.Transitions = append(update.Transitions, Transition{Server: effective, From: from,
+				To: effective.State, Revision: v.revision, Source: SourceCordon})
 		}
 		update.List.Entries = append(update.List.Entries, effective)
 	}
--- a/internal/serverlist/view_test.go
+++ b/internal/serverlist/view_test.go
@@ -69,7 +69,8 @@
 			t.Errorf("%+v", x)
 		}
 	}
-	want := map[decide.ServerID][2]decide.ServerState{1: {decide.Ready, decide.Draining}, 2: {decide.Ready, decide.Removed}, 3: {decide.Removed, decide.Ready}}
+	want := map[decide.ServerID][2]decide.ServerState{1: {decide.Ready, decide.Draining},
+		2: {decide.Ready, decide.Removed}, 3: {decide.Removed, decide.Ready}}
 	if len(got) != len(want) || got[1] != want[1] || got[2] != want[2] || got[3] != want[3] {
 		t.Errorf("%v, want %v", got, want)
 	}
@@ -153,9 +154,11 @@
 		drained := map[decide.ServerID]uint64{} // by which revision
 		for range rapid.IntRange(1, 20).Draw(t, "lists") {
 			now = now.Add(10 * time.Millisecond)
-			l := List{Version: rapid.Uint64Range(1, 9).Draw(t, "version"), Full: rapid.Bool().Draw(t, "full"), Source: SourceWatch}
+			l := List{Version: rapid.Uint64Range(1, 9).Draw(t, "version"), Full: rapid.Bool().Draw(t, "full"),
+				Source: SourceWatch}
 			for _, id := range rapid.SliceOfNDistinct(rapid.Uint32Range(1, 4), 0, 4, rapid.ID).Draw(t, "servers") {
-				l.Entries = append(l.Entries, entry(decide.ServerID(id), rapid.SampledFrom([]decide.ServerState{decide.Ready, decide.Draining, decide.Removed}).Draw(t, "state"), 0))
+				l.Entries = append(l.Entries, entry(decide.ServerID(id),
+					rapid.SampledFrom([]decide.ServerState{decide.Ready, decide.Draining, decide.Removed}).Draw(t, "state"), 0))
 			}
 			v.Apply(l, now)
 			ready := 0
@@ -191,9 +194,11 @@
 	entry := func(id decide.ServerID, s decide.ServerState) Entry {
 		return Entry{Server: decide.Server{ID: id, State: s}}
 	}
-	v.Apply(List{Version: 7, Full: true, Source: SourceCall, Entries: []Entry{entry(1, decide.Ready), entry(2, decide.Ready), entry(3, decide.Draining)}}, now)
+	v.Apply(List{Version: 7, Full: true, Source: SourceCall, Entries: []Entry{entry(1, decide.Ready),
+		entry(2, decide.Ready), entry(3, decide.Draining)}}, now)
 	v.SourceChanged(now)
-	u := v.Withdraw(List{Version: 8, Entries: []Entry{entry(1, decide.Draining), entry(3, decide.Ready), entry(4, decide.Ready)}}, now)
+	u := v.Withdraw(List{Version: 8, Entries: []Entry{entry(1, decide.Draining), entry(3, decide.Ready),
+		entry(4, decide.Ready)}}, now)
 	if len(u.Transitions) != 1 || u.Transitions[0].To != decide.Draining || !u.List.Full || len(u.List.Entries) != 3 {
 		t.Errorf("%+v", u)
 	}
