--- a/internal/accept/accept_test.go
+++ b/internal/accept/accept_test.go
@@ -17,7 +17,8 @@
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
 		syscall.ENOMEM, syscall.EPERM, syscall.EPROTO, syscall.ENETDOWN,
-		syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.EINTR} {
+		syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
+		syscall.ENETUNREACH, syscall.EINTR} {
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var r Retry
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -108,7 +108,8 @@
 		request.answer <- Answer{Status: http.StatusOK, Header: result.Header, Body: result.Body,
 			AttemptTime: time.Since(ended.sentAt)}
 		request.over = true
-	case result.ClientErrorStatus > 0: // the request is invalid: other backends would reject it too, and the backend has not failed
+	case result.ClientErrorStatus > 0:
+		// The request is invalid: other backends would reject it too, and this one has not failed.
 		request.answer <- Answer{Status: result.ClientErrorStatus}
 		request.over = true
 	}
@@ -122,7 +123,8 @@
 	}
 	elapsed := time.Since(ended.sentAt)
 	l.handle(decide.AttemptEnded{ID: send.ID, Attempt: index, Server: send.Server, RequestDone: request.over,
-		Elapsed: elapsed, NodeTime: ended.ownTime(result.EndedAt, l.lag.current(), elapsed), Code: result.Code, Report: result.Report, BodyConsumed: request.Upload != nil && request.Upload.PartlySent})
+		Elapsed: elapsed, NodeTime: ended.ownTime(result.EndedAt, l.lag.current(), elapsed), Code: result.Code,
+		Report: result.Report, BodyConsumed: request.Upload != nil && request.Upload.PartlySent})
 }
 
 // bodyWritten handles the end of an upload: the body has been written to the server whole, and the client's patience
--- a/internal/core/endings_test.go
+++ b/internal/core/endings_test.go
@@ -26,7 +26,7 @@
 	go func() { a, _ := loop.Do(t.Context(), request); answered <- a }()
 	ports.expect(t, "do /order")
 	loop.post(func() {
-		for time.Until(request.Deadline) > -3*answerGrace { // under the lock, so that Do's timeout fires and then waits for the lock
+		for time.Until(request.Deadline) > -3*answerGrace { // Do's timeout fires meanwhile, and waits for the lock
 			time.Sleep(answerGrace)
 		}
 		loop.finish("q", Answer{Status: http.StatusOK, Body: []byte("x")})
--- a/internal/core/hold.go
+++ b/internal/core/hold.go
@@ -27,7 +27,8 @@
 		for _, request := range l.requests {
 			for _, open := range request.attempts {
 				entry, listed := l.view.Entry(open.server)
-				if !open.ended && (cordon.Servers[open.server] || listed && cordon.Zones[entry.Zone] || !listed && len(cordon.Zones) > 0) {
+				if !open.ended && (cordon.Servers[open.server] || listed && cordon.Zones[entry.Zone] ||
+					!listed && len(cordon.Zones) > 0) {
 					n++
 				}
 			}
--- a/internal/core/lag_test.go
+++ b/internal/core/lag_test.go
@@ -54,7 +54,8 @@
 		t.Error("an attempt that did not start has an own time")
 	}
 	a.startedAt = now.Add(-90 * time.Millisecond)
-	if got := a.ownTime(time.Now(), 5*time.Millisecond, 100*time.Millisecond); got < 15*time.Millisecond || got > 60*time.Millisecond {
+	if got := a.ownTime(time.Now(), 5*time.Millisecond, 100*time.Millisecond); got < 15*time.Millisecond ||
+		got > 60*time.Millisecond {
 		t.Errorf("%v, want 15 ms and a little", got)
 	}
 	if got := a.ownTime(time.Now(), time.Hour, 100*time.Millisecond); got != 100*time.Millisecond {
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -83,11 +83,11 @@
 // source, because its versions need not continue those of the old one. The watch at the old source is ended here: it
 // may hang, and would count as open. To the module this is a failed list request: all nodes may change the source at
 // the same moment, and the module spreads their requests over time.
-func (l *Loop) SetMembership(membership Membership) {
+func (l *Loop) SetMembership(replacement Membership) {
 	l.post(func() {
 		l.endWatchCall()
 		l.membership.Close()
-		l.membership = membership
+		l.membership = replacement
 		l.view.SourceChanged(time.Now())
 		if l.settings.ListOnRequest {
 			l.handle(decide.ListUpdate{Kind: decide.ListFailed, Cause: decide.CauseMoved})
@@ -218,7 +218,8 @@
 		}
 	}
 	l.log.Info("list", append(attrs, "became ready", count[decide.Ready], "draining", count[decide.Draining],
-		"gone", count[decide.Removed], "first off", strings.Join(names, ","), "believed for", update.Age.Round(time.Millisecond))...)
+		"gone", count[decide.Removed], "first off", strings.Join(names, ","),
+		"believed for", update.Age.Round(time.Millisecond))...)
 }
 
 var stateNames = map[decide.ServerState]string{decide.Ready: "ready", decide.Draining: "draining", decide.Removed: "gone"}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -97,9 +97,11 @@
 	}
 	return &Loop{classes: classes, module: decide.New(options.Settings, options.Seed), settings: options.Settings,
 		transport: options.Transport, membership: options.Membership,
-		messenger: options.Messenger, remote: options.Remote, log: options.Log, lag: lag, ctx: ctx, initialised: make(chan struct{}), wakeTimer: time.NewTimer(time.Hour), startedAt: now,
+		messenger: options.Messenger, remote: options.Remote, log: options.Log, lag: lag, ctx: ctx,
+		initialised: make(chan struct{}), wakeTimer: time.NewTimer(time.Hour), startedAt: now,
 		clockBase: time.Duration(now.Add(faultpoint.WallStep).UnixNano()), requests: map[decide.RequestID]*Request{},
-		metrics: options.Metrics, learned: options.Learned, guard: options.Guard, view: serverlist.NewView(), debug: options.Log.Enabled(ctx, slog.LevelDebug)}, nil
+		metrics: options.Metrics, learned: options.Learned, guard: options.Guard, view: serverlist.NewView(),
+		debug: options.Log.Enabled(ctx, slog.LevelDebug)}, nil
 }
 
 // Headroom is the number of further requests that the servers could take while all of them stay lightly loaded: see
@@ -260,7 +262,8 @@
 	case decide.Fail:
 		l.finish(a.ID, Answer{Status: http.StatusBadGateway})
 	case decide.CancelAttempt:
-		if request := l.requests[a.ID]; request != nil && a.Attempt >= 0 && a.Attempt < len(request.attempts) && l.settings.MayCancel {
+		if request := l.requests[a.ID]; request != nil && a.Attempt >= 0 && a.Attempt < len(request.attempts) &&
+			l.settings.MayCancel {
 			request.attempts[a.Attempt].cancel()
 		}
 	case decide.SetTimer:
@@ -275,10 +278,10 @@
 	case decide.Subscribe:
 		l.subscribe(a.On)
 	case decide.FetchList:
-		membership := l.membership
+		source := l.membership
 		l.work.Go(func() {
-			list, err := membership.Fetch(l.ctx)
-			l.post(func() { l.handleFetchedList(membership, list, err) })
+			list, err := source.Fetch(l.ctx)
+			l.post(func() { l.handleFetchedList(source, list, err) })
 		})
 	case decide.CloseIdle:
 		l.transport.CloseIdle(a.Server)
@@ -309,7 +312,8 @@
 // second request with the same id would be a second copy.
 func (l *Loop) handOff(id decide.RequestID, refusal Answer) bool {
 	request := l.requests[id]
-	if l.remote == nil || l.ending || request == nil || request.over || request.cancelHandOff != nil || request.Upload != nil {
+	if l.remote == nil || l.ending || request == nil || request.over || request.cancelHandOff != nil ||
+		request.Upload != nil {
 		return false
 	}
 	mayHaveRun := request.outstanding > 0
@@ -398,9 +402,9 @@
 }
 
 // finish gives a request its final answer, unless it has one.
-func (l *Loop) finish(id decide.RequestID, answer Answer) {
+func (l *Loop) finish(id decide.RequestID, final Answer) {
 	if request := l.requests[id]; request != nil && !request.over {
-		request.answer <- answer
+		request.answer <- final
 		l.closeRequest(request)
 	}
 }
--- a/internal/core/ports.go
+++ b/internal/core/ports.go
@@ -130,7 +130,7 @@
 	Header          http.Header
 	Body            []byte
 	Deadline        time.Time // the attempt ends by then
-	RequestDeadline time.Time // deadline of the request: a streamed answer of at most 64 KiB is complete by then; zero: Deadline
+	RequestDeadline time.Time // by then a streamed answer of at most 64 KiB is complete; zero: Deadline
 	WriteBy         time.Time // if set, nothing is written from then on, as servers forget the idempotency key
 	ListValidUntil  time.Time // if set, the attempt must start before: the list by which the server was chosen expires
 
--- a/internal/core/ports_test.go
+++ b/internal/core/ports_test.go
@@ -103,7 +103,8 @@
 func loopSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, Zone: "z", Zones: []string{"z"}, MaxAttempts: 4, MayCancel: true,
 		MayMessage: true, MayProbe: true,
-		ConnectTimeout: time.Second, ReportVia: decide.ReportProbe, MaxListRequestInterval: 10 * time.Second, ListOnRequest: true,
+		ConnectTimeout: time.Second, ReportVia: decide.ReportProbe, MaxListRequestInterval: 10 * time.Second,
+		ListOnRequest: true,
 		Classes: []decide.Class{{Name: "read", Worth: 1, Aim: time.Second, Deadline: 10 * time.Second, Effect: decide.Safe},
 			{Name: "order", Worth: 1, Aim: time.Second, Deadline: 10 * time.Second, Effect: decide.Unsafe}}}
 }
--- a/internal/descriptors/descriptors_test.go
+++ b/internal/descriptors/descriptors_test.go
@@ -23,7 +23,8 @@
 		if err != nil {
 			t.Fatalf("%+v: %v", uses, err)
 		}
-		if split.Node+split.Clients+split.Servers != limit || split.Clients < limit/8 || split.Servers < split.Clients || split.Servers > split.Clients+1 {
+		if split.Node+split.Clients+split.Servers != limit || split.Clients < limit/8 || split.Servers < split.Clients ||
+			split.Servers > split.Clients+1 {
 			t.Fatalf("%d: %+v", limit, split)
 		}
 		bare, err := Divide(limit, Uses{})
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -87,8 +87,8 @@
 }
 
 // NewHandler returns a handler that buffers at most maxBodies bytes of request bodies at a time.
-func NewHandler(loop *core.Loop, settings decide.Settings, maxBodies int64, log *slog.Logger) *Handler {
-	handler := &Handler{loop: loop, log: log, classes: map[string]decide.Class{},
+func NewHandler(eventLoop *core.Loop, settings decide.Settings, maxBodies int64, log *slog.Logger) *Handler {
+	handler := &Handler{loop: eventLoop, log: log, classes: map[string]decide.Class{},
 		longestDeadline: settings.LongestDeadline(), maxOpenRequests: math.MaxInt64, maxBodyBytes: maxBodies}
 	if limit := settings.MaxOpen; limit > 0 {
 		handler.maxOpenRequests = int64(limit)
--- a/internal/front/http1/admission.go
+++ b/internal/front/http1/admission.go
@@ -314,17 +314,17 @@
 		a.evict(conn.Owner.(*clientConn))
 	}
 	for _, conn := range a.conns.WithRequest() {
-		conn := conn.Owner.(*clientConn)
-		if conn.scan.state != scanHead {
-			a.evict(conn)
+		client := conn.Owner.(*clientConn)
+		if client.scan.state != scanHead {
+			a.evict(client)
 			continue
 		}
 		longest := drainStall
-		if conn.answerBytes.Load() > front.BodyLimit {
+		if client.answerBytes.Load() > front.BodyLimit {
 			longest = longAnswerStall
 		}
-		if conn.answerBytes.Load() > 0 && a.now()-time.Duration(conn.lastWrite.Load()) > longest {
-			stalled = append(stalled, conn)
+		if client.answerBytes.Load() > 0 && a.now()-time.Duration(client.lastWrite.Load()) > longest {
+			stalled = append(stalled, client)
 		}
 	}
 	a.mu.Unlock()
--- a/internal/front/http1/admission_test.go
+++ b/internal/front/http1/admission_test.go
@@ -163,7 +163,7 @@
 		dial()
 		first = append(first, accept())
 	}
-	admission.epoch = admission.epoch.Add(-2 * admit.NothingReadTimeout) // all may be evicted now, but are not closed, as nobody reads
+	admission.epoch = admission.epoch.Add(-2 * admit.NothingReadTimeout) // all may be evicted, but nobody reads and closes
 	for range descriptors.MaxEvicted {
 		dial()
 		accept()
--- a/internal/front/http1/endings_test.go
+++ b/internal/front/http1/endings_test.go
@@ -140,9 +140,9 @@
 func TestEvictedIsRefused(t *testing.T) {
 	t.Parallel()
 	for _, at := range []int{0, 1, len(text) - 1} {
-		admission, dial, _ := newTestAdmission(t, 3)
+		listener, dial, _ := newTestAdmission(t, 3)
 		began := make(chan *clientConn, 1)
-		testFront := newTestFront(admission)
+		testFront := newTestFront(listener)
 		testFront.server.ConnState = func(conn net.Conn, s http.ConnState) {
 			if testFront.admission.track(conn, s); s == http.StateNew {
 				began <- conn.(*clientConn)
--- a/internal/front/http1/front.go
+++ b/internal/front/http1/front.go
@@ -40,18 +40,23 @@
 
 type connKey struct{}
 
-// New returns a front that keeps at most conns client connections open. It sets the hooks of h that check connections.
-func New(listener *net.TCPListener, limit int, handler *front.Handler, log *slog.Logger) *Front {
-	newFront := &Front{handler: handler, admission: newAdmission(listener, limit), log: log}
-	handler.Evicted = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).wasEvicted() }
-	handler.ClientGone = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).clientGone() }
-	handler.DisconnectHidden = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).disconnectHidden() }
-	handler.ConnectionPressure = newFront.admission.underPressure
+// New returns a front that keeps at most limit client connections open. It sets the hooks of httpHandler that check
+// connections.
+func New(listener *net.TCPListener, limit int, httpHandler *front.Handler, log *slog.Logger) *Front {
+	newFront := &Front{handler: httpHandler, admission: newAdmission(listener, limit), log: log}
+	httpHandler.Evicted = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).wasEvicted() }
+	httpHandler.ClientGone = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).clientGone() }
+	httpHandler.DisconnectHidden = func(r *http.Request) bool {
+		return r.Context().Value(connKey{}).(*clientConn).disconnectHidden()
+	}
+	httpHandler.ConnectionPressure = newFront.admission.underPressure
 	newFront.admission.countRefused = func(class string) {
-		handler.Metrics.RequestEnded(class, http.StatusServiceUnavailable)
+		httpHandler.Metrics.RequestEnded(class, http.StatusServiceUnavailable)
+	}
+	httpHandler.AmbiguousEnd = func(r *http.Request) bool {
+		return r.Context().Value(connKey{}).(*clientConn).ambiguousEnd()
 	}
-	handler.AmbiguousEnd = func(r *http.Request) bool { return r.Context().Value(connKey{}).(*clientConn).ambiguousEnd() }
-	newFront.server = &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+	newFront.server = &http.Server{Handler: httpHandler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ConnState: newFront.admission.track, DisableGeneralOptionsHandler: true,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
 		ErrorLog:    slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
--- a/internal/front/http1/scan_test.go
+++ b/internal/front/http1/scan_test.go
@@ -88,7 +88,8 @@
 				}
 			}
 			if len(s.ambiguous) != n || s.state != scanHead || s.headBytes != 0 {
-				t.Fatalf("after %d requests, %q: %d scanned, state %d, %d bytes of a head", n, kept[:at], len(s.ambiguous), s.state, s.headBytes)
+				t.Fatalf("after %d requests, %q: %d scanned, state %d, %d bytes of a head",
+					n, kept[:at], len(s.ambiguous), s.state, s.headBytes)
 			}
 		}
 	})
--- a/internal/front/presence.go
+++ b/internal/front/presence.go
@@ -17,7 +17,7 @@
 	request      *http.Request
 	cancel       func()       // called by each check that finds the client gone
 	startedAt    time.Time    // when the request was taken up; the first check was made then or later
-	lastSeen     atomic.Int64 // when the last check that found the client there was started, in ns since began
+	lastSeen     atomic.Int64 // when the last check that found the client there was started, in ns since startedAt
 	presumedGone atomic.Bool  // it can't be seen whether the client is there, and it counts as gone
 }
 
--- a/internal/serverlist/view.go
+++ b/internal/serverlist/view.go
@@ -16,7 +16,7 @@
 	OlderListTrustedAfter = 10 * time.Second
 
 	removedKeptFor = time.Minute // how long a removed server is remembered
-	maxRemembered  = 8192        // removed servers are forgotten at once while more unavailable servers than this are remembered
+	maxRemembered  = 8192        // with more unavailable servers than this, removed ones are forgotten at once
 )
 
 // View is the server list as one process has it. It is not safe for concurrent use.
@@ -216,8 +216,9 @@
 				startedAt: t.Server.StartedAt, removed: true}
 		}
 	}
-	for id, unavailable := range v.unavailable {
-		if unavailable.removed && (now.Sub(unavailable.unavailableSince) > removedKeptFor || len(v.unavailable) > maxRemembered) {
+	for id, remembered := range v.unavailable {
+		if remembered.removed &&
+			(now.Sub(remembered.unavailableSince) > removedKeptFor || len(v.unavailable) > maxRemembered) {
 			delete(v.unavailable, id)
 		}
 	}
--- a/internal/serverlist/view_test.go
+++ b/internal/serverlist/view_test.go
@@ -137,7 +137,8 @@
 	}
 	v.Apply(changes(2, entry(1, decide.Ready, 0)), began)
 	expect(t, v, 1, decide.Draining)
-	if l, ok := v.List(); !ok || len(l.Entries) != 2 || l.Entries[0].State != decide.Ready || l.Entries[1].State != decide.Ready {
+	if l, ok := v.List(); !ok || len(l.Entries) != 2 || l.Entries[0].State != decide.Ready ||
+		l.Entries[1].State != decide.Ready {
 		t.Errorf("want the list as discovery has it, without the cordon: %+v", l)
 	}
 	v.SetCordon(Cordon{})
@@ -202,7 +203,8 @@
 	if len(u.Transitions) != 1 || u.Transitions[0].To != decide.Draining || !u.List.Full || len(u.List.Entries) != 3 {
 		t.Errorf("%+v", u)
 	}
-	if v.Revision() != nil || v.state(1) != decide.Draining || v.state(2) != decide.Ready || v.state(3) != decide.Draining || v.state(4) != decide.Removed {
+	if v.Revision() != nil || v.state(1) != decide.Draining || v.state(2) != decide.Ready ||
+		v.state(3) != decide.Draining || v.state(4) != decide.Removed {
 		t.Errorf("revision %v, states %v %v %v %v", v.Revision(), v.state(1), v.state(2), v.state(3), v.state(4))
 	}
 }
