--- a/internal/core/do.go
+++ b/internal/core/do.go
@@ -36,9 +36,9 @@
 		case answer := <-request.answer:
 			timeout.Stop()
 			return answer, true
-		case run := <-request.uploadAttempts:
+		case attempt := <-request.uploadAttempts:
 			timeout.Stop()
-			l.runAttempt(ctx, request, run)
+			l.runAttempt(ctx, request, attempt)
 			continue
 		case <-ctx.Done():
 			answer, ok = Answer{}, false
--- a/internal/core/endings_test.go
+++ b/internal/core/endings_test.go
@@ -16,7 +16,7 @@
 // has been notified of it. The fault: 504 was returned in place of it, for a request that had been served.
 func TestAnswerAndTimeOut(t *testing.T) {
 	t.Parallel()
-	ports := newFakes()
+	ports := newFakePorts()
 	settings := loopSettings()
 	settings.MayCancel = false // else the attempt would run in Do's own goroutine
 	loop := startLoop(t, settings, ports)
@@ -44,7 +44,7 @@
 // it, or if it comes from a source that has been replaced since.
 func TestOlderFetched(t *testing.T) {
 	t.Parallel()
-	ports := newFakes()
+	ports := newFakePorts()
 	loop := startLoop(t, loopSettings(), ports)
 	ports.expect(t, "watch from 1")
 	draining := oneServer[0]
@@ -56,7 +56,7 @@
 	}
 	loop.post(func() {
 		loop.handleFetchedList(ports, List{Version: 3, Full: true, Entries: oneServer}, nil)
-		loop.handleFetchedList(newFakes(), List{Version: 30, Full: true, Entries: oneServer}, nil)
+		loop.handleFetchedList(newFakePorts(), List{Version: 30, Full: true, Entries: oneServer}, nil)
 	})
 	if loop.CanServe() || *loop.view.Revision() != 9 {
 		t.Errorf("version %d is in force", *loop.view.Revision())
@@ -71,7 +71,7 @@
 // open.
 func TestEndClosesMembership(t *testing.T) {
 	t.Parallel()
-	ports := newFakes()
+	ports := newFakePorts()
 	ctx, cancel := context.WithCancel(context.Background())
 	loop, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: ports, Membership: ports,
 		Messenger: ports, Log: quiet})
@@ -108,7 +108,7 @@
 	t.Cleanup(func() { cancel(); running.Wait() })
 	requestedAfter := make([]time.Duration, loops)
 	for i := range loops {
-		ports, newPorts := newFakes(), newFakes()
+		ports, newPorts := newFakePorts(), newFakePorts()
 		loop, err := New(ctx, Options{Settings: settings, Seed: int64(i), Transport: ports, Membership: ports,
 			Messenger: ports, Log: quiet})
 		if err != nil {
--- a/internal/core/ports_test.go
+++ b/internal/core/ports_test.go
@@ -23,7 +23,7 @@
 	lists chan List   // lists for Watch and Follow
 }
 
-func newFakes() *fakePorts {
+func newFakePorts() *fakePorts {
 	return &fakePorts{calls: make(chan string, 100), reply: make(chan Result, 10), lists: make(chan List, 10)}
 }
 
@@ -132,7 +132,7 @@
 // The loop carries out every action, including those that the module does not use today.
 func TestActions(t *testing.T) {
 	t.Parallel()
-	ports := newFakes()
+	ports := newFakePorts()
 	loop := startLoop(t, loopSettings(), ports)
 	act := func(a decide.Action) { loop.post(func() { loop.execute(a) }) }
 	act(decide.Probe{Server: 1})
@@ -185,7 +185,7 @@
 // even if the server is unresponsive. An id may be used again once its request is over.
 func TestDoEnds(t *testing.T) {
 	t.Parallel()
-	ports := newFakes()
+	ports := newFakePorts()
 	loop := startLoop(t, loopSettings(), ports)
 	ctx, cancel := context.WithCancel(t.Context())
 	gone := make(chan bool, 1)
@@ -220,7 +220,7 @@
 // watch is ended.
 func TestMove(t *testing.T) {
 	t.Parallel()
-	from, to := newFakes(), newFakes()
+	from, to := newFakePorts(), newFakePorts()
 	loop := startLoop(t, loopSettings(), from)
 	from.expect(t, "watch from 1") // the module requests the list by itself
 	loop.SetMembership(to)
@@ -256,7 +256,7 @@
 // cancelled. The request's id stays open until the hand-off has ended.
 func TestCrossing(t *testing.T) {
 	t.Parallel()
-	ports, remote := newFakes(), &fakeRemote{offers: make(chan bool, 9), end: make(chan HandOffResult, 9),
+	ports, remote := newFakePorts(), &fakeRemote{offers: make(chan bool, 9), end: make(chan HandOffResult, 9),
 		cancelled: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	loop, err := New(ctx, Options{Settings: loopSettings(), Seed: 1, Transport: ports, Membership: ports,
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -311,11 +311,11 @@
 	body, err := io.ReadAll(io.LimitReader(reader, BodyLimit)) // the buffer grows with what arrives, not by Content-Length
 	if err == nil && len(body) == BodyLimit && r.ContentLength != BodyLimit {
 		reader.Upload = core.Upload{Reader: reader, Length: r.ContentLength,
-			FailureStatus: func() int { status, _ := reader.fault(); return status }}
+			FailureStatus: func() int { status, _ := reader.failure(); return status }}
 		return body, reader, 0, ""
 	}
 	if err != nil {
-		status, problem = reader.fault()
+		status, problem = reader.failure()
 		return nil, nil, status, problem
 	}
 	reader.control.SetReadDeadline(time.Time{}) // else the deadline would end the watch for the client's leaving
@@ -355,8 +355,8 @@
 	return n, err
 }
 
-// fault returns the status and the message for the client after a failed Read.
-func (u *upload) fault() (status int, text string) {
+// failure returns the status and the message for the client after a failed Read.
+func (u *upload) failure() (status int, text string) {
 	switch {
 	case errors.Is(u.err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout, "the body does not come"
--- a/internal/front/handler_test.go
+++ b/internal/front/handler_test.go
@@ -38,17 +38,17 @@
 		method, path string
 		clientStatus int
 	}{{"GET", "/unheard-of", 404}, {"POST", "/read", 405}, {"GET", "/read", 400}} {
-		for _, foreign := range []bool{false, true} {
+		for _, handedOff := range []bool{false, true} {
 			handler := NewHandler(nil, settings, 1<<20, nil)
-			handler.Foreign = foreign
+			handler.Foreign = handedOff
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequest(step.method, step.path, nil))
 			want := step.clientStatus
-			if foreign {
+			if handedOff {
 				want = 503
 			}
 			if w.Code != want {
-				t.Errorf("%s %s, foreign %v: %d, want %d", step.method, step.path, foreign, w.Code, want)
+				t.Errorf("%s %s, handed off %v: %d, want %d", step.method, step.path, handedOff, w.Code, want)
 			}
 		}
 	}
--- a/internal/front/http1/admission.go
+++ b/internal/front/http1/admission.go
@@ -198,11 +198,11 @@
 	var text [4 << 10]byte
 	received, class := 0, ""
 	for class == "" && received < len(text) {
-		more, err := tcp.Read(text[received:]) // closing with unread input would reset the connection
+		read, err := tcp.Read(text[received:]) // closing with unread input would reset the connection
 		if err != nil {
 			break // the client is refused all the same, and counted without a class
 		}
-		received += more
+		received += read
 		class = requestClass(text[:received])
 	}
 	a.writeRefusal(tcp, class)
@@ -395,12 +395,12 @@
 	c.readAheadStopped.Store(false)
 	if len(p) == 1 && c.isWatchRead() {
 		var first [1]byte
-		more := first[:] // no buffer is reserved for clients that send one request at a time
+		space := first[:] // no buffer is reserved for clients that send one request at a time
 		if c.readAhead != nil {
-			more = c.readAheadSpace()
+			space = c.readAheadSpace()
 		}
-		for ; len(more) > 0; more = c.readAheadSpace() {
-			n, err := c.TCPConn.Read(more)
+		for ; len(space) > 0; space = c.readAheadSpace() {
+			n, err := c.TCPConn.Read(space)
 			switch {
 			case err != nil:
 				if !errors.Is(err, os.ErrDeadlineExceeded) { // the client has left, and wants no more answers
@@ -447,16 +447,16 @@
 // readAheadSpace returns the free part of the read-ahead buffer, which it enlarges if needed; nil: a limit is reached.
 func (c *clientConn) readAheadSpace() []byte {
 	if len(c.readAhead) == cap(c.readAhead) {
-		more := min(max(len(c.readAhead), 512), maxReadAhead-int(c.readAheadReserved.Load()))
-		if more <= 0 {
+		extra := min(max(len(c.readAhead), 512), maxReadAhead-int(c.readAheadReserved.Load()))
+		if extra <= 0 {
 			return nil
 		}
-		if c.owner.readAhead.Add(int64(more)) > maxTotalReadAhead {
-			c.owner.readAhead.Add(-int64(more))
+		if c.owner.readAhead.Add(int64(extra)) > maxTotalReadAhead {
+			c.owner.readAhead.Add(-int64(extra))
 			return nil
 		}
-		c.readAheadReserved.Add(int64(more))
-		c.readAhead = append(make([]byte, 0, len(c.readAhead)+more), c.readAhead...)
+		c.readAheadReserved.Add(int64(extra))
+		c.readAhead = append(make([]byte, 0, len(c.readAhead)+extra), c.readAhead...)
 	}
 	return c.readAhead[len(c.readAhead):cap(c.readAhead)]
 }
--- a/internal/front/http1/admission_test.go
+++ b/internal/front/http1/admission_test.go
@@ -64,10 +64,10 @@
 	errs := []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPERM,
 		syscall.EPROTO, syscall.ENETDOWN, syscall.EHOSTUNREACH,
 		syscall.ENETUNREACH, syscall.EINTR}
-	next := admission.acceptTCP
+	realAccept := admission.acceptTCP
 	admission.acceptTCP = func() (*net.TCPConn, error) {
 		if len(errs) == 0 {
-			return next()
+			return realAccept()
 		}
 		errno := errs[0]
 		errs = errs[1:]
--- a/internal/front/http1/endings_test.go
+++ b/internal/front/http1/endings_test.go
@@ -67,7 +67,7 @@
 				}
 				c.SetReadDeadline(time.Now().Add(testkit.Patient)) // as net/http does for each request
 				if c.wasEvicted() != (name == "evicted") {
-					t.Errorf("lost: %v", c.wasEvicted())
+					t.Errorf("evicted: %v", c.wasEvicted())
 				} else if c.wasEvicted() {
 					if _, err := readAll(c); !errors.Is(err, os.ErrDeadlineExceeded) {
 						t.Errorf("the connection is readable again after its end: %v", err)
@@ -89,7 +89,7 @@
 	c.waitUnread(t)
 	c.SetReadDeadline(time.Now().Add(-time.Minute))
 	if got, err := readAll(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("read %q, %v long after its time", got, err)
+		t.Errorf("read %q, %v long after the deadline", got, err)
 	}
 	c.SetReadDeadline(time.Now().Add(testkit.Patient)) // so that no deadline passes meanwhile on a busy machine
 	c.owner.mu.Lock()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -14,8 +14,8 @@
 
 var now = time.Now()
 
-// good is an attempt that breaks no rule.
-func good() Attempt {
+// validAttempt is an attempt that breaks no rule.
+func validAttempt() Attempt {
 	return Attempt{Now: now, TimeLeft: time.Second, Deadline: now.Add(time.Second),
 		ClientDeadline: now.Add(time.Second), Effect: decide.Unsafe}
 }
@@ -57,9 +57,9 @@
 			t.Parallel()
 			var reported []Rule
 			g := New(grace, func(r Rule, _ Attempt) { reported = append(reported, r) })
-			before, after := good(), good()
+			before, after := validAttempt(), validAttempt()
 			if got := g.Admit(before); got != None {
-				t.Fatalf("a good attempt is refused: %v", got)
+				t.Fatalf("a valid attempt is refused: %v", got)
 			}
 			g.RecordSent(before, before.Now)
 			plantedFaults[r].before(&before)
@@ -103,7 +103,7 @@
 		"cold, its last one":    func(a *Attempt) { a.SlowStartSent, a.SlowStartLimit = 8, 8 },
 		"a probe has no client": func(a *Attempt) { a.Probe, a.ClientDeadline, a.MayHaveRun = true, time.Time{}, true },
 	} {
-		a := good()
+		a := validAttempt()
 		modify(&a)
 		g := New(grace, nil)
 		if r := g.Admit(a); r != None {
@@ -113,12 +113,12 @@
 			t.Errorf("%s: counted", name)
 		}
 	}
-	a := good()
+	a := validAttempt()
 	a.Effect, a.MayHaveRun, a.WriteBy = decide.Keyed, true, now
 	if r := Check(a); r != Duplicate {
 		t.Errorf("an idempotency key after its window: %v", r)
 	}
-	a = good()
+	a = validAttempt()
 	a.UnavailableSince = now.Add(-grace)
 	g := New(grace, nil)
 	if g.RecordSent(a, now); g.Violations() != 0 {
@@ -142,9 +142,9 @@
 	}
 	from := time.Now()
 	g.SetWatched(false, from)
-	g.RecordSent(good(), from.Add(time.Second))
+	g.RecordSent(validAttempt(), from.Add(time.Second))
 	g.SetWatched(true, time.Time{})
-	g.RecordSent(good(), from.Add(2*time.Second))
+	g.RecordSent(validAttempt(), from.Add(2*time.Second))
 	if g.StaleSends() != 1 {
 		t.Errorf("%d sent unwatched, want 1", g.StaleSends())
 	}
@@ -154,7 +154,7 @@
 func TestNilGuard(t *testing.T) {
 	t.Parallel()
 	var g *Guard
-	a := good()
+	a := validAttempt()
 	a.ClientGone = true
 	if g.Admit(a) != Departed || g.Violations() != 0 || g.StaleSends() != 0 {
 		t.Error("a nil guard does not refuse, or counts")
@@ -197,7 +197,7 @@
 // BenchmarkAttempt measures the guard's cost per attempt: the check before it, and the one after.
 func BenchmarkAttempt(b *testing.B) {
 	g := New(grace, nil)
-	a := good()
+	a := validAttempt()
 	b.ReportAllocs()
 	for b.Loop() {
 		if g.Admit(a) == None {
--- a/internal/serverlist/view.go
+++ b/internal/serverlist/view.go
@@ -121,17 +121,17 @@
 // affected returns the servers that a list may change, with their states in force before it.
 func (v *View) affected(list List) []Entry {
 	servers := make([]Entry, 0, len(list.Entries))
-	named := map[decide.ServerID]bool{}
+	seen := map[decide.ServerID]bool{}
 	for _, e := range list.Entries {
-		if !named[e.ID] {
-			named[e.ID] = true
+		if !seen[e.ID] {
+			seen[e.ID] = true
 			e.State = v.state(e.ID)
 			servers = append(servers, e)
 		}
 	}
 	if list.Full {
 		for id, e := range v.entries {
-			if !named[id] {
+			if !seen[id] {
 				servers = append(servers, v.Effective(e))
 			}
 		}
