--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -24,12 +24,12 @@
 )
 
 const (
-	BodyLimit        = 64 << 10               // bytes of a request's body that are buffered; the rest is streamed
-	maxRequestBody   = 40 << 20               // bytes of a request's body, buffered or streamed
-	maxForeignAnswer = 1 << 20                // bytes of an answer to a request from another site, which is buffered whole
-	writeTimeout     = 5 * time.Second        // for the client to take its answer, or the next piece of a streamed one
-	lingerTimeout    = 200 * time.Millisecond // for reading on after a rejection, so that the client gets to read the answer
-	maxPatience      = time.Hour
+	BodyLimit          = 64 << 10               // bytes of a request's body that are buffered; the rest is streamed
+	maxRequestBody     = 40 << 20               // bytes of a request's body, buffered or streamed
+	maxHandedOffAnswer = 1 << 20                // bytes of an answer to a request from another site, which is buffered whole
+	writeTimeout       = 5 * time.Second        // for the client to take its answer, or the next piece of a streamed one
+	lingerTimeout      = 200 * time.Millisecond // for reading on after a rejection, so that the client gets to read the answer
+	maxPatience        = time.Hour
 	// answerMargin is subtracted from a client's patience, for the way of the answer to the client.
 	answerMargin = 10 * time.Millisecond
 	busyHoldOff  = 500 * time.Millisecond // Retry-After of requests that the node refuses because it is at its own limits
@@ -51,8 +51,8 @@
 	AmbiguousEnd func(*http.Request) bool
 	// ConnectionPressure, if set, reports whether answers should close their connections, as other clients need them.
 	ConnectionPressure func() bool
-	// Foreign is set if the requests come from another site. They are served from spare capacity only. Keyed ones are
-	// rejected, because the servers here don't know the keys that the servers of the other site have seen.
+	// HandedOff is set if the requests are handed off by another site. They are served from spare capacity only. Keyed
+	// ones are rejected, because the servers here don't know the keys that the servers of the other site have seen.
 	Foreign bool
 	// OnComplete, if set, is called for each request that was passed to the loop, once its client has been answered or
 	// has left. It must not block.
@@ -453,7 +453,7 @@
 	if f.Foreign { // the other site gets an answer only whole, so it is buffered
 		var body []byte
 		err := answer.Rest.Copy(func(piece []byte) error {
-			if len(answer.Body)+len(body)+len(piece) > maxForeignAnswer {
+			if len(answer.Body)+len(body)+len(piece) > maxHandedOffAnswer {
 				return errTooLong
 			}
 			body = append(body, piece...)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,6 +1,6 @@
-// Package guard checks each attempt at a server right before it is sent, and again right after, and each client's request
-// when it ends. It refuses attempts that would break a rule, and counts refusals and violations by rule. It does no
-// I/O: times are arguments, and its only state are the counters.
+// Package guard checks each attempt at a server right before it is sent, and again right after, and each client's
+// request when it ends. It refuses attempts that would break a rule, and counts refusals and violations by rule. It
+// does no I/O: times are arguments, and its only state are the counters.
 package guard
 
 import (
@@ -39,7 +39,8 @@
 const (
 	// DepartedWithin is how long after its client has left an attempt may still start.
 	DepartedWithin = 100 * time.Millisecond
-	// DeadlineSlack is by how much the time limit that is sent to a server may exceed the time that the client has left.
+	// DeadlineSlack is by how much the time limit that is sent to a server may exceed the time that the client has
+	// left.
 	DeadlineSlack = 150 * time.Millisecond
 )
 
@@ -103,7 +104,7 @@
 	report         func(r Rule, a Attempt)
 }
 
-// New returns a guard. drainGrace is how long after a server starts to drain attempts may still be sent to it. report, if
+// New returns a guard. grace is how long after a server starts to drain attempts may still be sent to it. report, if
 // not nil, is called with each violation; it must not block.
 func New(grace time.Duration, report func(r Rule, a Attempt)) *Guard {
 	return &Guard{drainGrace: grace, report: report, epoch: time.Now()}
