--- a/internal/front/http1/admission.go
+++ b/internal/front/http1/admission.go
@@ -48,7 +48,7 @@
 	closed       chan struct{}  // signalled when a connection has been closed
 	refusals     sync.WaitGroup // goroutines that refuse connections
 
-	began time.Time // the zero of the clock of conns
+	epoch time.Time // the zero of the clock of conns
 	mu    sync.Mutex
 	conns *admit.ConnSet
 }
@@ -77,11 +77,12 @@
 }
 
 // newAdmission returns an admission on a listener, with at most limit open connections.
-func newAdmission(l *net.TCPListener, limit int) *admission {
-	return &admission{TCPListener: l, acceptTCP: l.AcceptTCP, began: time.Now(), conns: admit.New(limit), countRefused: func(string) {}, closed: make(chan struct{}, 1)}
+func newAdmission(listener *net.TCPListener, limit int) *admission {
+	return &admission{TCPListener: listener, acceptTCP: listener.AcceptTCP, epoch: time.Now(),
+		conns: admit.New(limit), countRefused: func(string) {}, closed: make(chan struct{}, 1)}
 }
 
-func (a *admission) now() time.Duration { return time.Since(a.began) }
+func (a *admission) now() time.Duration { return time.Since(a.epoch) }
 
 // Accept returns the next connection that is within the limit. Others are refused, by up to descriptors.MaxRefused
 // goroutines at once that wait for the request, and beyond that without waiting. It fails only once the listener is
@@ -195,14 +196,14 @@
 	defer tcp.Close()
 	tcp.SetReadDeadline(time.Now().Add(refuseWait))
 	var text [4 << 10]byte
-	n, class := 0, ""
-	for class == "" && n < len(text) {
-		more, err := tcp.Read(text[n:]) // closing with unread input would reset the connection
+	received, class := 0, ""
+	for class == "" && received < len(text) {
+		read, err := tcp.Read(text[received:]) // closing with unread input would reset the connection
 		if err != nil {
 			break // the client is refused all the same, and counted without a class
 		}
-		n += more
-		class = requestClass(text[:n])
+		received += read
+		class = requestClass(text[:received])
 	}
 	a.writeRefusal(tcp, class)
 }
@@ -241,7 +242,9 @@
 	if err != nil {
 		return 0, err
 	}
-	if failed := raw.Control(func(fd uintptr) { n, _, err = syscall.Recvfrom(int(fd), into, flags|syscall.MSG_DONTWAIT) }); failed != nil {
+	if failed := raw.Control(func(fd uintptr) {
+		n, _, err = syscall.Recvfrom(int(fd), into, flags|syscall.MSG_DONTWAIT)
+	}); failed != nil {
 		err = failed
 	}
 	return max(0, n), err
@@ -307,26 +310,26 @@
 func (a *admission) closeStalled() {
 	var stalled []*clientConn
 	a.mu.Lock()
-	for _, c := range a.conns.WithoutRequest() {
-		a.evict(c.Owner.(*clientConn))
+	for _, conn := range a.conns.WithoutRequest() {
+		a.evict(conn.Owner.(*clientConn))
 	}
-	for _, c := range a.conns.WithRequest() {
-		conn := c.Owner.(*clientConn)
-		if conn.scan.state != scanHead {
-			a.evict(conn)
+	for _, conn := range a.conns.WithRequest() {
+		client := conn.Owner.(*clientConn)
+		if client.scan.state != scanHead {
+			a.evict(client)
 			continue
 		}
 		longest := drainStall
-		if conn.answerBytes.Load() > front.BodyLimit {
+		if client.answerBytes.Load() > front.BodyLimit {
 			longest = longAnswerStall
 		}
-		if conn.answerBytes.Load() > 0 && a.now()-time.Duration(conn.lastWrite.Load()) > longest {
-			stalled = append(stalled, conn)
+		if client.answerBytes.Load() > 0 && a.now()-time.Duration(client.lastWrite.Load()) > longest {
+			stalled = append(stalled, client)
 		}
 	}
 	a.mu.Unlock()
-	for _, c := range stalled {
-		c.Close()
+	for _, conn := range stalled {
+		conn.Close()
 	}
 }
 
@@ -392,12 +395,12 @@
 	c.readAheadStopped.Store(false)
 	if len(p) == 1 && c.isWatchRead() {
 		var first [1]byte
-		more := first[:] // no buffer is reserved for clients that send one request at a time
+		space := first[:] // no buffer is reserved for clients that send one request at a time
 		if c.readAhead != nil {
-			more = c.readAheadSpace()
+			space = c.readAheadSpace()
 		}
-		for ; len(more) > 0; more = c.readAheadSpace() {
-			n, err := c.TCPConn.Read(more)
+		for ; len(space) > 0; space = c.readAheadSpace() {
+			n, err := c.TCPConn.Read(space)
 			switch {
 			case err != nil:
 				if !errors.Is(err, os.ErrDeadlineExceeded) { // the client has left, and wants no more answers
@@ -444,16 +447,16 @@
 // readAheadSpace returns the free part of the read-ahead buffer, which it enlarges if needed; nil: a limit is reached.
 func (c *clientConn) readAheadSpace() []byte {
 	if len(c.readAhead) == cap(c.readAhead) {
-		more := min(max(len(c.readAhead), 512), maxReadAhead-int(c.readAheadReserved.Load()))
-		if more <= 0 {
+		extra := min(max(len(c.readAhead), 512), maxReadAhead-int(c.readAheadReserved.Load()))
+		if extra <= 0 {
 			return nil
 		}
-		if c.owner.readAhead.Add(int64(more)) > maxTotalReadAhead {
-			c.owner.readAhead.Add(-int64(more))
+		if c.owner.readAhead.Add(int64(extra)) > maxTotalReadAhead {
+			c.owner.readAhead.Add(-int64(extra))
 			return nil
 		}
-		c.readAheadReserved.Add(int64(more))
-		c.readAhead = append(make([]byte, 0, len(c.readAhead)+more), c.readAhead...)
+		c.readAheadReserved.Add(int64(extra))
+		c.readAhead = append(make([]byte, 0, len(c.readAhead)+extra), c.readAhead...)
 	}
 	return c.readAhead[len(c.readAhead):cap(c.readAhead)]
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -14,9 +14,10 @@
 
 var now = time.Now()
 
-// good is an attempt that breaks no rule.
-func good() Attempt {
-	return Attempt{Now: now, TimeLeft: time.Second, Deadline: now.Add(time.Second), ClientDeadline: now.Add(time.Second), Effect: decide.Unsafe}
+// validAttempt is an attempt that breaks no rule.
+func validAttempt() Attempt {
+	return Attempt{Now: now, TimeLeft: time.Second, Deadline: now.Add(time.Second),
+		ClientDeadline: now.Add(time.Second), Effect: decide.Unsafe}
 }
 
 // plantedFaults holds for each rule of attempts a fault that breaks it: before is the one that Admit has to refuse, after
@@ -56,9 +57,9 @@
 			t.Parallel()
 			var reported []Rule
 			g := New(grace, func(r Rule, _ Attempt) { reported = append(reported, r) })
-			before, after := good(), good()
+			before, after := validAttempt(), validAttempt()
 			if got := g.Admit(before); got != None {
-				t.Fatalf("a good attempt is refused: %v", got)
+				t.Fatalf("a valid attempt is refused: %v", got)
 			}
 			g.RecordSent(before, before.Now)
 			plantedFaults[r].before(&before)
@@ -69,7 +70,8 @@
 			g.RecordSent(after, after.Now)
 			for _, other := range Rules() {
 				refused, violated := g.Counts(other)
-				if want := int64(len(slices.DeleteFunc([]Rule{r}, func(x Rule) bool { return x != other }))); refused != want || violated != want {
+				if want := int64(len(slices.DeleteFunc([]Rule{r}, func(x Rule) bool { return x != other }))); refused != want ||
+					violated != want {
 					t.Errorf("%v: refused %d, broken %d, want %d each", other, refused, violated, want)
 				}
 			}
@@ -94,15 +96,15 @@
 // Attempts just within the bounds of each rule are neither refused nor counted.
 func TestBounds(t *testing.T) {
 	t.Parallel()
-	for name, change := range map[string]func(*Attempt){
+	for name, modify := range map[string]func(*Attempt){
 		"safe again":            func(a *Attempt) { a.Effect, a.MayHaveRun = decide.Safe, true },
 		"keyed, in its window":  func(a *Attempt) { a.Effect, a.MayHaveRun, a.WriteBy = decide.Keyed, true, now.Add(1) },
 		"just in time":          func(a *Attempt) { a.Deadline = now.Add(1) },
 		"cold, its last one":    func(a *Attempt) { a.SlowStartSent, a.SlowStartLimit = 8, 8 },
 		"a probe has no client": func(a *Attempt) { a.Probe, a.ClientDeadline, a.MayHaveRun = true, time.Time{}, true },
 	} {
-		a := good()
-		change(&a)
+		a := validAttempt()
+		modify(&a)
 		g := New(grace, nil)
 		if r := g.Admit(a); r != None {
 			t.Errorf("%s: refused for %v", name, r)
@@ -111,12 +113,12 @@
 			t.Errorf("%s: counted", name)
 		}
 	}
-	a := good()
+	a := validAttempt()
 	a.Effect, a.MayHaveRun, a.WriteBy = decide.Keyed, true, now
 	if r := Check(a); r != Duplicate {
 		t.Errorf("an idempotency key after its window: %v", r)
 	}
-	a = good()
+	a = validAttempt()
 	a.UnavailableSince = now.Add(-grace)
 	g := New(grace, nil)
 	if g.RecordSent(a, now); g.Violations() != 0 {
@@ -140,9 +142,9 @@
 	}
 	from := time.Now()
 	g.SetWatched(false, from)
-	g.RecordSent(good(), from.Add(time.Second))
+	g.RecordSent(validAttempt(), from.Add(time.Second))
 	g.SetWatched(true, time.Time{})
-	g.RecordSent(good(), from.Add(2*time.Second))
+	g.RecordSent(validAttempt(), from.Add(2*time.Second))
 	if g.StaleSends() != 1 {
 		t.Errorf("%d sent unwatched, want 1", g.StaleSends())
 	}
@@ -152,7 +154,7 @@
 func TestNilGuard(t *testing.T) {
 	t.Parallel()
 	var g *Guard
-	a := good()
+	a := validAttempt()
 	a.ClientGone = true
 	if g.Admit(a) != Departed || g.Violations() != 0 || g.StaleSends() != 0 {
 		t.Error("a nil guard does not refuse, or counts")
@@ -170,8 +172,10 @@
 		span := func(name string) time.Duration {
 			return time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(t, name))
 		}
-		a := Attempt{Now: now, Deadline: now.Add(span("deadline")), Effect: rapid.SampledFrom([]decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "effect"),
-			Over: rapid.Bool().Draw(t, "over"), ClientGone: rapid.Bool().Draw(t, "departed"), MayHaveRun: rapid.Bool().Draw(t, "ran"),
+		a := Attempt{Now: now, Deadline: now.Add(span("deadline")),
+			Effect: rapid.SampledFrom([]decide.Effect{decide.Safe, decide.Keyed, decide.Unsafe}).Draw(t, "effect"),
+			Over:   rapid.Bool().Draw(t, "over"), ClientGone: rapid.Bool().Draw(t, "departed"),
+			MayHaveRun:    rapid.Bool().Draw(t, "ran"),
 			SlowStartSent: rapid.IntRange(0, 5).Draw(t, "cold"), SlowStartLimit: rapid.IntRange(0, 5).Draw(t, "most")}
 		a.ClientDeadline = a.Deadline.Add(max(0, span("patience")))
 		a.TimeLeft = max(0, a.Deadline.Sub(now))
@@ -193,7 +197,7 @@
 // BenchmarkAttempt measures the guard's cost per attempt: the check before it, and the one after.
 func BenchmarkAttempt(b *testing.B) {
 	g := New(grace, nil)
-	a := good()
+	a := validAttempt()
 	b.ReportAllocs()
 	for b.Loop() {
 		if g.Admit(a) == None {
