--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -51,10 +51,10 @@
 	if bytes <= 0 {
 		bytes = DefaultBytes
 	}
-	q := &Queue{w: w, maxLines: lines, maxBytes: bytes, done: make(chan struct{})}
-	q.changed.L = &q.mu
-	go q.run()
-	return q
+	queue := &Queue{w: w, maxLines: lines, maxBytes: bytes, done: make(chan struct{})}
+	queue.changed.L = &queue.mu
+	go queue.run()
+	return queue
 }
 
 // Write queues one line, or counts it as lost if the queue is full or closing. It reports success either way, as a
--- a/internal/member/registry/call.go
+++ b/internal/member/registry/call.go
@@ -47,8 +47,8 @@
 		log.Log(ctx, failureLevel, "call failed", "took", time.Since(began).Round(time.Millisecond), "err", err)
 		return list, err
 	}
-	log.Log(ctx, usualLevel, "call answered", "took", time.Since(began).Round(time.Millisecond), "revision",
-		list.Version, "whole", list.Full, "entries", len(list.Entries))
+	log.Log(ctx, usualLevel, "call answered", "took", time.Since(began).Round(time.Millisecond),
+		"revision", list.Version, "whole", list.Full, "entries", len(list.Entries))
 	return list, nil
 }
 
@@ -84,14 +84,13 @@
 
 // localErrors are errors of this machine in making a connection: the call has not reached discovery.
 var localErrors = []error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN,
-	syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE,
-	syscall.ENFILE, syscall.EAGAIN, syscall.EINTR}
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EMFILE, syscall.ENFILE, syscall.EAGAIN, syscall.EINTR}
 
 // isLocalFailure reports whether a call failed because of a shortage on this machine. A retry soon after costs
 // discovery nothing, while the backoff after failures of discovery could last longer than a change may go unnoticed.
 func isLocalFailure(err error) bool {
-	var system syscall.Errno
-	return errors.As(err, &system) && slices.Contains(localErrors, error(system))
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(localErrors, error(errno))
 }
 
 // errUnavailable is the answer of a discovery service that is down, or has no capacity for the call.
--- a/internal/member/registry/endings_test.go
+++ b/internal/member/registry/endings_test.go
@@ -23,10 +23,10 @@
 
 // newTestRegistry returns a client of a discovery service that answers call n, from 1 on, with what reply writes, and a
 // channel with the query of each call.
-func newTestRegistry(t *testing.T, s decide.Settings,
-	reply func(n int, w io.Writer)) (d *Registry, calls chan url.Values) {
+func newTestRegistry(t *testing.T, settings decide.Settings,
+	reply func(count int, w io.Writer)) (registry *Registry, calls chan url.Values) {
 	t.Helper()
-	var n atomic.Int64
+	var count atomic.Int64
 	calls = make(chan url.Values, 999)
 	addr := testkit.Server(t, func(c net.Conn) {
 		for in := bufio.NewReader(c); ; {
@@ -35,10 +35,10 @@
 				return
 			}
 			calls <- r.URL.Query()
-			reply(int(n.Add(1)), c) // if it writes nothing, the call gets no answer
+			reply(int(count.Add(1)), c) // if it writes nothing, the call gets no answer
 		}
 	})
-	return New(netip.MustParseAddrPort(addr), s, testkit.Quiet), calls
+	return New(netip.MustParseAddrPort(addr), settings, testkit.Quiet), calls
 }
 
 // listResponse returns an HTTP response that holds a list; entries are its servers in JSON.
@@ -214,7 +214,7 @@
 						break
 					}
 				}
-				took := time.Since(began)
+				elapsed := time.Since(began)
 				cancel()
 				<-ended
 				// Each call is made within its own time limit. On a busy machine the total takes longer, but the
@@ -222,8 +222,8 @@
 				if len(calls) < 2+silentCalls {
 					t.Errorf("the new list was received after only %d calls, before the agent was back", len(calls))
 				}
-				if most := (silentCalls + 1) * (timing.wait + timing.slack + timing.firstTimeout + timing.retryPause); took > most+testkit.Patient/4 {
-					t.Errorf("the new list was received after %v, want at most %v", took, most)
+				if most := (silentCalls + 1) * (timing.wait + timing.slack + timing.firstTimeout + timing.retryPause); elapsed > most+testkit.Patient/4 {
+					t.Errorf("the new list was received after %v, want at most %v", elapsed, most)
 				}
 			})
 		}
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -48,11 +48,11 @@
 // New returns the metrics of a node with these classes. Requests of other classes are not counted, as clients may send
 // any name.
 func New(classes []string) *Metrics {
-	f := &Metrics{classNames: classes, classes: map[string]*ClassCounts{}}
+	metrics := &Metrics{classNames: classes, classes: map[string]*ClassCounts{}}
 	for _, name := range classes {
-		f.classes[name] = new(ClassCounts)
+		metrics.classes[name] = new(ClassCounts)
 	}
-	return f
+	return metrics
 }
 
 // Class returns the counts of a class, or nil if it is unknown.
@@ -209,19 +209,19 @@
 }
 
 // SetServers sets the number of servers on the list, and how many of them get no normal traffic from this node.
-func (m *Metrics) SetServers(size, unhealthy int) {
+func (m *Metrics) SetServers(servers, avoided int) {
 	if m != nil {
-		m.servers.Store(int64(size))
-		m.avoided.Store(int64(unhealthy))
+		m.servers.Store(int64(servers))
+		m.avoided.Store(int64(avoided))
 	}
 }
 
 // WriteTo writes the metrics, one per line, in the form of statsd: counters as NAME:N|c, gauges as NAME:N|g.
 func (m *Metrics) WriteTo(w io.Writer) (int64, error) {
 	text := make([]byte, 0, 256+128*len(m.classNames))
-	line := func(name string, v int64, kind string) {
+	line := func(name string, value int64, kind string) {
 		text = append(append(text, "gw."...), name...)
-		text = append(strconv.AppendInt(append(text, ':'), v, 10), kind...)
+		text = append(strconv.AppendInt(append(text, ':'), value, 10), kind...)
 	}
 	for _, name := range m.classNames {
 		counts := m.classes[name]
--- a/internal/upstream/http1/admit_test.go
+++ b/internal/upstream/http1/admit_test.go
@@ -17,10 +17,10 @@
 	t.Helper()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
 	g := guard.New(grace, nil)
-	b := New(testkit.Settings(), 192, 10, g, testkit.Quiet)
-	b.Update(testkit.Known(addr))
-	t.Cleanup(func() { b.Update(core.List{Full: true}) })
-	return b, g
+	transport := New(testkit.Settings(), 192, 10, g, testkit.Quiet)
+	transport.Update(testkit.Known(addr))
+	t.Cleanup(func() { transport.Update(core.List{Full: true}) })
+	return transport, g
 }
 
 // A list that removes a server arrives on a watch that was resumed too late, so that the node counts as notified
@@ -36,11 +36,11 @@
 		if r := transport.do(t.Context(), transport.find(1), get(testkit.Patient)); r.Code != decide.OK {
 			t.Fatalf("%v %v", r.Code, r.Err)
 		}
-		l := core.List{Version: 2, Full: true}
+		list := core.List{Version: 2, Full: true}
 		if c.staleFor > 0 {
-			l.StaleSince = time.Now().Add(-c.staleFor)
+			list.StaleSince = time.Now().Add(-c.staleFor)
 		}
-		transport.Update(l)
+		transport.Update(list)
 		if _, violated := g.Counts(guard.Drain); violated != c.want {
 			t.Errorf("%s: %d violations, want %d", name, violated, c.want)
 		}
--- a/internal/upstream/http1/backend_test.go
+++ b/internal/upstream/http1/backend_test.go
@@ -30,17 +30,17 @@
 // response to the next request.
 func TestNothingLeftOver(t *testing.T) {
 	t.Parallel()
-	for name, more := range map[string]string{"copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
+	for name, trailing := range map[string]string{"copy": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong",
 		"start of one": "HTTP/1"} {
-		for _, late := range []time.Duration{0, reuse.Cooldown / 8, 2 * reuse.Cooldown} {
+		for _, delay := range []time.Duration{0, reuse.Cooldown / 8, 2 * reuse.Cooldown} {
 			sent := make(chan struct{}, 9)
 			addr := testkit.Server(t, replying(func(c net.Conn) {
-				if late == 0 {
-					io.WriteString(c, testkit.OK("right")+more)
+				if delay == 0 {
+					io.WriteString(c, testkit.OK("right")+trailing)
 				} else {
 					io.WriteString(c, testkit.OK("right"))
-					time.Sleep(late)
-					io.WriteString(c, more)
+					time.Sleep(delay)
+					io.WriteString(c, trailing)
 				}
 				sent <- struct{}{}
 			}))
@@ -49,10 +49,10 @@
 			for range 3 {
 				if r := transport.do(t.Context(), transport.find(1), get(testkit.Patient)); r.Code != decide.OK ||
 					string(r.Body) != "right" {
-					t.Errorf("%s after %v: %v %q", name, late, r.Code, r.Body)
+					t.Errorf("%s after %v: %v %q", name, delay, r.Code, r.Body)
 				}
 				<-sent
-				if text, open := "", true; late > 0 && len(transport.find(1).idleConns) > 0 { // wait until the written data has arrived
+				if text, open := "", true; delay > 0 && len(transport.find(1).idleConns) > 0 { // wait until the written data has arrived
 					c := transport.find(1).idleConns[0]
 					for end := time.Now().Add(testkit.Patient); text == "" && open &&
 						time.Now().Before(end); text, open = c.pendingData() {
@@ -261,7 +261,7 @@
 			t.Errorf("backend %d: %v (%v)", i, r.Code, r.Err)
 		}
 	}
-	held, err := transport.connect(t.Context(), transport.find(1),
+	inUse, err := transport.connect(t.Context(), transport.find(1),
 		&core.Exchange{Deadline: time.Now().Add(testkit.Patient)})
 	if err != nil {
 		t.Fatal(err)
@@ -270,7 +270,7 @@
 	if r := transport.do(t.Context(), transport.find(2), get(testkit.Patient)); r.Code != decide.Moot {
 		t.Errorf("beyond the bound on connections: outcome %v, want moot", r.Code)
 	}
-	transport.release(transport.find(1), held, true)
+	transport.release(transport.find(1), inUse, true)
 	transport.CloseIdle(1)
 	if transport.openConns != 0 {
 		t.Errorf("%d connections left", transport.openConns)
@@ -315,16 +315,16 @@
 // A list of 10 000 servers is applied, applied again without change, and halved: hosts and addresses follow it.
 func TestManyHosts(t *testing.T) {
 	transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-	l := testkit.Known(make([]string, 10_000)...)
-	for i := range l.Entries {
-		l.Entries[i].Addr = "127.0.0.1:" + time.Duration(i).String()
+	list := testkit.Known(make([]string, 10_000)...)
+	for i := range list.Entries {
+		list.Entries[i].Addr = "127.0.0.1:" + time.Duration(i).String()
 	}
-	transport.Update(l)
-	transport.Update(l)
+	transport.Update(list)
+	transport.Update(list)
 	if len(transport.hosts) != 10_000 || len(transport.byAddr) != 10_000 {
 		t.Errorf("%d hosts, %d addresses", len(transport.hosts), len(transport.byAddr))
 	}
-	transport.Update(core.List{Full: true, Entries: l.Entries[:5000]})
+	transport.Update(core.List{Full: true, Entries: list.Entries[:5000]})
 	if len(transport.hosts) != 5000 || len(transport.byAddr) != 5000 {
 		t.Errorf("%d hosts, %d addresses", len(transport.hosts), len(transport.byAddr))
 	}
@@ -332,13 +332,13 @@
 
 func BenchmarkFullListOfHosts(b *testing.B) {
 	hosts := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-	l := testkit.Known(make([]string, 10_000)...)
-	for i := range l.Entries {
-		l.Entries[i].Addr = "127.0.0.1:" + time.Duration(i).String()
+	list := testkit.Known(make([]string, 10_000)...)
+	for i := range list.Entries {
+		list.Entries[i].Addr = "127.0.0.1:" + time.Duration(i).String()
 	}
 	b.ReportAllocs()
 	for range b.N {
-		hosts.Update(l)
+		hosts.Update(list)
 	}
 }
 
@@ -384,14 +384,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr := testkit.Server(t, func(conn net.Conn) {
-				if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-					io.WriteString(conn, c.reply)
+			addr := testkit.Server(t, func(server net.Conn) {
+				if _, err := http.ReadRequest(bufio.NewReader(server)); err == nil {
+					io.WriteString(server, c.reply)
 				}
 			})
-			b := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
-			b.Update(testkit.Known(addr))
-			if r := b.do(t.Context(), b.find(1), get(testkit.Patient)); r.Code != c.code {
+			transport := New(testkit.Settings(), 192, 10, nil, testkit.Quiet)
+			transport.Update(testkit.Known(addr))
+			if r := transport.do(t.Context(), transport.find(1), get(testkit.Patient)); r.Code != c.code {
 				t.Errorf("outcome %v (%v), want %v", r.Code, r.Err, c.code)
 			} else if r.Rest != nil {
 				r.Rest.Close()
--- a/internal/upstream/http1/connect_test.go
+++ b/internal/upstream/http1/connect_test.go
@@ -109,12 +109,12 @@
 // never used.
 func TestLateSecondAnswer(t *testing.T) {
 	t.Parallel()
-	for _, late := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond, maxStrayDelay} {
+	for _, delay := range []time.Duration{0, 4 * time.Millisecond, 12 * time.Millisecond, maxStrayDelay} {
 		for _, callers := range []int{1, 3, 8} {
 			for _, limit := range []int{3, 64} {
-				t.Run(fmt.Sprint(late, " ", callers, " of ", limit), func(t *testing.T) {
+				t.Run(fmt.Sprint(delay, " ", callers, " of ", limit), func(t *testing.T) {
 					t.Parallel()
-					checkLateSecondAnswers(t, late, callers, limit)
+					checkLateSecondAnswers(t, delay, callers, limit)
 				})
 			}
 		}
@@ -214,10 +214,10 @@
 func TestEndsWhileConnectionCoolsDown(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		change   func(*Transport, *core.Exchange, context.CancelFunc)
-		cooldown time.Duration // so long that the request ends first on any machine
-		want     decide.OutcomeCode
-		open     int
+		change    func(*Transport, *core.Exchange, context.CancelFunc)
+		cooldown  time.Duration // so long that the request ends first on any machine
+		want      decide.OutcomeCode
+		openConns int
 	}{
 		"called off": {func(_ *Transport, _ *core.Exchange, cancel context.CancelFunc) { cancel() }, time.Hour,
 			decide.Cancelled, 1},
@@ -226,8 +226,7 @@
 		}, time.Hour, decide.Moot, 1},
 		"gone from the list": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
 			transport.Update(core.List{Full: true})
-		}, 2 * time.Second,
-			decide.ConnectFailed, 0},
+		}, 2 * time.Second, decide.ConnectFailed, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -265,10 +264,10 @@
 					requests.Load()-before)
 			}
 			transport.mu.Lock()
-			if transport.openConns != c.open || len(host.idleConns) != c.open || c.open > 0 &&
+			if transport.openConns != c.openConns || len(host.idleConns) != c.openConns || c.openConns > 0 &&
 				!host.idleConns[0].idleSince.Equal(since) {
 				t.Errorf("%d connections open, %d of them idle; want %d, with an unchanged idle time",
-					transport.openConns, len(host.idleConns), c.open)
+					transport.openConns, len(host.idleConns), c.openConns)
 			}
 			transport.mu.Unlock()
 			transport.Update(core.List{Full: true})
--- a/internal/upstream/reuse/reuse_test.go
+++ b/internal/upstream/reuse/reuse_test.go
@@ -60,12 +60,12 @@
 func TestNoneIsUsedBeforeCooldownEnds(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(r *rapid.T) {
-		var s Server
+		var server Server
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(r, "requests") {
 			now += time.Duration(rapid.Int64Range(0, int64(time.Second)).Draw(r, "later"))
 			if rapid.Bool().Draw(r, "dialled") {
-				s.RecordDial(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(r, "took")))
+				server.RecordDial(time.Duration(rapid.Int64Range(0, int64(2*time.Second)).Draw(r, "took")))
 			}
 			var idle []Idle
 			for range rapid.IntRange(0, 12).Draw(r, "idle") {
@@ -74,19 +74,19 @@
 			}
 			slices.SortFunc(idle, func(a, b Idle) int { return int(b.IdleTime - a.IdleTime) })
 			timeLeft := time.Duration(rapid.Int64Range(-int64(time.Second), int64(time.Second)).Draw(r, "left"))
-			d := s.Choose(now, idle, timeLeft)
-			if d.Step == Dial {
+			decision := server.Choose(now, idle, timeLeft)
+			if decision.Step == Dial {
 				if len(idle) > 0 && timeLeft >= 2*Cooldown {
 					r.Fatalf("a new connection beside the idle ones %v, with %v left", idle, timeLeft)
 				}
 				continue
 			}
-			c := idle[d.Index]
-			if c.Used && c.IdleTime+d.Wait < Cooldown {
-				r.Fatalf("%+v uses a connection before its cooldown is over; idle: %v", d, idle)
+			conn := idle[decision.Index]
+			if conn.Used && conn.IdleTime+decision.Wait < Cooldown {
+				r.Fatalf("%+v uses a connection before its cooldown is over; idle: %v", decision, idle)
 			}
-			if d.Wait < 0 || d.Wait > Cooldown || d.Step == Use && d.Wait > 0 {
-				r.Fatalf("%+v has a wrong wait; idle: %v", d, idle)
+			if decision.Wait < 0 || decision.Wait > Cooldown || decision.Step == Use && decision.Wait > 0 {
+				r.Fatalf("%+v has a wrong wait; idle: %v", decision, idle)
 			}
 		}
 	})
