--- a/internal/member/registry/fleet_test.go
+++ b/internal/member/registry/fleet_test.go
@@ -35,7 +35,7 @@
 	freeAt  time.Time
 	version int
 	silent  bool          // calls that continue a watch are not answered
-	news    chan struct{} // closed when the version changes
+	changed chan struct{} // closed when the version changes
 }
 
 // nodeClient is the transport by which one node calls the discovery service. It records what that node has received.
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	c.mu.Lock()
-	silent, news := c.silent, c.news
+	silent, changed := c.silent, c.changed
 	if c.watchedAt.IsZero() {
 		c.watchedAt = time.Now()
 	}
@@ -72,7 +72,7 @@
 	select {
 	case <-r.Context().Done():
 		return nil, r.Context().Err()
-	case <-news:
+	case <-changed:
 	case <-time.After(wait):
 	}
 	return c.list(), nil
@@ -117,8 +117,8 @@
 		return
 	}
 	q.silent = silentFromNow
-	close(q.news)
-	q.news = make(chan struct{})
+	close(q.changed)
+	q.changed = make(chan struct{})
 }
 
 func response(status int, body string) *http.Response {
@@ -141,7 +141,7 @@
 
 // checkSilentWatches runs the scenario with a service that takes callRound to process one call of each node.
 func checkSilentWatches(t *testing.T, nodes int, callRound time.Duration) {
-	service := &queuedDiscovery{perCall: callRound / time.Duration(nodes), version: 1, news: make(chan struct{})}
+	service := &queuedDiscovery{perCall: callRound / time.Duration(nodes), version: 1, changed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(t.Context())
 	var watching sync.WaitGroup
 	var clients []*nodeClient
@@ -272,7 +272,7 @@
 			t.Run(fmt.Sprint(answer, within), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					node := &nodeClient{queuedDiscovery: &queuedDiscovery{perCall: answer, version: 1,
-						news: make(chan struct{})}}
+						changed: make(chan struct{})}}
 					registry := New(netip.MustParseAddrPort("127.0.0.1:9"),
 						decide.Settings{Nodes: 300, MaxListRequestInterval: within}, testkit.Quiet)
 					registry.client.Transport = node
--- a/internal/upstream/http1/admit.go
+++ b/internal/upstream/http1/admit.go
@@ -49,7 +49,7 @@
 		if ctx.Err() != nil {
 			return attempt, core.Result{Code: decide.Cancelled, Err: ctx.Err()}
 		}
-		return attempt, core.Result{Code: decide.Moot, Err: errUnwanted}
+		return attempt, core.Result{Code: decide.Moot, Err: errRequestOver}
 	case guard.Drain:
 		return attempt, core.Result{Code: decide.ConnectFailed, Err: errClosed}
 	case guard.Deadline:
--- a/internal/upstream/http1/answer.go
+++ b/internal/upstream/http1/answer.go
@@ -175,8 +175,8 @@
 }
 
 // readBeginning reads a body of at most maxBufferedBody bytes to its end, and of a longer one as much as is needed to
-// start streaming it. It returns what it read, and rest = true if the remainder is still to be read with Copy.
-func (r *responseBody) readBeginning() (body []byte, rest bool, err error) {
+// start streaming it. It returns what it read, and more = true if a remainder is still to be read with Copy.
+func (r *responseBody) readBeginning() (body []byte, more bool, err error) {
 	long := r.framing == byLength && r.remaining > maxBufferedBody
 	size := 512
 	if r.framing == byLength {
--- a/internal/upstream/http1/backend.go
+++ b/internal/upstream/http1/backend.go
@@ -339,8 +339,8 @@
 var (
 	errTooManyConns = errors.New("too many connections")
 	errClosed       = errors.New("the backend drains or was removed")
-	// errUnwanted: the request was over before its last byte was written.
-	errUnwanted = errors.New("the request is already over")
+	// errRequestOver: the request was over before its last byte was written.
+	errRequestOver = errors.New("the request is already over")
 )
 
 // evict closes the connection that has been idle longest, to stay within maxConns. It returns false if none is idle.
@@ -399,7 +399,7 @@
 		case ctx.Err() != nil:
 			return core.Result{Code: decide.Cancelled, Err: ctx.Err()}
 		case exchange.RequestOver(core.MaxClientCheckAge):
-			return core.Result{Code: decide.Moot, Err: errUnwanted}
+			return core.Result{Code: decide.Moot, Err: errRequestOver}
 		case errors.Is(err, errTooManyConns), localShortage(err): // a shortage of this node: not the backend's fault
 			return core.Result{Code: decide.Moot, Err: err}
 		}
@@ -530,8 +530,8 @@
 	if err != nil {
 		return core.Result{Code: decide.Reset, Err: err}, nil
 	}
-	body, rest, err := respBody.readBeginning()
-	if err == nil && rest && resp.StatusCode != http.StatusOK {
+	body, more, err := respBody.readBeginning()
+	if err == nil && more && resp.StatusCode != http.StatusOK {
 		err = errTooLarge // a long error response is of no use to the client
 	}
 	if err != nil {
@@ -542,7 +542,7 @@
 	switch status := resp.StatusCode; {
 	case status == http.StatusOK:
 		result.Code = decide.OK
-		if rest {
+		if more {
 			result.Rest, result.Length = respBody, resp.ContentLength
 		}
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) &&
--- a/internal/upstream/http1/backend_test.go
+++ b/internal/upstream/http1/backend_test.go
@@ -97,8 +97,8 @@
 			transport.release(transport.find(1), c, true)
 		}
 		exchange := get(testkit.Patient)
-		wanted, end := context.WithCancel(t.Context())
-		exchange.RequestContext = wanted
+		requestContext, end := context.WithCancel(t.Context())
+		exchange.RequestContext = requestContext
 		end()
 		if r := transport.do(t.Context(), transport.find(1), exchange); r.Code != decide.Moot {
 			t.Errorf("pooled %v: %v (%v), want moot", pooled, r.Code, r.Err)
@@ -201,7 +201,7 @@
 			l.Full, l.Entries[0].State = false, decide.Draining
 			transport.Update(l)
 		}, decide.ConnectFailed},
-		"gone from the list": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
+		"removed from the list": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
 			transport.Update(core.List{Full: true})
 		}, decide.ConnectFailed},
 		"restarted": {func(transport *Transport, _ *core.Exchange, _ context.CancelFunc) {
@@ -215,7 +215,7 @@
 		"too late": {func(_ *Transport, exchange *core.Exchange, _ context.CancelFunc) {
 			exchange.Deadline = time.Now()
 		}, decide.ConnectFailed},
-		"called off": {func(_ *Transport, _ *core.Exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
+		"context ended": {func(_ *Transport, _ *core.Exchange, cancel context.CancelFunc) { cancel() }, decide.Cancelled},
 	} {
 		transport, h := fresh()
 		// An idle connection, so that connecting succeeds whatever the time.
--- a/internal/upstream/http1/connect.go
+++ b/internal/upstream/http1/connect.go
@@ -120,7 +120,7 @@
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case exchange.RequestContext != nil && exchange.RequestContext.Err() != nil:
-		return errUnwanted
+		return errRequestOver
 	}
 	return nil
 }
--- a/internal/upstream/http1/connect_test.go
+++ b/internal/upstream/http1/connect_test.go
@@ -248,9 +248,9 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			exchange := get(3 * c.cooldown)
-			wanted, end := context.WithCancel(t.Context())
+			requestContext, end := context.WithCancel(t.Context())
 			defer end()
-			exchange.RequestContext = &endableContext{wanted, end}
+			exchange.RequestContext = &endableContext{requestContext, end}
 			done := make(chan core.Result, 1)
 			go func() { done <- transport.do(ctx, host, exchange) }()
 			testkit.Until(t, "the connection is not waited for", func() bool {
--- a/internal/upstream/http1/endings_test.go
+++ b/internal/upstream/http1/endings_test.go
@@ -58,23 +58,23 @@
 		a    responseBody
 		want time.Duration
 	}{
-		"a length is known: a stall of 8 s": {responseBody{framing: byLength, received: kB,
+		"known length: pauses up to 8 s": {responseBody{framing: byLength, received: kB,
 			completeBy: now}, 8 * s},
-		"long, and it keeps its pace": {responseBody{framing: byChunks, received: 800 * kB,
+		"long, and fast enough on average": {responseBody{framing: byChunks, received: 800 * kB,
 			waitTime: 95 * s, completeBy: now}, 8 * s},
-		"long, and it trickles: it ends": {responseBody{framing: byLength, received: 80 * kB,
+		"long, and too slow on average: ends now": {responseBody{framing: byLength, received: 80 * kB,
 			waitTime: 18 * s, completeBy: now}, 0},
-		"long, half a second slower than the least pace": {responseBody{framing: byClose, received: 80 * kB,
+		"long, and half a second behind the lowest average rate": {responseBody{framing: byClose, received: 80 * kB,
 			waitTime: 10*s + s/2, completeBy: now}, 7*s + s/2},
-		"short so far: with its request": {responseBody{framing: byChunks, received: kB,
+		"short so far: ends with its request": {responseBody{framing: byChunks, received: kB,
 			forwardedAt: now.Add(-s), completeBy: now.Add(s)}, s},
-		"short so far, its time over: at once": {responseBody{framing: byClose, received: kB,
+		"short so far, after the deadline of its request: ends now": {responseBody{framing: byClose, received: kB,
 			forwardedAt: now.Add(-s), completeBy: now}, 0},
-		"short so far and fast: it may be long": {responseBody{framing: byChunks, received: 60 * kB,
+		"short so far and fast: may be a long one": {responseBody{framing: byChunks, received: 60 * kB,
 			forwardedAt: now.Add(-s), completeBy: now.Add(-s)}, longBodyPause},
-		"fast, and its time is not over": {responseBody{framing: byClose, received: 60 * kB,
+		"short so far and fast, before the deadline of its request": {responseBody{framing: byClose, received: 60 * kB,
 			forwardedAt: now.Add(-s), completeBy: now.Add(s)}, s},
-		"fast at first, and it has stopped for a while: 0": {responseBody{framing: byChunks, received: 60 * kB,
+		"fast at first, then stopped: has ended": {responseBody{framing: byChunks, received: 60 * kB,
 			forwardedAt: now.Add(-4 * s), completeBy: now.Add(-s)}, -s},
 	} {
 		if got := c.a.nextDeadline(now).Sub(now).Round(time.Millisecond); got != c.want {
--- a/internal/upstream/http1/upload.go
+++ b/internal/upstream/http1/upload.go
@@ -55,7 +55,7 @@
 			return core.Result{Code: decide.Moot, Err: ctx.Err()}
 		}
 		if exchange.RequestOver(maxAge) {
-			return core.Result{Code: decide.Moot, Err: errUnwanted}
+			return core.Result{Code: decide.Moot, Err: errRequestOver}
 		}
 		if _, err := conn.Write(out); err != nil {
 			return core.Result{Code: decide.ConnectFailed, Err: err}
--- a/internal/upstream/reuse/reuse_test.go
+++ b/internal/upstream/reuse/reuse_test.go
@@ -23,16 +23,16 @@
 		idle []Idle
 		want Decision
 	}{
-		"none":                         {nil, Decision{Step: Dial}},
-		"one that has rested":          {used(Cooldown), Decision{Step: Use}},
-		"the most recent that has":     {used(9*time.Second, 2*Cooldown, 10*ms), Decision{Step: Use, Index: 1}},
-		"one never used needs no rest": {[]Idle{{IdleTime: 0}}, Decision{Step: Use}},
-		"nor behind others":            {append(used(10*ms), Idle{IdleTime: ms}), Decision{Step: Use, Index: 1}},
-		"one that rests":               {used(Cooldown - ms), Decision{Step: Wait, Wait: ms}},
-		"the one that rests longest":   {used(20*ms, 10*ms, 0), Decision{Step: Wait, Wait: Cooldown - 20*ms}},
-		"many that rest are no reason": {used(9*ms, 8*ms, 7*ms, 6*ms, 5*ms, 4*ms, 3*ms),
+		"none":                          {nil, Decision{Step: Dial}},
+		"a used one after its cooldown": {used(Cooldown), Decision{Step: Use}},
+		"the most recent of those after their cooldown":     {used(9*time.Second, 2*Cooldown, 10*ms), Decision{Step: Use, Index: 1}},
+		"one never used has no cooldown":                    {[]Idle{{IdleTime: 0}}, Decision{Step: Use}},
+		"one never used, behind one in its cooldown":        {append(used(10*ms), Idle{IdleTime: ms}), Decision{Step: Use, Index: 1}},
+		"one in its cooldown":                               {used(Cooldown - ms), Decision{Step: Wait, Wait: ms}},
+		"the one idle longest of several in their cooldown": {used(20*ms, 10*ms, 0), Decision{Step: Wait, Wait: Cooldown - 20*ms}},
+		"many in their cooldown: no new connection": {used(9*ms, 8*ms, 7*ms, 6*ms, 5*ms, 4*ms, 3*ms),
 			Decision{Step: Wait, Wait: Cooldown - 9*ms}},
-		"a moment before the rest's end": {used(Cooldown - 1), Decision{Step: Wait, Wait: 1}},
+		"1 ns before the end of the cooldown": {used(Cooldown - 1), Decision{Step: Wait, Wait: 1}},
 	} {
 		if got := new(Server).Choose(0, c.idle, time.Second); got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
@@ -100,10 +100,10 @@
 		most               int // most requests until a connection is added; 0: none is
 		least              int // fewest requests until then
 	}{
-		"one after the other":    {0, 30 * ms, 5, 2},
-		"a slow handshake":       {50 * ms, 30 * ms, 30, 6},
-		"one that never comes":   {250 * ms, 30 * ms, 100, 40},
-		"a wait every 5 seconds": {0, 5 * time.Second, 0, 0},
+		"one wait after the other": {0, 30 * ms, 5, 2},
+		"a slow handshake":         {50 * ms, 30 * ms, 30, 6},
+		"handshakes that time out": {250 * ms, 30 * ms, 100, 40},
+		"a wait every 5 seconds":   {0, 5 * time.Second, 0, 0},
 	} {
 		var s Server
 		if c.dialTime > 0 {
