--- a/internal/member/registry/call.go
+++ b/internal/member/registry/call.go
@@ -112,7 +112,7 @@
 func (t *callTiming) cause(err error, first bool, took time.Duration) decide.FailureCause {
 	unavailable := errors.Is(err, errUnavailable)
 	switch {
-	case !first && unavailable && took >= t.overloadWait: // it had been accepted, and was not refused as it came in
+	case !first && unavailable && took >= t.overloadWait: // an accepted call was ended
 		return decide.CauseWentDown
 	case !first:
 		return decide.CauseBroken
--- a/internal/member/registry/endings_test.go
+++ b/internal/member/registry/endings_test.go
@@ -50,9 +50,9 @@
 const drainingEntry = `{"id":"s-00000001","addr":"127.0.0.1:9","state":"draining"}`
 
 // A watch that becomes unresponsive, before the header of an answer, after it or in the middle of a list, is started
-// again at once, from the version that it had; the first answer of the new one holds what was missed. With the wait
-// that other list requests have before them, in a fleet of 40 nodes, that answer came up to 3.4 s after the wait of
-// the call was over, and the limit is 2 s.
+// again at once, from the version that it had; the first answer of the new one holds what was missed. A pause
+// before the new request, as other list requests have it, delayed that answer in a fleet of 40 nodes until up to 3.4 s
+// after the wait of the call was over; the limit is 2 s.
 func TestSilentWatchIsBegunAnew(t *testing.T) {
 	t.Parallel()
 	whole := listResponse(8, false, drainingEntry)
--- a/internal/member/registry/fleet_test.go
+++ b/internal/member/registry/fleet_test.go
@@ -121,6 +121,7 @@
 	q.changed = make(chan struct{})
 }
 
+// response returns an HTTP response without a header.
 func response(status int, body string) *http.Response {
 	return &http.Response{StatusCode: status, Status: http.StatusText(status),
 		Body: io.NopCloser(strings.NewReader(body))}
--- a/internal/member/registry/registry.go
+++ b/internal/member/registry/registry.go
@@ -40,8 +40,9 @@
 	// watchSlack is how late, beyond its wait, the answer to a further call of a watch may be. Such a call is not
 	// queued.
 	watchSlack = time.Second
-	// overloadWait: a call that the registry refuses only after at least so long had been accepted, and held or queued
-	// until then; it was not refused as it came in.
+	// overloadWait tells refusals apart: a call that is refused as it comes in gets its answer earlier. One that is
+	// refused after at least so long (and before callTimeout) had been accepted, and was queued or held open until
+	// then.
 	overloadWait    = 300 * time.Millisecond
 	agentPause      = 50 * time.Millisecond // between calls to an agent that answers at once without a change
 	localRetryPause = 20 * time.Millisecond // before a call is repeated that failed on this machine
@@ -67,7 +68,7 @@
 	slack        time.Duration // how late the answer may be, after its wait
 	firstTimeout time.Duration // timeout of a call that does not wait for a change
 	retryPause   time.Duration // longest pause after a failed watch, before the next one
-	overloadWait time.Duration // a refusal after at least so long is not one of a call as it came in
+	overloadWait time.Duration // the least time of a refusal that ends an accepted call
 	agent        bool          // the calls go to the node's own agent
 }
 
@@ -138,7 +139,7 @@
 // drains by now may be ready in it.
 var errOlderList = errors.New("list: older than one that this watch has delivered")
 
-// Watch calls onList with each answer, including those without changes, until a call fails or ctx ends; the error is a
+// Watch calls onList with each answer, including those without changes, until a call fails or ctx ends. It returns a
 // core.CallError. It starts with the changes since the given version, or with the whole list if since is nil.
 //
 // Each further call is made at once after the answer before it: discovery ends a watch whose next call comes more than
