--- a/decide/asking.go
+++ b/decide/asking.go
@@ -67,7 +67,8 @@
 
 // resetBackoffs resets the backoffs, at the start and after a call that was answered.
 func (m *Module) resetBackoffs() {
-	m.failedBackoff, m.overloadBackoff, m.overloadedCalls, m.uselessBackoff = m.firstSpread(), m.firstSpread(), 0, minBackoff
+	m.failedBackoff, m.overloadBackoff, m.overloadedCalls, m.uselessBackoff =
+		m.firstSpread(), m.firstSpread(), 0, minBackoff
 }
 
 // requestTimeLeft is how long the next call may be delayed so that its answer comes before the list
@@ -81,8 +82,8 @@
 // within that lifetime.
 func (m *Module) firstRequestDelay() time.Duration {
 	spread := m.firstSpread()
-	if bound := m.listLifetime(); bound > 0 {
-		spread = min(spread, max(minBackoff, (bound-discoveryQueueTimeout-requestMargin)/2))
+	if lifetime := m.listLifetime(); lifetime > 0 {
+		spread = min(spread, max(minBackoff, (lifetime-discoveryQueueTimeout-requestMargin)/2))
 	}
 	return time.Duration(m.random() * float64(spread))
 }
@@ -96,15 +97,15 @@
 }
 
 // listRequestFailed sets the time of the next call after one has failed or a watch has broken.
-func (m *Module) listRequestFailed(e ListUpdate) {
-	took := e.Took
+func (m *Module) listRequestFailed(failure ListUpdate) {
+	took := failure.Took
 	if took == 0 && m.listRequested {
 		took = m.now - m.listRequestedAt
 	}
 	watched := m.subscribed
 	m.subscribed = false
-	m.listAge.fail(e.Cause, m.now-took, took >= minHang || m.settings.MayMessage, watched)
-	wait := m.retryDelay(e.Cause, took)
+	m.listAge.fail(failure.Cause, m.now-took, took >= minHang || m.settings.MayMessage, watched)
+	wait := m.retryDelay(failure.Cause, took)
 	if left := m.requestTimeLeft(); left > 0 {
 		wait = min(wait, left)
 	}
@@ -125,7 +126,8 @@
 	case took == 0 && !m.listRequested: // a watch has broken, possibly those of all nodes
 		return m.spreadDelay()
 	default: // the backoff counts from the beginning of the call, which may have lasted for seconds
-		wait := max(m.shortenRandomly(m.failedBackoff, backoffJitter)-took, m.shortenRandomly(minBackoff, backoffJitter))
+		wait := max(m.shortenRandomly(m.failedBackoff, backoffJitter)-took,
+			m.shortenRandomly(minBackoff, backoffJitter))
 		m.failedBackoff = min(2*m.failedBackoff, m.maxRequestInterval())
 		return wait
 	}
@@ -134,13 +136,14 @@
 // overloadRetryDelay is retryDelay after a call that waited for its turn at discovery in vain.
 func (m *Module) overloadRetryDelay(took time.Duration) time.Duration {
 	m.overloadedCalls++
-	bounded, row := m.listLifetime() > 0, m.overloadedCalls <= maxOverloadedCalls
+	limited, fewInRow := m.listLifetime() > 0, m.overloadedCalls <= maxOverloadedCalls
 	switch {
-	case bounded && (m.listAge.down || row && m.listAge.confirmedAt == never):
+	case limited && (m.listAge.down || fewInRow && m.listAge.confirmedAt == never):
 		// The node can't see when discovery is back, or this process can't serve before a call is answered.
 		return m.shortenRandomly(min(m.firstSpread(), maxDownBackoff), backoffJitter+overloadBackoffJitter)
-	case row && len(m.known) > 0:
-		return max(m.shortenRandomly(m.maxRequestInterval(), overloadBackoffJitter)-took, m.shortenRandomly(minBackoff, backoffJitter))
+	case fewInRow && len(m.known) > 0:
+		return max(m.shortenRandomly(m.maxRequestInterval(), overloadBackoffJitter)-took,
+			m.shortenRandomly(minBackoff, backoffJitter))
 	default:
 		wait := m.shortenRandomly(m.overloadBackoff, overloadBackoffJitter)
 		m.overloadBackoff = min(overloadBackoffGrowth*m.overloadBackoff, maxOverloadBackoff)
--- a/decide/coldbudget.go
+++ b/decide/coldbudget.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	coldStartRate     = 4.0             // requests per second from all nodes to a cold server while no rate of a warm one is known
+	coldStartRate     = 4.0             // requests per second from all nodes to a cold server if no other rate is known
 	coldPeakFraction  = 0.5             // part of peakRate from which a cold server's rate is derived, at least
 	listLag           = 2 * time.Second // longest time from a server's start until a list has it
 	coldFewRequests   = 30.0            // requests; a smaller limit has a wider margin for chance
-	coldSavedFraction = 0.25            // part of this node's share of the limit that a budget may save up beyond one request
+	coldSavedFraction = 0.25            // part of this node's share of the limit that a budget may save beyond one request
 )
 
 // startCold begins the slow start of a server whose process started at a time. The budget begins with a random part of
@@ -35,15 +35,15 @@
 // coldBudgetSpent tells whether a server is cold and must get no request now. That is always so if it is outside this
 // node's subset. Tokens beyond one and coldSavedFraction of this node's share of the limit lapse: many nodes that get a
 // token every few seconds could else send all their requests at once when other servers fail or traffic returns.
-func (m *Module) coldBudgetSpent(s *serverRecord) bool {
-	if s.cold = s.cold && m.warmth(s) < 1; !s.cold {
+func (m *Module) coldBudgetSpent(server *serverRecord) bool {
+	if server.cold = server.cold && m.warmth(server) < 1; !server.cold {
 		return false
 	}
-	s.tokens, s.tokensAt = s.tokens+m.coldSendRate(s)*(m.now-s.tokensAt).Seconds(), m.now
+	server.tokens, server.tokensAt = server.tokens+m.coldSendRate(server)*(m.now-server.tokensAt).Seconds(), m.now
 	nodes := m.nodesPerServer()
-	n := m.coldAllowed(s)
-	s.tokens -= math.Max(0, math.Ceil(s.tokens-1-coldSavedFraction*(n+2*math.Sqrt(n)+2)/nodes))
-	return s.tokens < 1 || !s.inSubset
+	allowed := m.coldAllowed(server)
+	server.tokens -= math.Max(0, math.Ceil(server.tokens-1-coldSavedFraction*(allowed+2*math.Sqrt(allowed)+2)/nodes))
+	return server.tokens < 1 || !server.inSubset
 }
 
 // nodesPerServer is the number of nodes whose subsets contain a server, at the mean.
@@ -62,11 +62,11 @@
 	if !s.cold || m.warmth(s) >= 1 {
 		return 0
 	}
-	n := m.coldAllowed(s)
-	if n < coldFewRequests {
-		return int(n + 3*math.Sqrt(n) + 3)
+	allowed := m.coldAllowed(s)
+	if allowed < coldFewRequests {
+		return int(allowed + 3*math.Sqrt(allowed) + 3)
 	}
-	return int(n + 2*math.Sqrt(n) + 2)
+	return int(allowed + 2*math.Sqrt(allowed) + 2)
 }
 
 // warmth is the part of ColdTime that has passed since a server started, from 0 to 1.
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -56,9 +56,9 @@
 	fleetWeight = 0.3
 
 	rateTau             = 3.0 // time constant of a server's rate of answers, in seconds
-	shortRateTau        = 0.1 // time constant of the short-term rate, in seconds; it is used where answers are many
+	shortRateTau        = 0.1 // time constant of the short-term rate, in seconds, used where answers are many
 	shortRateDeviations = 3.0 // standard deviations of chance that are taken off the short-term rate
-	latencyDriftTau     = 3.0 // seconds; time constant with which a latency without answers drifts to the fleet's mean
+	latencyDriftTau     = 3.0 // time constant of the drift of latencies to the fleet's mean, in seconds
 	// Time constant for forgetting peak rates and uncongested latencies, in seconds: longer than an overload.
 	baselineTau = 600.0
 	// Time constant of the mean latency, in seconds, where answers are many: the mean must not follow each
@@ -68,7 +68,7 @@
 	// latency; if it was answered within expensiveLatencyValidity, its own smoothed latency is used.
 	expensiveCost            = 4.0
 	expensiveLatencyValidity = time.Second
-	minRelativeCost          = 0.25 // least cost by which latencies are scaled, in mean requests; see asMeanRequest
+	minRelativeCost          = 0.25 // lowest cost by which latencies are scaled; see asMeanRequest
 	latencyGain              = 0.1  // weight of a new latency in a server's smoothed one
 	fleetGain                = 0.02 // weight of a new value in means over all servers, where samples are many
 	// Upper bound of a latency as a multiple of the smoothed one: one heavy request does not make a server slow.
@@ -78,7 +78,7 @@
 	ejectThreshold = 3
 	// A server is unresponsive if there is no answer for this multiple of the expected latency.
 	unresponsiveFactor = 4.0
-	firstTrialWait     = 500 * time.Millisecond // mean wait before an ejected server's first trial request; it doubles
+	firstTrialWait     = 500 * time.Millisecond // mean wait before an ejected server's first trial; it doubles
 	maxTrialWait       = 16 * time.Second       // longest such wait: about the length of an outage
 	maxQuickTrialWait  = 2 * time.Second        // longest such wait for an ejected server that fails fast
 	// Part of the aim that a trial request may take, so that a second attempt can be in time.
@@ -93,14 +93,14 @@
 	// it knows of a server would be out of date. Also the time constant of recentMean.
 	subsetSendInterval = 2.0
 	minSubsetSize      = 8.0  // servers; fewer leave no choice once some of them fail
-	arrivalTau         = 10.0 // time constant of this node's arrival rate, in seconds: keeps the subset size steady
+	arrivalTau         = 10.0 // time constant of the arrival rate, in seconds: keeps the subset size steady
 	// A server is lightly loaded below this part of the delay that the aims allow.
 	lightLoadFraction = 0.24
 	// With each answer of a lightly loaded server, its proven load grows by provenLoadStep requests, up to
 	// maxProvenLoadGrowth times the number of requests that it has.
 	provenLoadStep      = 1.0
 	maxProvenLoadGrowth = 1.6
-	// Time constant of the node's own delay, in seconds, and of its decay without answers.
+	// Time constant of the node's own delay, in seconds; without answers it decays with the same one.
 	nodeDelayTau = 1.0
 
 	maxScanned = 32 // servers of a long list that are examined for a retry, which must avoid those already tried
@@ -147,7 +147,7 @@
 
 // Handle takes an event that happened now and returns the actions to carry out, in order. The slice is
 // valid until the next call.
-func (m *Module) Handle(now Time, e Event) []Action {
+func (m *Module) Handle(now Time, event Event) []Action {
 	m.now, m.actions = now, m.actions[:0]
 	timer := SetTimer{After: max(tickInterval, m.settings.MinTick)} // the only timer in use
 	if !m.ticking {
@@ -157,31 +157,31 @@
 		m.nextListRequestAt = now + m.firstRequestDelay()
 		m.emit(timer)
 	}
-	switch e := e.(type) {
+	switch event := event.(type) {
 	case RequestArrived:
-		m.requestArrived(e)
+		m.requestArrived(event)
 	case ListUpdate:
-		m.applyList(e)
+		m.applyList(event)
 	case AttemptEnded:
-		m.attemptEnded(e)
+		m.attemptEnded(event)
 	case BodyEnded:
-		m.bodyEnded(e)
+		m.bodyEnded(event)
 	case StreamStarted:
-		m.streamStarted(e)
+		m.streamStarted(event)
 	case RequestAbandoned:
-		if r := m.requests[e.ID]; r != nil && !r.done {
-			m.closeRequest(r)
+		if request := m.requests[event.ID]; request != nil && !request.done {
+			m.closeRequest(request)
 		}
 	case Shutdown:
-		for _, r := range m.openRequests {
-			if !r.done && !r.started {
-				m.finish(r, ByNode)
+		for _, request := range m.openRequests {
+			if !request.done && !request.started {
+				m.finish(request, ByNode)
 			}
 		}
 	case MessageReceived:
-		m.messageReceived(e)
+		m.messageReceived(event)
 	case ProbeEnded:
-		m.probeEnded(e)
+		m.probeEnded(event)
 	case TimerFired:
 		m.tick()
 		m.emit(timer)
@@ -193,13 +193,14 @@
 // sweep over the subset is complete those of the fleet's rates.
 func (m *Module) survey(complete bool) {
 	grow := 1 + tickInterval.Seconds()/baselineTau
-	if w := m.sweepTotals; complete {
-		if w.all > 0 {
-			m.share += (w.own/w.all - m.share) * math.Min(1, tickInterval.Seconds()*m.ticksPerSweep()/rateTau)
+	if totals := m.sweepTotals; complete {
+		if totals.all > 0 {
+			m.share += (totals.own/totals.all - m.share) *
+				math.Min(1, tickInterval.Seconds()*m.ticksPerSweep()/rateTau)
 		}
-		if w.count > 0 { // while no server is warm, the last rates of warm servers stay
-			m.fleetRate, m.evenRate = w.rate/w.count, w.rate/float64(len(m.subset))
-			m.learned = w.rate > 0 && m.answers >= 2*float64(len(m.subset))
+		if totals.count > 0 { // while no server is warm, the last rates of warm servers stay
+			m.fleetRate, m.evenRate = totals.rate/totals.count, totals.rate/float64(len(m.subset))
+			m.learned = totals.rate > 0 && m.answers >= 2*float64(len(m.subset))
 		}
 		m.sweepTotals = sweepTotals{}
 	}
@@ -210,21 +211,22 @@
 		m.peakRate = math.Max(m.peakRate, m.fleetRate)
 	}
 	m.aimedMean, m.baseMean = math.Inf(1), m.mean
-	base, latency := 0.0, 0.0
-	for _, c := range m.classList {
-		expected := m.mean * c.relativeCost
-		if c.relativeCost > expensiveCost && m.now-c.answeredAt < expensiveLatencyValidity {
-			expected = math.Min(expected, c.latency)
+	baseSum, expectedSum := 0.0, 0.0
+	for _, class := range m.classList {
+		expected := m.mean * class.relativeCost
+		if class.relativeCost > expensiveCost && m.now-class.answeredAt < expensiveLatencyValidity {
+			expected = math.Min(expected, class.latency)
 		}
-		if c.baseLatency *= grow; c.count >= 1/fleetGain && (c.baseLatency == 0 || c.latency < c.baseLatency*(1-meanNoise)) {
-			c.baseLatency = c.latency / (1 - meanNoise)
+		if class.baseLatency *= grow; class.count >= 1/fleetGain &&
+			(class.baseLatency == 0 || class.latency < class.baseLatency*(1-meanNoise)) {
+			class.baseLatency = class.latency / (1 - meanNoise)
 		}
-		if c.baseLatency > 0 {
-			base, latency = base+c.baseLatency, latency+expected
-			m.baseMean = m.mean * base / latency
+		if class.baseLatency > 0 {
+			baseSum, expectedSum = baseSum+class.baseLatency, expectedSum+expected
+			m.baseMean = m.mean * baseSum / expectedSum
 		}
-		if c.count > 0 && c.Aim > 0 {
-			m.aimedMean = math.Min(m.aimedMean, m.mean*aimFraction*c.Aim.Seconds()/expected)
+		if class.count > 0 && class.Aim > 0 {
+			m.aimedMean = math.Min(m.aimedMean, m.mean*aimFraction*class.Aim.Seconds()/expected)
 		}
 	}
 }
@@ -240,17 +242,18 @@
 // answers times the delay that the aims allow; it is higher where the mean latency is below that delay.
 // Part of the rate is the fleet's mean, as noise in a single server's rate must not starve it. The delay is
 // kept small, as some servers stay slow for a long time after an overload.
-func (m *Module) highThreshold(s *serverRecord) float64 {
+func (m *Module) highThreshold(server *serverRecord) float64 {
 	if !m.learned {
 		return 2 * minWindow / float64(m.settings.Nodes)
 	}
-	rate := (1-fleetWeight)*m.rateOf(s) + fleetWeight*m.fleetRate*math.Min(1, m.mean/m.latencyOf(s))
-	want := math.Min(math.Max(queueLatencyFactor*m.baseMean, looseAimFraction*m.allowedDelay()), m.aimedMean)
-	if m.latencyOf(s) <= want {
-		rate = math.Max(rate, m.shortTermRate(s))
+	rate := (1-fleetWeight)*m.rateOf(server) + fleetWeight*m.fleetRate*math.Min(1, m.mean/m.latencyOf(server))
+	delay := math.Min(math.Max(queueLatencyFactor*m.baseMean, looseAimFraction*m.allowedDelay()), m.aimedMean)
+	if m.latencyOf(server) <= delay {
+		rate = math.Max(rate, m.shortTermRate(server))
 	}
-	h := rate * math.Max(m.baseMean*m.peakRate/m.fleetRate, want*math.Min(3, want/m.mean))
-	return math.Max(math.Max(h, minWindow/float64(m.settings.Nodes)), s.provenLoad*decay(m.now-s.provenLoadAt, rateTau))
+	high := rate * math.Max(m.baseMean*m.peakRate/m.fleetRate, delay*math.Min(3, delay/m.mean))
+	return math.Max(math.Max(high, minWindow/float64(m.settings.Nodes)),
+		server.provenLoad*decay(m.now-server.provenLoadAt, rateTau))
 }
 
 // shortTermRate is a server's rate of answers over shortRateTau, in answers per second, less the part that
@@ -258,8 +261,9 @@
 // answers meet the aims must not count as overloaded. For a server with ten answers a second the time is
 // too short to show anything, and the result is 0.
 func (m *Module) shortTermRate(s *serverRecord) float64 {
-	k := s.recentAnswers * decay(m.now-s.rateAt, shortRateTau)
-	return math.Max(0, k-shortRateDeviations*math.Sqrt(k/2)) / shortRateTau // the variance of k is k/2 in a Poisson process
+	answers := s.recentAnswers * decay(m.now-s.rateAt, shortRateTau)
+	// In a Poisson process, the variance of this number is half of it.
+	return math.Max(0, answers-shortRateDeviations*math.Sqrt(answers/2)) / shortRateTau
 }
 
 // lightlyLoaded tells whether a server's latency is far below the delay that the aims allow, however many
@@ -274,14 +278,14 @@
 // the number of requests that the server has, plus a step. It grows by a step an answer, and so only with
 // requests that the server has taken. Once the latency is high, each answer halves it, and H follows the
 // rate again.
-func (m *Module) updateProvenLoad(s *serverRecord) {
-	room := s.provenLoad * decay(m.now-s.provenLoadAt, rateTau)
-	if m.lightlyLoaded(s) {
-		room = math.Max(room, math.Min(math.Max(room, s.n)+provenLoadStep, maxProvenLoadGrowth*(s.n+1)))
-	} else if m.latencyOf(s) > lightLoadFraction*m.allowedDelay() {
-		room /= 2
-	}
-	s.provenLoad, s.provenLoadAt = room, m.now
+func (m *Module) updateProvenLoad(server *serverRecord) {
+	load := server.provenLoad * decay(m.now-server.provenLoadAt, rateTau)
+	if m.lightlyLoaded(server) {
+		load = math.Max(load, math.Min(math.Max(load, server.n)+provenLoadStep, maxProvenLoadGrowth*(server.n+1)))
+	} else if m.latencyOf(server) > lightLoadFraction*m.allowedDelay() {
+		load /= 2
+	}
+	server.provenLoad, server.provenLoadAt = load, m.now
 }
 
 // loadAndHigh returns n and H of a server for the hysteresis. H is rounded up or down at random, which
@@ -290,28 +294,28 @@
 // it is known; else the number of requests that the server reports; else an estimate of the requests ahead
 // of the node's own: the server's latency in units of the uncongested one, less 1. Reports and estimates
 // lapse.
-func (m *Module) loadAndHigh(s *serverRecord) (n, h float64) {
+func (m *Module) loadAndHigh(server *serverRecord) (n, h float64) {
 	if !m.lowTraffic() {
-		n = s.n
-		if own := m.nodeDelay(); own > 0 {
-			n *= m.mean / (m.mean + own) // by Little's law the rest waits in this node, not at the server
+		n = server.n
+		if nodeDelay := m.nodeDelay(); nodeDelay > 0 {
+			n *= m.mean / (m.mean + nodeDelay) // by Little's law the rest waits in this node, not at the server
 		}
-		return n, math.Floor(m.highThreshold(s) + m.dither(s))
+		return n, math.Floor(m.highThreshold(server) + m.dither(server))
 	}
-	if m.judgedByCounts(s) {
-		return m.waitingPerSlot(s), 1 + lowQueue + (highQueue-lowQueue)*m.dither(s)
+	if m.judgedByCounts(server) {
+		return m.waitingPerSlot(server), 1 + lowQueue + (highQueue-lowQueue)*m.dither(server)
 	}
 	if m.leastMean == 0 || m.aimedMean == 0 {
-		return s.n, 1
+		return server.n, 1
 	}
 	aimed := m.aimedMean * lowTrafficAimFraction / aimFraction
-	unit := math.Min(m.leastMean, aimed) // a node that starts during an overload has too high a leastMean
-	l := m.recentMean + s.excess*decay(m.now-s.latencyAt, latencyDriftTau)
-	if n = (l/unit - 1) * decay(m.now-m.answeredAt, latencyDriftTau); s.reportedLoad > 0 {
-		n = s.reportedLoad * decay(m.now-s.reportedAt, latencyDriftTau)
+	unit := math.Min(m.leastMean, aimed) // leastMean is too high on a node that starts during an overload
+	latency := m.recentMean + server.excess*decay(m.now-server.latencyAt, latencyDriftTau)
+	if n = (latency/unit - 1) * decay(m.now-m.answeredAt, latencyDriftTau); server.reportedLoad > 0 {
+		n = server.reportedLoad * decay(m.now-server.reportedAt, latencyDriftTau)
 	}
-	if s.unanswered > 0 && s.n > 0 { // the latency is at least as long as the oldest send has had no answer
-		n = math.Max(n, (m.now-s.unansweredSince).Seconds()/unit-1)
+	if server.unanswered > 0 && server.n > 0 { // the latency is at least the age of the oldest unanswered send
+		n = math.Max(n, (m.now-server.unansweredSince).Seconds()/unit-1)
 	}
 	return n, math.Max(1, math.Min(math.Max(lowTrafficQueue, lowTrafficLooseFraction*aimed/unit), aimed/unit))
 }
@@ -331,16 +335,16 @@
 }
 
 // modeOf updates and returns a server's mode.
-func (m *Module) modeOf(s *serverRecord) Mode {
-	n, h := m.loadAndHigh(s)
-	low, block := m.lowAndBlock(s, h)
+func (m *Module) modeOf(server *serverRecord) Mode {
+	n, h := m.loadAndHigh(server)
+	low, block := m.lowAndBlock(server, h)
 	for range 2 { // from Blocking to Normal takes two steps
-		s.mode = NextMode(s.mode, n, low, h, block)
+		server.mode = NextMode(server.mode, n, low, h, block)
 	}
-	if m.now < s.imposedUntil && s.imposed > s.mode {
-		return s.imposed
+	if m.now < server.imposedUntil && server.imposed > server.mode {
+		return server.imposed
 	}
-	return s.mode
+	return server.mode
 }
 
 // fullValidity is how long a full answer blocks its server: ocValidity, or fullValidityFactor times the mean
@@ -359,17 +363,21 @@
 // applyReport imposes a mode on a server by the server's own load report, until the mode lapses. Reports
 // are late and count the requests of every node, so this node's thresholds are scaled up by its share of
 // all requests that the servers report.
-func (m *Module) applyReport(s *serverRecord, r *Report) {
-	if r == nil || !r.HasInFlight || !(r.InFlight >= 0) { // NaN fails this test, too
+func (m *Module) applyReport(server *serverRecord, report *Report) {
+	if report == nil || !report.HasInFlight || !(report.InFlight >= 0) { // NaN fails this test, too
 		return
 	}
-	s.reportedLoad, s.reportedAt = math.Min(r.InFlight, maxReportedRequests), m.now // a huge number would block for too long
+	// The number is bounded, as a huge one would block the server for too long.
+	server.reportedLoad, server.reportedAt = math.Min(report.InFlight, maxReportedRequests), m.now
 	if m.lowTraffic() {
 		return
 	}
-	h := reportThresholdFactor * m.highThreshold(s) / math.Max(m.share, 1e-9)
-	s.reportedMode = NextMode(s.reportedMode, s.reportedLoad, lowFraction*h, h, blockFactor*h+1)
-	m.imposeMode(s, min(s.reportedMode, Overloaded)) // with Blocking, late reports would stop all nodes at once, then none
+	high := reportThresholdFactor * m.highThreshold(server) / math.Max(m.share, 1e-9)
+	server.reportedMode =
+		NextMode(server.reportedMode, server.reportedLoad, lowFraction*high, high, blockFactor*high+1)
+	// A report never imposes Blocking: reports are late, and with Blocking all nodes would stop sending at once,
+	// and the servers would be idle.
+	m.imposeMode(server, min(server.reportedMode, Overloaded))
 }
 
 // recompute renews the drop probabilities q1 and q2. They apply only while no server is in Normal mode.
@@ -377,16 +385,17 @@
 // servers are to R.
 func (m *Module) recompute() {
 	q := 0.0
-	if n := m.n1 + m.n2; n > 0 {
-		q = (m.n2 + m.n1*m.overloadSum/math.Max(1, m.modeChecks)) / n
+	if arrivals := m.n1 + m.n2; arrivals > 0 {
+		q = (m.n2 + m.n1*m.overloadSum/math.Max(1, m.modeChecks)) / arrivals
 		if m.sharesLoad() {
 			m.updateShed()
-			q = math.Min(q, m.totalShed*m.n2/n)
+			q = math.Min(q, m.totalShed*m.n2/arrivals)
 		}
 	}
 	m.q1, m.q2 = ShedSplit(q, m.n1, m.n2)
 	m.recomputeNodeMode()
-	m.n1, m.n2, m.overloadSum, m.modeChecks, m.periodAt = arrivalCarryOver*m.n1, arrivalCarryOver*m.n2, 0, 0, m.now
+	m.n1, m.n2, m.overloadSum, m.modeChecks, m.periodAt =
+		arrivalCarryOver*m.n1, arrivalCarryOver*m.n2, 0, 0, m.now
 	m.period++
 	m.chooseSubset()
 }
@@ -395,19 +404,19 @@
 // milliseconds, in place of n. H is the delay that the tightest aim allows in all. The drop fraction grows
 // from L to R, so that a node that lacks CPU sheds no more than it must, and not all requests of low worth.
 func (m *Module) recomputeNodeMode() {
-	h, own, was := math.Inf(1), 1e3*m.nodeDelay(), m.nodeMode // ms, in place of requests
-	for _, c := range m.classList {
-		if c.count > 0 && c.Aim > 0 {
-			h = math.Min(h, 1e3*aimFraction*c.Aim.Seconds())
+	high, delay, previous := math.Inf(1), 1e3*m.nodeDelay(), m.nodeMode // ms, in place of requests
+	for _, class := range m.classList {
+		if class.count > 0 && class.Aim > 0 {
+			high = math.Min(high, 1e3*aimFraction*class.Aim.Seconds())
 		}
 	}
-	m.nodeMode, m.nodeDropFraction = NextMode(was, own, lowFraction*h, h, blockFactor*h), 0
+	m.nodeMode, m.nodeDropFraction = NextMode(previous, delay, lowFraction*high, high, blockFactor*high), 0
 	if m.nodeMode != Normal {
-		m.nodeDropFraction = math.Min(1, math.Max(0, (own-lowFraction*h)/((blockFactor-lowFraction)*h)))
+		m.nodeDropFraction = math.Min(1, math.Max(0, (delay-lowFraction*high)/((blockFactor-lowFraction)*high)))
 	}
-	if was != m.nodeMode && m.mayLog() {
+	if previous != m.nodeMode && m.mayLog() {
 		m.emit(Log{fmt.Sprintf("CPU of this node is %s: it adds %.0f ms to the latency, %.0f ms allowed",
-			[]string{"sufficient", "overloaded", "heavily overloaded"}[m.nodeMode], own, h)})
+			[]string{"sufficient", "overloaded", "heavily overloaded"}[m.nodeMode], delay, high)})
 	}
 }
 
@@ -422,46 +431,46 @@
 // servers and begin their subsets at evenly spread positions. Ejected servers are not replaced by others:
 // all nodes would open connections to the remaining servers at once.
 func (m *Module) chooseSubset() {
-	known := 1 - decay(m.now-m.startAt+tickInterval, arrivalTau)
-	m.arrivalRate = m.arrivals * decay(m.now-m.arrivedAt, arrivalTau) / known
-	want := subsetSendInterval * m.arrivalRate
+	warmUp := 1 - decay(m.now-m.startAt+tickInterval, arrivalTau)
+	m.arrivalRate = m.arrivals * decay(m.now-m.arrivedAt, arrivalTau) / warmUp
+	wanted := subsetSendInterval * m.arrivalRate
 	if m.sharesLoad() {
-		want = sharedSendInterval * m.arrivalRate
+		wanted = sharedSendInterval * m.arrivalRate
 	}
-	was := min(len(m.ring), int(m.subsetSize))
-	if want > m.subsetSize || want < m.subsetSize/2 {
-		m.subsetSize = math.Max(want, minSubsetSize) // smaller changes are skipped, as a new server costs a connection
+	previousSize := min(len(m.ring), int(m.subsetSize))
+	if wanted > m.subsetSize || wanted < m.subsetSize/2 {
+		m.subsetSize = math.Max(wanted, minSubsetSize) // small changes are skipped: a new server costs a connection
 	}
-	n := min(len(m.ring), int(m.subsetSize))
-	if n > 0 { // the same answers now come from a different number of servers
-		m.peakRate *= float64(was) / float64(n)
+	size := min(len(m.ring), int(m.subsetSize))
+	if size > 0 { // the same answers now come from a different number of servers
+		m.peakRate *= float64(previousSize) / float64(size)
 	}
-	if !m.subsetStale && n == len(m.subset) {
+	if !m.subsetStale && size == len(m.subset) {
 		return
 	}
 	start := gossip.Start(m.settings.Self, len(m.ring))
 	m.subsetChoices++
-	old := m.subset
-	next := make([]*serverRecord, 0, n)
-	for i := range n {
-		s := m.ring[(start+i)%len(m.ring)]
-		s.chosenIn = m.subsetChoices
-		next = append(next, s)
-	}
-	for _, s := range old {
-		if s.inSubset && s.chosenIn != m.subsetChoices {
-			s.inSubset = false
-			m.placeInPool(s)
+	previous := m.subset
+	next := make([]*serverRecord, 0, size)
+	for i := range size {
+		server := m.ring[(start+i)%len(m.ring)]
+		server.chosenIn = m.subsetChoices
+		next = append(next, server)
+	}
+	for _, server := range previous {
+		if server.inSubset && server.chosenIn != m.subsetChoices {
+			server.inSubset = false
+			m.placeInPool(server)
 		}
 	}
-	if m.subsetIsRing = n == len(m.ring); m.subsetIsRing {
+	if m.subsetIsRing = size == len(m.ring); m.subsetIsRing {
 		next = m.ring
 	}
 	m.subset, m.subsetStale = next, false
-	for _, s := range m.subset {
-		if !s.inSubset {
-			s.inSubset = true
-			m.placeInPool(s)
+	for _, server := range m.subset {
+		if !server.inSubset {
+			server.inSubset = true
+			m.placeInPool(server)
 		}
 	}
 }
@@ -470,24 +479,24 @@
 // its next trial request instead, and a cold one whose budget is spent for its next token. A server outside
 // the subset, or one that may not be used at the list's age, is removed from both. A server with an imposed
 // mode is in its pool and also queued for the end of that mode.
-func (m *Module) placeInPool(s *serverRecord) {
+func (m *Module) placeInPool(server *serverRecord) {
 	switch {
-	case !s.inSubset, !m.serverUsable(s):
-		removeFromPool(s, byMode)
-		unschedule(s)
-	case s.ejected:
-		removeFromPool(s, byMode)
-		m.trials.schedule(s, s.trialAt)
-	case m.coldBudgetSpent(s):
-		removeFromPool(s, byMode)
-		wait := time.Duration((1 - s.tokens) / math.Max(m.coldSendRate(s), 1e-9) * float64(time.Second))
-		m.wakeups.schedule(s, m.now+min(max(wait, time.Millisecond), ocValidity))
+	case !server.inSubset, !m.serverUsable(server):
+		removeFromPool(server, byMode)
+		unschedule(server)
+	case server.ejected:
+		removeFromPool(server, byMode)
+		m.trials.schedule(server, server.trialAt)
+	case m.coldBudgetSpent(server):
+		removeFromPool(server, byMode)
+		wait := time.Duration((1 - server.tokens) / math.Max(m.coldSendRate(server), 1e-9) * float64(time.Second))
+		m.wakeups.schedule(server, m.now+min(max(wait, time.Millisecond), ocValidity))
 	default:
-		m.pools[m.modeOf(s)].add(s)
-		if m.now < s.imposedUntil {
-			m.wakeups.schedule(s, s.imposedUntil)
+		m.pools[m.modeOf(server)].add(server)
+		if m.now < server.imposedUntil {
+			m.wakeups.schedule(server, server.imposedUntil)
 		} else {
-			unschedule(s)
+			unschedule(server)
 		}
 	}
 }
@@ -512,27 +521,30 @@
 	return m.mean + s.excess*decay(m.now-s.latencyAt, latencyDriftTau)
 }
 
-// learn updates the smoothed latencies with an answer of a server to a request of class c. took is its
-// latency, own the part of it that passed in this node. At first the means are plain averages, not
-// exponential ones, as the first answers are those of the shortest requests.
-func (m *Module) learn(s *serverRecord, c *classRecord, took, own time.Duration) {
-	own = min(max(0, own), took)
+// learn updates the smoothed latencies with an answer of a server to a request of a class. nodeTime is the
+// part of the latency that passed in this node. At first the means are plain averages, not exponential ones,
+// as the first answers are those of the shortest requests.
+func (m *Module) learn(server *serverRecord, class *classRecord, latency, nodeTime time.Duration) {
+	nodeTime = min(max(0, nodeTime), latency)
 	gain := 1 - decay(m.now-m.nodeDelayAt, nodeDelayTau)
-	m.smoothedNodeDelay, m.nodeDelayAt = m.smoothedNodeDelay+math.Max(gain, fleetGain/10)*(own.Seconds()-m.smoothedNodeDelay), m.now
-	took -= own
-	t := math.Max(took.Seconds(), 1e-6)
+	m.smoothedNodeDelay, m.nodeDelayAt =
+		m.smoothedNodeDelay+math.Max(gain, fleetGain/10)*(nodeTime.Seconds()-m.smoothedNodeDelay), m.now
+	latency -= nodeTime
+	seconds := math.Max(latency.Seconds(), 1e-6)
 	if m.answers++; m.answers == 1 {
 		m.firstAnswerAt = m.now
 	}
-	c.count++
-	m.mean += math.Max(m.meanGain(m.now-m.answeredAt), 1/m.answers) * (t - m.mean)
-	m.recentMean += math.Max(1-decay(m.now-m.answeredAt, subsetSendInterval), 1/m.answers) * (m.asMeanRequest(c, t) - m.recentMean)
+	class.count++
+	m.mean += math.Max(m.meanGain(m.now-m.answeredAt), 1/m.answers) * (seconds - m.mean)
+	m.recentMean += math.Max(1-decay(m.now-m.answeredAt, subsetSendInterval), 1/m.answers) *
+		(m.asMeanRequest(class, seconds) - m.recentMean)
 	m.answeredAt = m.now
-	gain = math.Max(m.meanGain(m.now-c.answeredAt), 1/c.count)
-	c.latency, c.answeredAt = c.latency+gain*(t-c.latency), m.now
-	c.fleetLatency += gain * (m.mean - c.fleetLatency)
-	c.relativeCost = c.latency / c.fleetLatency // with m.mean, a rare class would keep its latency of a past overload
-	m.updateServerLatency(s, c, took)
+	gain = math.Max(m.meanGain(m.now-class.answeredAt), 1/class.count)
+	class.latency, class.answeredAt = class.latency+gain*(seconds-class.latency), m.now
+	class.fleetLatency += gain * (m.mean - class.fleetLatency)
+	// With m.mean in place of fleetLatency, a rare class would keep its latency of a past overload.
+	class.relativeCost = class.latency / class.fleetLatency
+	m.updateServerLatency(server, class, latency)
 }
 
 // meanGain is the weight of an answer in the means over all servers; since is the time since the last
@@ -543,25 +555,25 @@
 	return math.Min(fleetGain, 1-decay(since, tau))
 }
 
-// asMeanRequest converts a latency t of a class, in seconds, to that of a mean request. It is proportional
-// to the class's cost. For a class that costs far less than the mean request only the difference from its
+// asMeanRequest converts a latency of a class, in seconds, to that of a mean request: it divides by the
+// class's relative cost. For a class that costs far less than the mean request, only the difference from its
 // expected latency is scaled, by 1/minRelativeCost: else a pause of a millisecond would make a server look
 // ten times slower.
-func (m *Module) asMeanRequest(c *classRecord, t float64) float64 {
-	if c.relativeCost >= minRelativeCost {
-		return t / c.relativeCost
+func (m *Module) asMeanRequest(class *classRecord, seconds float64) float64 {
+	if class.relativeCost >= minRelativeCost {
+		return seconds / class.relativeCost
 	}
-	return math.Max(0, m.mean+(t-c.relativeCost*m.mean)/minRelativeCost)
+	return math.Max(0, m.mean+(seconds-class.relativeCost*m.mean)/minRelativeCost)
 }
 
 // updateServerLatency adds a latency to a server's smoothed one. It is capped at a multiple of that, as a
 // very slow answer is more likely that of a heavy request than of a slow server.
-func (m *Module) updateServerLatency(s *serverRecord, c *classRecord, took time.Duration) {
-	l := m.latencyOf(s)
-	gain := math.Max(latencyGain, 1-decay(m.now-s.latencyAt, latencyDriftTau)) // rare answers weigh more
-	s.lastLatency = m.asMeanRequest(c, took.Seconds())
-	l += gain * (math.Min(s.lastLatency, latencyCapFactor*math.Max(l, m.mean)) - l)
-	s.excess, s.latencyAt = l-m.mean, m.now
+func (m *Module) updateServerLatency(server *serverRecord, class *classRecord, latency time.Duration) {
+	smoothed := m.latencyOf(server)
+	gain := math.Max(latencyGain, 1-decay(m.now-server.latencyAt, latencyDriftTau)) // rare answers weigh more
+	server.lastLatency = m.asMeanRequest(class, latency.Seconds())
+	smoothed += gain * (math.Min(server.lastLatency, latencyCapFactor*math.Max(smoothed, m.mean)) - smoothed)
+	server.excess, server.latencyAt = smoothed-m.mean, m.now
 }
 
 // applyOutcome updates what is known of a server with the outcome of an attempt. A failure also counts as a
@@ -569,54 +581,56 @@
 // readmitted. If it answers a trial request, and a connection to it failed since its last answer, it may
 // have restarted, and begins with a slow start. Else it is the old process, which was unresponsive or
 // failing until now.
-func (m *Module) applyOutcome(s *serverRecord, r *requestRecord, e AttemptEnded) {
-	switch e.Code {
+func (m *Module) applyOutcome(server *serverRecord, request *requestRecord, outcome AttemptEnded) {
+	switch outcome.Code {
 	case Cancelled, Moot:
 	case Full:
 		// The block grows with each full answer in a row: many nodes that each came back after one ocValidity would
 		// keep the server overloaded. Attempts sent before the last counted full answer don't count again.
-		s.unanswered = 0
-		if m.now-e.Elapsed >= s.fullAt {
-			fresh := m.fullValidity()
-			m.imposeMode(s, Blocking)
-			s.imposedUntil += fresh - ocValidity + m.jitter(s.fullBackoff)
-			s.fullAt, s.fullBackoff = m.now, min(max(2*s.fullBackoff, fresh), maxTrialWait)
+		server.unanswered = 0
+		if m.now-outcome.Elapsed >= server.fullAt {
+			blockTime := m.fullValidity()
+			m.imposeMode(server, Blocking)
+			server.imposedUntil += blockTime - ocValidity + m.jitter(server.fullBackoff)
+			server.fullAt, server.fullBackoff = m.now, min(max(2*server.fullBackoff, blockTime), maxTrialWait)
 		}
 	case OK:
-		s.recentAnswers = s.recentAnswers*decay(m.now-s.rateAt, shortRateTau) + 1
-		s.rate, s.rateAt, s.unanswered = s.rate*decay(m.now-s.rateAt, rateTau)+1/rateTau, m.now, 0
-		s.fullBackoff = 0
-		if !r.started {
-			m.learn(s, r.class, e.Elapsed, e.NodeTime)
-			m.updateProvenLoad(s)
+		server.recentAnswers = server.recentAnswers*decay(m.now-server.rateAt, shortRateTau) + 1
+		server.rate, server.rateAt, server.unanswered =
+			server.rate*decay(m.now-server.rateAt, rateTau)+1/rateTau, m.now, 0
+		server.fullBackoff = 0
+		if !request.started {
+			m.learn(server, request.class, outcome.Elapsed, outcome.NodeTime)
+			m.updateProvenLoad(server)
 		}
-		if s.consecutiveFailures = 0; s.ejected {
-			s.ejected = false
-			if r.trial && s.connectFailed {
-				m.startCold(s, m.now)
+		if server.consecutiveFailures = 0; server.ejected {
+			server.ejected = false
+			if request.trial && server.connectFailed {
+				m.startCold(server, m.now)
 			}
-			m.logServer(s, fmt.Sprintf("answers again and is readmitted; slow start: %v", s.cold))
+			m.logServer(server, fmt.Sprintf("answers again and is readmitted; slow start: %v", server.cold))
 		}
-		s.connectFailed = false
+		server.connectFailed = false
 	default:
-		s.connectFailed = s.connectFailed || e.Code == ConnectFailed
-		if s.ejected && r.trial && e.Elapsed.Seconds() < m.mean { // a fast failure costs the request little
-			s.trialWait = min(s.trialWait, maxQuickTrialWait)
-			s.trialAt = min(s.trialAt, m.now+m.jitter(s.trialWait))
+		server.connectFailed = server.connectFailed || outcome.Code == ConnectFailed
+		// A trial that fails fast costs its request little, so the next one may come soon.
+		if server.ejected && request.trial && outcome.Elapsed.Seconds() < m.mean {
+			server.trialWait = min(server.trialWait, maxQuickTrialWait)
+			server.trialAt = min(server.trialAt, m.now+m.jitter(server.trialWait))
 		}
-		m.updateServerLatency(s, r.class, max(e.Elapsed, r.class.Aim))
-		if s.consecutiveFailures++; s.consecutiveFailures >= ejectThreshold {
-			m.eject(s, fmt.Sprintf("failures in a row, the last with outcome code %d", e.Code))
+		m.updateServerLatency(server, request.class, max(outcome.Elapsed, request.class.Aim))
+		if server.consecutiveFailures++; server.consecutiveFailures >= ejectThreshold {
+			m.eject(server, fmt.Sprintf("failures in a row, the last with outcome code %d", outcome.Code))
 		}
 	}
 }
 
 // eject stops normal traffic to a server. From then on it gets trial requests only, until it answers one.
-func (m *Module) eject(s *serverRecord, why string) {
+func (m *Module) eject(s *serverRecord, reason string) {
 	if !s.ejected {
 		s.ejected, s.trialWait, s.trialAt = true, firstTrialWait, m.now+m.jitter(firstTrialWait)
 		m.placeInPool(s)
-		m.logServer(s, fmt.Sprintf("ejected: %s; it gets trial requests only", why))
+		m.logServer(s, fmt.Sprintf("ejected: %s; it gets trial requests only", reason))
 	}
 }
 
@@ -632,15 +646,15 @@
 // trialTimeout is how long a trial request waits for its answer. It leaves time for a second attempt if
 // possible, also while all servers are slow. But it is more than the request takes on an idle server: with
 // less, no trial would ever be answered.
-func (m *Module) trialTimeout(c *classRecord) time.Duration {
-	expected := m.mean * c.relativeCost
-	least := expected
-	if c.baseLatency > 0 {
-		least = math.Min(least, c.baseLatency)
+func (m *Module) trialTimeout(class *classRecord) time.Duration {
+	expected := m.mean * class.relativeCost
+	idleLatency := expected
+	if class.baseLatency > 0 {
+		idleLatency = math.Min(idleLatency, class.baseLatency)
 	}
-	most := math.Max(trialAimFraction*c.Aim.Seconds(), trialBaseFactor*least)
+	limit := math.Max(trialAimFraction*class.Aim.Seconds(), trialBaseFactor*idleLatency)
 	wait := math.Max(m.settings.ConnectTimeout.Seconds(), unresponsiveFactor*expected)
-	return time.Duration(math.Min(wait, most) * float64(time.Second))
+	return time.Duration(math.Min(wait, limit) * float64(time.Second))
 }
 
 // longestTrialWait is the longest mean time between two trial requests to an ejected server. It is shorter,
@@ -648,23 +662,24 @@
 // serve. It grows with the number of nodes, so that all nodes' trials together stay few: a server that is
 // overloaded with requests whose clients have given up needs its capacity to work through them.
 func (m *Module) longestTrialWait() time.Duration {
-	rest := 1 - float64(len(m.trials.servers))/float64(max(1, len(m.subset)))
-	few := time.Duration(float64(m.settings.Nodes) / coldStartRate * float64(time.Second))
-	return min(max(few, time.Duration(rest*float64(maxTrialWait))), maxTrialWait)
+	healthyPart := 1 - float64(len(m.trials.servers))/float64(max(1, len(m.subset)))
+	fleetWait := time.Duration(float64(m.settings.Nodes) / coldStartRate * float64(time.Second))
+	return min(max(fleetWait, time.Duration(healthyPart*float64(maxTrialWait))), maxTrialWait)
 }
 
 // maySend holds every rule on whether a request may be sent to a server. No send bypasses it.
-func (m *Module) maySend(r *requestRecord, s *serverRecord) bool {
-	if !m.serverUsable(s) || r.done || r.started || r.bodyConsumed || m.now >= r.deadline ||
-		len(r.attempts) >= max(1, m.settings.MaxAttempts) ||
-		s.State != Ready || r.outstanding >= 2 || r.outstanding > 0 && !m.settings.MayOverlap {
+func (m *Module) maySend(request *requestRecord, server *serverRecord) bool {
+	if !m.serverUsable(server) || request.done || request.started || request.bodyConsumed ||
+		m.now >= request.deadline || len(request.attempts) >= max(1, m.settings.MaxAttempts) ||
+		server.State != Ready || request.outstanding >= 2 || request.outstanding > 0 && !m.settings.MayOverlap {
 		return false
 	}
-	for i := range r.attempts {
-		a, c := &r.attempts[i], r.class
-		if a.server == s || a.mayRun && c.Effect != Safe && (c.Effect == Unsafe ||
-			m.now+m.settings.MinTick >= a.sent+c.DedupWindow || c.KeyScope == ScopeZone && s.Zone != a.server.Zone ||
-			c.KeyScope == ScopeCell && s.Cell != a.server.Cell) {
+	for i := range request.attempts {
+		attempt, class := &request.attempts[i], request.class
+		if attempt.server == server || attempt.mayRun && class.Effect != Safe && (class.Effect == Unsafe ||
+			m.now+m.settings.MinTick >= attempt.sent+class.DedupWindow ||
+			class.KeyScope == ScopeZone && server.Zone != attempt.server.Zone ||
+			class.KeyScope == ScopeCell && server.Cell != attempt.server.Cell) {
 			return false
 		}
 	}
@@ -673,123 +688,126 @@
 
 // mayRefuse tells whether a request may be answered with Refuse, which promises that a new try does no
 // harm: no attempt of it can have run, or a second execution has no effect.
-func (m *Module) mayRefuse(r *requestRecord) bool {
-	ran := false
-	for _, a := range r.attempts {
-		ran = ran || a.mayRun
+func (m *Module) mayRefuse(request *requestRecord) bool {
+	mayHaveRun := false
+	for _, attempt := range request.attempts {
+		mayHaveRun = mayHaveRun || attempt.mayRun
 	}
-	return !ran || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.KeyScope == ScopeAll
+	return !mayHaveRun || request.class.Effect == Safe ||
+		request.class.Effect == Keyed && request.class.KeyScope == ScopeAll
 }
 
 // send starts an attempt of a request at a server if the rules allow it, and tells whether it did. No other
 // function sends to servers.
-func (m *Module) send(r *requestRecord, s *serverRecord, timeout time.Duration) bool {
-	if s == nil || !m.maySend(r, s) {
+func (m *Module) send(request *requestRecord, server *serverRecord, timeout time.Duration) bool {
+	if server == nil || !m.maySend(request, server) {
 		return false
 	}
-	if r.attempts == nil {
-		r.attempts = r.firstAttempt[:0]
+	if request.attempts == nil {
+		request.attempts = request.firstAttempt[:0]
 	}
-	r.attempts = append(r.attempts, attemptRecord{server: s, sent: m.now, mayRun: true})
-	r.outstanding++
-	s.tokens--
-	if !r.uploading {
-		m.load(&r.attempts[len(r.attempts)-1])
-		m.await(s)
+	request.attempts = append(request.attempts, attemptRecord{server: server, sent: m.now, mayRun: true})
+	request.outstanding++
+	server.tokens--
+	if !request.uploading {
+		m.load(&request.attempts[len(request.attempts)-1])
+		m.await(server)
 	}
-	m.placeInPool(s)
-	m.emit(Send{ID: r.id, Server: s.ID, Timeout: min(timeout, r.deadline-m.now), UsableFor: m.serverUsableFor(s),
-		SlowStartLimit: m.slowStartLimit(s)})
+	m.placeInPool(server)
+	m.emit(Send{ID: request.id, Server: server.ID, Timeout: min(timeout, request.deadline-m.now),
+		UsableFor: m.serverUsableFor(server), SlowStartLimit: m.slowStartLimit(server)})
 	return true
 }
 
 // finish gives a request its final answer in place of a server's: a refusal if the rules allow one, else a
 // failure. The hold-off is a part of the class's aim, so that an answer to the client's next try can still
 // have its worth, and at most MaxHoldOff.
-func (m *Module) finish(r *requestRecord, why Reason) {
-	wait := m.jitter(time.Duration(holdOffAimFraction * float64(r.class.Aim)))
-	wait = min(wait, m.settings.MaxHoldOff)
-	if why == ByServers && !m.HasUsableServers() { // the list has expired while the request was open
-		why = ByList
-	}
-	if !m.mayRefuse(r) {
-		m.emit(Fail{ID: r.id})
+func (m *Module) finish(request *requestRecord, reason Reason) {
+	holdOff := m.jitter(time.Duration(holdOffAimFraction * float64(request.class.Aim)))
+	holdOff = min(holdOff, m.settings.MaxHoldOff)
+	if reason == ByServers && !m.HasUsableServers() { // the list has expired while the request was open
+		reason = ByList
+	}
+	if !m.mayRefuse(request) {
+		m.emit(Fail{ID: request.id})
 	} else {
-		m.emit(Refuse{ID: r.id, HoldOff: wait, Reason: why})
+		m.emit(Refuse{ID: request.id, HoldOff: holdOff, Reason: reason})
 	}
-	m.closeRequest(r)
+	m.closeRequest(request)
 }
 
 // closeRequest ends a request, cancels its outstanding attempts, and forgets it if there are none. Else it is
 // forgotten with the last outcome.
-func (m *Module) closeRequest(r *requestRecord) {
-	r.done = true
-	for i := range r.attempts {
-		if m.settings.MayCancel && !r.attempts[i].ended && !r.started {
-			m.emit(CancelAttempt{ID: r.id, Attempt: i})
+func (m *Module) closeRequest(request *requestRecord) {
+	request.done = true
+	for i := range request.attempts {
+		if m.settings.MayCancel && !request.attempts[i].ended && !request.started {
+			m.emit(CancelAttempt{ID: request.id, Attempt: i})
 		}
 	}
-	if r.outstanding == 0 {
-		delete(m.requests, r.id)
+	if request.outstanding == 0 {
+		delete(m.requests, request.id)
 	}
 }
 
 // requestArrived handles a new request: as a trial request to an ejected server if one is due, else by
 // pick. It is refused if the list has expired, if this node lacks CPU, or if the servers can't take it.
-func (m *Module) requestArrived(e RequestArrived) {
-	if m.requests[e.ID] != nil {
+func (m *Module) requestArrived(event RequestArrived) {
+	if m.requests[event.ID] != nil {
 		return
 	}
-	c := m.classOf(e.Class)
-	r := &requestRecord{id: e.ID, class: c, arrived: m.now, deadline: m.now + e.Patience, uploading: e.Uploading}
-	m.requests[e.ID], m.openRequests = r, append(m.openRequests, r)
+	class := m.classOf(event.Class)
+	request := &requestRecord{id: event.ID, class: class, arrived: m.now, deadline: m.now + event.Patience,
+		uploading: event.Uploading}
+	m.requests[event.ID], m.openRequests = request, append(m.openRequests, request)
 	m.arrivals, m.arrivedAt = m.arrivals*decay(m.now-m.arrivedAt, arrivalTau)+1/arrivalTau, m.now
-	m.meanWorth += fleetGain * (c.Worth - m.meanWorth)
-	r.handedOff = e.HandedOff
-	r.priority = c.Worth >= math.Min(m.meanWorth, priorityWorthFraction*m.topWorth) // the paper's priority messages
-	if t := m.tenants[e.Tenant]; t != nil && !t.takeToken(m.now) {
-		r.priority = false // a request over its tenant's share is worth little
+	m.meanWorth += fleetGain * (class.Worth - m.meanWorth)
+	request.handedOff = event.HandedOff
+	// The paper's priority messages.
+	request.priority = class.Worth >= math.Min(m.meanWorth, priorityWorthFraction*m.topWorth)
+	if tenant := m.tenants[event.Tenant]; tenant != nil && !tenant.takeToken(m.now) {
+		request.priority = false // a request over its tenant's share is worth little
 	}
 	switch {
-	case r.handedOff: // it is served from headroom only, and so doesn't count for the shedding of own requests
-		r.priority = false
-	case r.priority:
+	case request.handedOff: // served from headroom only, so it doesn't count for the shedding of own requests
+		request.priority = false
+	case request.priority:
 		m.n1++
 	default:
 		m.n2++
 	}
 	m.retryTokens = math.Min(maxRetryTokens, m.retryTokens+retriesPerArrival)
 	if !m.HasUsableServers() {
-		m.finish(r, ByList)
+		m.finish(request, ByList)
 		return
 	}
 	m.noticeUsable()
-	if s := m.dueTrial(r); !r.handedOff && m.send(r, s, m.trialTimeout(c)) {
-		s.trialWait = min(2*s.trialWait, m.longestTrialWait())
-		r.trial, s.trialAt = true, m.now+m.jitter(s.trialWait)
-		m.placeInPool(s)
+	if server := m.dueTrial(request); !request.handedOff && m.send(request, server, m.trialTimeout(class)) {
+		server.trialWait = min(2*server.trialWait, m.longestTrialWait())
+		request.trial, server.trialAt = true, m.now+m.jitter(server.trialWait)
+		m.placeInPool(server)
 		return
 	}
-	if r.handedOff && m.nodeMode != Normal ||
-		m.nodeDropFraction > 0 && m.random() < r.dropProbability(ShedSplit(m.nodeDropFraction, m.n1, m.n2)) {
-		m.finish(r, ByNode)
+	if request.handedOff && m.nodeMode != Normal ||
+		m.nodeDropFraction > 0 && m.random() < request.dropProbability(ShedSplit(m.nodeDropFraction, m.n1, m.n2)) {
+		m.finish(request, ByNode)
 		return
 	}
-	s, mode := m.pick(r)
-	if r.handedOff && !m.mayTakeHandOff(s, mode) {
-		s, mode = nil, Blocking
+	server, mode := m.pick(request)
+	if request.handedOff && !m.mayTakeHandOff(server, mode) {
+		server, mode = nil, Blocking
 	}
 	// A server between H and R may have more requests than it can serve soon, or traffic has just risen.
 	// The delay shows which of the two it is, so nothing is shed while the delay is low.
-	if mode == Overloaded && !m.lightlyLoaded(s) && m.random() < r.dropProbability(m.q1, m.q2) {
-		s = nil
+	if mode == Overloaded && !m.lightlyLoaded(server) && m.random() < request.dropProbability(m.q1, m.q2) {
+		server = nil
 	}
-	if !m.send(r, s, r.deadline) {
-		if !r.handedOff {
+	if !m.send(request, server, request.deadline) {
+		if !request.handedOff {
 			m.overloadedAt = m.now
 			m.notifyOverload()
 		}
-		m.finish(r, ByServers)
+		m.finish(request, ByServers)
 	}
 }
 
@@ -807,8 +825,8 @@
 // node that knows nothing of its servers yet: as many requests as harm no server, however slow it is.
 func (m *Module) headroomOf(s *serverRecord) float64 {
 	n, h := m.loadAndHigh(s)
-	least := minWindow / float64(m.settings.Nodes)
-	return math.Max(0, math.Max(lowFraction*h, least)-math.Max(n, s.n))
+	leastLow := minWindow / float64(m.settings.Nodes)
+	return math.Max(0, math.Max(lowFraction*h, leastLow)-math.Max(n, s.n))
 }
 
 // overloadedLately tells whether, within ocValidity, this node has refused a request of its own site
@@ -823,7 +841,8 @@
 // lost notice is made up for by the one after the next refusal; a forged one does no more than keep
 // handed-off requests out.
 func (m *Module) notifyOverload() {
-	if m.settings.NotifyOverload && m.settings.MayMessage && m.now-m.overloadNotifiedAt >= overloadNoticeInterval {
+	if m.settings.NotifyOverload && m.settings.MayMessage &&
+		m.now-m.overloadNotifiedAt >= overloadNoticeInterval {
 		m.overloadNotifiedAt = m.now
 		m.emit(SendMessage{ToAll: true, Data: []byte(overloadNotice)})
 	}
@@ -835,16 +854,16 @@
 	if m.now = max(m.now, now); m.nodeMode != Normal || m.overloadedLately() || len(m.subset) == 0 {
 		return 0
 	}
-	looks := min(len(m.subset), maxHeadroomSample)
-	spare, start := 0.0, m.sweepCursor
-	for i := range looks {
-		s := m.subset[(start+i)%len(m.subset)]
-		if s.ejected || s.cold || m.modeOf(s) != Normal {
+	sampled := min(len(m.subset), maxHeadroomSample)
+	headroom, start := 0.0, m.sweepCursor
+	for i := range sampled {
+		server := m.subset[(start+i)%len(m.subset)]
+		if server.ejected || server.cold || m.modeOf(server) != Normal {
 			continue
 		}
-		spare += m.headroomOf(s)
+		headroom += m.headroomOf(server)
 	}
-	return spare * float64(len(m.subset)) / float64(looks)
+	return headroom * float64(len(m.subset)) / float64(sampled)
 }
 
 // dropProbability is q1 for a priority request and q2 for another one.
@@ -858,32 +877,33 @@
 // pick chooses a server for a request: of two random servers in Normal mode, or in Overloaded mode if there
 // are none in Normal, the one with the lower expected delay. It returns the mode that it chose from, and
 // nil and Blocking if there is no server.
-func (m *Module) pick(r *requestRecord) (*serverRecord, Mode) {
+func (m *Module) pick(request *requestRecord) (*serverRecord, Mode) {
 	m.placeDue()
 	mode := Normal
 	for range maxDraws {
-		a, b := m.drawTwo(m.pools[mode].servers, r)
-		if a == nil {
+		first, second := m.drawTwo(m.pools[mode].servers, request)
+		if first == nil {
 			if mode++; mode == Blocking {
 				return nil, Blocking
 			}
 			continue
 		}
 		// Their modes may have changed since they were put into the pool.
-		m.placeInPool(a)
-		m.placeInPool(b)
-		switch p := &m.pools[mode]; {
-		case a.pools[byMode] == p && b.pools[byMode] == p:
-			return m.faster(a, b), mode
-		case a.pools[byMode] == &m.pools[Normal] || b.pools[byMode] == &m.pools[Normal]:
+		m.placeInPool(first)
+		m.placeInPool(second)
+		switch current := &m.pools[mode]; {
+		case first.pools[byMode] == current && second.pools[byMode] == current:
+			return m.faster(first, second), mode
+		case first.pools[byMode] == &m.pools[Normal] || second.pools[byMode] == &m.pools[Normal]:
 			mode = Normal
 		}
 	}
-	a, b := m.drawTwo(m.pools[Overloaded].servers, r) // modes change faster than servers are drawn: use what there is
-	if a == nil {
+	// Modes change faster than servers are drawn: settle for overloaded ones.
+	first, second := m.drawTwo(m.pools[Overloaded].servers, request)
+	if first == nil {
 		return nil, Blocking
 	}
-	return m.faster(a, b), Overloaded
+	return m.faster(first, second), Overloaded
 }
 
 // faster returns the server with the lower expected delay: by all nodes' requests and the servers' sizes
@@ -904,9 +924,9 @@
 // drawTwo returns two random servers of a list for a request: nil if there is none, twice the same if there
 // is only one. A first attempt may go to any server. For a retry the list is filtered by maySend; of a long
 // list a sample is enough, as maySend excludes few servers.
-func (m *Module) drawTwo(list []*serverRecord, r *requestRecord) (a, b *serverRecord) {
-	if len(r.attempts) > 0 {
-		list = m.filter(list, func(s *serverRecord) bool { return m.maySend(r, s) })
+func (m *Module) drawTwo(list []*serverRecord, request *requestRecord) (first, second *serverRecord) {
+	if len(request.attempts) > 0 {
+		list = m.filter(list, func(s *serverRecord) bool { return m.maySend(request, s) })
 	}
 	if len(list) == 0 {
 		return nil, nil
@@ -933,29 +953,30 @@
 
 // pickKeyed is pick for a retry of a keyed request: once an attempt may have run, only the same cell or
 // zone drops the repeat. Servers of the subset come first, then the others of that group.
-func (m *Module) pickKeyed(r *requestRecord) (*serverRecord, Mode) {
+func (m *Module) pickKeyed(request *requestRecord) (*serverRecord, Mode) {
 	list := []*serverRecord(m.ring)
-	for i := range r.attempts {
-		p := (*pool)(nil)
-		if a := &r.attempts[i]; a.mayRun && r.class.KeyScope == ScopeCell {
-			p = m.cells[a.server.Cell]
-		} else if a.mayRun && r.class.KeyScope == ScopeZone {
-			p = m.zones[a.server.Zone]
+	for i := range request.attempts {
+		group := (*pool)(nil)
+		if attempt := &request.attempts[i]; attempt.mayRun && request.class.KeyScope == ScopeCell {
+			group = m.cells[attempt.server.Cell]
+		} else if attempt.mayRun && request.class.KeyScope == ScopeZone {
+			group = m.zones[attempt.server.Zone]
 		} else {
 			continue
 		}
-		if p == nil {
+		if group == nil {
 			return nil, Blocking
 		}
-		list = p.servers
+		list = group.servers
 	}
-	for _, near := range []bool{true, false} {
+	for _, inSubset := range []bool{true, false} {
 		for mode := Normal; mode < Blocking; mode++ {
-			a, b := m.drawTwo(m.filter(list, func(s *serverRecord) bool {
-				return (s.inSubset || !near) && !s.ejected && m.maySend(r, s) && !m.coldBudgetSpent(s) && m.modeOf(s) == mode
-			}), r)
-			if a != nil {
-				return m.faster(a, b), mode
+			first, second := m.drawTwo(m.filter(list, func(s *serverRecord) bool {
+				return (s.inSubset || !inSubset) && !s.ejected && m.maySend(request, s) &&
+					!m.coldBudgetSpent(s) && m.modeOf(s) == mode
+			}), request)
+			if first != nil {
+				return m.faster(first, second), mode
 			}
 		}
 	}
@@ -963,50 +984,53 @@
 }
 
 // attemptEnded handles the outcome of an attempt: it updates the server, and retries the request or ends it.
-func (m *Module) attemptEnded(e AttemptEnded) {
-	r := m.requests[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+func (m *Module) attemptEnded(outcome AttemptEnded) {
+	request := m.requests[outcome.ID]
+	if request == nil || outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) ||
+		request.attempts[outcome.Attempt].ended {
 		return
 	}
-	a := &r.attempts[e.Attempt]
-	a.ended, a.mayRun = true, e.Code != Full && e.Code != ConnectFailed && e.Code != Moot
-	r.outstanding--
-	r.bodyConsumed = r.bodyConsumed || e.BodyConsumed
-	m.unload(a)
-	m.forgetRemoved(a.server)
-	m.applyReport(a.server, e.Report)
-	m.applyOutcome(a.server, r, e)
-	m.placeInPool(a.server)
+	attempt := &request.attempts[outcome.Attempt]
+	attempt.ended, attempt.mayRun =
+		true, outcome.Code != Full && outcome.Code != ConnectFailed && outcome.Code != Moot
+	request.outstanding--
+	request.bodyConsumed = request.bodyConsumed || outcome.BodyConsumed
+	m.unload(attempt)
+	m.forgetRemoved(attempt.server)
+	m.applyReport(attempt.server, outcome.Report)
+	m.applyOutcome(attempt.server, request, outcome)
+	m.placeInPool(attempt.server)
 	switch {
-	case r.done && r.outstanding == 0:
-		delete(m.requests, r.id)
-	case e.RequestDone && !r.done:
-		m.closeRequest(r)
-	case !r.done && r.outstanding == 0:
-		m.retry(r, a.mayRun)
+	case request.done && request.outstanding == 0:
+		delete(m.requests, request.id)
+	case outcome.RequestDone && !request.done:
+		m.closeRequest(request)
+	case !request.done && request.outstanding == 0:
+		m.retry(request, attempt.mayRun)
 	}
 }
 
 // retry makes another attempt of a request if the rules, the retry budget and the servers allow it; else it
 // ends the request. costly says that the last attempt may have run, so that the retry takes a token of the
 // budget.
-func (m *Module) retry(r *requestRecord, costly bool) {
-	worthless := r.class.LateWorth == 0 && r.class.Aim > 0 && m.now-r.arrived >= r.class.Aim
+func (m *Module) retry(request *requestRecord, costly bool) {
+	worthless := request.class.LateWorth == 0 && request.class.Aim > 0 &&
+		m.now-request.arrived >= request.class.Aim
 	if !worthless && (m.retryTokens >= 1 || !costly) {
-		s, mode := (*serverRecord)(nil), Blocking
-		if m.mayRefuse(r) {
-			s, mode = m.pick(r)
-		} else if r.class.Effect == Keyed {
-			s, mode = m.pickKeyed(r) // possibly a server outside the subset
+		server, mode := (*serverRecord)(nil), Blocking
+		if m.mayRefuse(request) {
+			server, mode = m.pick(request)
+		} else if request.class.Effect == Keyed {
+			server, mode = m.pickKeyed(request) // possibly a server outside the subset
 		}
-		if (mode == Normal || r.priority) && m.send(r, s, r.deadline) {
+		if (mode == Normal || request.priority) && m.send(request, server, request.deadline) {
 			if costly {
 				m.retryTokens--
 			}
 			return
 		}
 	}
-	m.finish(r, ByServers)
+	m.finish(request, ByServers)
 }
 
 // minUnresponsiveSeconds is the shortest time without answers after which a server may be ejected as
@@ -1035,16 +1059,16 @@
 		if m.sweepCursor >= len(m.subset) {
 			break
 		}
-		s := m.subset[m.sweepCursor]
+		server := m.subset[m.sweepCursor]
 		m.sweepCursor++
-		if !s.inSubset {
+		if !server.inSubset {
 			continue
 		}
-		if w := &m.sweepTotals; !s.ejected && !s.cold {
-			w.rate, w.count = w.rate+m.rateOf(s), w.count+1
+		if totals := &m.sweepTotals; !server.ejected && !server.cold {
+			totals.rate, totals.count = totals.rate+m.rateOf(server), totals.count+1
 		}
-		if s.reportedLoad > 0 && m.now-s.reportedAt < 2*ocValidity {
-			m.sweepTotals.own, m.sweepTotals.all = m.sweepTotals.own+s.n, m.sweepTotals.all+s.reportedLoad
+		if server.reportedLoad > 0 && m.now-server.reportedAt < 2*ocValidity {
+			m.sweepTotals.own, m.sweepTotals.all = m.sweepTotals.own+server.n, m.sweepTotals.all+server.reportedLoad
 		}
 	}
 	if m.sweepCursor < len(m.subset) {
@@ -1065,36 +1089,37 @@
 	m.survey(complete)
 	m.estimateOthers()
 	m.placeDue()
-	for _, s := range m.subset[from:min(len(m.subset), from+m.sweepStride())] {
-		if !s.inSubset {
+	for _, server := range m.subset[from:min(len(m.subset), from+m.sweepStride())] {
+		if !server.inSubset {
 			continue
 		}
 		// Unresponsive: several sends and no answer at all, for several times the expected latency.
-		if s.unanswered >= ejectThreshold && m.mean > 0 && (m.now-s.unansweredSince).Seconds() >
-			math.Max(m.minUnresponsiveSeconds(), unresponsiveFactor*math.Max(m.mean, m.latencyOf(s))) {
-			m.eject(s, "no answer to its last requests")
+		if server.unanswered >= ejectThreshold && m.mean > 0 && (m.now-server.unansweredSince).Seconds() >
+			math.Max(m.minUnresponsiveSeconds(), unresponsiveFactor*math.Max(m.mean, m.latencyOf(server))) {
+			m.eject(server, "no answer to its last requests")
 		}
-		if s.ejected {
+		if server.ejected {
 			continue
 		}
-		m.placeInPool(s)
-		if m.modeChecks++; m.modeOf(s) != Normal {
-			n, h := m.loadAndHigh(s)
-			_, block := m.lowAndBlock(s, h)
+		m.placeInPool(server)
+		if m.modeChecks++; m.modeOf(server) != Normal {
+			n, h := m.loadAndHigh(server)
+			_, block := m.lowAndBlock(server, h)
 			m.overloadSum += math.Min(1, math.Max(0, (n-h)/(block-h)))
 		}
 	}
-	open := m.openRequests[:0]
-	for _, r := range m.openRequests {
-		if !r.done && !r.started && !(r.uploading && r.outstanding > 0) && m.now >= r.deadline {
-			m.finish(r, ByServers) // in case the outcome of an attempt never comes
+	stillOpen := m.openRequests[:0]
+	for _, request := range m.openRequests {
+		if !request.done && !request.started && !(request.uploading && request.outstanding > 0) &&
+			m.now >= request.deadline {
+			m.finish(request, ByServers) // in case the outcome of an attempt never comes
 		}
-		if !r.done {
-			open = append(open, r)
+		if !request.done {
+			stillOpen = append(stillOpen, request)
 		}
 	}
-	clear(m.openRequests[len(open):])
-	m.openRequests = open
+	clear(m.openRequests[len(stillOpen):])
+	m.openRequests = stillOpen
 	if m.now-m.periodAt >= recomputeInterval {
 		m.recompute()
 	}
@@ -1107,10 +1132,10 @@
 
 // applyList applies an update of the server list, or the failure of a list request or watch. It updates
 // only the servers that changed, then the ring, the subset and the pools.
-func (m *Module) applyList(e ListUpdate) {
-	switch e.Kind {
+func (m *Module) applyList(update ListUpdate) {
+	switch update.Kind {
 	case ListFailed:
-		m.listRequestFailed(e)
+		m.listRequestFailed(update)
 		m.placeByListAge()
 		return
 	case ListStalled:
@@ -1119,58 +1144,60 @@
 	case ListChanges, ListFull:
 		m.listAge.confirm(m.now)
 	}
-	if e.Kind != ListCached && m.listRequested {
+	if update.Kind != ListCached && m.listRequested {
 		m.subscribed, m.listRequested, m.subscribedAt = true, false, m.now
 		m.resetBackoffs()
 	}
 	m.placeByListAge()
-	if e.Kind != ListChanges {
+	if update.Kind != ListChanges {
 		m.listCount++
 	}
 	m.changedServers = m.changedServers[:0]
 	named := 0
-	for _, n := range e.Entries {
-		s := m.serverOf(n.ID)
-		if s.seenIn != m.listCount {
-			s.seenIn, named = m.listCount, named+1
+	for _, entry := range update.Entries {
+		server := m.serverOf(entry.ID)
+		if server.seenIn != m.listCount {
+			server.seenIn, named = m.listCount, named+1
 		}
-		if s.Server == n {
+		if server.Server == entry {
 			continue // an entry that has not changed has no effect
 		}
-		if n.State == Ready && n.StartedAt > s.StartedAt { // a restart: what was learned of the old process is void
-			s.ejected, s.connectFailed, s.consecutiveFailures, s.unanswered, s.imposedUntil = false, false, 0, 0, m.now
-			m.startCold(s, m.coldStartTime(n.StartedAt, e.Age))
+		// After a restart, what was learned of the old process is void.
+		if entry.State == Ready && entry.StartedAt > server.StartedAt {
+			server.ejected, server.connectFailed, server.consecutiveFailures, server.unanswered,
+				server.imposedUntil = false, false, 0, 0, m.now
+			m.startCold(server, m.coldStartTime(entry.StartedAt, update.Age))
 		}
-		m.applyEntry(s, n)
-	}
-	if e.Kind != ListChanges && named < len(m.known) {
-		for _, s := range m.known {
-			if s.seenIn != m.listCount {
-				gone := s.Server
-				gone.State = Removed
-				m.applyEntry(s, gone)
+		m.applyEntry(server, entry)
+	}
+	if update.Kind != ListChanges && named < len(m.known) {
+		for _, server := range m.known {
+			if server.seenIn != m.listCount {
+				removed := server.Server
+				removed.State = Removed
+				m.applyEntry(server, removed)
 			}
 		}
 	}
-	var left, come []*serverRecord
-	for _, s := range m.changedServers {
-		s.changed = false
+	var left, joined []*serverRecord
+	for _, server := range m.changedServers {
+		server.changed = false
 		switch {
-		case s.wasInRing && !s.inRing:
-			left = append(left, s)
-		case s.inRing && !s.wasInRing:
-			come = append(come, s)
+		case server.wasInRing && !server.inRing:
+			left = append(left, server)
+		case server.inRing && !server.wasInRing:
+			joined = append(joined, server)
 		}
 	}
 	if len(m.changedServers) == 0 {
 		return
 	}
-	m.ring, m.subsetStale = m.ring.update(left, come), true
-	for _, s := range left {
-		m.removeTag(s)
+	m.ring, m.subsetStale = m.ring.update(left, joined), true
+	for _, server := range left {
+		m.removeTag(server)
 	}
-	for _, s := range come {
-		m.tags[s.tag()] = append(m.tags[s.tag()], s)
+	for _, server := range joined {
+		m.tags[server.tag()] = append(m.tags[server.tag()], server)
 	}
 	if m.subsetIsRing {
 		m.subset = m.ring // the ring may have a new array
@@ -1178,9 +1205,9 @@
 	switch {
 	case m.subsetIsRing && len(m.ring) <= int(m.subsetSize):
 		m.subsetStale = false
-		for _, s := range m.changedServers {
-			if s.inSubset = s.inRing; s.inSubset {
-				m.placeInPool(s)
+		for _, server := range m.changedServers {
+			if server.inSubset = server.inRing; server.inSubset {
+				m.placeInPool(server)
 			}
 		}
 	case len(m.subset) <= maxImmediateSubset:
@@ -1190,25 +1217,25 @@
 }
 
 // applyEntry applies an entry of the list to a server.
-func (m *Module) applyEntry(s *serverRecord, n Server) {
-	if !s.changed {
-		s.changed, s.wasInRing = true, s.inRing
-		m.changedServers = append(m.changedServers, s)
-	}
-	if s.inRing && (s.Cell != n.Cell || s.Zone != n.Zone || n.State != Ready) {
-		removeFromGroup(m.cells, s.Cell, s, byCell)
-		removeFromGroup(m.zones, s.Zone, s, byZone)
-	}
-	s.Server = n
-	if n.State == Ready && !s.inRing {
-		s.readySince = m.now
-	}
-	if s.inRing = n.State == Ready; s.inRing {
-		poolFor(m.cells, n.Cell, byCell).add(s)
-		poolFor(m.zones, n.Zone, byZone).add(s)
+func (m *Module) applyEntry(server *serverRecord, entry Server) {
+	if !server.changed {
+		server.changed, server.wasInRing = true, server.inRing
+		m.changedServers = append(m.changedServers, server)
+	}
+	if server.inRing && (server.Cell != entry.Cell || server.Zone != entry.Zone || entry.State != Ready) {
+		removeFromGroup(m.cells, server.Cell, server, byCell)
+		removeFromGroup(m.zones, server.Zone, server, byZone)
+	}
+	server.Server = entry
+	if entry.State == Ready && !server.inRing {
+		server.readySince = m.now
+	}
+	if server.inRing = entry.State == Ready; server.inRing {
+		poolFor(m.cells, entry.Cell, byCell).add(server)
+		poolFor(m.zones, entry.Zone, byZone).add(server)
 	} else {
-		s.inSubset = false
+		server.inSubset = false
 	}
-	m.placeInPool(s)
-	m.forgetRemoved(s)
+	m.placeInPool(server)
+	m.forgetRemoved(server)
 }
--- a/decide/listage.go
+++ b/decide/listage.go
@@ -68,8 +68,8 @@
 }
 
 // watchStalls records that the open watch is begun anew, and that the list may be used for the time left.
-func (a *listAge) watchStalls(now Time, bound, left time.Duration) {
-	a.watchStalled, a.confirmedAt = true, now+left-bound
+func (a *listAge) watchStalls(now Time, lifetime, left time.Duration) {
+	a.watchStalled, a.confirmedAt = true, now+left-lifetime
 }
 
 // fail records that a call that began at a time has failed, or, with watched, that the open watch has broken.
@@ -107,18 +107,18 @@
 // usableUntil is the time from which nothing may be sent by the list, unless an answer of discovery comes
 // first.
 func (m *Module) usableUntil() Time {
-	bound, a := m.listLifetime(), &m.listAge
-	vouched := max(a.confirmedAt, a.unreachableAt)
+	lifetime, age := m.listLifetime(), &m.listAge
+	confirmed := max(age.confirmedAt, age.unreachableAt)
 	switch {
-	case bound == 0, m.subscribed && !a.watchStalled:
+	case lifetime == 0, m.subscribed && !age.watchStalled:
 		return forever
-	case vouched == never && m.now-max(m.startAt, a.answeredAnyAt) >= startWait,
-		vouched == never && m.now-m.startAt >= maxStartWait:
+	case confirmed == never && m.now-max(m.startAt, age.answeredAnyAt) >= startWait,
+		confirmed == never && m.now-m.startAt >= maxStartWait:
 		return forever
-	case vouched == never:
+	case confirmed == never:
 		return never
 	}
-	return vouched + bound
+	return confirmed + lifetime
 }
 
 // ListUsable tells whether requests may be sent by the list now.
--- a/decide/pools.go
+++ b/decide/pools.go
@@ -33,16 +33,16 @@
 }
 
 // removeFromPool removes a server from its pool of a grouping, if it is in one.
-func removeFromPool(s *serverRecord, by int) {
-	p := s.pools[by]
+func removeFromPool(s *serverRecord, grouping int) {
+	p := s.pools[grouping]
 	if p == nil {
 		return
 	}
-	at, last := s.poolIndex[by], len(p.servers)-1
+	at, last := s.poolIndex[grouping], len(p.servers)-1
 	p.servers[at] = p.servers[last]
-	p.servers[at].poolIndex[by] = at
+	p.servers[at].poolIndex[grouping] = at
 	p.servers[last] = nil
-	p.servers, s.pools[by] = p.servers[:last], nil
+	p.servers, s.pools[grouping] = p.servers[:last], nil
 }
 
 // timeHeap is a binary heap of servers by the time at which each is due. A server is in at most one heap.
@@ -124,29 +124,29 @@
 
 // update removes the servers that left and inserts those that have come, each only once. The result may use the same
 // array as the old ring.
-func (r ring) update(left, come []*serverRecord) ring {
-	if len(left)+len(come) <= fewChanges {
+func (r ring) update(left, joined []*serverRecord) ring {
+	if len(left)+len(joined) <= fewChanges {
 		for _, s := range left {
 			if i, ok := slices.BinarySearchFunc(r, s, byRingKey); ok {
 				r = slices.Delete(r, i, i+1)
 			}
 		}
-		for _, s := range come {
+		for _, s := range joined {
 			i, _ := slices.BinarySearchFunc(r, s, byRingKey)
 			r = slices.Insert(r, i, s)
 		}
 		return r
 	}
-	slices.SortFunc(come, byRingKey)
-	out := make(ring, 0, len(r)+len(come))
+	slices.SortFunc(joined, byRingKey)
+	merged := make(ring, 0, len(r)+len(joined))
 	for _, s := range r {
 		if !s.inRing {
 			continue
 		}
-		for len(come) > 0 && come[0].ringKey < s.ringKey {
-			out, come = append(out, come[0]), come[1:]
+		for len(joined) > 0 && joined[0].ringKey < s.ringKey {
+			merged, joined = append(merged, joined[0]), joined[1:]
 		}
-		out = append(out, s)
+		merged = append(merged, s)
 	}
-	return append(out, come...)
+	return append(merged, joined...)
 }
--- a/decide/shared.go
+++ b/decide/shared.go
@@ -60,38 +60,40 @@
 		return
 	}
 	m.lastProbeAt, m.probeJitter = m.now, m.random()
-	s, t := m.subset[int(m.random()*float64(len(m.subset)))], m.subset[int(m.random()*float64(len(m.subset)))]
-	if (t.slots == 0) != (s.slots == 0) && t.slots == 0 || (t.slots == 0) == (s.slots == 0) && t.n+m.othersAt(t) > s.n+m.othersAt(s) {
-		s = t
+	first, second := m.subset[int(m.random()*float64(len(m.subset)))], m.subset[int(m.random()*float64(len(m.subset)))]
+	if (second.slots == 0) != (first.slots == 0) && second.slots == 0 ||
+		(second.slots == 0) == (first.slots == 0) && second.n+m.othersAt(second) > first.n+m.othersAt(first) {
+		first = second
 	}
-	if s.probing && m.now-s.probedAt < probeTimeout || s.ejected {
+	if first.probing && m.now-first.probedAt < probeTimeout || first.ejected {
 		return
 	}
-	s.probing, s.probedAt = true, m.now
-	m.emit(Probe{Server: s.ID})
+	first.probing, first.probedAt = true, m.now
+	m.emit(Probe{Server: first.ID})
 }
 
 // probeEnded learns a server's slots from the result of a probe, and sends them to the other nodes that use the server.
-func (m *Module) probeEnded(e ProbeEnded) {
-	s := m.known[e.Server]
-	if s == nil {
+func (m *Module) probeEnded(result ProbeEnded) {
+	server := m.known[result.Server]
+	if server == nil {
 		return
 	}
-	s.probing = false
-	if e.Code != OK || e.Report == nil || !e.Report.HasInFlight || !(e.Report.InFlight >= 0) {
+	server.probing = false
+	if result.Code != OK || result.Report == nil || !result.Report.HasInFlight || !(result.Report.InFlight >= 0) {
 		return
 	}
 	// While requests wait, all slots are in use: their number is that of the requests that don't wait.
-	if held, queue := math.Min(e.Report.InFlight, maxReportedRequests), e.Report.Queue; e.Report.HasQueue && queue >= 1 && queue < held {
+	if inFlight, queue := math.Min(result.Report.InFlight, maxReportedRequests),
+		result.Report.Queue; result.Report.HasQueue && queue >= 1 && queue < inFlight {
 		first := m.slots == 0 // the first number of any server: all nodes need it
-		m.learnSlots(s, held-queue)
-		if word := slotsReport(s.ID, held-queue); m.sharesLoad() && (first || m.subsetIsRing) {
-			m.emit(SendMessage{ToAll: true, Data: word})
+		m.learnSlots(server, inFlight-queue)
+		if report := slotsReport(server.ID, inFlight-queue); m.sharesLoad() && (first || m.subsetIsRing) {
+			m.emit(SendMessage{ToAll: true, Data: report})
 		} else if m.sharesLoad() {
-			place := m.ringIndex(s)
-			m.eachPeer(func(j int, meets func(int) bool) {
-				if meets(place) {
-					m.emit(SendMessage{To: j, Data: word})
+			index := m.ringIndex(server)
+			m.eachPeer(func(node int, contains func(int) bool) {
+				if contains(index) {
+					m.emit(SendMessage{To: node, Data: report})
 				}
 			})
 		}
@@ -131,9 +133,9 @@
 // over time. All nodes see about the same queues, and so shed about the same.
 func (m *Module) updateShed() {
 	sum, count := 0.0, 0.0
-	for _, s := range m.subset {
-		if !s.ejected && m.judgedByCounts(s) {
-			sum, count = sum+math.Max(0, math.Min(2*blockQueue, m.waitingPerSlot(s))), count+1
+	for _, server := range m.subset {
+		if !server.ejected && m.judgedByCounts(server) {
+			sum, count = sum+math.Max(0, math.Min(2*blockQueue, m.waitingPerSlot(server))), count+1
 		}
 	}
 	if count == 0 {
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -56,25 +56,33 @@
 // Snapshot returns what the module has learned. It does not change the module.
 func (m *Module) Snapshot(now Time) Snapshot {
 	age := func(t Time) time.Duration { return now - t }
-	s := Snapshot{Version: SnapshotVersion, Answers: m.answers, Mean: m.mean, Recent: m.recentMean, Least: m.leastMean, Peak: m.peakRate, FleetRate: m.fleetRate,
-		EvenRate: m.evenRate, Arrivals: m.arrivals, Share: m.share, N1: m.n1, N2: m.n2, Worth: m.meanWorth, Slots: m.slots, Size: m.subsetSize, Learned: m.learned,
+	snapshot := Snapshot{Version: SnapshotVersion,
+		Answers: m.answers, Mean: m.mean, Recent: m.recentMean, Least: m.leastMean, Peak: m.peakRate,
+		FleetRate: m.fleetRate, EvenRate: m.evenRate, Arrivals: m.arrivals, Share: m.share,
+		N1: m.n1, N2: m.n2, Worth: m.meanWorth, Slots: m.slots, Size: m.subsetSize, Learned: m.learned,
 		Started: age(m.startAt), Arrived: age(m.arrivedAt), FirstAnswer: age(m.firstAnswerAt), Answerd: age(m.answeredAt)}
 	switch {
 	case m.subscribed && !m.listAge.watchStalled:
-		s.ListAge = 1
+		snapshot.ListAge = 1
 	case m.listAge.confirmedAt != never:
-		s.ListAge = max(1, age(m.listAge.confirmedAt))
+		snapshot.ListAge = max(1, age(m.listAge.confirmedAt))
 	}
-	for _, c := range m.classList {
-		s.Classes = append(s.Classes, ClassSnapshot{Name: c.Name, Count: c.count, Latency: c.latency, Ambient: c.fleetLatency, Base: c.baseLatency, Relative: c.relativeCost, At: age(c.answeredAt)})
+	for _, class := range m.classList {
+		snapshot.Classes = append(snapshot.Classes, ClassSnapshot{Name: class.Name, Count: class.count,
+			Latency: class.latency, Ambient: class.fleetLatency, Base: class.baseLatency,
+			Relative: class.relativeCost, At: age(class.answeredAt)})
 	}
-	for _, v := range m.ring {
-		s.Servers = append(s.Servers, ServerSnapshot{ID: v.ID, StartedAt: v.StartedAt, Excess: v.excess, Rate: v.rate, Last: v.lastLatency, Room: v.provenLoad, Slots: v.slots,
-			Since: age(v.listedAt), LatencyAt: age(v.latencyAt), RateAt: age(v.rateAt), RoomAt: age(v.provenLoadAt), Strikes: v.consecutiveFailures, Suspect: v.ejected,
-			Broken: v.connectFailed, Cold: v.cold, TrialWait: v.trialWait, TrialAt: age(v.trialAt), ColdSince: age(v.coldSince), Imposed: v.imposed,
-			ImposedUntil: age(v.imposedUntil), FullAt: age(v.fullAt), Backoff: v.fullBackoff})
+	for _, server := range m.ring {
+		snapshot.Servers = append(snapshot.Servers, ServerSnapshot{ID: server.ID, StartedAt: server.StartedAt,
+			Excess: server.excess, Rate: server.rate, Last: server.lastLatency, Room: server.provenLoad,
+			Slots: server.slots, Since: age(server.listedAt), LatencyAt: age(server.latencyAt),
+			RateAt: age(server.rateAt), RoomAt: age(server.provenLoadAt), Strikes: server.consecutiveFailures,
+			Suspect: server.ejected, Broken: server.connectFailed, Cold: server.cold,
+			TrialWait: server.trialWait, TrialAt: age(server.trialAt), ColdSince: age(server.coldSince),
+			Imposed: server.imposed, ImposedUntil: age(server.imposedUntil), FullAt: age(server.fullAt),
+			Backoff: server.fullBackoff})
 	}
-	return s
+	return snapshot
 }
 
 // check returns an error for the first value that no module can have.
@@ -82,19 +90,21 @@
 	if s.Version != SnapshotVersion {
 		return fmt.Errorf("snapshot: version %d, want %d", s.Version, SnapshotVersion)
 	}
-	amounts := []float64{s.Answers, s.Mean, s.Recent, s.Least, s.Peak, s.FleetRate, s.EvenRate, s.Arrivals, s.Share, s.N1, s.N2, s.Worth, s.Slots, s.Size}
+	amounts := []float64{s.Answers, s.Mean, s.Recent, s.Least, s.Peak, s.FleetRate, s.EvenRate, s.Arrivals, s.Share,
+		s.N1, s.N2, s.Worth, s.Slots, s.Size}
 	waits := []time.Duration{}
-	for _, c := range s.Classes {
-		amounts = append(amounts, c.Count, c.Latency, c.Ambient, c.Base, c.Relative)
-		if c.Relative == 0 || c.Count > 0 && c.Ambient == 0 {
-			return fmt.Errorf("snapshot: class %q has a cost or latency of 0", c.Name)
+	for _, class := range s.Classes {
+		amounts = append(amounts, class.Count, class.Latency, class.Ambient, class.Base, class.Relative)
+		if class.Relative == 0 || class.Count > 0 && class.Ambient == 0 {
+			return fmt.Errorf("snapshot: class %q has a cost or latency of 0", class.Name)
 		}
 	}
-	for _, v := range s.Servers {
-		amounts = append(amounts, v.Rate, v.Last, v.Room, v.Slots, math.Abs(v.Excess))
-		waits = append(waits, v.TrialWait, v.Backoff, v.TrialAt+maxTrialWait*2, v.ImposedUntil+maxTrialWait*2)
-		if v.Imposed < Normal || v.Imposed > Blocking || v.Strikes < 0 {
-			return fmt.Errorf("snapshot: server %d has mode %d and %d failures", v.ID, v.Imposed, v.Strikes)
+	for _, server := range s.Servers {
+		amounts = append(amounts, server.Rate, server.Last, server.Room, server.Slots, math.Abs(server.Excess))
+		waits = append(waits, server.TrialWait, server.Backoff,
+			server.TrialAt+maxTrialWait*2, server.ImposedUntil+maxTrialWait*2)
+		if server.Imposed < Normal || server.Imposed > Blocking || server.Strikes < 0 {
+			return fmt.Errorf("snapshot: server %d has mode %d and %d failures", server.ID, server.Imposed, server.Strikes)
 		}
 	}
 	for _, a := range amounts {
@@ -116,48 +126,56 @@
 // Restore takes over what another process of this node has learned. It must be called once, after the module's first
 // list and before any request. If any part of the snapshot is invalid, it returns an error and changes nothing. Servers
 // that are not in the list, or have restarted, are skipped.
-func (m *Module) Restore(now Time, s Snapshot) error {
-	if err := s.check(); err != nil {
+func (m *Module) Restore(now Time, snapshot Snapshot) error {
+	if err := snapshot.check(); err != nil {
 		return err
 	}
 	at := func(age time.Duration) Time { return now - age }
 	m.now = now
-	m.answers, m.mean, m.recentMean, m.leastMean, m.peakRate, m.fleetRate, m.evenRate = s.Answers, s.Mean, s.Recent, s.Least, s.Peak, s.FleetRate, s.EvenRate
-	m.arrivals, m.share, m.n1, m.n2, m.meanWorth, m.slots, m.learned = s.Arrivals, s.Share, s.N1, s.N2, s.Worth, s.Slots, s.Learned
-	m.startAt, m.arrivedAt, m.firstAnswerAt, m.answeredAt = at(s.Started), at(s.Arrived), at(s.FirstAnswer), at(s.Answerd)
-	m.subsetSize = math.Max(s.Size, minSubsetSize)
-	for _, k := range s.Classes {
-		c := m.classes[k.Name]
-		if k.Name == "" {
-			c = m.unknownClass
+	m.answers, m.mean, m.recentMean, m.leastMean, m.peakRate, m.fleetRate, m.evenRate =
+		snapshot.Answers, snapshot.Mean, snapshot.Recent, snapshot.Least, snapshot.Peak, snapshot.FleetRate, snapshot.EvenRate
+	m.arrivals, m.share, m.n1, m.n2, m.meanWorth, m.slots, m.learned =
+		snapshot.Arrivals, snapshot.Share, snapshot.N1, snapshot.N2, snapshot.Worth, snapshot.Slots, snapshot.Learned
+	m.startAt, m.arrivedAt, m.firstAnswerAt, m.answeredAt =
+		at(snapshot.Started), at(snapshot.Arrived), at(snapshot.FirstAnswer), at(snapshot.Answerd)
+	m.subsetSize = math.Max(snapshot.Size, minSubsetSize)
+	for _, saved := range snapshot.Classes {
+		class := m.classes[saved.Name]
+		if saved.Name == "" {
+			class = m.unknownClass
 		}
-		if c != nil {
-			c.count, c.latency, c.fleetLatency, c.baseLatency, c.relativeCost, c.answeredAt = k.Count, k.Latency, k.Ambient, k.Base, k.Relative, at(k.At)
+		if class != nil {
+			class.count, class.latency, class.fleetLatency, class.baseLatency, class.relativeCost, class.answeredAt =
+				saved.Count, saved.Latency, saved.Ambient, saved.Base, saved.Relative, at(saved.At)
 		}
 	}
-	for _, k := range s.Servers {
-		v := m.known[k.ID]
-		if v == nil || !v.inRing || v.StartedAt != k.StartedAt {
+	for _, saved := range snapshot.Servers {
+		server := m.known[saved.ID]
+		if server == nil || !server.inRing || server.StartedAt != saved.StartedAt {
 			continue
 		}
-		v.excess, v.rate, v.lastLatency, v.provenLoad, v.slots, v.consecutiveFailures = k.Excess, k.Rate, k.Last, k.Room, k.Slots, k.Strikes
-		v.listedAt, v.latencyAt, v.rateAt, v.provenLoadAt = at(k.Since), at(k.LatencyAt), at(k.RateAt), at(k.RoomAt)
-		v.ejected, v.connectFailed, v.trialWait, v.trialAt = k.Suspect, k.Broken, k.TrialWait, at(k.TrialAt)
-		v.imposed, v.imposedUntil, v.fullAt, v.fullBackoff = k.Imposed, at(k.ImposedUntil), at(k.FullAt), k.Backoff
-		if v.cold, v.coldSince = k.Cold, at(k.ColdSince); v.cold {
-			v.tokens, v.tokensAt = 0, now // the other process may have used the tokens
+		server.excess, server.rate, server.lastLatency, server.provenLoad, server.slots, server.consecutiveFailures =
+			saved.Excess, saved.Rate, saved.Last, saved.Room, saved.Slots, saved.Strikes
+		server.listedAt, server.latencyAt, server.rateAt, server.provenLoadAt =
+			at(saved.Since), at(saved.LatencyAt), at(saved.RateAt), at(saved.RoomAt)
+		server.ejected, server.connectFailed, server.trialWait, server.trialAt =
+			saved.Suspect, saved.Broken, saved.TrialWait, at(saved.TrialAt)
+		server.imposed, server.imposedUntil, server.fullAt, server.fullBackoff =
+			saved.Imposed, at(saved.ImposedUntil), at(saved.FullAt), saved.Backoff
+		if server.cold, server.coldSince = saved.Cold, at(saved.ColdSince); server.cold {
+			server.tokens, server.tokensAt = 0, now // the other process may have used the tokens
 		}
 	}
 	// What the other process learns from now on does not reach this one, which counts as notified of it soon. So the
 	// list may be used for handedListTime at most.
-	if s.ListAge > 0 {
-		m.listAge.confirm(now - max(s.ListAge, m.listLifetime()-handedListTime))
+	if snapshot.ListAge > 0 {
+		m.listAge.confirm(now - max(snapshot.ListAge, m.listLifetime()-handedListTime))
 	}
 	m.nextListRequestAt = min(m.nextListRequestAt, now+time.Duration(m.random()*float64(successorSpread)))
 	m.subsetStale = true
 	m.chooseSubset()
-	for _, v := range m.subset {
-		m.placeInPool(v)
+	for _, server := range m.subset {
+		m.placeInPool(server)
 	}
 	m.survey(false)
 	return nil
--- a/decide/state.go
+++ b/decide/state.go
@@ -20,7 +20,7 @@
 	Blocking               // it takes no requests
 )
 
-// serverRecord is what this node knows of a serverRecord.
+// serverRecord is what this node knows of a server.
 type serverRecord struct {
 	Server
 	// Overload modes: by this node's count; by the server's load reports; and the one that a full answer or a
@@ -46,12 +46,12 @@
 	connectFailed                   bool    // a connection to it has failed since its last answer
 	inSubset, inRing                bool    // it is in the subset; it is in the ring, that is, ready
 	changed, wasInRing              bool    // the list update in progress changes it; it was in the ring before that
-	chosenIn, seenIn                int     // numbers of the last choice of a subset and of the last full list with this server
+	chosenIn, seenIn                int     // numbers of the last choice of a subset, and last full list, with this server
 	trialAt, coldSince              Time    // when its next trial request is due; when its slow start began
 	// Mean wait from one trial request to the next; time that is added to a block after full answers in a row.
 	trialWait, fullBackoff time.Duration
 	fullAt                 Time    // when the last full answer that counted came
-	provenLoad             float64 // number of requests it has carried with a low latency, and a step; see updateProvenLoad
+	provenLoad             float64 // number of requests it has carried with a low latency; see updateProvenLoad
 	provenLoadAt           Time    // when that was last updated; it decays from then on
 	tokens                 float64 // sends that its budget allows while it is cold
 	tokensAt               Time
@@ -70,7 +70,7 @@
 	dueAt     Time
 }
 
-// classRecord is what this node knows of a classRecord.
+// classRecord is what this node knows of a class.
 type classRecord struct {
 	Class
 	count, latency float64 // number of answers; their latency in seconds, smoothed over all servers
@@ -80,7 +80,7 @@
 	fleetLatency, baseLatency, relativeCost float64
 }
 
-// attemptRecord is one attemptRecord of an open request.
+// attemptRecord is one attempt of an open request.
 type attemptRecord struct {
 	server        *serverRecord
 	sent          Time
@@ -88,7 +88,7 @@
 	ended, mayRun bool // its outcome is known; it may run or have run, as there is no proof that it never did
 }
 
-// requestRecord is a requestRecord without a final answer, or with attempts that are still outstanding.
+// requestRecord is a request without a final answer, or with attempts that are still outstanding.
 type requestRecord struct {
 	id                             RequestID
 	class                          *classRecord
@@ -101,9 +101,9 @@
 	uploading, bodyConsumed        bool             // its body is still coming; too little of the body is left for a retry
 }
 
-// tenantRecord is the token bucket of a tenantRecord's share at this node.
+// tenantRecord is the token bucket of a tenant's share at this node.
 type tenantRecord struct {
-	perNode, tokens float64 // requests per second, also the bucket's size; tokens at the time below
+	perNode, tokens float64 // requests per second, which is also the bucket's size; tokens at tokensAt
 	tokensAt        Time
 }
 
@@ -130,7 +130,7 @@
 	pools              [Blocking + 1]pool // the subset by mode, without ejected servers and cold ones without a token
 	// Servers whose pool changes with time alone, by the time of the change; ejected servers, by their next trial.
 	wakeups, trials            timeHeap
-	candidates, changedServers []*serverRecord // scratch memory of filter; servers that the list update in progress changes
+	candidates, changedServers []*serverRecord // scratch memory of filter; servers that the present list update changes
 	listCount                  int             // number of full lists so far
 	sweepCursor                int             // index in the subset at which the sweep goes on
 	sweepTotals                sweepTotals
@@ -142,19 +142,19 @@
 	mean, baseMean, aimedMean float64
 	arrivals, arrivalRate     float64 // arrivals per second: smoothed; the same without the bias that starting at 0 has
 	subsetSize                float64 // number of servers that the subset is meant to have
-	arrivedAt, startAt        Time    // when the last request came; when this process, or the first it took over from, started
+	arrivedAt, startAt        Time    // when the last request came; when this process or its first predecessor started
 	subsetChoices             int     // number of subsets chosen so far
 	fleetRate, peakRate       float64 // answers per second to this node of the mean warm server; the highest this has been
 	recentMean                float64 // like mean, with the time constant subsetSendInterval, in seconds
 	firstAnswerAt,
 	answeredAt Time // when the first and the last answer came
 	leastMean                          float64 // the lowest that mean has been, in seconds
-	evenRate                           float64 // like fleetRate, spread over the whole subset with ejected and cold servers
+	evenRate                           float64 // like fleetRate, but the mean of the whole subset
 	share                              float64 // this node's part of all requests at the servers
-	n1, n2, q1, q2                     float64 // arrivals of this period with and without priority; their drop probabilities
-	overloadSum, modeChecks            float64 // sum of how far servers were from H (0) to R (1) when checked; checks of this period
+	n1, n2, q1, q2                     float64 // this period's arrivals with and without priority; drop probabilities
+	overloadSum, modeChecks            float64 // sum of loads, from 0 at H to 1 at R, over this period's checks; checks
 	period, nodeSalt                   uint64  // number of this period; a random number of this node
-	smoothedNodeDelay                  float64 // the part of an answer's latency that passes in this node, smoothed, in seconds
+	smoothedNodeDelay                  float64 // smoothed part of an answer's latency in this node, in seconds
 	nodeDelayAt                        Time    // when that was last updated
 	nodeMode                           Mode    // overload mode of this node
 	nodeDropFraction                   float64 // drop fraction because of this node's own overload
@@ -169,18 +169,19 @@
 	probeJitter                        float64      // random part of the time to the next probe, from 0 to 1
 	countsSent                         int          // number of reports of counts sent so far
 	announcedSome                      bool         // the last full report, or one after it, named a server
-	peerReports                        []peerReport // last reports of the other nodes by node number; nil until the first one
+	peerReports                        []peerReport // last reports of the others by node number; nil until the first
 	othersEstimate                     gossip.LoadEstimator
 	// No current reports of other nodes; then, the estimated attempts of the others at each server of the subset.
-	reportsMissing            bool
-	estimatedOthers           float64
-	countItems                []countItem                // scratch memory for the report of counts
-	announcedSomeTo           []bool                     // like announcedSome, for each other node by its number
-	inAudience                []bool                     // by node number: nodes whose arcs of the ring overlap this node's
-	audienceSizes             [2]int                     // lengths of the ring and of this node's arc for which that holds
-	tags                      map[uint16][]*serverRecord // servers of the ring by tag, which several may share
-	slots                     float64                    // requests that the mean server works on at once; 0: not known
-	persistentShed, totalShed float64                    // drop fraction while no server is normal: its persistent part; all of it
+	reportsMissing  bool
+	estimatedOthers float64
+	countItems      []countItem                // scratch memory for the report of counts
+	announcedSomeTo []bool                     // like announcedSome, for each other node by its number
+	inAudience      []bool                     // by node number: its arc of the ring overlaps this node's
+	audienceSizes   [2]int                     // lengths of the ring and of this node's arc for which that holds
+	tags            map[uint16][]*serverRecord // servers of the ring by tag, which several may share
+	slots           float64                    // requests that the mean server works on at once; 0: not known
+	// Drop fraction while no server is in Normal mode: its integral part; all of it.
+	persistentShed, totalShed float64
 	// Backoff of list requests after a failure, after waiting in vain for a turn, and after an unusable answer.
 	failedBackoff      time.Duration
 	overloadBackoff    time.Duration
@@ -195,28 +196,30 @@
 }
 
 // New makes the module of a node that has just started. seed makes the random numbers of nodes differ.
-func New(s Settings, seed int64) *Module {
-	m := &Module{settings: s, rng: uint64(seed)*2 + 1, retryTokens: maxRetryTokens, classes: map[string]*classRecord{},
-		tenants: map[string]*tenantRecord{}, known: map[ServerID]*serverRecord{}, requests: map[RequestID]*requestRecord{}, listAge: newListAge(),
-		tags: map[uint16][]*serverRecord{}, cells: map[int]*pool{}, zones: map[string]*pool{}}
+func New(settings Settings, seed int64) *Module {
+	m := &Module{settings: settings, rng: uint64(seed)*2 + 1, retryTokens: maxRetryTokens,
+		classes: map[string]*classRecord{}, tenants: map[string]*tenantRecord{}, known: map[ServerID]*serverRecord{},
+		requests: map[RequestID]*requestRecord{}, listAge: newListAge(), tags: map[uint16][]*serverRecord{},
+		cells: map[int]*pool{}, zones: map[string]*pool{}}
 	m.nodeSalt = mix(m.rng)
 	for i := range m.pools {
 		m.pools[i].grouping = byMode
 	}
-	m.settings.Nodes = max(1, s.Nodes)
+	m.settings.Nodes = max(1, settings.Nodes)
 	m.inAudience, m.announcedSomeTo = make([]bool, m.settings.Nodes), make([]bool, m.settings.Nodes)
 	m.share = 1 / float64(m.settings.Nodes)
-	if !s.HoldOffs {
+	if !settings.HoldOffs {
 		m.settings.MaxHoldOff = 0
 	}
-	for _, c := range s.Classes {
-		k := &classRecord{Class: c, relativeCost: 1}
-		m.classes[c.Name], m.classList, m.topWorth = k, append(m.classList, k), math.Max(m.topWorth, c.Worth)
+	for _, class := range settings.Classes {
+		record := &classRecord{Class: class, relativeCost: 1}
+		m.classes[class.Name], m.classList, m.topWorth =
+			record, append(m.classList, record), math.Max(m.topWorth, class.Worth)
 	}
 	m.unknownClass = &classRecord{relativeCost: 1}
 	m.classList, m.meanWorth = append(m.classList, m.unknownClass), m.topWorth
-	for _, t := range s.Tenants {
-		m.tenants[t.Name] = &tenantRecord{perNode: t.Quota / float64(m.settings.Nodes)}
+	for _, tenant := range settings.Tenants {
+		m.tenants[tenant.Name] = &tenantRecord{perNode: tenant.Quota / float64(m.settings.Nodes)}
 	}
 	return m
 }
@@ -243,7 +246,8 @@
 // serverOf returns the record of a server, made if there is none.
 func (m *Module) serverOf(id ServerID) *serverRecord {
 	if m.known[id] == nil {
-		m.known[id] = &serverRecord{Server: Server{State: Removed}, listedAt: m.now, logAgainAt: m.now, ringKey: mix(uint64(id) * 0x9e3779b97f4a7c15)}
+		m.known[id] = &serverRecord{Server: Server{State: Removed}, listedAt: m.now, logAgainAt: m.now,
+			ringKey: mix(uint64(id) * 0x9e3779b97f4a7c15)}
 	}
 	return m.known[id]
 }
@@ -283,8 +287,9 @@
 	return ok
 }
 
-// sweepTotals are the sums over the servers that a sweepTotals has examined so far: rates of answers and number of the warm
-// servers; of servers with a recent load report, this node's requests and all requests that they report.
+// sweepTotals are the sums over the servers that a sweep has examined so far: the rates of answers and the number of
+// those that are neither ejected nor cold; of those with a recent load report, this node's requests and all requests
+// that they report.
 type sweepTotals struct{ rate, count, own, all float64 }
 
 // poolFor returns the pool of a key, made if there is none.
@@ -340,7 +345,8 @@
 
 // ModeCounts counts the servers of the subset by mode. It does not change the module.
 func (m *Module) ModeCounts() ModeCounts {
-	c := ModeCounts{Normal: len(m.pools[Normal].servers), Overloaded: len(m.pools[Overloaded].servers), Blocking: len(m.pools[Blocking].servers)}
-	c.Excluded = max(0, len(m.subset)-c.Normal-c.Overloaded-c.Blocking)
-	return c
+	counts := ModeCounts{Normal: len(m.pools[Normal].servers), Overloaded: len(m.pools[Overloaded].servers),
+		Blocking: len(m.pools[Blocking].servers)}
+	counts.Excluded = max(0, len(m.subset)-counts.Normal-counts.Overloaded-counts.Blocking)
+	return counts
 }
--- a/decide/transfer.go
+++ b/decide/transfer.go
@@ -28,29 +28,30 @@
 
 // bodyEnded handles the end of an upload's body. All times of the request count from here: its server has the whole
 // request, and its client waits for the answer from now on.
-func (m *Module) bodyEnded(e BodyEnded) {
-	r := m.requests[e.ID]
-	if r == nil || !r.uploading || r.done || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
+func (m *Module) bodyEnded(event BodyEnded) {
+	request := m.requests[event.ID]
+	if request == nil || !request.uploading || request.done ||
+		event.Attempt < 0 || event.Attempt >= len(request.attempts) {
 		return
 	}
-	r.uploading, r.arrived, r.deadline = false, m.now, m.now+e.Patience
-	a := &r.attempts[e.Attempt]
-	a.sent = m.now
-	m.await(a.server)
-	m.load(a)
-	m.placeInPool(a.server)
+	request.uploading, request.arrived, request.deadline = false, m.now, m.now+event.Patience
+	attempt := &request.attempts[event.Attempt]
+	attempt.sent = m.now
+	m.await(attempt.server)
+	m.load(attempt)
+	m.placeInPool(attempt.server)
 }
 
 // streamStarted handles the beginning of a streamed answer. It ends the latency of the attempt: the rest is transfer.
-func (m *Module) streamStarted(e StreamStarted) {
-	r := m.requests[e.ID]
-	if r == nil || r.started || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
+func (m *Module) streamStarted(event StreamStarted) {
+	request := m.requests[event.ID]
+	if request == nil || request.started || event.Attempt < 0 || event.Attempt >= len(request.attempts) {
 		return
 	}
-	r.started = true
-	a := &r.attempts[e.Attempt]
-	a.server.unanswered = 0
-	m.learn(a.server, r.class, e.Elapsed, e.NodeTime)
-	m.unload(a)
-	m.placeInPool(a.server)
+	request.started = true
+	attempt := &request.attempts[event.Attempt]
+	attempt.server.unanswered = 0
+	m.learn(attempt.server, request.class, event.Elapsed, event.NodeTime)
+	m.unload(attempt)
+	m.placeInPool(attempt.server)
 }
--- a/decide/vouch.go
+++ b/decide/vouch.go
@@ -12,11 +12,13 @@
 // server, and a server that this node's own list has as draining is not used.
 
 const (
-	queryMark           = 'q'                   // first byte of a readiness query
-	readinessMark       = 'v'                   // first byte of a readiness report
-	maxQueryServers     = 60                    // servers in one datagram, at most
-	queryHeaderSize     = 2                     // bytes of a query before its server ids: the mark and the query's number
-	readinessHeaderSize = 4                     // bytes of a report before its server ids: the mark, the query's number and the age
+	queryMark       = 'q' // first byte of a readiness query
+	readinessMark   = 'v' // first byte of a readiness report
+	maxQueryServers = 60  // servers in one datagram, at most
+	// Bytes of a query before its server ids: the mark and the query's number.
+	queryHeaderSize = 2
+	// Bytes of a report before its server ids: the mark, the query's number and the age of what it says.
+	readinessHeaderSize = 4
 	readinessAgeUnit    = 10 * time.Millisecond // unit of that age
 	peersPerQuery       = 2                     // nodes to which one query is sent
 
@@ -79,11 +81,11 @@
 	if !m.listAge.down && m.usableUntil()-m.now > queryAhead {
 		return
 	}
-	every := queryInterval
+	interval := queryInterval
 	if m.listAge.down {
-		every = queryIntervalDown
+		interval = queryIntervalDown
 	}
-	m.nextQueryAt = m.now + m.jitter(every)
+	m.nextQueryAt = m.now + m.jitter(interval)
 	m.queriedAt = m.now
 	m.queryNumber++
 	data := []byte{queryMark, m.queryNumber}
@@ -104,11 +106,11 @@
 // recent, as a watch that sends nothing may have stalled. Otherwise the report says only that discovery
 // answers some node, if that is known.
 func (m *Module) answerReadinessQuery(from int, data []byte) {
-	a := &m.listAge
-	at := a.answeredAnyAt
-	listed := m.subscribed && !a.watchStalled && m.now-a.answeredAt <= maxReadinessAge
+	age := &m.listAge
+	at := age.answeredAnyAt
+	listed := m.subscribed && !age.watchStalled && m.now-age.answeredAt <= maxReadinessAge
 	if listed {
-		at = a.answeredAt
+		at = age.answeredAt
 	}
 	if m.listLifetime() == 0 || !m.settings.MayMessage || m.now-at > maxReadinessAge {
 		return
@@ -117,8 +119,8 @@
 	answer = binary.BigEndian.AppendUint16(answer, uint16((m.now-at+readinessAgeUnit-1)/readinessAgeUnit))
 	listed = listed && m.now-m.subscribedAt >= minReadyTime
 	for ids := data[queryHeaderSize:]; listed && len(ids) >= 4; ids = ids[4:] {
-		s := m.known[ServerID(binary.BigEndian.Uint32(ids))]
-		if s != nil && s.State == Ready && m.now-s.readySince >= minReadyTime {
+		server := m.known[ServerID(binary.BigEndian.Uint32(ids))]
+		if server != nil && server.State == Ready && m.now-server.readySince >= minReadyTime {
 			answer = append(answer, ids[:4]...)
 		}
 	}
@@ -135,12 +137,12 @@
 	at := m.queriedAt - time.Duration(binary.BigEndian.Uint16(data[queryHeaderSize:]))*readinessAgeUnit
 	m.listAge.answeredOther(at)
 	for ids := data[readinessHeaderSize:]; len(ids) >= 4; ids = ids[4:] {
-		s := m.known[ServerID(binary.BigEndian.Uint32(ids))]
-		if s == nil || s.peerConfirmed && s.peerConfirmedAt >= at {
+		server := m.known[ServerID(binary.BigEndian.Uint32(ids))]
+		if server == nil || server.peerConfirmed && server.peerConfirmedAt >= at {
 			continue
 		}
-		s.peerConfirmed, s.peerConfirmedAt = true, at
+		server.peerConfirmed, server.peerConfirmedAt = true, at
 		m.peerConfirmedUntil = max(m.peerConfirmedUntil, at+m.listLifetime())
-		m.placeInPool(s)
+		m.placeInPool(server)
 	}
 }
--- a/decide/words.go
+++ b/decide/words.go
@@ -1,7 +1,7 @@
 package decide
 
 // The datagrams in which the nodes of a tier report to one another the servers' slots and their own attempts in flight.
-// Other files decide by them.
+// The other files decide what follows from them.
 
 import (
 	"encoding/binary"
@@ -44,23 +44,25 @@
 
 // messageReceived handles a datagram from another node. A forged one can do no more harm than a wrong load report of a
 // server: it adds and removes no server, and its effect fades.
-func (m *Module) messageReceived(e MessageReceived) {
+func (m *Module) messageReceived(message MessageReceived) {
 	switch {
-	case e.From == m.settings.Self || len(e.Data) == 0:
-	case string(e.Data) == overloadNotice:
+	case message.From == m.settings.Self || len(message.Data) == 0:
+	case string(message.Data) == overloadNotice:
 		m.peerOverloadedAt = m.now
-	case e.Data[0] == queryMark && len(e.Data) >= queryHeaderSize && (len(e.Data)-queryHeaderSize)%4 == 0:
-		m.answerReadinessQuery(e.From, e.Data)
-	case e.Data[0] == readinessMark && len(e.Data) >= readinessHeaderSize && (len(e.Data)-readinessHeaderSize)%4 == 0:
-		m.applyReadiness(e.Data)
+	case message.Data[0] == queryMark && len(message.Data) >= queryHeaderSize &&
+		(len(message.Data)-queryHeaderSize)%4 == 0:
+		m.answerReadinessQuery(message.From, message.Data)
+	case message.Data[0] == readinessMark && len(message.Data) >= readinessHeaderSize &&
+		(len(message.Data)-readinessHeaderSize)%4 == 0:
+		m.applyReadiness(message.Data)
 	case !m.sharesLoad():
-	case len(e.Data) == slotsReportSize && e.Data[0] == slotsReportMark:
-		if s := m.known[ServerID(binary.BigEndian.Uint32(e.Data[1:]))]; s != nil {
-			m.learnSlots(s, float64(binary.BigEndian.Uint16(e.Data[5:]))/8)
+	case len(message.Data) == slotsReportSize && message.Data[0] == slotsReportMark:
+		if server := m.known[ServerID(binary.BigEndian.Uint32(message.Data[1:]))]; server != nil {
+			m.learnSlots(server, float64(binary.BigEndian.Uint16(message.Data[5:]))/8)
 		}
-	case (len(e.Data)-1)%countSize != 0 || e.From < 0 || e.From >= m.settings.Nodes:
-	case e.Data[0] == fullCountsMark || e.Data[0] == changedCountsMark:
-		m.applyCounts(e.From, e.Data[1:], e.Data[0] == fullCountsMark)
+	case (len(message.Data)-1)%countSize != 0 || message.From < 0 || message.From >= m.settings.Nodes:
+	case message.Data[0] == fullCountsMark || message.Data[0] == changedCountsMark:
+		m.applyCounts(message.From, message.Data[1:], message.Data[0] == fullCountsMark)
 	}
 }
 
@@ -69,37 +71,38 @@
 	if m.peerReports == nil {
 		m.peerReports = make([]peerReport, m.settings.Nodes)
 	}
-	o := &m.peerReports[from]
+	report := &m.peerReports[from]
 	if all {
-		m.forgetCounts(o)
+		m.forgetCounts(report)
 	}
 	m.othersEstimate.MessageReceived(m.now)
-	for o.at = m.now; len(data) > 0; data = data[countSize:] {
-		s, n := m.serverByTag(binary.BigEndian.Uint16(data), from), float64(data[2])
-		if s == nil {
+	for report.at = m.now; len(data) > 0; data = data[countSize:] {
+		server, attempts := m.serverByTag(binary.BigEndian.Uint16(data), from), float64(data[2])
+		if server == nil {
 			continue
 		}
-		i := slices.IndexFunc(o.counts, func(c serverCount) bool { return c.server == s })
-		if i < 0 {
-			i, o.counts = len(o.counts), append(o.counts, serverCount{server: s})
+		index := slices.IndexFunc(report.counts, func(c serverCount) bool { return c.server == server })
+		if index < 0 {
+			index, report.counts = len(report.counts), append(report.counts, serverCount{server: server})
 		}
-		if s.inSubset && !gossip.SubsetContains(gossip.Start(from, len(m.ring)), int(minSubsetSize), m.ringIndex(s), len(m.ring)) {
-			o.longArcAt = m.now
+		if server.inSubset && !gossip.SubsetContains(gossip.Start(from, len(m.ring)), int(minSubsetSize),
+			m.ringIndex(server), len(m.ring)) {
+			report.longArcAt = m.now
 		}
-		s.othersInFlight += n - o.counts[i].n
-		o.counts[i].n = n
-		m.placeInPool(s)
+		server.othersInFlight += attempts - report.counts[index].n
+		report.counts[index].n = attempts
+		m.placeInPool(server)
 	}
 }
 
 // forgetCounts removes the counts that a node has reported.
-func (m *Module) forgetCounts(o *peerReport) {
-	for _, c := range o.counts {
+func (m *Module) forgetCounts(report *peerReport) {
+	for _, c := range report.counts {
 		c.server.othersInFlight -= c.n
 		m.placeInPool(c.server)
 	}
-	clear(o.counts)
-	o.counts = o.counts[:0]
+	clear(report.counts)
+	report.counts = report.counts[:0]
 }
 
 // countItem is this node's number of attempts at a server, as it is reported.
@@ -122,53 +125,54 @@
 	// The other nodes assume an arc of minSubsetSize. If this node's is longer, the full report names all its servers.
 	long := len(m.subset) > int(minSubsetSize) && !m.subsetIsRing
 	m.countItems = m.countItems[:0]
-	for i, s := range m.ring {
-		if all && (s.n > 0 || long && s.inSubset) || s.n != s.announcedN {
-			s.announcedN = s.n
-			m.countItems = append(m.countItems, countItem{i, s.tag(), uint8(math.Min(math.MaxUint8, s.n))})
+	for i, server := range m.ring {
+		if all && (server.n > 0 || long && server.inSubset) || server.n != server.announcedN {
+			server.announcedN = server.n
+			m.countItems = append(m.countItems, countItem{i, server.tag(), uint8(math.Min(math.MaxUint8, server.n))})
 		}
 	}
 	if m.subsetIsRing {
 		m.sendItems(&m.announcedSome, all, func(countItem) bool { return true }, SendMessage{ToAll: true})
 	} else {
-		m.eachPeer(func(j int, meets func(place int) bool) {
-			m.sendItems(&m.announcedSomeTo[j], all, func(t countItem) bool { return meets(t.ringIndex) }, SendMessage{To: j})
+		m.eachPeer(func(node int, contains func(index int) bool) {
+			m.sendItems(&m.announcedSomeTo[node], all, func(t countItem) bool { return contains(t.ringIndex) },
+				SendMessage{To: node})
 		})
 	}
 	for i := range m.peerReports {
-		if o := &m.peerReports[i]; len(o.counts) > 0 && m.now-o.at > countsLifetime {
-			m.forgetCounts(o)
+		if report := &m.peerReports[i]; len(report.counts) > 0 && m.now-report.at > countsLifetime {
+			m.forgetCounts(report)
 		}
 	}
 }
 
 // sendItems sends the items that pass, in as many datagrams as they need. Of a full report only the first datagram is
 // marked as such, as the next ones add to it. An empty full report is sent only if the receiver has earlier counts.
-func (m *Module) sendItems(told *bool, all bool, pass func(countItem) bool, to SendMessage) {
-	mark, some := byte(changedCountsMark), false // some: an item has passed
+func (m *Module) sendItems(announced *bool, all bool, pass func(countItem) bool, to SendMessage) {
+	mark, anyPassed := byte(changedCountsMark), false
 	if all {
 		mark = fullCountsMark
 	}
-	for _, t := range m.countItems {
-		if !pass(t) {
+	for _, item := range m.countItems {
+		if !pass(item) {
 			continue
 		}
-		if some = true; len(to.Data) > countSize*maxCounts {
+		if anyPassed = true; len(to.Data) > countSize*maxCounts {
 			m.emit(to)
 			mark, to.Data = changedCountsMark, nil // a report of changes adds to the full one
 		}
 		if to.Data == nil {
 			to.Data = append(make([]byte, 0, 1+countSize*4), mark)
 		}
-		to.Data = append(binary.BigEndian.AppendUint16(to.Data, t.tag), t.n)
+		to.Data = append(binary.BigEndian.AppendUint16(to.Data, item.tag), item.n)
 	}
-	if !some && all && *told {
+	if !anyPassed && all && *announced {
 		to.Data = []byte{fullCountsMark}
 	}
 	if to.Data != nil {
 		m.emit(to)
 	}
-	*told = some || *told && !all
+	*announced = anyPassed || *announced && !all
 }
 
 // eachPeer calls f with the nodes whose subsets have servers in common with this node's, and with a function that tells
@@ -176,21 +180,22 @@
 // minSubsetSize, overlap this node's; and those that have lately reported of a server outside such an arc, with all
 // servers, as the length of their arcs is not known. No other node needs this node's reports, and if each node sent
 // reports to all, the number of messages would grow with the square of the number of nodes.
-func (m *Module) eachPeer(f func(j int, meets func(place int) bool)) {
+func (m *Module) eachPeer(f func(node int, contains func(index int) bool)) {
 	ring, usual := len(m.ring), int(minSubsetSize)
-	if now := [2]int{ring, len(m.subset)}; now != m.audienceSizes {
-		m.audienceSizes = now
+	if sizes := [2]int{ring, len(m.subset)}; sizes != m.audienceSizes {
+		m.audienceSizes = sizes
 		clear(m.inAudience)
-		for _, j := range gossip.Audience(m.settings.Nodes, m.settings.Self, ring, len(m.subset), usual) {
-			m.inAudience[j] = true
+		for _, node := range gossip.Audience(m.settings.Nodes, m.settings.Self, ring, len(m.subset), usual) {
+			m.inAudience[node] = true
 		}
 	}
-	for j, in := range m.inAudience {
-		if m.peerReports != nil && m.peerReports[j].longArcAt > 0 && m.now-m.peerReports[j].longArcAt <= 2*countsLifetime {
-			f(j, func(int) bool { return true })
-		} else if in {
-			start := gossip.Start(j, ring)
-			f(j, func(place int) bool { return gossip.SubsetContains(start, usual, place, ring) })
+	for node, overlaps := range m.inAudience {
+		if m.peerReports != nil && m.peerReports[node].longArcAt > 0 &&
+			m.now-m.peerReports[node].longArcAt <= 2*countsLifetime {
+			f(node, func(int) bool { return true })
+		} else if overlaps {
+			start := gossip.Start(node, ring)
+			f(node, func(index int) bool { return gossip.SubsetContains(start, usual, index, ring) })
 		}
 	}
 }
@@ -198,11 +203,11 @@
 // serverByTag is the server that a node means by a tag. If several servers have the tag, it is the first one after the
 // beginning of that node's arc.
 func (m *Module) serverByTag(tag uint16, from int) (best *serverRecord) {
-	same, least := m.tags[tag], len(m.ring)
-	if len(same) == 1 {
-		return same[0]
+	servers, least := m.tags[tag], len(m.ring)
+	if len(servers) == 1 {
+		return servers[0]
 	}
-	for _, s := range same {
+	for _, s := range servers {
 		if ahead := gossip.DistanceFromStart(from, m.ringIndex(s), len(m.ring)); ahead < least {
 			best, least = s, ahead
 		}
