--- a/decide/api.go
+++ b/decide/api.go
@@ -107,7 +107,7 @@
 
 	AnswerSlack time.Duration // a final answer so long after the deadline still counts
 	// Once discovery has a change and can be reached, the node counts as notified of the change after this time at
-	// the latest. From then on, requests sent against the change are faults. 0: there is no such bound.
+	// the latest, and from then on must follow it. 0: there is no such bound.
 	NotifiedWithin         time.Duration
 	MaxListRequestInterval time.Duration // without a subscription, longest time from one list request to the next
 	DrainGrace             time.Duration // sends to a draining server must have stopped after this time
@@ -236,7 +236,7 @@
 	Reset
 	// Cancelled means that the node has cancelled the attempt. The request may have run.
 	Cancelled
-	// Moot means that nothing was sent, as the request was over or the node lacked the resources.
+	// Moot means that nothing was sent, as the request was over or the node lacked resources.
 	Moot
 )
 
@@ -265,7 +265,7 @@
 		Age     time.Duration // time since discovery last confirmed the previous list; 0: not known
 		// Of ListFailed:
 		Cause FailureCause
-		Took  time.Duration // time since the failed call began; 0: not known, or the failure is that of an open watch
+		Took  time.Duration // how long the failed call took; 0: not known, or an open watch has failed
 	}
 	// AttemptEnded is the outcome of an attempt. Each Send gets one.
 	AttemptEnded struct {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -25,15 +25,15 @@
 
 	// Part of a class's aim that its mean delay may take. The rest is for the long tail of the delays.
 	aimFraction = 0.4
-	// The same on low-traffic nodes, whose smoothed delays come from the servers of the whole subset.
+	// The same on low-traffic nodes, whose delays are means over the whole subset.
 	lowTrafficAimFraction = 0.6
-	// Queue limit of a low-traffic node, in requests ahead of its own: shorter than what slows servers down.
+	// Queue limit of a low-traffic node, in requests ahead of its own: too short to slow servers down.
 	lowTrafficQueue = 2.0
 	// Queue limit as a multiple of the uncongested latency. Some servers slow down when queues are long.
 	queueLatencyFactor = 1.8
 	// Queue limit as a part of the delay that the aims allow. The larger of this and queueLatencyFactor holds.
 	looseAimFraction = 0.6
-	// The same on low-traffic nodes.
+	// The same on low-traffic nodes. The larger of this and lowTrafficQueue holds.
 	lowTrafficLooseFraction = 1.0 / 3
 	// Multiple of the uncongested latency. However long the aims are, no more than the larger of this and
 	// longAimSeconds is allowed.
@@ -356,6 +356,7 @@
 	return min(ocValidity, time.Duration(fullValidityFactor*m.mean*float64(time.Second)))
 }
 
+// imposeMode imposes a mode on a server for ocValidity.
 func (m *Module) imposeMode(s *serverRecord, mode Mode) {
 	s.imposed, s.imposedUntil = mode, m.now+ocValidity
 }
@@ -415,8 +416,8 @@
 		m.nodeDropFraction = math.Min(1, math.Max(0, (delay-lowFraction*high)/((blockFactor-lowFraction)*high)))
 	}
 	if previous != m.nodeMode && m.mayLog() {
-		m.emit(Log{fmt.Sprintf("CPU of this node is %s: it adds %.0f ms to the latency, %.0f ms allowed",
-			[]string{"sufficient", "overloaded", "heavily overloaded"}[m.nodeMode], delay, high)})
+		m.emit(Log{fmt.Sprintf("this node is %s: it adds %.0f ms to the latency, %.0f ms allowed",
+			[]string{"well", "short of CPU", "far short of CPU"}[m.nodeMode], delay, high)})
 	}
 }
 
--- a/decide/state.go
+++ b/decide/state.go
@@ -224,8 +224,8 @@
 	return m
 }
 
-// classOf returns the class of a name. All names that the settings don't have are one class, unsafe and without
-// worth: clients may send any name, and there is no end of them.
+// classOf returns the class of a name. All names that the settings don't have share one class, unsafe and without worth:
+// clients may send any name, so a record for each could fill the memory.
 func (m *Module) classOf(name string) *classRecord {
 	if c := m.classes[name]; c != nil {
 		return c
@@ -260,6 +260,7 @@
 	}
 }
 
+// emit adds an action to those that Handle returns.
 func (m *Module) emit(a Action) { m.actions = append(m.actions, a) }
 
 // logServer logs a line about a server, at most one in 5 s, as a server that fails and recovers all the time would
