--- a/decide/state.go
+++ b/decide/state.go
@@ -224,8 +224,8 @@
 	return m
 }
 
-// classOf returns the class of a name. All names that the settings don't have share one class, unsafe and without worth:
-// clients may send any name, so a record for each could fill the memory.
+// classOf returns the class of a name. All names that the settings don't have share one class, unsafe and without
+// worth: clients may send any name, so a record for each could fill the memory.
 func (m *Module) classOf(name string) *classRecord {
 	if c := m.classes[name]; c != nil {
 		return c
