--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -28,14 +28,16 @@
 		t.Fatal(err)
 	}
 	replies := strings.Split(strings.TrimSpace(out.String()), "\n")
-	if len(replies) != 5 || replies[0] != `{"groups":[]}` || !strings.Contains(replies[2], `"assign":{"req":"q","backend":7`) {
+	if len(replies) != 5 || replies[0] != `{"groups":[]}` ||
+		!strings.Contains(replies[2], `"assign":{"req":"q","backend":7`) {
 		t.Errorf("%q", replies)
 	}
 }
 
 // A malformed batch ends the program with a one-line error that names the line, and gets no reply.
 func TestBadLineIsNamedAndNothingIsReplied(t *testing.T) {
-	for _, bad := range []string{"no json\n", line(1, `{"submit":{"req":"q","patience_left_ns":1}}`), line(1, `{"odd":{}}`)} {
+	for _, bad := range []string{"no json\n", line(1, `{"submit":{"req":"q","patience_left_ns":1}}`),
+		line(1, `{"odd":{}}`)} {
 		var out bytes.Buffer
 		err := run(strings.NewReader(`{"sim_time_ns":1,"groups":[]}`+"\n"+bad), &out)
 		if err == nil || !strings.HasPrefix(err.Error(), "line 2: ") || strings.Contains(err.Error(), "\n") {
--- a/cmd/starlingvalve/config.go
+++ b/cmd/starlingvalve/config.go
@@ -48,7 +48,8 @@
 			return cli.configHistory(c, d, maxRevisions)
 		})
 	history.Flags().Uint32Var(&maxRevisions, "most", 20, "number of revisions to print, newest ones; 0: all that are kept")
-	add("status", "Print the revision in force, which nodes lag and why; exit code 5 while the newest is not in force", cobra.NoArgs,
+	add("status", "Print the revision in force, which nodes lag and why; exit code 5 while the newest is not in force",
+		cobra.NoArgs,
 		func(c *cobra.Command, d *control.Door, _ []string) error {
 			s, err := configStatus(c.Context(), d)
 			if err != nil {
--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -244,7 +244,8 @@
 	discovery.takeDown()
 	c.saturate(node, idle, nil, clients)
 	after := newFleetServers(t, 101, servers)
-	notified := c.restoreDiscovery("drains at the return", node, discovery, after, append(entries(before, "draining"), entries(after, "ready")...))
+	notified := c.restoreDiscovery("drains at the return", node, discovery, after,
+		append(entries(before, "draining"), entries(after, "ready")...))
 	for _, s := range before {
 		if _, last := s.requests(); last.After(notified.Add(drainGrace)) {
 			t.Errorf("a request went to a draining server %v after the node was notified", last.Sub(notified))
@@ -279,8 +280,8 @@
 	return n
 }
 
-// saturate waits until the idle clients have occupied all connections that they can get. If p is not nil, it then
-// suspends that process until all clients wait in the listener's queue, and resumes it. Such a process has no
+// saturate waits until the idle clients have occupied all connections that they can get. If process is not nil, it
+// then suspends that process until all clients wait in the listener's queue, and resumes it. Such a process has no
 // connection to a server yet, and must not have used the descriptors that are reserved for these.
 func (c descriptorCase) saturate(node *descriptorNode, idle *idleClients, process *descriptorProcess, clients int) {
 	node.t.Helper()
@@ -306,7 +307,8 @@
 
 // restoreDiscovery brings discovery back with a list and waits until the list's ready servers get requests. It
 // returns when the node first requested the list, which is when it counts as notified.
-func (c descriptorCase) restoreDiscovery(when string, node *descriptorNode, discovery *switchableDiscovery, ready []*fleetServer,
+func (c descriptorCase) restoreDiscovery(when string, node *descriptorNode, discovery *switchableDiscovery,
+	ready []*fleetServer,
 	list []standin.Entry) (notified time.Time) {
 	node.t.Helper()
 	at := discovery.bringBack(list...)
@@ -325,7 +327,8 @@
 
 // replace starts a successor of the process and ends the old one with SIGTERM. Both together have to stay within the
 // limit of descriptors.
-func (c descriptorCase) replace(node *descriptorNode, idle *idleClients, old *descriptorProcess, servers []*fleetServer, clients int) {
+func (c descriptorCase) replace(node *descriptorNode, idle *idleClients, old *descriptorProcess,
+	servers []*fleetServer, clients int) {
 	node.t.Helper()
 	next := node.start()
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/starlingvalve/endings_test.go
+++ b/cmd/starlingvalve/endings_test.go
@@ -51,7 +51,8 @@
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	n.dir = dir
 	n.config = strings.Replace(n.config, n.server.Addr, addr, 1)
-	n.config = strings.Replace(n.config, `"deadline_ns":3000000000,"aim_ns":2500000000`, `"deadline_ns":1000000000,"aim_ns":900000000`, 1)
+	n.config = strings.Replace(n.config, `"deadline_ns":3000000000,"aim_ns":2500000000`,
+		`"deadline_ns":1000000000,"aim_ns":900000000`, 1)
 	return n
 }
 
--- a/cmd/starlingvalve/fleet.go
+++ b/cmd/starlingvalve/fleet.go
@@ -51,7 +51,9 @@
 
 // command creates a command and a function that adds subcommands to it. A subcommand's run gets a client of the
 // node's socket, through which it reads or changes what the fleet agreed on.
-func (a *fleetCLI) command(use, short string) (root *cobra.Command, add func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, *control.Door, []string) error) *cobra.Command) {
+func (a *fleetCLI) command(use, short string) (root *cobra.Command,
+	add func(use, short string, args cobra.PositionalArgs,
+		run func(*cobra.Command, *control.Door, []string) error) *cobra.Command) {
 	root = &cobra.Command{Use: use, Short: short, Long: short + ", through the socket of any node.\n\n" + codesHelp,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if a.socket == "" {
@@ -69,9 +71,11 @@
 	root.PersistentFlags().StringVar(&a.socket, "socket", os.Getenv("GW_FLEET_SOCKET"), "the `PATH` of a node's socket")
 	root.PersistentFlags().StringVar(&a.by, "by", userName, "who makes the request, for the history")
 	root.PersistentFlags().StringVar(&a.why, "why", "", "the reason of the request, for the history")
-	root.PersistentFlags().StringVar(&a.requestID, "ask", "", "a `number` of your own for this request: repeated with the same number, it has no second effect and returns the first result")
+	root.PersistentFlags().StringVar(&a.requestID, "ask", "",
+		"a `number` of your own for this request: repeated with the same number, it has no second effect and returns the first result")
 	root.PersistentFlags().StringVarP(&a.output, "output", "o", "text", "text or json")
-	return root, func(use, short string, args cobra.PositionalArgs, run func(*cobra.Command, *control.Door, []string) error) *cobra.Command {
+	return root, func(use, short string, args cobra.PositionalArgs,
+		run func(*cobra.Command, *control.Door, []string) error) *cobra.Command {
 		c := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(c *cobra.Command, args []string) error {
 			err := run(c, control.Knock(a.socket), args)
 			if errors.Is(err, control.ErrDoor) {
@@ -101,40 +105,57 @@
 	add("budget", "Print each budget, and what is out of service in each of its groups", cobra.NoArgs, cli.budget)
 	add("history", "Print who requested what, and with which result", cobra.NoArgs, cli.history)
 	var dryRun, force bool
-	drainCommand := add("drain TARGET", "Drain a server (s-5), a node (node/n3) or all servers of a zone (zone/hall-a), if the budgets allow it", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		drainRequest := &fleetpb.Drain{Target: target(args[0]), By: cli.by, Why: cli.why, WaitMs: cli.queueTimeout.Milliseconds(), Force: force}
-		if dryRun {
-			m, err := cli.agreedState(c.Context(), d)
-			if err != nil {
-				return err
+	drainCommand := add("drain TARGET",
+		"Drain a server (s-5), a node (node/n3) or all servers of a zone (zone/hall-a), if the budgets allow it",
+		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+			drainRequest := &fleetpb.Drain{Target: target(args[0]), By: cli.by, Why: cli.why,
+				WaitMs: cli.queueTimeout.Milliseconds(), Force: force}
+			if dryRun {
+				m, err := cli.agreedState(c.Context(), d)
+				if err != nil {
+					return err
+				}
+				return cli.printResult(c.OutOrStdout(), "would be", m.Explain(drainRequest))
 			}
-			return cli.printResult(c.OutOrStdout(), "would be", m.Explain(drainRequest))
-		}
-		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Drain{Drain: drainRequest}})
-	})
-	drainCommand.Flags().DurationVar(&cli.queueTimeout, "queue", 0, "how long to wait in the queue if the budgets are spent")
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Drain{Drain: drainRequest}})
+		})
+	drainCommand.Flags().DurationVar(&cli.queueTimeout, "queue", 0,
+		"how long to wait in the queue if the budgets are spent")
 	drainCommand.Flags().BoolVar(&dryRun, "dry-run", false, "only print what the result would be")
 	drainCommand.Flags().BoolVar(&force, "force", false, "ignore the budgets; the history names who did it")
 	var epoch uint64
-	returnCommand := add("return TARGET", "End a drain", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target(args[0]), By: cli.by, Why: cli.why, Epoch: epoch}}})
-	})
+	returnCommand := add("return TARGET", "End a drain", cobra.ExactArgs(1),
+		func(c *cobra.Command, d *control.Door, args []string) error {
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target(args[0]),
+				By: cli.by, Why: cli.why, Epoch: epoch}}})
+		})
 	returnCommand.Flags().Uint64Var(&epoch, "epoch", 0, "only the drain that was granted at this epoch; 0: any")
-	add("withdraw TARGET", "Remove a waiting drain from the queue", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Withdraw{Withdraw: &fleetpb.Withdraw{Target: target(args[0]), By: cli.by}}})
-	})
-	add("renew VOTER", "Readmit a voter that lost its disk, with its new disk; start the voter first", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Renew{Renew: &fleetpb.RenewVoter{Node: args[0], By: cli.by, Why: cli.why}}})
-	})
+	add("withdraw TARGET", "Remove a waiting drain from the queue", cobra.ExactArgs(1),
+		func(c *cobra.Command, d *control.Door, args []string) error {
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Withdraw{
+				Withdraw: &fleetpb.Withdraw{Target: target(args[0]), By: cli.by}}})
+		})
+	add("renew VOTER", "Readmit a voter that lost its disk, with its new disk; start the voter first", cobra.ExactArgs(1),
+		func(c *cobra.Command, d *control.Door, args []string) error {
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Renew{Renew: &fleetpb.RenewVoter{Node: args[0],
+				By: cli.by, Why: cli.why}}})
+		})
 	var lift bool
-	holdCommand := add("hold TARGET", "Forbid drains of a server, a node, a zone or, with the target fleet, of everything", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target(args[0]), By: cli.by, Why: cli.why, Lift: lift}}})
-	})
+	holdCommand := add("hold TARGET",
+		"Forbid drains of a server, a node, a zone or, with the target fleet, of everything",
+		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target(args[0]),
+				By: cli.by, Why: cli.why, Lift: lift}}})
+		})
 	holdCommand.Flags().BoolVar(&lift, "lift", false, "allow drains again")
-	add("forget TARGET", "Remove a node whose session lapsed (node/n3) or a server that no longer exists (server/s-5)", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Forget{Forget: &fleetpb.Forget{Target: target(args[0]), By: cli.by, Why: cli.why}}})
-	})
-	waitCommand := add("wait TARGET", "Wait until a drain is proven: no node sends requests there, and none are in flight", cobra.ExactArgs(1), cli.waitForProof)
+	add("forget TARGET", "Remove a node whose session lapsed (node/n3) or a server that no longer exists (server/s-5)",
+		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Forget{Forget: &fleetpb.Forget{Target: target(args[0]),
+				By: cli.by, Why: cli.why}}})
+		})
+	waitCommand := add("wait TARGET",
+		"Wait until a drain is proven: no node sends requests there, and none are in flight",
+		cobra.ExactArgs(1), cli.waitForProof)
 	waitCommand.Flags().DurationVar(&cli.timeout, "timeout", 30*time.Second, "how long to wait at most")
 	return root
 }
@@ -217,7 +238,8 @@
 			return err
 		case err == nil:
 			if proof = m.Proof(drained); proof.Proven {
-				fmt.Fprintf(c.OutOrStdout(), "proven, epoch %d: no node sends to %s, and nothing is left there\n", proof.Epoch, drained)
+				fmt.Fprintf(c.OutOrStdout(), "proven, epoch %d: no node sends to %s, and nothing is left there\n",
+					proof.Epoch, drained)
 				return nil
 			}
 			if !proof.Granted {
@@ -233,7 +255,8 @@
 		if !proof.Granted {
 			return fmt.Errorf("%w within %v: %w", control.ErrDoor, a.timeout, err)
 		}
-		fmt.Fprintf(c.OutOrStdout(), "not proven, epoch %d: unheard with a session: %s; unheard, session lapsed: %s\n", proof.Epoch, joinNames(proof.Unheard), joinNames(proof.Lapsed))
+		fmt.Fprintf(c.OutOrStdout(), "not proven, epoch %d: unheard with a session: %s; unheard, session lapsed: %s\n",
+			proof.Epoch, joinNames(proof.Unheard), joinNames(proof.Lapsed))
 		return exitCode(exitUnproven)
 	}
 }
@@ -253,7 +276,8 @@
 	}
 	machine, err := a.agreedState(c.Context(), d)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "node %s: session %d, follows %d: %s\n", here.Node, here.Session, len(here.Out), joinNames(slices.Sorted(maps.Keys(here.Out))))
+		fmt.Fprintf(os.Stderr, "node %s: session %d, follows %d: %s\n", here.Node, here.Session, len(here.Out),
+			joinNames(slices.Sorted(maps.Keys(here.Out))))
 		return err
 	}
 	state := machine.State()
@@ -262,7 +286,8 @@
 	}
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "epoch %d, %d servers; read through %s, which %s\n", state.Epoch, len(state.Servers), here.Node, here.Voter)
+	fmt.Fprintf(w, "epoch %d, %d servers; read through %s, which %s\n", state.Epoch, len(state.Servers),
+		here.Node, here.Voter)
 	at := func(ms int64) string { return time.UnixMilli(ms).Format(time.TimeOnly) }
 	for _, name := range slices.Sorted(maps.Keys(state.Nodes)) {
 		node, kind := state.Nodes[name], ""
@@ -272,20 +297,23 @@
 		if node.Leaving {
 			kind += " leaving"
 		}
-		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\tsession %d\t%s\n", name, node.Zone, node.State, at(node.SinceMs), node.Epoch, kind)
+		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\tsession %d\t%s\n", name, node.Zone, node.State, at(node.SinceMs),
+			node.Epoch, kind)
 	}
 	for _, target := range slices.Sorted(maps.Keys(state.Outs)) {
 		out, proof, proofState := state.Outs[target], machine.Proof(target), "proven"
 		if !proof.Proven {
 			proofState = "unheard: " + joinNames(append(proof.Unheard, proof.Lapsed...))
 		}
-		fmt.Fprintf(w, "out\t%s\tepoch %d\tby %s at %s\t%s\t%s\n", target, out.Epoch, out.By, at(out.GrantedMs), proofState, out.Why)
+		fmt.Fprintf(w, "out\t%s\tepoch %d\tby %s at %s\t%s\t%s\n", target, out.Epoch, out.By, at(out.GrantedMs),
+			proofState, out.Why)
 	}
 	for _, target := range slices.Sorted(maps.Keys(state.Holds)) {
 		fmt.Fprintf(w, "held\t%s\tby %s\t%s\n", target, state.Holds[target].By, state.Holds[target].Why)
 	}
 	for i, queued := range state.Queue {
-		fmt.Fprintf(w, "waits\t%s\tplace %d\tby %s until %s\t%s\n", queued.Drain.Target, i+1, queued.Drain.By, at(queued.UntilMs), queued.Reason)
+		fmt.Fprintf(w, "waits\t%s\tplace %d\tby %s until %s\t%s\n", queued.Drain.Target, i+1, queued.Drain.By,
+			at(queued.UntilMs), queued.Reason)
 	}
 	return nil
 }
@@ -302,7 +330,8 @@
 		if over := g.Over(); over != "" {
 			state = "OVER: " + over
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d of %d out\t%.4g of %.4g left\t%s\t%s\n", g.Budget.Name, g.Name, len(g.Out), g.Members, g.Left, g.Weight, state, strings.Join(g.Out, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%d of %d out\t%.4g of %.4g left\t%s\t%s\n", g.Budget.Name, g.Name, len(g.Out), g.Members,
+			g.Left, g.Weight, state, strings.Join(g.Out, ", "))
 	}
 	return nil
 }
@@ -319,7 +348,8 @@
 			}
 			continue
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s  epoch %-4d %-12s %s\n", time.UnixMilli(e.AtMs).Format(time.RFC3339), e.Epoch, e.By, e.What)
+		fmt.Fprintf(c.OutOrStdout(), "%s  epoch %-4d %-12s %s\n", time.UnixMilli(e.AtMs).Format(time.RFC3339), e.Epoch,
+			e.By, e.What)
 	}
 	return nil
 }
--- a/cmd/starlingvalve/main.go
+++ b/cmd/starlingvalve/main.go
@@ -53,7 +53,8 @@
 	var flags nodeFlags
 	root := &cobra.Command{Use: "starlingvalve", Short: "A load-balancing proxy node and gateway between sites",
 		Long: "A load-balancing proxy node. GW_CONFIG names its configuration file; GW_NAME, GW_LISTEN and GW_DISCOVERY override the file.",
-		Args: cobra.NoArgs, SilenceErrors: true, SilenceUsage: true, CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
+		Args: cobra.NoArgs, SilenceErrors: true, SilenceUsage: true,
+		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 		RunE: func(*cobra.Command, []string) error {
 			var level slog.Level
 			if err := level.UnmarshalText([]byte(flags.level)); err != nil {
@@ -61,19 +62,26 @@
 			}
 			return runNode(flags, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: level})))
 		}}
-	root.Flags().StringVar(&flags.gateway, "gateway", "", "exchange requests with other sites as configured in this `FILE` (see deploy/gateway.toml)")
-	root.Flags().StringVar(&flags.record, "record", "", "record the requests that arrive as configured in this `FILE` (see deploy/record.toml)")
-	root.Flags().StringVar(&flags.fleet, "fleet", "", "agree with other nodes on drains and budgets, as configured in this `FILE` (see deploy/fleet.toml)")
-	root.Flags().StringVar(&flags.level, "log-level", "info", "lowest `LEVEL` to log; debug logs a line for each decision on a request")
+	root.Flags().StringVar(&flags.gateway, "gateway", "",
+		"exchange requests with other sites as configured in this `FILE` (see deploy/gateway.toml)")
+	root.Flags().StringVar(&flags.record, "record", "",
+		"record the requests that arrive as configured in this `FILE` (see deploy/record.toml)")
+	root.Flags().StringVar(&flags.fleet, "fleet", "",
+		"agree with other nodes on drains and budgets, as configured in this `FILE` (see deploy/fleet.toml)")
+	root.Flags().StringVar(&flags.level, "log-level", "info",
+		"lowest `LEVEL` to log; debug logs a line for each decision on a request")
 	root.AddCommand(
-		&cobra.Command{Use: "check FILE", Short: "Check a gateway, fleet, supervisor, record or release file, with the certificates that it names", Args: cobra.ExactArgs(1),
+		&cobra.Command{Use: "check FILE",
+			Short: "Check a gateway, fleet, supervisor, record or release file, with the certificates that it names",
+			Args:  cobra.ExactArgs(1),
 			RunE: func(c *cobra.Command, args []string) error {
 				if hasTable(args[0], "node") {
 					file, err := control.Load(args[0], time.Now())
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: node %s, %d voters, %d budgets\n", args[0], file.Name, len(file.Voters), len(file.Budgets))
+					fmt.Fprintf(c.OutOrStdout(), "%s: good: node %s, %d voters, %d budgets\n", args[0], file.Name, len(file.Voters),
+						len(file.Budgets))
 					return nil
 				}
 				if hasTable(args[0], "supervise") {
@@ -89,7 +97,8 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: release %s, %d waves as it is written\n", args[0], plan.Name, len(plan.Waves))
+					fmt.Fprintf(c.OutOrStdout(), "%s: good: release %s, %d waves as it is written\n", args[0], plan.Name,
+						len(plan.Waves))
 					return nil
 				}
 				if hasTable(args[0], "record") {
@@ -104,13 +113,16 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: good: site %s, %d other sites\n", args[0], gatewayConfig.Identity.Site, len(gatewayConfig.Identity.Peers))
+				fmt.Fprintf(c.OutOrStdout(), "%s: good: site %s, %d other sites\n", args[0], gatewayConfig.Identity.Site,
+					len(gatewayConfig.Identity.Peers))
 				return nil
 			}},
-		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(c *cobra.Command, _ []string) {
-			fmt.Fprintln(c.OutOrStdout(), "starlingvalve", version())
-		}})
-	root.AddCommand(fleetCommand(), configCommand(), releaseCommand(), superviseCommand(slog.New(slog.NewTextHandler(log, nil))))
+		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+			Run: func(c *cobra.Command, _ []string) {
+				fmt.Fprintln(c.OutOrStdout(), "starlingvalve", version())
+			}})
+	root.AddCommand(fleetCommand(), configCommand(), releaseCommand(),
+		superviseCommand(slog.New(slog.NewTextHandler(log, nil))))
 	root.SetArgs(normalizeDashes(os.Args[1:]))
 	return root
 }
@@ -118,7 +130,7 @@
 // nodeFlags are the flags of the node: paths of files, empty if not given, and the lowest log level.
 type nodeFlags struct{ gateway, record, fleet, level string }
 
-// hasTable reports whether a TOML file hasTable a table of this name. The tables tell the kind of a file.
+// hasTable reports whether a TOML file has a table of this name. The tables tell the kind of a file.
 func hasTable(path, table string) bool {
 	text, err := os.ReadFile(path)
 	return err == nil && regexp.MustCompile(`(?m)^\s*\[`+table+`\]`).Match(text)
@@ -131,7 +143,8 @@
 		if a == "--" {
 			break
 		}
-		if strings.HasPrefix(a, "-gateway") || strings.HasPrefix(a, "-record") || strings.HasPrefix(a, "-fleet") || strings.HasPrefix(a, "-log-level") {
+		if strings.HasPrefix(a, "-gateway") || strings.HasPrefix(a, "-record") || strings.HasPrefix(a, "-fleet") ||
+			strings.HasPrefix(a, "-log-level") {
 			out[i] = "-" + a
 		}
 	}
--- a/cmd/starlingvalve/main_test.go
+++ b/cmd/starlingvalve/main_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// programCommand returns a command that runs the programCommand with this configuration, and the buffer that gets its log.
+// programCommand returns a command that runs the program with this configuration, and the buffer that gets its log.
 func programCommand(t *testing.T, config string) (*exec.Cmd, *bytes.Buffer) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
@@ -70,7 +70,8 @@
 func TestBadConfiguration(t *testing.T) {
 	cmd, log := programCommand(t, `{"name":"n0"}`)
 	cmd.Run()
-	if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), "listen") {
+	if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 ||
+		!strings.Contains(log.String(), "listen") {
 		t.Errorf("exit code %d, log %q", code, log)
 	}
 }
@@ -86,7 +87,8 @@
 			"caps":{"connect_timeout_ns":250000000},"classes":[{"name":"c","effect":"fragile"}]}}`)
 		cmd.Args = append(cmd.Args, args...)
 		cmd.Run()
-		if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 || !strings.Contains(log.String(), file+":2: site.nmae: unknown key") {
+		if code := cmd.ProcessState.ExitCode(); code != 1 || strings.Count(log.String(), "\n") != 1 ||
+			!strings.Contains(log.String(), file+":2: site.nmae: unknown key") {
 			t.Errorf("%q: exit code %d, log %q", args, code, log)
 		}
 	}
@@ -168,7 +170,8 @@
 	go func() { defer close(filled); logWriter.Write(make([]byte, 4*pipeSize)) }()
 	defer func() { logReader.Close(); <-filled }()
 	for buffered, deadline := int32(0), time.Now().Add(10*time.Second); buffered < pipeSize; {
-		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, logReader.Fd(), bytesThere, uintptr(unsafe.Pointer(&buffered))); errno != 0 || time.Now().After(deadline) {
+		if _, _, errno := syscall.Syscall(syscall.SYS_IOCTL, logReader.Fd(), bytesThere,
+			uintptr(unsafe.Pointer(&buffered))); errno != 0 || time.Now().After(deadline) {
 			t.Fatal("the pipe does not fill up:", buffered, errno)
 		}
 		time.Sleep(time.Millisecond)
@@ -206,7 +209,8 @@
 	defer discovery.Close()
 	dir := t.TempDir()
 	file := filepath.Join(dir, "record.toml")
-	if err := os.WriteFile(file, []byte("[record]\npath = \"traffic\"\nkey = \"00112233445566778899aabbccddeeff\"\n"), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte("[record]\npath = \"traffic\"\nkey = \"00112233445566778899aabbccddeeff\"\n"),
+		0o600); err != nil {
 		t.Fatal(err)
 	}
 	check, log := programCommand(t, "")
@@ -223,7 +227,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		req.Header = http.Header{"X-Correlation-Id": {fmt.Sprint("id-", i)}, "X-Time-Left": {"0.5"}, "X-Account": {"acme"}, "X-Repeat": {repeat}, "Idempotency-Key": {fmt.Sprint("key-", i/2)}}
+		req.Header = http.Header{"X-Correlation-Id": {fmt.Sprint("id-", i)}, "X-Time-Left": {"0.5"}, "X-Account": {"acme"},
+			"X-Repeat": {repeat}, "Idempotency-Key": {fmt.Sprint("key-", i/2)}}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
@@ -248,7 +253,8 @@
 		t.Fatalf("%+v, %v", records, err)
 	}
 	for i, record := range records {
-		if record.Class != "c" || record.Outcome != trace.Refused || record.Repeat != (i == 1) || record.Size != 12 || record.Patience != 500*time.Millisecond || (record.Order == records[0].Order) != (i < 2) || record.Tenant == 0 {
+		if record.Class != "c" || record.Outcome != trace.Refused || record.Repeat != (i == 1) || record.Size != 12 ||
+			record.Patience != 500*time.Millisecond || (record.Order == records[0].Order) != (i < 2) || record.Tenant == 0 {
 			t.Errorf("%d: %+v", i, record)
 		}
 	}
--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -113,15 +113,18 @@
 		unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, unix.BPF_RET | unix.BPF_K
 	kill := unix.SockFilter{Code: give, K: 0x80000000} // SECCOMP_RET_KILL_PROCESS
 	filter := []unix.SockFilter{{Code: load, K: 0}}    // load the number of the system call
-	for _, call := range []uint32{unix.SYS_SPLICE, unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_EXECVE, unix.SYS_EXECVEAT} {
+	for _, call := range []uint32{unix.SYS_SPLICE, unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_EXECVE,
+		unix.SYS_EXECVEAT} {
 		filter = append(filter, unix.SockFilter{Code: equal, K: call, Jf: 1}, kill)
 	}
 	// A clone that creates no thread is a fork. The flags are the first argument, at offset 16.
 	filter = append(filter, unix.SockFilter{Code: equal, K: unix.SYS_CLONE, Jf: 3}, unix.SockFilter{Code: load, K: 16},
-		unix.SockFilter{Code: set, K: unix.CLONE_THREAD, Jt: 1}, kill, unix.SockFilter{Code: give, K: 0x7fff0000}) // SECCOMP_RET_ALLOW
+		unix.SockFilter{Code: set, K: unix.CLONE_THREAD, Jt: 1}, kill,
+		unix.SockFilter{Code: give, K: 0x7fff0000}) // SECCOMP_RET_ALLOW
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	const setFilter, allThreads = 1, 1 // SECCOMP_SET_MODE_FILTER, SECCOMP_FILTER_FLAG_TSYNC
-	if _, _, errno := unix.Syscall(unix.SYS_SECCOMP, setFilter, allThreads, uintptr(unsafe.Pointer(&program))); errno != 0 {
+	if _, _, errno := unix.Syscall(unix.SYS_SECCOMP, setFilter, allThreads,
+		uintptr(unsafe.Pointer(&program))); errno != 0 {
 		return errno
 	}
 	runtime.KeepAlive(filter)
--- a/cmd/starlingvalve/release.go
+++ b/cmd/starlingvalve/release.go
@@ -25,7 +25,8 @@
 )
 
 // loadPlan reads the plan of a release from a file and checks it. An error is one line with file, line and key. Waves
-// that don't name their nodes get them from the fleet's state m. If m is nil, they get a placeholder.
+// that don't name their nodes get them from the fleet's state in machine. If that is nil, they get a
+// placeholder.
 func loadPlan(path string, machine *fleet.Machine) (*fleetpb.Plan, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -49,7 +50,9 @@
 		return nil, err
 	}
 	release := file.Release
-	plan := &fleetpb.Plan{Name: release.Name, Version: release.Version, Before: release.Before, Why: release.Why, SoakMs: release.SoakMs, LimitMs: release.LimitMs, MostCrashes: release.MostCrashes, TurnBack: release.TurnBack, Health: release.Health}
+	plan := &fleetpb.Plan{Name: release.Name, Version: release.Version, Before: release.Before, Why: release.Why,
+		SoakMs: release.SoakMs, LimitMs: release.LimitMs, MostCrashes: release.MostCrashes, TurnBack: release.TurnBack,
+		Health: release.Health}
 	for i, w := range file.Wave {
 		if err := w.Check(); err != nil {
 			return nil, tomlfile.KeyErrors(path, raw)(fmt.Sprintf("wave[%d].nodes", i), "%v", err)
@@ -92,49 +95,57 @@
 func releaseCommand() *cobra.Command {
 	cli := &fleetCLI{}
 	root, add := cli.command("release", "Bring the nodes of a fleet to another version, in waves")
-	add("plan FILE", "Check a plan, and print what it would do", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		machine, plan, err := cli.planForFleet(c, d, args[0])
-		if err != nil {
-			return err
-		}
-		for i, wave := range plan.Waves {
-			fmt.Fprintf(c.OutOrStdout(), "wave %d %s: %s\n", i+1, wave.Name, joinNames(wave.Nodes))
-		}
-		return cli.printResult(c.OutOrStdout(), "would be", machine.ExplainPlan(plan))
-	})
+	add("plan FILE", "Check a plan, and print what it would do", cobra.ExactArgs(1),
+		func(c *cobra.Command, d *control.Door, args []string) error {
+			machine, plan, err := cli.planForFleet(c, d, args[0])
+			if err != nil {
+				return err
+			}
+			for i, wave := range plan.Waves {
+				fmt.Fprintf(c.OutOrStdout(), "wave %d %s: %s\n", i+1, wave.Name, joinNames(wave.Nodes))
+			}
+			return cli.printResult(c.OutOrStdout(), "would be", machine.ExplainPlan(plan))
+		})
 	var again bool
-	start := add("start FILE", "Start the release of a plan", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		_, plan, err := cli.planForFleet(c, d, args[0])
-		if err != nil {
-			return err
-		}
-		plan.By, plan.Again = cli.by, again
-		return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: plan}})
-	})
+	start := add("start FILE", "Start the release of a plan", cobra.ExactArgs(1),
+		func(c *cobra.Command, d *control.Door, args []string) error {
+			_, plan, err := cli.planForFleet(c, d, args[0])
+			if err != nil {
+				return err
+			}
+			plan.By, plan.Again = cli.by, again
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: plan}})
+		})
 	start.Flags().BoolVar(&again, "again", false, "allow a version that was turned back before")
-	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now", "resume": "Continue a paused or halted release", "halt": "Stop the release: nodes that are out return as they were", "back": "Roll back to the previous version"} {
+	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now",
+		"resume": "Continue a paused or halted release", "halt": "Stop the release: nodes that are out return as they were",
+		"back": "Roll back to the previous version"} {
 		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0], Verb: verb, By: cli.by, Why: cli.why}}})
+			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0],
+				Verb: verb, By: cli.by, Why: cli.why}}})
 		})
 	}
-	add("status", "Print the current or last release, and the version of each node", cobra.NoArgs, func(c *cobra.Command, d *control.Door, _ []string) error {
-		machine, err := cli.agreedState(c.Context(), d)
-		if err != nil {
-			return err
-		}
-		return cli.releaseStatus(c, machine.State())
-	})
-	add("report FILE.html", "Write an HTML page of the current or last release: what was out of service over time, against its budgets", cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-		machine, err := cli.agreedState(c.Context(), d)
-		if err != nil {
-			return err
-		}
-		var page bytes.Buffer
-		if err := timeline.Write(&page, machine.State()); err != nil {
-			return err
-		}
-		return os.WriteFile(args[0], page.Bytes(), 0o644)
-	})
+	add("status", "Print the current or last release, and the version of each node", cobra.NoArgs,
+		func(c *cobra.Command, d *control.Door, _ []string) error {
+			machine, err := cli.agreedState(c.Context(), d)
+			if err != nil {
+				return err
+			}
+			return cli.releaseStatus(c, machine.State())
+		})
+	add("report FILE.html",
+		"Write an HTML page of the current or last release: what was out of service over time, against its budgets",
+		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+			machine, err := cli.agreedState(c.Context(), d)
+			if err != nil {
+				return err
+			}
+			var page bytes.Buffer
+			if err := timeline.Write(&page, machine.State()); err != nil {
+				return err
+			}
+			return os.WriteFile(args[0], page.Bytes(), 0o644)
+		})
 	return root
 }
 
@@ -145,14 +156,16 @@
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	if release := s.Release; release != nil {
-		fmt.Fprintf(w, "release %s\t%s\twave %d of %d\t%s -> %s\t%s\n", release.Plan.Name, release.State, release.Wave+1, len(release.Plan.Waves), release.Plan.Before, release.Plan.Version, release.Cause)
+		fmt.Fprintf(w, "release %s\t%s\twave %d of %d\t%s -> %s\t%s\n", release.Plan.Name, release.State, release.Wave+1,
+			len(release.Plan.Waves), release.Plan.Before, release.Plan.Version, release.Cause)
 		for _, n := range slices.Sorted(maps.Keys(release.Turns)) {
 			fmt.Fprintf(w, "turn\t%s\tto %s\tepoch %d\n", n, release.Turns[n].Version, release.Turns[n].Epoch)
 		}
 	}
 	for _, n := range slices.Sorted(maps.Keys(s.Units)) {
 		unit := s.Units[n]
-		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\n", n, unit.Version, unit.State, time.UnixMilli(unit.SinceMs).Format(time.TimeOnly))
+		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\n", n, unit.Version, unit.State,
+			time.UnixMilli(unit.SinceMs).Format(time.TimeOnly))
 	}
 	return nil
 }
@@ -160,8 +173,10 @@
 // superviseCommand creates the command that supervises a node's process.
 func superviseCommand(log *slog.Logger) *cobra.Command {
 	var program string
-	c := &cobra.Command{Use: "supervise FILE", Short: "Keep a node running, and bring it to the versions that releases want", Args: cobra.ExactArgs(1),
-		Long: "Keep a node running, and bring it to the versions that releases want.\n\nThe node has this process's environment. SIGTERM ends both. If this process is killed, the node keeps running and the next supervisor takes it over.",
+	c := &cobra.Command{Use: "supervise FILE",
+		Short: "Keep a node running, and bring it to the versions that releases want",
+		Args:  cobra.ExactArgs(1),
+		Long:  "Keep a node running, and bring it to the versions that releases want.\n\nThe node has this process's environment. SIGTERM ends both. If this process is killed, the node keeps running and the next supervisor takes it over.",
 		RunE: func(c *cobra.Command, args []string) error {
 			file, err := supervise.Load(args[0], time.Now())
 			if err != nil {
--- a/cmd/starlingvalve/replace_test.go
+++ b/cmd/starlingvalve/replace_test.go
@@ -56,7 +56,8 @@
 
 func newReplaceableNode(t *testing.T) *replaceableNode {
 	t.Helper()
-	server, err := standin.NewServer(standin.ServerOptions{Name: "s"}, map[string]standin.Work{"c": {Time: 5 * time.Millisecond, Bytes: 100}})
+	server, err := standin.NewServer(standin.ServerOptions{Name: "s"},
+		map[string]standin.Work{"c": {Time: 5 * time.Millisecond, Bytes: 100}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +271,8 @@
 			if err != nil {
 				return
 			}
-			io.WriteString(c, []string{"\xff\xff\xff\xff{}", "\x00\x00\x00\x02{}", "\x00\x00\x00\x40{\"version\":1,\"state\":"}[i%3])
+			io.WriteString(c, []string{"\xff\xff\xff\xff{}", "\x00\x00\x00\x02{}",
+				"\x00\x00\x00\x40{\"version\":1,\"state\":"}[i%3])
 		}
 	}()
 	node.start()
--- a/cmd/starlingvalve/stats_test.go
+++ b/cmd/starlingvalve/stats_test.go
@@ -100,7 +100,9 @@
 		}
 		now := node.readStats()
 		for name, v := range now {
-			if v < last[name] && name != "gw.current" && !strings.HasPrefix(name, "gw.cluster") && !strings.HasPrefix(name, "gw.list.") { // gauges
+			// Gauges may decrease.
+			if v < last[name] && name != "gw.current" && !strings.HasPrefix(name, "gw.cluster") &&
+				!strings.HasPrefix(name, "gw.list.") {
 				t.Errorf("%s went from %d to %d", name, last[name], v)
 			}
 		}
@@ -117,7 +119,8 @@
 		}
 	}
 	if sum > disconnected {
-		t.Errorf("%d more results than the clients counted, of whom %d disconnected: %v, %v", sum, disconnected, stats, results)
+		t.Errorf("%d more results than the clients counted, of whom %d disconnected: %v, %v", sum, disconnected,
+			stats, results)
 	}
 	if got := len(node.server.Log()); stats["gw.sends"] != got {
 		t.Errorf("sends %d, the server got %d", stats["gw.sends"], got)
--- a/cmd/starlingvalve/switched_test.go
+++ b/cmd/starlingvalve/switched_test.go
@@ -42,7 +42,8 @@
 
 // newSwitchableDiscovery creates a discovery server at an address of its own. It is down at first.
 func newSwitchableDiscovery(t *testing.T, silent bool) *switchableDiscovery {
-	d := &switchableDiscovery{t: t, addr: reservedAddr(t), unresponsive: silent, open: map[net.Conn]bool{}, changed: make(chan struct{})}
+	d := &switchableDiscovery{t: t, addr: reservedAddr(t), unresponsive: silent, open: map[net.Conn]bool{},
+		changed: make(chan struct{})}
 	t.Cleanup(d.closeAll)
 	d.takeDown()
 	return d
--- a/cmd/starlingvalve/unwatched_test.go
+++ b/cmd/starlingvalve/unwatched_test.go
@@ -49,7 +49,8 @@
 	node := &onRequestNode{t: t}
 	var entries []standin.Entry
 	for i := range 2 {
-		server, err := standin.NewServer(standin.ServerOptions{Name: fmt.Sprintf("s-%08x", i+1), Zone: "z"}, map[string]standin.Work{"read": {Time: 3 * time.Millisecond, Bytes: 20}})
+		server, err := standin.NewServer(standin.ServerOptions{Name: fmt.Sprintf("s-%08x", i+1), Zone: "z"},
+			map[string]standin.Work{"read": {Time: 3 * time.Millisecond, Bytes: 20}})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -170,7 +171,8 @@
 			continue
 		}
 		log := n.servers[0].Log()
-		n.t.Logf("notified by: %s, answers: %d, last request %v after it", notification.By, len(caller.Answers()), log[len(log)-1].Got.Sub(notification.At))
+		n.t.Logf("notified by: %s, answers: %d, last request %v after it", notification.By, len(caller.Answers()),
+			log[len(log)-1].Got.Sub(notification.At))
 		end := notification.At.Add(onRequestDrainGrace + onRequestSlack)
 		for _, received := range n.servers[0].Log() {
 			if received.Got.After(end) {
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -153,8 +153,10 @@
 	if err := a.createLoop(ctx, learned); err != nil {
 		return err
 	}
-	a.takeover = &takeover{front: a.front, handler: a.handler, transport: a.transport, peers: a.peers, loop: a.loop, maxClients: a.split.Clients, maxServerConnections: a.split.Servers,
-		memoryMB: config.Limits.MemoryMB, setMemory: config.setMemory, log: log, predecessorRunning: s.predecessor != nil, serving: s.predecessor == nil}
+	a.takeover = &takeover{front: a.front, handler: a.handler, transport: a.transport, peers: a.peers, loop: a.loop,
+		maxClients: a.split.Clients, maxServerConnections: a.split.Servers,
+		memoryMB: config.Limits.MemoryMB, setMemory: config.setMemory, log: log, predecessorRunning: s.predecessor != nil,
+		serving: s.predecessor == nil}
 
 	if s.predecessor != nil {
 		a.takeover.predecessorConnections = a.split.Clients
@@ -175,12 +177,14 @@
 	}
 	a.add(part{run: func(context.Context) { frontEnded <- a.front.Serve() }, drain: a.front.Drain, close: a.front.Close})
 	if a.gateway != nil {
-		a.add(part{start: func() error { return a.gateway.startServer(config, a.loop) }, run: func(context.Context) { a.gateway.server.Serve() }, drain: a.gateway.drain,
+		a.add(part{start: func() error { return a.gateway.startServer(config, a.loop) },
+			run: func(context.Context) { a.gateway.server.Serve() }, drain: a.gateway.drain,
 			close: func() { a.gateway.server.Close() }})
 	}
 	a.add(part{run: func(ctx context.Context) {
 		if otherDiscovery {
-			log.Info("discovery: the predecessor's list is from another discovery server; requesting the full list", "at", config.Discovery)
+			log.Info("discovery: the predecessor's list is from another discovery server; requesting the full list",
+				"at", config.Discovery)
 			a.loop.SetMembership(registry.New(config.Discovery, config.Settings, log))
 		}
 		reloadOnSignal(ctx, config, a.loop, a.gateway, &a.takeover.source, reload, log)
@@ -203,7 +207,8 @@
 	if a.violations.Add(1) > maxViolationsLogged {
 		return
 	}
-	a.log.Error("rule broken", "rule", rule.String(), "deadline", attempt.Deadline, "off since", attempt.UnavailableSince, "told", attempt.TimeLeft, "sent", attempt.Now)
+	a.log.Error("rule broken", "rule", rule.String(), "deadline", attempt.Deadline, "off since", attempt.UnavailableSince,
+		"told", attempt.TimeLeft, "sent", attempt.Now)
 }
 
 func (a *assembly) add(p ...part) { a.parts = append(a.parts, p...) }
@@ -221,7 +226,8 @@
 	a.figures = stats.New(classNames(settings))
 	a.figures.SetGuard(a.guard)
 	var err error
-	a.loop, err = core.New(ctx, core.Options{Remote: a.gateway.remote(), Settings: settings, Seed: config.Seed, Transport: a.transport, Membership: registry.New(config.Discovery, settings, log),
+	a.loop, err = core.New(ctx, core.Options{Remote: a.gateway.remote(), Settings: settings, Seed: config.Seed,
+		Transport: a.transport, Membership: registry.New(config.Discovery, settings, log),
 		Messenger: messenger, Metrics: a.figures, Learned: learned, Guard: a.guard, Log: log})
 	if err != nil {
 		return err
@@ -264,7 +270,9 @@
 		return err
 	}
 	a.takeover.fleetControl = fleetControl
-	a.add(part{start: func() error { fleetControl.Begin(); return nil }, run: func(context.Context) { fleetControl.Run() }, announceLeave: fleetControl.Leaving, afterDrain: fleetControl.Close, close: fleetControl.Stop})
+	a.add(part{start: func() error { fleetControl.Begin(); return nil },
+		run: func(context.Context) { fleetControl.Run() }, announceLeave: fleetControl.Leaving,
+		afterDrain: fleetControl.Close, close: fleetControl.Stop})
 	return nil
 }
 
@@ -282,7 +290,8 @@
 func (n fleetNode) Ends() map[string]health.Ends {
 	ends := map[string]health.Ends{}
 	n.figures.EachClass(func(class string, answered, deferred, errored int64) {
-		ends[class] = health.Ends{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored), Took: n.figures.LatencyCounts(class)}
+		ends[class] = health.Ends{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored),
+			Took: n.figures.LatencyCounts(class)}
 	})
 	return ends
 }
@@ -313,8 +322,10 @@
 	var server *handover.Server
 	a.add(part{start: func() error {
 		var err error
-		server, err = handover.Listen(a.config.Handover, handover.Offer{Name: a.config.Name, Listener: a.sockets.clients, Peers: a.sockets.peers, State: a.takeover.encodeState,
-			Connections: a.front.OpenConnections, Changed: a.takeover.stageChanged}, a.log)
+		server, err = handover.Listen(a.config.Handover,
+			handover.Offer{Name: a.config.Name, Listener: a.sockets.clients, Peers: a.sockets.peers,
+				State: a.takeover.encodeState, Connections: a.front.OpenConnections,
+				Changed: a.takeover.stageChanged}, a.log)
 		if err != nil {
 			a.log.Warn("handover is not available; a successor can only share the port", "err", err)
 		}
@@ -336,8 +347,10 @@
 // recorderTry converts a completed request to the form in which it is recorded.
 func recorderTry(seen *front.CompletedRequest) *recorder.Try {
 	arrival := &seen.Request.Arrived
-	try := &recorder.Try{Began: seen.Began, Class: arrival.Class, Tenant: arrival.Tenant, Order: seen.Request.Header.Get("Idempotency-Key"), Size: len(seen.Request.Body), Answer: len(seen.Answer.Body),
-		Repeat: arrival.Repeat, Outcome: trace.Failed, Took: seen.Took, Work: seen.Answer.AttemptTime, Patience: seen.Patience}
+	try := &recorder.Try{Began: seen.Began, Class: arrival.Class, Tenant: arrival.Tenant,
+		Order: seen.Request.Header.Get("Idempotency-Key"), Size: len(seen.Request.Body), Answer: len(seen.Answer.Body),
+		Repeat: arrival.Repeat, Outcome: trace.Failed, Took: seen.Took, Work: seen.Answer.AttemptTime,
+		Patience: seen.Patience}
 	if try.Order == "" {
 		try.Order = string(arrival.ID)
 	}
@@ -361,7 +374,8 @@
 // reloadOnSignal reads the configuration again at each signal on reload, until ctx ends. An invalid configuration
 // changes nothing. Of a valid one, discovery's address and the gateway's certificates, roots and removed sites take
 // effect at once, all else at the next start. The address of discovery in use is kept in source.
-func reloadOnSignal(ctx context.Context, config *Config, loop *core.Loop, gateway *siteGateway, source *atomic.Pointer[netip.AddrPort], reload <-chan os.Signal, log *slog.Logger) {
+func reloadOnSignal(ctx context.Context, config *Config, loop *core.Loop, gateway *siteGateway,
+	source *atomic.Pointer[netip.AddrPort], reload <-chan os.Signal, log *slog.Logger) {
 	discovery := config.Discovery
 	source.Store(new(discovery))
 	for {
--- a/internal/app/askedlist_test.go
+++ b/internal/app/askedlist_test.go
@@ -162,7 +162,8 @@
 			graceEnds := second.answeredAt.Add(config.Settings.DrainGrace)
 			requestUntil("told", func() bool { return time.Now().After(graceEnds.Add(500 * time.Millisecond)) })
 			if last := time.Unix(0, lastAtDraining.Load()); last.After(graceEnds) {
-				t.Errorf("a request reached the draining server %v after the node was notified, %v at most", last.Sub(second.answeredAt), config.Settings.DrainGrace)
+				t.Errorf("a request reached the draining server %v after the node was notified, %v at most",
+					last.Sub(second.answeredAt), config.Settings.DrainGrace)
 			}
 			if most := maxRefused[name]; refusedFor > most {
 				t.Errorf("requests were refused for %v because there was no valid list, %v at most", refusedFor, most)
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -23,11 +23,13 @@
 	want := strings.Repeat("\x00é\r\n", 4000)
 	seen := make(chan string, 10)
 	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, body []byte) string {
-		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("Idempotency-Key"), " ", r.Header.Get("X-Correlation-Id") != "", " ", string(body))
+		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("Idempotency-Key"), " ",
+			r.Header.Get("X-Correlation-Id") != "", " ", string(body))
 		return testkit.OK(want)
 	}))
 	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-	for class, line := range map[string]string{"read": "GET /read?obj=a%2fb  true ", "tag": "POST /tag?obj=a%2fb k true B", "order": "POST /order?obj=a%2fb  true B"} {
+	for class, line := range map[string]string{"read": "GET /read?obj=a%2fb  true ",
+		"tag": "POST /tag?obj=a%2fb k true B", "order": "POST /order?obj=a%2fb  true B"} {
 		body := "B"
 		if class == "read" {
 			body = ""
@@ -48,9 +50,14 @@
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	var passed atomic.Int64
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { passed.Add(1); return testkit.OK("x") }))
+	addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+		[]byte) string {
+		passed.Add(1)
+		return testkit.OK("x")
+	}))
 	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
-	const host, id, left, key, none = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n", "Idempotency-Key: k\r\n", "Content-Length: 0\r\n"
+	const host, id, left, key, none = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n",
+		"Idempotency-Key: k\r\n", "Content-Length: 0\r\n"
 	const get, post, head, end = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left, "\r\n"
 	hidden := post + "Host: h\r\nX-Correlation-Id: hidden\r\n" + left + none + end
 	for text, want := range map[string]int{
@@ -128,7 +135,8 @@
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr),
+		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}})
 	stuck := classRequest("order", "9.5", "abc")
 	stuck = stuck[:len(stuck)-1]
 	var waiting sync.WaitGroup
@@ -190,7 +198,12 @@
 func TestSameIDTwice(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}, 9), make(chan struct{})
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { arrived <- struct{}{}; <-release; return testkit.OK("x") }))
+	addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+		[]byte) string {
+		arrived <- struct{}{}
+		<-release
+		return testkit.OK("x")
+	}))
 	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	text := classRequest("order", "9.5", "b")
 	first := make(chan int)
@@ -286,7 +299,8 @@
 	t.Parallel()
 	release := make(chan struct{})
 	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { <-release; return testkit.OK("x") }))
-	config := &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
+	config := &Config{Settings: testkit.Settings(), Known: testkit.Known(addr),
+		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
 	config.Settings.MaxOpen = 1
 	node := start(t, config)
 	statuses := make(chan int, 60)
--- a/internal/app/config.go
+++ b/internal/app/config.go
@@ -114,7 +114,8 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	for variable, field := range map[string]*string{"GW_NAME": &file.Name, "GW_LISTEN": &file.Listen, "GW_DISCOVERY": &file.Discovery, "GW_OPS": &file.Ops} {
+	for variable, field := range map[string]*string{"GW_NAME": &file.Name, "GW_LISTEN": &file.Listen,
+		"GW_DISCOVERY": &file.Discovery, "GW_OPS": &file.Ops} {
 		if v := getenv(variable); v != "" {
 			*field = v
 		}
@@ -129,7 +130,8 @@
 		into       *netip.AddrPort
 		wanted     bool
 	}{{"listen", file.Listen, &config.Listen, true}, {"discovery", file.Discovery, &config.Discovery, true},
-		{"ops", file.Ops, &config.Ops, file.Ops != ""}, {"peer_listen", file.PeerListen, &config.PeerListen, hasPeers}, {"peers_all", file.PeersAll, &config.PeersAll, file.PeersAll != ""}} {
+		{"ops", file.Ops, &config.Ops, file.Ops != ""}, {"peer_listen", file.PeerListen, &config.PeerListen, hasPeers},
+		{"peers_all", file.PeersAll, &config.PeersAll, file.PeersAll != ""}} {
 		if !address.wanted {
 			continue
 		}
@@ -157,7 +159,8 @@
 		config.Limits.MemoryMB = defaultMemoryMB
 	}
 	if config.Limits.Sockets < minSockets || config.Limits.MemoryMB < minMemoryMB || config.Limits.Cores < 0 {
-		return nil, fmt.Errorf("%s: limits: want at least %d sockets and %d MB of memory, have %+v", path, minSockets, minMemoryMB, config.Limits)
+		return nil, fmt.Errorf("%s: limits: want at least %d sockets and %d MB of memory, have %+v", path, minSockets,
+			minMemoryMB, config.Limits)
 	}
 	if file.Known != nil {
 		if config.Known, err = registry.Decode(file.Known); err != nil {
--- a/internal/app/config_test.go
+++ b/internal/app/config_test.go
@@ -27,11 +27,14 @@
 		}, "")
 	}
 	config, err := load(good, map[string]string{"GW_LISTEN": "127.0.0.1:99"})
-	if err != nil || config.Listen.Port() != 99 || config.Known.Version != 4 || config.Settings.Nodes != 3 || uint64(config.Seed) != 0x8c1f30d27a5be964 {
+	if err != nil || config.Listen.Port() != 99 || config.Known.Version != 4 || config.Settings.Nodes != 3 ||
+		uint64(config.Seed) != 0x8c1f30d27a5be964 {
 		t.Errorf("%+v, %v", config, err)
 	}
-	for _, bad := range [][2]string{{`{"name"`, `{"nam`}, {`"n0"`, `""`}, {`"127.0.0.1:80"`, `"x"`}, {`"127.0.0.1:81"`, `""`}, {`8c1f`, `xyz`},
-		{`1024`, `3`}, {`192`, `-1`}, {`"peers":["127`, `"peers":["x`}, {`"full":true`, `"full":3`}, {`"fragile"`, `"odd"`}, {`250000000`, `0`}, {`"settings"`, `"other"`}} {
+	for _, bad := range [][2]string{{`{"name"`, `{"nam`}, {`"n0"`, `""`}, {`"127.0.0.1:80"`, `"x"`},
+		{`"127.0.0.1:81"`, `""`}, {`8c1f`, `xyz`},
+		{`1024`, `3`}, {`192`, `-1`}, {`"peers":["127`, `"peers":["x`}, {`"full":true`, `"full":3`}, {`"fragile"`, `"odd"`},
+		{`250000000`, `0`}, {`"settings"`, `"other"`}} {
 		if _, err := load(strings.Replace(good, bad[0], bad[1], 1), nil); err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: error %v", bad[1], bad[0], err)
 		}
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -399,7 +399,8 @@
 					var worst time.Duration
 					for _, leave := range disconnectKinds {
 						worst = max(worst, checkLimit(t, func() disconnectOutcome {
-							return disconnectDuringUpload(t, disconnect{leave: leave, after: pastDisconnectLimit, change: change}, size, late)
+							return disconnectDuringUpload(t, disconnect{leave: leave, after: pastDisconnectLimit,
+								change: change}, size, late)
 						}))
 					}
 					t.Logf("worst %v, limit %v", worst, disconnectLimit)
--- a/internal/app/discovery_test.go
+++ b/internal/app/discovery_test.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// registryOf starts a discovery server that answers request n, counted from 1, with what says returns for it.
+// registryOf starts a discovery server that answers request n, counted from 1, with what answer returns for it.
 func registryOf(t *testing.T, answer func(n int, query url.Values) string) netip.AddrPort {
 	var calls atomic.Int64
 	return netip.MustParseAddrPort(testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
@@ -49,7 +49,11 @@
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
 		var requestCount atomic.Int64
-		addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { requestCount.Add(1); return testkit.OK("x") }))
+		addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+			[]byte) string {
+			requestCount.Add(1)
+			return testkit.OK("x")
+		}))
 		drain := make(chan struct{})
 		config := &Config{Settings: testkit.Settings(), Known: core.List{Version: 1}}
 		config.Settings.ListOnRequest = !pushed
--- a/internal/app/endings_test.go
+++ b/internal/app/endings_test.go
@@ -33,7 +33,8 @@
 	"short deadlines, keyed by all, pushed": func(s *decide.Settings) {
 		s.MayCancel, s.MaxAttempts = false, 2
 		for i := range s.Classes {
-			s.Classes[i].Deadline, s.Classes[i].Aim, s.Classes[i].DedupWindow = 150*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
+			s.Classes[i].Deadline, s.Classes[i].Aim, s.Classes[i].DedupWindow = 150*time.Millisecond, 100*time.Millisecond,
+				300*time.Millisecond
 			s.Classes[i].KeyScope = decide.ScopeAll
 		}
 	},
@@ -164,7 +165,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
+	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}),
+		syscall.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
 	}
 	address, err := syscall.Getsockname(fd)
@@ -250,7 +252,8 @@
 	settings := testkit.Settings()
 	more := pipelinedRequests(settings.Classes[0], 120) // beyond net/http's buffer of 4 KB
 	for how, end := range disconnectKinds {
-		for what, behind := range map[string]string{"nothing": "", "a byte": "G", "a request": request(settings.Classes[0], "behind", "9"), "many": more, "stray bytes": "\r\n\x00\r\n"} {
+		for what, behind := range map[string]string{"nothing": "", "a byte": "G",
+			"a request": request(settings.Classes[0], "behind", "9"), "many": more, "stray bytes": "\r\n\x00\r\n"} {
 			for _, class := range []int{0, 2} {
 				t.Run(fmt.Sprint(how, " after ", what, " ", class), func(t *testing.T) {
 					t.Parallel()
@@ -361,7 +364,8 @@
 func TestLongAnswerAfterItsTime(t *testing.T) {
 	t.Parallel()
 	const size = 100 << 10
-	for name, frame := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n\r\n", size), "close": "Connection: close\r\n\r\n"} {
+	for name, frame := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n\r\n", size),
+		"close": "Connection: close\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			over := make(chan bool)
@@ -536,7 +540,8 @@
 	}
 	io.WriteString(halfSent, text[sent:])
 	// After 1.9 s the idle timeout of the quiet connection is near.
-	late := max(longestStall, time.Since(lastWrite)) > admit.StalledHeadTimeout/2 || time.Since(began) > 1900*time.Millisecond
+	late := max(longestStall, time.Since(lastWrite)) > admit.StalledHeadTimeout/2 ||
+		time.Since(began) > 1900*time.Millisecond
 	status, body, err := halfSent.answer(t)
 	if late {
 		return false
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -34,7 +34,8 @@
 func openSiteGateway(config *Config, log *slog.Logger) (*siteGateway, error) {
 	g := &siteGateway{config: config.Gateway, identities: link.NewKeeper(config.Gateway.Identity), log: log}
 	var err error
-	g.dialer, err = link.NewDialer(link.DialerOptions{Keeper: g.identities, Most: g.config.Out, Seed: uint64(config.Seed), Log: log})
+	g.dialer, err = link.NewDialer(link.DialerOptions{Keeper: g.identities, Most: g.config.Out,
+		Seed: uint64(config.Seed), Log: log})
 	return g, err
 }
 
@@ -48,7 +49,8 @@
 	g.handler = front.NewHandler(loop, config.Settings, int64(handoffBodyMemoryShare*memory), g.log)
 	g.handler.Foreign = true
 	g.server, err = link.NewServer(udp, link.ServerOptions{Keeper: g.identities, Handoffs: g.config.In,
-		Ledger: ledger.Limits{Entries: g.config.Entries, Bytes: min(g.config.Bytes, int(ledgerMemoryShare*memory)), Keep: config.Settings.LongestDeadline() + time.Second},
+		Ledger: ledger.Limits{Entries: g.config.Entries, Bytes: min(g.config.Bytes, int(ledgerMemoryShare*memory)),
+			Keep: config.Settings.LongestDeadline() + time.Second},
 		Handle: gateway.Handle(g.handler), Credit: func() int { return int(math.Ceil(g.config.SpareShare * loop.Headroom())) }, Log: g.log})
 	return err
 }
--- a/internal/app/gateway_test.go
+++ b/internal/app/gateway_test.go
@@ -41,8 +41,10 @@
 	var configs [2]*gateway.Config
 	for i := range 2 {
 		other := 1 - i
-		configs[i] = &gateway.Config{Listen: addresses[i], Out: 16, In: 16, Entries: 100, Bytes: 1 << 20, SpareShare: 1, Identity: &link.Identity{Site: names[i], Certificate: certs[i],
-			Peers: []link.Peer{{Name: names[other], Roots: authorities[other].Roots(), Addresses: []string{addresses[other].String()}}}}}
+		configs[i] = &gateway.Config{Listen: addresses[i], Out: 16, In: 16, Entries: 100, Bytes: 1 << 20, SpareShare: 1,
+			Identity: &link.Identity{Site: names[i], Certificate: certs[i],
+				Peers: []link.Peer{{Name: names[other], Roots: authorities[other].Roots(),
+					Addresses: []string{addresses[other].String()}}}}}
 	}
 	return configs[0], configs[1]
 }
@@ -52,7 +54,11 @@
 func TestTwoSites(t *testing.T) {
 	t.Parallel()
 	var runs atomic.Int64
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { runs.Add(1); return testkit.OK("from b") }))
+	addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+		[]byte) string {
+		runs.Add(1)
+		return testkit.OK("from b")
+	}))
 	fileA, fileB := gatewayPair(t)
 	start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Gateway: fileB})
 	configA := &Config{Settings: testkit.Settings(), Gateway: fileA}
@@ -106,7 +112,8 @@
 				return testkit.OK("from b")
 			}))
 			fileA, fileB := gatewayPair(t)
-			nodes := map[string]*testNode{"far": start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Gateway: fileB}),
+			nodes := map[string]*testNode{"far": start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr),
+				Gateway: fileB}),
 				"near": start(t, &Config{Settings: testkit.Settings(), Gateway: fileA})}
 			for end := time.Now().Add(testkit.Patient); ; time.Sleep(10 * time.Millisecond) {
 				if resp, _ := nodes["near"].roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode == 200 {
--- a/internal/app/leaving_test.go
+++ b/internal/app/leaving_test.go
@@ -70,7 +70,10 @@
 // the attempt waits for a connection. Both requests used to be sent once the handshake was done.
 func TestLeftUnread(t *testing.T) {
 	for what, text := range map[string]func(c decide.Class) string{
-		"more than is read ahead behind it": func(c decide.Class) string { return request(c, "left", "60") + pipelinedRequests(c, manyPipelined) },
+		"more than is read ahead behind it": func(c decide.Class) string {
+			return request(c, "left",
+				"60") + pipelinedRequests(c, manyPipelined)
+		},
 		"a body that is still coming": func(c decide.Class) string {
 			return strings.Replace(request(c, "left", "60"), "Length: 0", "Length: 200000", 1) + strings.Repeat("x", 100<<10)
 		},
@@ -151,9 +154,10 @@
 	}
 }
 
-// longAnswerNode starts a node whose server runs serve, and a client that has sent a request to it. held gets a
+// longAnswerNode starts a node whose server runs serve, and a client that has sent a request to it. warnings gets a
 // warning if the node exits with connections open.
-func longAnswerNode(t *testing.T, deadline time.Duration, serve func(net.Conn)) (node *testNode, config *Config, conn client, warnings *bytes.Buffer) {
+func longAnswerNode(t *testing.T, deadline time.Duration, serve func(net.Conn)) (node *testNode, config *Config,
+	conn client, warnings *bytes.Buffer) {
 	t.Helper()
 	settings := settingsWithDeadline(deadline)
 	config, warnings = &Config{Settings: settings, Known: testkit.Known(testkit.Server(t, serve))}, new(bytes.Buffer)
@@ -236,7 +240,8 @@
 				node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
 				node.waitReady(t, 200)
 				conn := node.dial(t)
-				io.WriteString(conn, strings.Replace(request(settings.Classes[2], "half", "60"), "Length: 0", fmt.Sprint("Length: ", size), 1)+strings.Repeat("x", size/2))
+				io.WriteString(conn, strings.Replace(request(settings.Classes[2], "half", "60"), "Length: 0",
+					fmt.Sprint("Length: ", size), 1)+strings.Repeat("x", size/2))
 				if status, _, err := node.dial(t).ping(t); status != 200 || err != nil {
 					t.Fatal(status, err)
 				}
@@ -256,7 +261,8 @@
 				status, _, err := conn.answer(t)
 				close(over)
 				<-pace
-				if want := map[bool][]int{true: {408}, false: {502, 503}}[size == 1000]; err != nil || !slices.Contains(want, status) {
+				if want := map[bool][]int{true: {408}, false: {502, 503}}[size == 1000]; err != nil ||
+					!slices.Contains(want, status) {
 					t.Errorf("%d %v, want one of %v", status, err, want)
 				}
 				<-node.ended
--- a/internal/app/long_test.go
+++ b/internal/app/long_test.go
@@ -128,7 +128,8 @@
 	}))
 	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	head := func(form string) string {
-		return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n", lastRequestID.Add(1), form)
+		return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n",
+			lastRequestID.Add(1), form)
 	}
 	for _, size := range []int{1, 64 << 10, 64<<10 + 1, 3 << 20} {
 		body := patternBody(size)
@@ -141,7 +142,8 @@
 				t.Fatalf("%d bytes, %s: status %d", size, form, resp.StatusCode)
 			}
 			received := <-seen
-			if want := int64(size); !bytes.Equal(received.body, body) || received.length != want && (size < 64<<10 || received.length != -1) {
+			if want := int64(size); !bytes.Equal(received.body, body) || received.length != want &&
+				(size < 64<<10 || received.length != -1) {
 				t.Errorf("%d bytes, %s: the server got %d, length %d", size, form, len(received.body), received.length)
 			}
 		}
--- a/internal/app/parts.go
+++ b/internal/app/parts.go
@@ -17,7 +17,7 @@
 	drain         func(end time.Time)   // accepts nothing new, completes what is in flight by end; all parts concurrently
 	afterDrain    func()                // called when all parts are drained
 	close         func()                // makes run return if it does not watch ctx; called after ctx has ended
-	cleanup       func()                // called when every run has returned, in reverse order; also if the node failed to start
+	cleanup       func()                // called when every run has returned, also after a failed start; in reverse order
 }
 
 // parts are the parts of a node in the order in which they start.
--- a/internal/app/takeover.go
+++ b/internal/app/takeover.go
@@ -133,7 +133,7 @@
 	mu                     sync.Mutex
 	stage                  handover.Stage // of the replacement of this process by a successor
 	predecessorRunning     bool           // the predecessor still runs
-	predecessorConnections int            // clients' connections of the predecessor; the node's whole limit until it has reported them
+	predecessorConnections int            // of clients; the node's whole limit until the predecessor has reported them
 	serving                bool           // this process can serve: always, but for a successor that is still preparing
 	drainedByFleet         bool           // the fleet has drained this node
 }
@@ -175,7 +175,8 @@
 // stageChanged sets the stage of the replacement of this process by a successor.
 func (t *takeover) stageChanged(stage handover.Stage) {
 	t.update(func() { t.stage = stage })
-	t.log.Info("replacement", "stage", []string{handover.Alone: "none: this process serves", handover.Shared: "a successor prepares", handover.Succeeded: "a successor serves"}[stage])
+	t.log.Info("replacement", "stage", []string{handover.Alone: "none: this process serves",
+		handover.Shared: "a successor prepares", handover.Succeeded: "a successor serves"}[stage])
 }
 
 // replacePredecessor waits until this process can serve, notifies the predecessor, and uses all of the node's
--- a/internal/app/takeover_test.go
+++ b/internal/app/takeover_test.go
@@ -32,10 +32,12 @@
 		t.Fatal(err)
 	}
 	defer udp.Close()
-	config := &Config{Name: "n0", Listen: tcp.Addr().(*net.TCPAddr).AddrPort(), PeerListen: udp.LocalAddr().(*net.UDPAddr).AddrPort(),
-		Handover: filepath.Join(t.TempDir(), "s"), Settings: testkit.Settings()}
+	config := &Config{Name: "n0", Listen: tcp.Addr().(*net.TCPAddr).AddrPort(),
+		PeerListen: udp.LocalAddr().(*net.UDPAddr).AddrPort(),
+		Handover:   filepath.Join(t.TempDir(), "s"), Settings: testkit.Settings()}
 	config.Settings.MayMessage = true
-	server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp, State: func() []byte { return []byte("{}") },
+	server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp,
+		State:       func() []byte { return []byte("{}") },
 		Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.Quiet)
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +65,8 @@
 	nobody := testkit.Server(t, func(config net.Conn) { config.Close() })
 	for _, pushed := range []bool{false, true} {
 		hang := make(chan struct{})
-		config := &Config{Name: "n0", Handover: filepath.Join(t.TempDir(), "s"), Settings: testkit.Settings(), Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
+		config := &Config{Name: "n0", Handover: filepath.Join(t.TempDir(), "s"), Settings: testkit.Settings(),
+			Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 256}}
 		config.Settings.ListOnRequest = !pushed
 		config.Discovery = registryOf(t, func(_ int, q url.Values) string {
 			if q.Get("since") == "" || q.Get("since") == "0" {
@@ -79,11 +82,13 @@
 		}
 		defer tcp.Close()
 		config.Listen = tcp.Addr().(*net.TCPAddr).AddrPort()
-		raw, err := json.Marshal(handedState{Source: "127.0.0.1:9", List: core.List{Version: 50, Full: true, Entries: []core.Entry{{Server: decide.Server{ID: registry.ServerID("s-00000001"), State: decide.Ready, Size: 1}, Name: "s-00000001", Addr: nobody}}}})
+		raw, err := json.Marshal(handedState{Source: "127.0.0.1:9",
+			List: core.List{Version: 50, Full: true, Entries: []core.Entry{{Server: decide.Server{ID: registry.ServerID("s-00000001"), State: decide.Ready, Size: 1}, Name: "s-00000001", Addr: nobody}}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp, State: func() []byte { return raw },
+		server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp,
+			State:       func() []byte { return raw },
 			Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.Quiet)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -24,7 +24,7 @@
 type message struct {
 	Version     int             `json:"version"`
 	Name        string          `json:"name,omitempty"`    // from the successor: name of the node
-	Peers       bool            `json:"peers,omitempty"`   // from the predecessor: the second descriptor is its datagram socket
+	Peers       bool            `json:"peers,omitempty"`   // from the predecessor: the second descriptor is for datagrams
 	State       json.RawMessage `json:"state,omitempty"`   // from the predecessor: its state
 	Serving     bool            `json:"serving,omitempty"` // from the successor: it serves from now on
 	Connections int             `json:"held,omitempty"`    // from the predecessor: number of its clients' connections
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -43,8 +43,8 @@
 	log      *slog.Logger
 }
 
-// Listen opens a Unix socket at path for successors of this process. It replaces the file of another process there: the
-// socket is created under a temporary name and then renamed to path.
+// Listen opens a Unix socket at path for successors of this process. It replaces the file of another process there:
+// the socket is created under a temporary name and then renamed to path.
 func Listen(path string, o Offer, log *slog.Logger) (*Server, error) {
 	tempPath := path + "." + strconv.Itoa(os.Getpid())
 	os.Remove(tempPath)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -18,8 +18,8 @@
 	released bool // the reader does not wait any more
 }
 
-// SetOpen opens or shuts the gate. deadline is the function that sets the socket's deadline for reading or accepting: a
-// deadline in the past interrupts the call in which the reader waits.
+// SetOpen opens or shuts the gate. deadline is the function that sets the socket's deadline for reading or accepting:
+// a deadline in the past interrupts the call in which the reader waits.
 func (g *Gate) SetOpen(open bool, deadline func(time.Time) error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
