--- a/cmd/starlingvalve/config.go
+++ b/cmd/starlingvalve/config.go
@@ -28,82 +28,82 @@
 	cli := &fleetCLI{}
 	root, add := cli.command("config", "Change and read the fleet's configuration: services, routes, tenants")
 	var wait time.Duration
-	waits := func(c *cobra.Command) {
-		c.Flags().DurationVar(&wait, "wait", 0,
+	waits := func(cmd *cobra.Command) {
+		cmd.Flags().DurationVar(&wait, "wait", 0,
 			"how long to wait until the change is in force at every node; exit code 5 if it is not by then")
 	}
 	waits(add("put FILE", "Apply all changes of a file, or none", cobra.ExactArgs(1),
-		func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.putConfig(c, d, args[0], wait)
+		func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.putConfig(cmd, client, args[0], wait)
 		}))
 	waits(add("rollback REVISION", "Restore all entries as of a revision", cobra.ExactArgs(1),
-		func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.rollBackConfig(c, d, args[0], wait)
+		func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.rollBackConfig(cmd, client, args[0], wait)
 		}))
 	add("get [KEY...]", "Print entries in the format of a file for put", cobra.ArbitraryArgs, cli.getConfig)
 	add("diff FILE", "Print what put would change", cobra.ExactArgs(1), cli.diffConfig)
 	var maxRevisions uint32
 	history := add("history", "Print who changed what, and why", cobra.NoArgs,
-		func(c *cobra.Command, d *control.Door, _ []string) error {
-			return cli.configHistory(c, d, maxRevisions)
+		func(cmd *cobra.Command, client *control.Door, _ []string) error {
+			return cli.configHistory(cmd, client, maxRevisions)
 		})
 	history.Flags().Uint32Var(&maxRevisions, "most", 20, "number of revisions to print, newest ones; 0: all that are kept")
 	add("status", "Print the revision in force, which nodes lag and why; exit code 5 while the newest is not in force",
 		cobra.NoArgs,
-		func(c *cobra.Command, d *control.Door, _ []string) error {
-			s, err := configStatus(c.Context(), d)
+		func(cmd *cobra.Command, client *control.Door, _ []string) error {
+			status, err := configStatus(cmd.Context(), client)
 			if err != nil {
 				return err
 			}
-			return cli.printStatus(c.OutOrStdout(), s)
+			return cli.printStatus(cmd.OutOrStdout(), status)
 		})
 	return root
 }
 
-func (a *fleetCLI) putConfig(c *cobra.Command, d *control.Door, path string, wait time.Duration) error {
-	f, err := configfile.Load(path)
+func (a *fleetCLI) putConfig(cmd *cobra.Command, client *control.Door, path string, wait time.Duration) error {
+	file, err := configfile.Load(path)
 	if err != nil {
 		return err
 	}
-	f.Transaction.By, f.Transaction.Why = a.by, a.why
-	r, err := a.changeConfig(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Configure{Configure: f.Transaction}})
+	file.Transaction.By, file.Transaction.Why = a.by, a.why
+	result, err := a.changeConfig(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Configure{Configure: file.Transaction}})
 	if err != nil {
 		return err
 	}
-	if refusal := r.GetConfiguration().GetRefusal(); refusal != nil && !a.jsonOutput() {
-		fmt.Fprintln(c.ErrOrStderr(), "starlingvalve:", f.Fault(refusal))
-		return exitCodeOf(r)
+	if refusal := result.GetConfiguration().GetRefusal(); refusal != nil && !a.jsonOutput() {
+		fmt.Fprintln(cmd.ErrOrStderr(), "starlingvalve:", file.Fault(refusal))
+		return exitCodeOf(result)
 	}
-	return a.printChange(c, d, r, wait)
+	return a.printChange(cmd, client, result, wait)
 }
 
-func (a *fleetCLI) rollBackConfig(c *cobra.Command, d *control.Door, revision string, wait time.Duration) error {
+func (a *fleetCLI) rollBackConfig(cmd *cobra.Command, client *control.Door, revision string, wait time.Duration) error {
 	to, err := parseRevision(revision)
 	if err != nil {
 		return err
 	}
 	back := &configpb.Rollback{To: to, By: a.by, Why: a.why}
-	r, err := a.changeConfig(c, d, &fleetpb.Entry{What: &fleetpb.Entry_RollBack{RollBack: back}})
+	r, err := a.changeConfig(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_RollBack{RollBack: back}})
 	if err != nil {
 		return err
 	}
-	return a.printChange(c, d, r, wait)
+	return a.printChange(cmd, client, r, wait)
 }
 
 // changeConfig submits a change. It has a number of its own, so that it is safe to submit it again.
-func (a *fleetCLI) changeConfig(c *cobra.Command, d *control.Door, e *fleetpb.Entry) (*fleetpb.Result, error) {
+func (a *fleetCLI) changeConfig(cmd *cobra.Command, client *control.Door, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	if e.Ask = a.requestID; e.Ask == "" {
 		e.Ask = rand.Text()
 	}
-	ctx, cancel := context.WithTimeout(c.Context(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(cmd.Context(), 30*time.Second)
 	defer cancel()
-	return d.Ask(ctx, e)
+	return client.Ask(ctx, e)
 }
 
 // printChange prints the result of a change. If wait is not 0, it then waits up to that long until the change is in
 // force.
-func (a *fleetCLI) printChange(c *cobra.Command, d *control.Door, result *fleetpb.Result, wait time.Duration) error {
-	w, change := c.OutOrStdout(), result.GetConfiguration()
+func (a *fleetCLI) printChange(cmd *cobra.Command, client *control.Door, result *fleetpb.Result, wait time.Duration) error {
+	w, change := cmd.OutOrStdout(), result.GetConfiguration()
 	switch {
 	case a.jsonOutput():
 		if err := printJSON(w, result); err != nil {
@@ -117,12 +117,12 @@
 	if err := exitCodeOf(result); err != nil || wait == 0 {
 		return err
 	}
-	return a.waitInForce(c, d, change.GetRevision(), wait)
+	return a.waitInForce(cmd, client, change.GetRevision(), wait)
 }
 
 // exitCodeOf returns the exit code of a result, as an error.
-func exitCodeOf(r *fleetpb.Result) error {
-	switch r.Code {
+func exitCodeOf(result *fleetpb.Result) error {
+	switch result.Code {
 	case fleetpb.Result_DONE:
 		return nil
 	case fleetpb.Result_REFUSED, fleetpb.Result_FENCED:
@@ -142,16 +142,16 @@
 
 // waitInForce waits until every node has applied a revision or a newer one. If that takes longer than wait, it prints
 // which nodes lag.
-func (a *fleetCLI) waitInForce(c *cobra.Command, d *control.Door, revision uint64, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(c.Context(), wait)
+func (a *fleetCLI) waitInForce(cmd *cobra.Command, client *control.Door, revision uint64, wait time.Duration) error {
+	ctx, cancel := context.WithTimeout(cmd.Context(), wait)
 	defer cancel()
 	var last *configpb.Status
 	for began := time.Now(); ; {
-		status, err := configStatus(ctx, d)
+		status, err := configStatus(ctx, client)
 		if err == nil {
 			if last = status; status.Accounted && status.InForce >= revision {
 				took := time.Since(began).Milliseconds()
-				fmt.Fprintf(c.OutOrStdout(), "in force at all %d nodes after %d ms\n", status.Sessions, took)
+				fmt.Fprintf(cmd.OutOrStdout(), "in force at all %d nodes after %d ms\n", status.Sessions, took)
 				return nil
 			}
 		}
@@ -163,14 +163,14 @@
 		if last == nil {
 			return fmt.Errorf("%w within %v: %w", control.ErrDoor, wait, err)
 		}
-		fmt.Fprintf(c.OutOrStdout(), "not in force within %v\n", wait)
-		a.printLags(c.OutOrStdout(), last)
+		fmt.Fprintf(cmd.OutOrStdout(), "not in force within %v\n", wait)
+		a.printLags(cmd.OutOrStdout(), last)
 		return exitCode(exitUnproven)
 	}
 }
 
-func configStatus(ctx context.Context, d *control.Door) (*configpb.Status, error) {
-	answer, err := d.Query(ctx, &configpb.Query{About: &configpb.Query_Status{Status: true}})
+func configStatus(ctx context.Context, client *control.Door) (*configpb.Status, error) {
+	answer, err := client.Query(ctx, &configpb.Query{About: &configpb.Query_Status{Status: true}})
 	return answer.GetStatus(), err
 }
 
@@ -224,16 +224,16 @@
 	return slices.DeleteFunc(list, func(s string) bool { return s == "" })
 }
 
-func (a *fleetCLI) getConfig(c *cobra.Command, d *control.Door, keys []string) error {
-	snapshot, err := configSnapshot(c.Context(), d)
+func (a *fleetCLI) getConfig(cmd *cobra.Command, client *control.Door, keys []string) error {
+	snapshot, err := configSnapshot(cmd.Context(), client)
 	if err != nil {
 		return err
 	}
 	entries := snapshot.GetEntries()
 	if len(keys) > 0 {
 		known := map[string]*configpb.Entry{}
-		for _, e := range entries {
-			known[configuration.Key(e)] = e
+		for _, entry := range entries {
+			known[configuration.Key(entry)] = entry
 		}
 		entries = nil
 		for _, key := range keys {
@@ -244,32 +244,32 @@
 		}
 	}
 	if a.jsonOutput() {
-		return printJSON(c.OutOrStdout(), &configpb.Snapshot{Revision: snapshot.GetRevision(), Entries: entries})
+		return printJSON(cmd.OutOrStdout(), &configpb.Snapshot{Revision: snapshot.GetRevision(), Entries: entries})
 	}
 	text, err := configfile.Render(entries)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(c.OutOrStdout(), "# revision %d\n%s", snapshot.GetRevision(), text)
+	fmt.Fprintf(cmd.OutOrStdout(), "# revision %d\n%s", snapshot.GetRevision(), text)
 	return nil
 }
 
-func configSnapshot(ctx context.Context, d *control.Door) (*configpb.Snapshot, error) {
-	answer, err := d.Query(ctx, &configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
+func configSnapshot(ctx context.Context, client *control.Door) (*configpb.Snapshot, error) {
+	answer, err := client.Query(ctx, &configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
 	return answer.GetSnapshot(), err
 }
 
-func (a *fleetCLI) diffConfig(c *cobra.Command, d *control.Door, args []string) error {
-	f, err := configfile.Load(args[0])
+func (a *fleetCLI) diffConfig(cmd *cobra.Command, client *control.Door, args []string) error {
+	file, err := configfile.Load(args[0])
 	if err != nil {
 		return err
 	}
-	s, err := configSnapshot(c.Context(), d)
+	snapshot, err := configSnapshot(cmd.Context(), client)
 	if err != nil {
 		return err
 	}
-	w := c.OutOrStdout()
-	list := f.Differences(s.GetEntries())
+	w := cmd.OutOrStdout()
+	list := file.Differences(snapshot.GetEntries())
 	for _, difference := range list {
 		if difference.Before != nil {
 			fmt.Fprintf(w, "- %s %s\n", difference.Key, entryValue(difference.Before))
@@ -278,7 +278,7 @@
 			fmt.Fprintf(w, "+ %s %s\n", difference.Key, entryValue(difference.After))
 		}
 	}
-	fmt.Fprintf(w, "%d of %d entries differ from revision %d\n", len(list), len(f.Transaction.Changes), s.GetRevision())
+	fmt.Fprintf(w, "%d of %d entries differ from revision %d\n", len(list), len(file.Transaction.Changes), snapshot.GetRevision())
 	return nil
 }
 
@@ -291,21 +291,21 @@
 	return string(raw)
 }
 
-func (a *fleetCLI) configHistory(c *cobra.Command, d *control.Door, maxRevisions uint32) error {
+func (a *fleetCLI) configHistory(cmd *cobra.Command, client *control.Door, maxRevisions uint32) error {
 	query := &configpb.HistoryQuery{Most: maxRevisions}
-	answer, err := d.Query(c.Context(), &configpb.Query{About: &configpb.Query_History{History: query}})
+	answer, err := client.Query(cmd.Context(), &configpb.Query{About: &configpb.Query_History{History: query}})
 	if err != nil {
 		return err
 	}
-	for _, r := range answer.GetHistory() {
+	for _, revision := range answer.GetHistory() {
 		if a.jsonOutput() {
-			if err := printJSON(c.OutOrStdout(), r); err != nil {
+			if err := printJSON(cmd.OutOrStdout(), revision); err != nil {
 				return err
 			}
 			continue
 		}
-		at := time.UnixMilli(r.AtMs).Format(time.RFC3339)
-		fmt.Fprintf(c.OutOrStdout(), "%s  revision %-5d %-12s %s  %s\n", at, r.Number, r.By, changedKeys(r), r.Why)
+		at := time.UnixMilli(revision.AtMs).Format(time.RFC3339)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s  revision %-5d %-12s %s  %s\n", at, revision.Number, revision.By, changedKeys(revision), revision.Why)
 	}
 	return nil
 }
@@ -314,9 +314,9 @@
 const maxKeysPrinted = 5
 
 // changedKeys lists the keys of the entries that a revision changed, up to maxKeysPrinted. Deleted ones have a minus.
-func changedKeys(r *configpb.Revision) string {
+func changedKeys(revision *configpb.Revision) string {
 	var keys []string
-	for _, c := range r.Changes {
+	for _, c := range revision.Changes {
 		if put := c.GetPut(); put != nil {
 			keys = append(keys, configuration.Key(put))
 		} else {
--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -246,8 +246,8 @@
 	after := newFleetServers(t, 101, servers)
 	notified := c.restoreDiscovery("drains at the return", node, discovery, after,
 		append(entries(before, "draining"), entries(after, "ready")...))
-	for _, s := range before {
-		if _, last := s.requests(); last.After(notified.Add(drainGrace)) {
+	for _, server := range before {
+		if _, last := server.requests(); last.After(notified.Add(drainGrace)) {
 			t.Errorf("a request went to a draining server %v after the node was notified", last.Sub(notified))
 		}
 	}
@@ -354,9 +354,9 @@
 	if most > c.limit {
 		node.t.Errorf("both processes had %d descriptors, %d allowed", most, c.limit)
 	}
-	for _, p := range []*descriptorProcess{old, next} {
-		seconds := time.Since(p.started).Seconds()
-		if lines := p.lines.Load(); float64(lines) > logRate*(1+seconds) {
+	for _, process := range []*descriptorProcess{old, next} {
+		seconds := time.Since(process.started).Seconds()
+		if lines := process.lines.Load(); float64(lines) > logRate*(1+seconds) {
 			node.t.Errorf("%d log lines in %.1f s", lines, seconds)
 		}
 	}
--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -21,9 +21,9 @@
 
 // drainFirstServer has discovery list the first server as draining.
 func (n *onRequestNode) drainFirstServer(s *discovery.Service) discovery.Change {
-	e := standin.EntryOf(n.servers[0])
-	e.State = "draining"
-	return s.Set(e)
+	entry := standin.EntryOf(n.servers[0])
+	entry.State = "draining"
+	return s.Set(entry)
 }
 
 // lateRequests counts the requests that reached the draining server after the grace that follows the latest time of
--- a/cmd/starlingvalve/fleet.go
+++ b/cmd/starlingvalve/fleet.go
@@ -65,8 +65,8 @@
 			return nil
 		}}
 	userName := os.Getenv("USER")
-	if u, err := user.Current(); err == nil {
-		userName = u.Username
+	if current, err := user.Current(); err == nil {
+		userName = current.Username
 	}
 	root.PersistentFlags().StringVar(&a.socket, "socket", os.Getenv("GW_FLEET_SOCKET"), "the `PATH` of a node's socket")
 	root.PersistentFlags().StringVar(&a.by, "by", userName, "who makes the request, for the history")
@@ -76,16 +76,16 @@
 	root.PersistentFlags().StringVarP(&a.output, "output", "o", "text", "text or json")
 	return root, func(use, short string, args cobra.PositionalArgs,
 		run func(*cobra.Command, *control.Door, []string) error) *cobra.Command {
-		c := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(c *cobra.Command, args []string) error {
-			err := run(c, control.Knock(a.socket), args)
+		cmd := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
+			err := run(cmd, control.Knock(a.socket), args)
 			if errors.Is(err, control.ErrDoor) {
 				fmt.Fprintln(os.Stderr, "starlingvalve:", root.Use+":", err)
 				return exitCode(exitUnreachable)
 			}
 			return err
 		}}
-		root.AddCommand(c)
-		return c
+		root.AddCommand(cmd)
+		return cmd
 	}
 }
 
@@ -107,17 +107,17 @@
 	var dryRun, force bool
 	drainCommand := add("drain TARGET",
 		"Drain a server (s-5), a node (node/n3) or all servers of a zone (zone/hall-a), if the budgets allow it",
-		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
 			drainRequest := &fleetpb.Drain{Target: target(args[0]), By: cli.by, Why: cli.why,
 				WaitMs: cli.queueTimeout.Milliseconds(), Force: force}
 			if dryRun {
-				m, err := cli.agreedState(c.Context(), d)
+				state, err := cli.agreedState(cmd.Context(), client)
 				if err != nil {
 					return err
 				}
-				return cli.printResult(c.OutOrStdout(), "would be", m.Explain(drainRequest))
+				return cli.printResult(cmd.OutOrStdout(), "would be", state.Explain(drainRequest))
 			}
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Drain{Drain: drainRequest}})
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Drain{Drain: drainRequest}})
 		})
 	drainCommand.Flags().DurationVar(&cli.queueTimeout, "queue", 0,
 		"how long to wait in the queue if the budgets are spent")
@@ -125,32 +125,32 @@
 	drainCommand.Flags().BoolVar(&force, "force", false, "ignore the budgets; the history names who did it")
 	var epoch uint64
 	returnCommand := add("return TARGET", "End a drain", cobra.ExactArgs(1),
-		func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target(args[0]),
+		func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target(args[0]),
 				By: cli.by, Why: cli.why, Epoch: epoch}}})
 		})
 	returnCommand.Flags().Uint64Var(&epoch, "epoch", 0, "only the drain that was granted at this epoch; 0: any")
 	add("withdraw TARGET", "Remove a waiting drain from the queue", cobra.ExactArgs(1),
-		func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Withdraw{
+		func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Withdraw{
 				Withdraw: &fleetpb.Withdraw{Target: target(args[0]), By: cli.by}}})
 		})
 	add("renew VOTER", "Readmit a voter that lost its disk, with its new disk; start the voter first", cobra.ExactArgs(1),
-		func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Renew{Renew: &fleetpb.RenewVoter{Node: args[0],
+		func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Renew{Renew: &fleetpb.RenewVoter{Node: args[0],
 				By: cli.by, Why: cli.why}}})
 		})
 	var lift bool
 	holdCommand := add("hold TARGET",
 		"Forbid drains of a server, a node, a zone or, with the target fleet, of everything",
-		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target(args[0]),
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target(args[0]),
 				By: cli.by, Why: cli.why, Lift: lift}}})
 		})
 	holdCommand.Flags().BoolVar(&lift, "lift", false, "allow drains again")
 	add("forget TARGET", "Remove a node whose session lapsed (node/n3) or a server that no longer exists (server/s-5)",
-		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Forget{Forget: &fleetpb.Forget{Target: target(args[0]),
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Forget{Forget: &fleetpb.Forget{Target: target(args[0]),
 				By: cli.by, Why: cli.why}}})
 		})
 	waitCommand := add("wait TARGET",
@@ -170,17 +170,17 @@
 
 // submit submits an entry to the agreement and prints the result. The entry has a number of its own, so that it is
 // safe to submit it again.
-func (a *fleetCLI) submit(c *cobra.Command, d *control.Door, e *fleetpb.Entry) error {
-	if e.Ask = a.requestID; e.Ask == "" {
-		e.Ask = rand.Text()
+func (a *fleetCLI) submit(cmd *cobra.Command, client *control.Door, entry *fleetpb.Entry) error {
+	if entry.Ask = a.requestID; entry.Ask == "" {
+		entry.Ask = rand.Text()
 	}
-	ctx, cancel := context.WithTimeout(c.Context(), 30*time.Second)
+	ctx, cancel := context.WithTimeout(cmd.Context(), 30*time.Second)
 	defer cancel()
-	r, err := d.Ask(ctx, e)
+	result, err := client.Ask(ctx, entry)
 	if err != nil {
 		return err
 	}
-	return a.printResult(c.OutOrStdout(), "", r)
+	return a.printResult(cmd.OutOrStdout(), "", result)
 }
 
 // printResult prints a result, after prefix, and returns its exit code as an error.
@@ -214,8 +214,8 @@
 }
 
 // agreedState fetches the fleet's agreed state, for queries in this process.
-func (a *fleetCLI) agreedState(ctx context.Context, d *control.Door) (*fleet.Machine, error) {
-	s, err := d.State(ctx)
+func (a *fleetCLI) agreedState(ctx context.Context, client *control.Door) (*fleet.Machine, error) {
+	s, err := client.State(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -226,24 +226,24 @@
 const proofPollInterval = 50 * time.Millisecond
 
 // waitForProof waits until a drain is proven, for the time of --timeout at most.
-func (a *fleetCLI) waitForProof(c *cobra.Command, d *control.Door, args []string) error {
-	ctx, cancel := context.WithTimeout(c.Context(), a.timeout)
+func (a *fleetCLI) waitForProof(cmd *cobra.Command, client *control.Door, args []string) error {
+	ctx, cancel := context.WithTimeout(cmd.Context(), a.timeout)
 	defer cancel()
 	drained := target(args[0])
 	var proof fleet.Proof
 	for {
-		m, err := a.agreedState(ctx, d)
+		machine, err := a.agreedState(ctx, client)
 		switch {
 		case err != nil && ctx.Err() == nil && !errors.Is(err, control.ErrDoor):
 			return err
 		case err == nil:
-			if proof = m.Proof(drained); proof.Proven {
-				fmt.Fprintf(c.OutOrStdout(), "proven, epoch %d: no node sends to %s, and nothing is left there\n",
+			if proof = machine.Proof(drained); proof.Proven {
+				fmt.Fprintf(cmd.OutOrStdout(), "proven, epoch %d: no node sends to %s, and nothing is left there\n",
 					proof.Epoch, drained)
 				return nil
 			}
 			if !proof.Granted {
-				fmt.Fprintf(c.OutOrStdout(), "not proven: %s is not drained\n", drained)
+				fmt.Fprintf(cmd.OutOrStdout(), "not proven: %s is not drained\n", drained)
 				return exitCode(exitUnproven)
 			}
 		}
@@ -255,7 +255,7 @@
 		if !proof.Granted {
 			return fmt.Errorf("%w within %v: %w", control.ErrDoor, a.timeout, err)
 		}
-		fmt.Fprintf(c.OutOrStdout(), "not proven, epoch %d: unheard with a session: %s; unheard, session lapsed: %s\n",
+		fmt.Fprintf(cmd.OutOrStdout(), "not proven, epoch %d: unheard with a session: %s; unheard, session lapsed: %s\n",
 			proof.Epoch, joinNames(proof.Unheard), joinNames(proof.Lapsed))
 		return exitCode(exitUnproven)
 	}
@@ -269,12 +269,12 @@
 	return strings.Join(list, ", ")
 }
 
-func (a *fleetCLI) status(c *cobra.Command, d *control.Door, _ []string) error {
-	here, err := d.Here(c.Context())
+func (a *fleetCLI) status(cmd *cobra.Command, client *control.Door, _ []string) error {
+	here, err := client.Here(cmd.Context())
 	if err != nil {
 		return err
 	}
-	machine, err := a.agreedState(c.Context(), d)
+	machine, err := a.agreedState(cmd.Context(), client)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "node %s: session %d, follows %d: %s\n", here.Node, here.Session, len(here.Out),
 			joinNames(slices.Sorted(maps.Keys(here.Out))))
@@ -282,9 +282,9 @@
 	}
 	state := machine.State()
 	if a.jsonOutput() {
-		return printJSON(c.OutOrStdout(), state)
+		return printJSON(cmd.OutOrStdout(), state)
 	}
-	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintf(w, "epoch %d, %d servers; read through %s, which %s\n", state.Epoch, len(state.Servers),
 		here.Node, here.Voter)
@@ -318,38 +318,38 @@
 	return nil
 }
 
-func (a *fleetCLI) budget(c *cobra.Command, d *control.Door, _ []string) error {
-	m, err := a.agreedState(c.Context(), d)
+func (a *fleetCLI) budget(cmd *cobra.Command, client *control.Door, _ []string) error {
+	machine, err := a.agreedState(cmd.Context(), client)
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	for _, g := range m.Groups() {
+	for _, group := range machine.Groups() {
 		state := "within"
-		if over := g.Over(); over != "" {
+		if over := group.Over(); over != "" {
 			state = "OVER: " + over
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d of %d out\t%.4g of %.4g left\t%s\t%s\n", g.Budget.Name, g.Name, len(g.Out), g.Members,
-			g.Left, g.Weight, state, strings.Join(g.Out, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%d of %d out\t%.4g of %.4g left\t%s\t%s\n", group.Budget.Name, group.Name, len(group.Out), group.Members,
+			group.Left, group.Weight, state, strings.Join(group.Out, ", "))
 	}
 	return nil
 }
 
-func (a *fleetCLI) history(c *cobra.Command, d *control.Door, _ []string) error {
-	m, err := a.agreedState(c.Context(), d)
+func (a *fleetCLI) history(cmd *cobra.Command, client *control.Door, _ []string) error {
+	machine, err := a.agreedState(cmd.Context(), client)
 	if err != nil {
 		return err
 	}
-	for _, e := range m.State().History {
+	for _, event := range machine.State().History {
 		if a.jsonOutput() {
-			if err := printJSON(c.OutOrStdout(), e); err != nil {
+			if err := printJSON(cmd.OutOrStdout(), event); err != nil {
 				return err
 			}
 			continue
 		}
-		fmt.Fprintf(c.OutOrStdout(), "%s  epoch %-4d %-12s %s\n", time.UnixMilli(e.AtMs).Format(time.RFC3339), e.Epoch,
-			e.By, e.What)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s  epoch %-4d %-12s %s\n", time.UnixMilli(event.AtMs).Format(time.RFC3339), event.Epoch,
+			event.By, event.What)
 	}
 	return nil
 }
--- a/cmd/starlingvalve/main.go
+++ b/cmd/starlingvalve/main.go
@@ -74,13 +74,13 @@
 		&cobra.Command{Use: "check FILE",
 			Short: "Check a gateway, fleet, supervisor, record or release file, with the certificates that it names",
 			Args:  cobra.ExactArgs(1),
-			RunE: func(c *cobra.Command, args []string) error {
+			RunE: func(cmd *cobra.Command, args []string) error {
 				if hasTable(args[0], "node") {
 					file, err := control.Load(args[0], time.Now())
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: node %s, %d voters, %d budgets\n", args[0], file.Name, len(file.Voters),
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: good: node %s, %d voters, %d budgets\n", args[0], file.Name, len(file.Voters),
 						len(file.Budgets))
 					return nil
 				}
@@ -89,7 +89,7 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: supervises node %s\n", args[0], file.Fleet.Name)
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: good: supervises node %s\n", args[0], file.Fleet.Name)
 					return nil
 				}
 				if hasTable(args[0], "release") {
@@ -97,7 +97,7 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: release %s, %d waves as it is written\n", args[0], plan.Name,
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: good: release %s, %d waves as it is written\n", args[0], plan.Name,
 						len(plan.Waves))
 					return nil
 				}
@@ -106,20 +106,20 @@
 					if err != nil {
 						return err
 					}
-					fmt.Fprintf(c.OutOrStdout(), "%s: good: records to %s\n", args[0], record.Path)
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: good: records to %s\n", args[0], record.Path)
 					return nil
 				}
 				gatewayConfig, err := gateway.Load(args[0], time.Now())
 				if err != nil {
 					return err
 				}
-				fmt.Fprintf(c.OutOrStdout(), "%s: good: site %s, %d other sites\n", args[0], gatewayConfig.Identity.Site,
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: good: site %s, %d other sites\n", args[0], gatewayConfig.Identity.Site,
 					len(gatewayConfig.Identity.Peers))
 				return nil
 			}},
 		&cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs,
-			Run: func(c *cobra.Command, _ []string) {
-				fmt.Fprintln(c.OutOrStdout(), "starlingvalve", version())
+			Run: func(cmd *cobra.Command, _ []string) {
+				fmt.Fprintln(cmd.OutOrStdout(), "starlingvalve", version())
 			}})
 	root.AddCommand(fleetCommand(), configCommand(), releaseCommand(),
 		superviseCommand(slog.New(slog.NewTextHandler(log, nil))))
--- a/cmd/starlingvalve/main_test.go
+++ b/cmd/starlingvalve/main_test.go
@@ -182,10 +182,10 @@
 	}
 	cmd.Process.Signal(syscall.SIGHUP) // the reload logs under the lock
 	discovery[1].(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
-	if c, err := discovery[1].Accept(); err != nil {
+	if conn, err := discovery[1].Accept(); err != nil {
 		t.Error("the node does not connect to the new address of discovery:", err)
 	} else {
-		defer c.Close()
+		defer conn.Close()
 	}
 	client := http.Client{Timeout: 5 * time.Second}
 	req, _ := http.NewRequest(http.MethodPost, "http://"+listen+"/c", nil)
--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -165,8 +165,8 @@
 	want := bytes.Repeat(fmt.Appendf(nil, "%x\n", sha256.Sum256(nil)), 1<<20/65)
 	var requests atomic.Int64
 	addr := testkit.Server(t, func(c net.Conn) {
-		for r := bufio.NewReader(c); ; {
-			req, err := http.ReadRequest(r)
+		for reader := bufio.NewReader(c); ; {
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
--- a/cmd/starlingvalve/release.go
+++ b/cmd/starlingvalve/release.go
@@ -53,15 +53,15 @@
 	plan := &fleetpb.Plan{Name: release.Name, Version: release.Version, Before: release.Before, Why: release.Why,
 		SoakMs: release.SoakMs, LimitMs: release.LimitMs, MostCrashes: release.MostCrashes, TurnBack: release.TurnBack,
 		Health: release.Health}
-	for i, w := range file.Wave {
-		if err := w.Check(); err != nil {
+	for i, wave := range file.Wave {
+		if err := wave.Check(); err != nil {
 			return nil, tomlfile.KeyErrors(path, raw)(fmt.Sprintf("wave[%d].nodes", i), "%v", err)
 		}
-		nodes := w.Nodes
+		nodes := wave.Nodes
 		if len(nodes) == 0 {
 			nodes = []string{fmt.Sprintf("(of wave %d)", i+1)}
 		}
-		plan.Waves = append(plan.Waves, &fleetpb.Wave{Name: w.Name, Nodes: nodes, Mixed: w.Mixed})
+		plan.Waves = append(plan.Waves, &fleetpb.Wave{Name: wave.Name, Nodes: nodes, Mixed: wave.Mixed})
 	}
 	if field, err := fleet.CheckPlan(plan); err != nil {
 		if field[:min(4, len(field))] != "wave" {
@@ -82,13 +82,13 @@
 }
 
 // planForFleet loads the plan of a file for the nodes that the fleet has now. It also returns the fleet's state.
-func (a *fleetCLI) planForFleet(c *cobra.Command, d *control.Door, path string) (*fleet.Machine, *fleetpb.Plan, error) {
-	m, err := a.agreedState(c.Context(), d)
+func (a *fleetCLI) planForFleet(cmd *cobra.Command, client *control.Door, path string) (*fleet.Machine, *fleetpb.Plan, error) {
+	machine, err := a.agreedState(cmd.Context(), client)
 	if err != nil {
 		return nil, nil, err
 	}
-	p, err := loadPlan(path, m)
-	return m, p, err
+	plan, err := loadPlan(path, machine)
+	return machine, plan, err
 }
 
 // releaseCommand creates the commands that plan, start and steer releases.
@@ -96,47 +96,47 @@
 	cli := &fleetCLI{}
 	root, add := cli.command("release", "Bring the nodes of a fleet to another version, in waves")
 	add("plan FILE", "Check a plan, and print what it would do", cobra.ExactArgs(1),
-		func(c *cobra.Command, d *control.Door, args []string) error {
-			machine, plan, err := cli.planForFleet(c, d, args[0])
+		func(cmd *cobra.Command, client *control.Door, args []string) error {
+			machine, plan, err := cli.planForFleet(cmd, client, args[0])
 			if err != nil {
 				return err
 			}
 			for i, wave := range plan.Waves {
-				fmt.Fprintf(c.OutOrStdout(), "wave %d %s: %s\n", i+1, wave.Name, joinNames(wave.Nodes))
+				fmt.Fprintf(cmd.OutOrStdout(), "wave %d %s: %s\n", i+1, wave.Name, joinNames(wave.Nodes))
 			}
-			return cli.printResult(c.OutOrStdout(), "would be", machine.ExplainPlan(plan))
+			return cli.printResult(cmd.OutOrStdout(), "would be", machine.ExplainPlan(plan))
 		})
 	var again bool
 	start := add("start FILE", "Start the release of a plan", cobra.ExactArgs(1),
-		func(c *cobra.Command, d *control.Door, args []string) error {
-			_, plan, err := cli.planForFleet(c, d, args[0])
+		func(cmd *cobra.Command, client *control.Door, args []string) error {
+			_, plan, err := cli.planForFleet(cmd, client, args[0])
 			if err != nil {
 				return err
 			}
 			plan.By, plan.Again = cli.by, again
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: plan}})
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: plan}})
 		})
 	start.Flags().BoolVar(&again, "again", false, "allow a version that was turned back before")
 	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now",
 		"resume": "Continue a paused or halted release", "halt": "Stop the release: nodes that are out return as they were",
 		"back": "Roll back to the previous version"} {
-		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-			return cli.submit(c, d, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0],
+		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0],
 				Verb: verb, By: cli.by, Why: cli.why}}})
 		})
 	}
 	add("status", "Print the current or last release, and the version of each node", cobra.NoArgs,
-		func(c *cobra.Command, d *control.Door, _ []string) error {
-			machine, err := cli.agreedState(c.Context(), d)
+		func(cmd *cobra.Command, client *control.Door, _ []string) error {
+			machine, err := cli.agreedState(cmd.Context(), client)
 			if err != nil {
 				return err
 			}
-			return cli.releaseStatus(c, machine.State())
+			return cli.releaseStatus(cmd, machine.State())
 		})
 	add("report FILE.html",
 		"Write an HTML page of the current or last release: what was out of service over time, against its budgets",
-		cobra.ExactArgs(1), func(c *cobra.Command, d *control.Door, args []string) error {
-			machine, err := cli.agreedState(c.Context(), d)
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+			machine, err := cli.agreedState(cmd.Context(), client)
 			if err != nil {
 				return err
 			}
@@ -149,22 +149,22 @@
 	return root
 }
 
-func (a *fleetCLI) releaseStatus(c *cobra.Command, s *fleetpb.State) error {
+func (a *fleetCLI) releaseStatus(cmd *cobra.Command, state *fleetpb.State) error {
 	if a.jsonOutput() {
-		return printJSON(c.OutOrStdout(), &fleetpb.State{Release: s.Release, Units: s.Units, Bad: s.Bad})
+		return printJSON(cmd.OutOrStdout(), &fleetpb.State{Release: state.Release, Units: state.Units, Bad: state.Bad})
 	}
-	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
+	w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	if release := s.Release; release != nil {
+	if release := state.Release; release != nil {
 		fmt.Fprintf(w, "release %s\t%s\twave %d of %d\t%s -> %s\t%s\n", release.Plan.Name, release.State, release.Wave+1,
 			len(release.Plan.Waves), release.Plan.Before, release.Plan.Version, release.Cause)
-		for _, n := range slices.Sorted(maps.Keys(release.Turns)) {
-			fmt.Fprintf(w, "turn\t%s\tto %s\tepoch %d\n", n, release.Turns[n].Version, release.Turns[n].Epoch)
+		for _, name := range slices.Sorted(maps.Keys(release.Turns)) {
+			fmt.Fprintf(w, "turn\t%s\tto %s\tepoch %d\n", name, release.Turns[name].Version, release.Turns[name].Epoch)
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(s.Units)) {
-		unit := s.Units[n]
-		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\n", n, unit.Version, unit.State,
+	for _, name := range slices.Sorted(maps.Keys(state.Units)) {
+		unit := state.Units[name]
+		fmt.Fprintf(w, "node\t%s\t%s\t%s since %s\n", name, unit.Version, unit.State,
 			time.UnixMilli(unit.SinceMs).Format(time.TimeOnly))
 	}
 	return nil
@@ -173,11 +173,11 @@
 // superviseCommand creates the command that supervises a node's process.
 func superviseCommand(log *slog.Logger) *cobra.Command {
 	var program string
-	c := &cobra.Command{Use: "supervise FILE",
+	cmd := &cobra.Command{Use: "supervise FILE",
 		Short: "Keep a node running, and bring it to the versions that releases want",
 		Args:  cobra.ExactArgs(1),
 		Long:  "Keep a node running, and bring it to the versions that releases want.\n\nThe node has this process's environment. SIGTERM ends both. If this process is killed, the node keeps running and the next supervisor takes it over.",
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			file, err := supervise.Load(args[0], time.Now())
 			if err != nil {
 				return fmt.Errorf("configuration: %w", err)
@@ -191,13 +191,13 @@
 				if err != nil {
 					return errors.Join(fmt.Errorf("%s was not added", program), err)
 				}
-				fmt.Fprintln(c.OutOrStdout(), version)
+				fmt.Fprintln(cmd.OutOrStdout(), version)
 				return nil
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 			defer stop()
 			return supervise.Run(ctx, file, log)
 		}}
-	c.Flags().StringVar(&program, "add", "", "add this `PROGRAM` to the stored programs, print its version, and exit")
-	return c
+	cmd.Flags().StringVar(&program, "add", "", "add this `PROGRAM` to the stored programs, print its version, and exit")
+	return cmd
 }
--- a/cmd/starlingvalve/replace_test.go
+++ b/cmd/starlingvalve/replace_test.go
@@ -112,29 +112,29 @@
 
 // load sends requests on kept and on new connections until ctx ends. It returns the number of requests served so far,
 // the errors, and a function that waits for the clients to end.
-func (n *replaceableNode) load(ctx context.Context) (served *atomic.Int64, wrong chan string, wait func()) {
-	served, wrong = new(atomic.Int64), make(chan string, 1000)
+func (n *replaceableNode) load(ctx context.Context) (served *atomic.Int64, problems chan string, wait func()) {
+	served, problems = new(atomic.Int64), make(chan string, 1000)
 	var clients sync.WaitGroup
 	for i := range 12 {
 		clients.Go(func() {
-			var c net.Conn
-			var r *bufio.Reader
+			var conn net.Conn
+			var reader *bufio.Reader
 			for number := 0; ctx.Err() == nil; number++ {
-				if c == nil {
+				if conn == nil {
 					var err error
-					if c, err = net.Dial("tcp", n.listen); err != nil {
-						wrong <- "refused: " + err.Error()
+					if conn, err = net.Dial("tcp", n.listen); err != nil {
+						problems <- "refused: " + err.Error()
 						continue
 					}
-					c.SetDeadline(time.Now().Add(20 * time.Second))
-					r = bufio.NewReader(c)
+					conn.SetDeadline(time.Now().Add(20 * time.Second))
+					reader = bufio.NewReader(conn)
 				}
-				fmt.Fprintf(c, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %d.%d\r\nX-Time-Left: 3\r\nContent-Length: 0\r\n\r\n", i, number)
-				resp, err := http.ReadResponse(r, nil)
+				fmt.Fprintf(conn, "POST /c HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: %d.%d\r\nX-Time-Left: 3\r\nContent-Length: 0\r\n\r\n", i, number)
+				resp, err := http.ReadResponse(reader, nil)
 				if err != nil {
-					wrong <- fmt.Sprintf("%d.%d: %v", i, number, err)
-					c.Close()
-					c = nil
+					problems <- fmt.Sprintf("%d.%d: %v", i, number, err)
+					conn.Close()
+					conn = nil
 					continue
 				}
 				io.Copy(io.Discard, resp.Body)
@@ -143,19 +143,19 @@
 					served.Add(1)
 				case 503: // allowed, as a new process knows little of its server's capacity
 				default:
-					wrong <- fmt.Sprintf("%d.%d: status %d", i, number, resp.StatusCode)
+					problems <- fmt.Sprintf("%d.%d: status %d", i, number, resp.StatusCode)
 				}
 				if resp.Close || i%2 == 0 {
-					c.Close()
-					c = nil
+					conn.Close()
+					conn = nil
 				}
 			}
-			if c != nil {
-				c.Close()
+			if conn != nil {
+				conn.Close()
 			}
 		})
 	}
-	return served, wrong, clients.Wait
+	return served, problems, clients.Wait
 }
 
 // check reports the errors of load and each request that ran more than once.
@@ -221,11 +221,11 @@
 	node := newReplaceableNode(t)
 	ask := func(when string) {
 		t.Helper()
-		c := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+		client := http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 		req, _ := http.NewRequest(http.MethodPost, "http://"+node.listen+"/c", nil)
 		req.Header.Set("X-Correlation-Id", strings.ReplaceAll(when, " ", "-"))
 		req.Header.Set("X-Time-Left", "3")
-		resp, err := c.Do(req)
+		resp, err := client.Do(req)
 		if err != nil {
 			t.Fatalf("%s: %v", when, err)
 		}
--- a/cmd/starlingvalve/stats_test.go
+++ b/cmd/starlingvalve/stats_test.go
@@ -99,11 +99,11 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 		now := node.readStats()
-		for name, v := range now {
+		for name, value := range now {
 			// Gauges may decrease.
-			if v < last[name] && name != "gw.current" && !strings.HasPrefix(name, "gw.cluster") &&
+			if value < last[name] && name != "gw.current" && !strings.HasPrefix(name, "gw.cluster") &&
 				!strings.HasPrefix(name, "gw.list.") {
-				t.Errorf("%s went from %d to %d", name, last[name], v)
+				t.Errorf("%s went from %d to %d", name, last[name], value)
 			}
 		}
 		last = now
--- a/cmd/starlingvalve/unwatched_test.go
+++ b/cmd/starlingvalve/unwatched_test.go
@@ -149,9 +149,9 @@
 		for end := time.Now().Add(testkit.Patient); len(n.servers[0].Log()) == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond) // a process that starts sends no request before that answer
 		}
-		e := standin.EntryOf(n.servers[0])
-		e.State = "draining"
-		service.Set(e)
+		entry := standin.EntryOf(n.servers[0])
+		entry.State = "draining"
+		service.Set(entry)
 	}()
 	n.requestsUntil("an answer", func() bool {
 		select {
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -45,11 +45,11 @@
 // Run opens the node's sockets, or takes over its predecessor's, and serves until ctx ends and all requests accepted
 // by then are answered. Each signal on reload makes it read the configuration file again.
 func Run(ctx context.Context, config *Config, reload <-chan os.Signal, log *slog.Logger) error {
-	s, err := openSockets(config, log)
+	opened, err := openSockets(config, log)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, config, s, reload, log)
+	return serve(ctx, config, opened, reload, log)
 }
 
 // assembly holds the parts of a node and what several of them need, while the node is built and while it runs.
@@ -76,22 +76,22 @@
 
 // serve assembles a node on the given sockets and runs it until ctx ends and all requests accepted by then are
 // answered. It also returns, with an error, if the node can't start or its clients' listener fails.
-func serve(ctx context.Context, config *Config, s *sockets, reload <-chan os.Signal, log *slog.Logger) error {
+func serve(ctx context.Context, config *Config, opened *sockets, reload <-chan os.Signal, log *slog.Logger) error {
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	node := &assembly{config: config, log: log, sockets: s}
+	node := &assembly{config: config, log: log, sockets: opened}
 	frontEnded := make(chan error, 1)
 	defer func() { node.parts.cleanup() }()
 	if err := node.assemble(runCtx, reload, frontEnded); err != nil {
-		s.clients.Close()
+		opened.clients.Close()
 		return err
 	}
 	var running sync.WaitGroup
 	if err := node.parts.start(runCtx, stop, &running); err != nil {
-		s.clients.Close()
+		opened.clients.Close()
 		return err
 	}
-	attrs := []any{"name", config.Name, "listen", s.clients.Addr(), "sockets", node.split.Total()}
+	attrs := []any{"name", config.Name, "listen", opened.clients.Addr(), "sockets", node.split.Total()}
 	if node.opsListener != nil {
 		attrs = append(attrs, "ops", node.opsListener.Addr())
 	}
@@ -117,12 +117,12 @@
 // assemble creates the parts in the order in which they start. If it fails, the cleanup of the parts that were added
 // releases what they own.
 func (a *assembly) assemble(ctx context.Context, reload <-chan os.Signal, frontEnded chan<- error) error {
-	config, s, log := a.config, a.sockets, a.log
+	config, opened, log := a.config, a.sockets, a.log
 	var learned *decide.Snapshot
 	otherDiscovery := false
-	if s.predecessor != nil {
-		a.add(part{cleanup: func() { s.predecessor.Close() }})
-		if state, err := decodeState(s.predecessor.State); err != nil {
+	if opened.predecessor != nil {
+		a.add(part{cleanup: func() { opened.predecessor.Close() }})
+		if state, err := decodeState(opened.predecessor.State); err != nil {
 			log.Warn("ignoring the predecessor's state", "err", err)
 		} else {
 			config.Known, learned, otherDiscovery = state.List, state.Learned, state.fromOtherDiscovery(config.Discovery)
@@ -139,8 +139,8 @@
 		}
 		a.add(part{cleanup: func() { a.opsListener.Close() }})
 	}
-	if s.peers != nil {
-		a.peers = peer.New(s.peers, config.Peers, config.PeersAll, config.Settings.Self, log)
+	if opened.peers != nil {
+		a.peers = peer.New(opened.peers, config.Peers, config.PeersAll, config.Settings.Self, log)
 	}
 	a.guard = guard.New(config.Settings.DrainGrace, a.logViolation)
 	a.transport = upstream.New(config.Settings, config.Limits.MemoryMB, a.split.Servers, a.guard, log)
@@ -155,10 +155,10 @@
 	}
 	a.takeover = &takeover{front: a.front, handler: a.handler, transport: a.transport, peers: a.peers, loop: a.loop,
 		maxClients: a.split.Clients, maxServerConnections: a.split.Servers,
-		memoryMB: config.Limits.MemoryMB, setMemory: config.setMemory, log: log, predecessorRunning: s.predecessor != nil,
-		serving: s.predecessor == nil}
+		memoryMB: config.Limits.MemoryMB, setMemory: config.setMemory, log: log, predecessorRunning: opened.predecessor != nil,
+		serving: opened.predecessor == nil}
 
-	if s.predecessor != nil {
+	if opened.predecessor != nil {
 		a.takeover.predecessorConnections = a.split.Clients
 	}
 
@@ -189,8 +189,8 @@
 		}
 		reloadOnSignal(ctx, config, a.loop, a.gateway, &a.takeover.source, reload, log)
 	}})
-	if s.predecessor != nil {
-		a.add(part{run: func(ctx context.Context) { a.takeover.replacePredecessor(ctx, s.predecessor) }})
+	if opened.predecessor != nil {
+		a.add(part{run: func(ctx context.Context) { a.takeover.replacePredecessor(ctx, opened.predecessor) }})
 	}
 	if config.Handover != "" {
 		a.addHandoverServer()
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -52,9 +52,9 @@
 	conns    sync.WaitGroup
 }
 
-func (l *attemptLog) serve(c net.Conn) {
-	defer c.Close()
-	reader := bufio.NewReader(c)
+func (l *attemptLog) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	if _, err := reader.Peek(1); err != nil {
 		return // a connection without a request, as the one that fills a listen queue
 	}
@@ -85,7 +85,7 @@
 		if text == "" {
 			return
 		}
-		io.WriteString(c, text)
+		io.WriteString(conn, text)
 	}
 }
 
--- a/internal/app/leaving_test.go
+++ b/internal/app/leaving_test.go
@@ -155,7 +155,7 @@
 }
 
 // longAnswerNode starts a node whose server runs serve, and a client that has sent a request to it. warnings gets a
-// warning if the node exits with connections open.
+// line if the node exits with connections open.
 func longAnswerNode(t *testing.T, deadline time.Duration, serve func(net.Conn)) (node *testNode, config *Config,
 	conn client, warnings *bytes.Buffer) {
 	t.Helper()
--- a/internal/app/takeover.go
+++ b/internal/app/takeover.go
@@ -40,30 +40,30 @@
 // openSockets takes over the sockets of the running process of this node, if there is one. Otherwise, or if that
 // fails, it opens new ones, which share the addresses of a running process.
 func openSockets(config *Config, log *slog.Logger) (*sockets, error) {
-	s := &sockets{}
+	opened := &sockets{}
 	if config.Handover != "" {
 		predecessor, err := handover.TakeOver(config.Handover, config.Name, config.Listen, config.PeerListen)
 		if err == nil {
 			log.Info("replacing the process that serves", "listen", config.Listen)
-			s.clients, s.peers, s.predecessor = predecessor.Listener, predecessor.Peers, predecessor
+			opened.clients, opened.peers, opened.predecessor = predecessor.Listener, predecessor.Peers, predecessor
 		} else if !errors.Is(err, handover.ErrNoPredecessor) {
 			log.Warn("the running process hands over no sockets; sharing its port", "err", err)
 		}
 	}
 	var err error
-	if s.clients == nil {
-		if s.clients, err = handover.ListenTCP(config.Listen); err != nil {
+	if opened.clients == nil {
+		if opened.clients, err = handover.ListenTCP(config.Listen); err != nil {
 			return nil, fmt.Errorf("listen: %w", err)
 		}
 	}
 	// The predecessor may have no such socket to hand over, or one at another address.
-	if s.peers == nil && config.PeerListen.IsValid() && config.Settings.MayMessage {
-		if s.peers, err = handover.ListenUDP(config.PeerListen); err != nil {
-			s.clients.Close()
+	if opened.peers == nil && config.PeerListen.IsValid() && config.Settings.MayMessage {
+		if opened.peers, err = handover.ListenUDP(config.PeerListen); err != nil {
+			opened.clients.Close()
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
 	}
-	return s, nil
+	return opened, nil
 }
 
 // handedState is the state that a process hands to its successor, as JSON under the names of the fields.
@@ -85,9 +85,9 @@
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return state, err
 	}
-	for i, e := range state.List.Entries {
-		if _, err := netip.ParseAddrPort(e.Addr); err != nil || e.State != decide.Ready && e.State != decide.Draining ||
-			math.IsNaN(e.Size) || e.StartedAt < 0 {
+	for i, entry := range state.List.Entries {
+		if _, err := netip.ParseAddrPort(entry.Addr); err != nil || entry.State != decide.Ready && entry.State != decide.Draining ||
+			math.IsNaN(entry.Size) || entry.StartedAt < 0 {
 			return state, fmt.Errorf("list: entry %d is invalid", i)
 		}
 	}
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -31,9 +31,9 @@
 }
 
 // write sends m, and with it the descriptors fds.
-func write(c *net.UnixConn, m *message, fds ...int) error {
-	m.Version = version
-	body, err := json.Marshal(m)
+func write(conn *net.UnixConn, msg *message, fds ...int) error {
+	msg.Version = version
+	body, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
@@ -46,23 +46,23 @@
 		rights = unix.UnixRights(fds...)
 	}
 	// The descriptors are ancillary data of the first bytes, the length.
-	if _, _, err := c.WriteMsgUnix(header, rights, nil); err != nil {
+	if _, _, err := conn.WriteMsgUnix(header, rights, nil); err != nil {
 		return err
 	}
-	_, err = c.Write(body)
+	_, err = conn.Write(body)
 	return err
 }
 
 // read receives a message and the descriptors sent with it. The caller has to close the files, also those that are
 // returned together with an error.
-func read(c *net.UnixConn) (m *message, files []*os.File, err error) {
+func read(conn *net.UnixConn) (received *message, files []*os.File, err error) {
 	var head [4]byte
 	rights := make([]byte, unix.CmsgSpace(4*maxFiles))
-	n, controlBytes, flags, _, err := c.ReadMsgUnix(head[:], rights)
+	headerBytes, controlBytes, flags, _, err := conn.ReadMsgUnix(head[:], rights)
 	if err != nil {
 		return nil, nil, err
 	}
-	if n == 0 {
+	if headerBytes == 0 {
 		return nil, nil, io.EOF
 	}
 	if files, err = receivedFiles(rights[:controlBytes]); err != nil {
@@ -71,7 +71,7 @@
 	if flags&unix.MSG_CTRUNC != 0 {
 		return nil, files, errors.New("handover: too many descriptors in a message")
 	}
-	if _, err := io.ReadFull(c, head[n:]); err != nil {
+	if _, err := io.ReadFull(conn, head[headerBytes:]); err != nil {
 		return nil, files, err
 	}
 	size := binary.BigEndian.Uint32(head[:])
@@ -79,18 +79,18 @@
 		return nil, files, fmt.Errorf("handover: message of %d bytes exceeds the limit of %d", size, maxMessageBytes)
 	}
 	// This allocates as data arrives, not by the length that the peer claims.
-	body, err := io.ReadAll(io.LimitReader(c, int64(size)))
+	body, err := io.ReadAll(io.LimitReader(conn, int64(size)))
 	if err != nil {
 		return nil, files, err
 	}
-	m = new(message)
-	if err := json.Unmarshal(body, m); err != nil {
+	received = new(message)
+	if err := json.Unmarshal(body, received); err != nil {
 		return nil, files, fmt.Errorf("handover: %w", err)
 	}
-	if m.Version != version {
-		return nil, files, fmt.Errorf("handover: version %d, want %d", m.Version, version)
+	if received.Version != version {
+		return nil, files, fmt.Errorf("handover: version %d, want %d", received.Version, version)
 	}
-	return m, files, nil
+	return received, files, nil
 }
 
 // receivedFiles returns the descriptors in the ancillary data of a message, as files.
--- a/internal/handover/predecessor.go
+++ b/internal/handover/predecessor.go
@@ -74,7 +74,7 @@
 	defer s.removeSocketFile()
 	var retry accept.Retry
 	for {
-		c, err := s.listener.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if err != nil {
 			if retry.After(err) {
 				continue
@@ -82,14 +82,14 @@
 			return
 		}
 		retry.Reset()
-		stopClosing := context.AfterFunc(ctx, func() { c.Close() })
-		if !sameUser(c) {
+		stopClosing := context.AfterFunc(ctx, func() { conn.Close() })
+		if !sameUser(conn) {
 			s.log.Warn("handover: rejected a process of another user")
-		} else if err := s.serve(c); err != nil && ctx.Err() == nil {
+		} else if err := s.serve(conn); err != nil && ctx.Err() == nil {
 			s.log.Info("handover ended", "err", err)
 		}
 		stopClosing()
-		c.Close()
+		conn.Close()
 	}
 }
 
@@ -102,9 +102,9 @@
 
 // serve hands the sockets and the state to a successor and then reports client connections to it. It returns when the
 // successor has ended or failed to serve within startTimeout. The stage is Alone again after that.
-func (s *Server) serve(c *net.UnixConn) error {
-	c.SetDeadline(time.Now().Add(helloTimeout))
-	hello, files, err := read(c)
+func (s *Server) serve(conn *net.UnixConn) error {
+	conn.SetDeadline(time.Now().Add(helloTimeout))
+	hello, files, err := read(conn)
 	closeAll(files)
 	if err != nil {
 		return err
@@ -112,31 +112,31 @@
 	if hello.Name != s.offer.Name {
 		return nil
 	}
-	m := &message{State: s.offer.State(), Peers: s.offer.Peers != nil}
+	reply := &message{State: s.offer.State(), Peers: s.offer.Peers != nil}
 	sockets := []syscall.Conn{s.offer.Listener}
 	if s.offer.Peers != nil {
 		sockets = append(sockets, s.offer.Peers)
 	}
-	if err := writeWithSockets(c, m, sockets, nil); err != nil {
+	if err := writeWithSockets(conn, reply, sockets, nil); err != nil {
 		return err
 	}
 	s.offer.Changed(Shared)
 	defer s.offer.Changed(Alone)
 	done := make(chan struct{})
 	var reporting sync.WaitGroup
-	reporting.Go(func() { s.reportConnections(c, done) })
+	reporting.Go(func() { s.reportConnections(conn, done) })
 	defer reporting.Wait()
 	defer close(done)
-	c.SetReadDeadline(time.Now().Add(startTimeout))
-	m, files, err = read(c)
+	conn.SetReadDeadline(time.Now().Add(startTimeout))
+	reply, files, err = read(conn)
 	closeAll(files)
-	if err != nil || !m.Serving {
+	if err != nil || !reply.Serving {
 		return err
 	}
 	s.offer.Changed(Succeeded)
 	// The successor sends nothing more: read returns when its process ends and the kernel closes the socket.
-	c.SetReadDeadline(time.Time{})
-	_, files, err = read(c)
+	conn.SetReadDeadline(time.Time{})
+	_, files, err = read(conn)
 	closeAll(files)
 	return err
 }
@@ -144,16 +144,16 @@
 // writeWithSockets sends a message with the descriptors of sockets, after those in fds. Each call holds one socket,
 // so that its descriptor stays valid, and calls itself for the others. (An os.File of a socket would not do: its Fd
 // method sets the socket to blocking mode, which both processes share.)
-func writeWithSockets(c *net.UnixConn, m *message, sockets []syscall.Conn, fds []int) error {
+func writeWithSockets(conn *net.UnixConn, msg *message, sockets []syscall.Conn, fds []int) error {
 	if len(sockets) == 0 {
-		return write(c, m, fds...)
+		return write(conn, msg, fds...)
 	}
 	raw, err := sockets[0].SyscallConn()
 	if err != nil {
 		return err
 	}
 	var writeErr error
-	err = raw.Control(func(fd uintptr) { writeErr = writeWithSockets(c, m, sockets[1:], append(fds, int(fd))) })
+	err = raw.Control(func(fd uintptr) { writeErr = writeWithSockets(conn, msg, sockets[1:], append(fds, int(fd))) })
 	if err != nil {
 		return err
 	}
@@ -161,12 +161,12 @@
 }
 
 // reportConnections sends the number of this process's client connections every reportInterval, until done is closed.
-func (s *Server) reportConnections(c *net.UnixConn, done <-chan struct{}) {
+func (s *Server) reportConnections(conn *net.UnixConn, done <-chan struct{}) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
-		c.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if write(c, &message{Connections: s.offer.Connections()}) != nil {
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if write(conn, &message{Connections: s.offer.Connections()}) != nil {
 			return // the successor has ended, which serve notices as it reads, or no longer reads
 		}
 		select {
--- a/internal/handover/successor.go
+++ b/internal/handover/successor.go
@@ -45,15 +45,15 @@
 	return predecessor, nil
 }
 
-func takeOver(c *net.UnixConn, deadline time.Time, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
-	if !sameUser(c) {
+func takeOver(conn *net.UnixConn, deadline time.Time, name string, listen, peers netip.AddrPort) (*Predecessor, error) {
+	if !sameUser(conn) {
 		return nil, errors.New("handover: the process at the socket belongs to another user")
 	}
-	c.SetDeadline(deadline)
-	if err := write(c, &message{Name: name}); err != nil {
+	conn.SetDeadline(deadline)
+	if err := write(conn, &message{Name: name}); err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	reply, files, err := read(c)
+	reply, files, err := read(conn)
 	defer closeAll(files)
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
@@ -61,27 +61,27 @@
 	if len(files) == 0 {
 		return nil, errors.New("handover: the predecessor sent no sockets")
 	}
-	predecessor := &Predecessor{State: reply.State, conn: c}
-	l, err := net.FileListener(files[0])
+	predecessor := &Predecessor{State: reply.State, conn: conn}
+	listener, err := net.FileListener(files[0])
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcp, ok := listener.(*net.TCPListener)
 	if !ok || !hasAddress(tcp.Addr(), listen) {
-		l.Close()
-		return nil, fmt.Errorf("handover: the predecessor listens at %v, want %v", l.Addr(), listen)
+		listener.Close()
+		return nil, fmt.Errorf("handover: the predecessor listens at %v, want %v", listener.Addr(), listen)
 	}
 	predecessor.Listener = tcp
 	if reply.Peers && len(files) > 1 && peers.IsValid() {
-		if u, err := net.FilePacketConn(files[1]); err == nil {
-			if udp, ok := u.(*net.UDPConn); ok && hasAddress(udp.LocalAddr(), peers) {
+		if packetConn, err := net.FilePacketConn(files[1]); err == nil {
+			if udp, ok := packetConn.(*net.UDPConn); ok && hasAddress(udp.LocalAddr(), peers) {
 				predecessor.Peers = udp
 			} else {
-				u.Close()
+				packetConn.Close()
 			}
 		}
 	}
-	c.SetDeadline(time.Time{})
+	conn.SetDeadline(time.Time{})
 	return predecessor, nil
 }
 
