--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -42,7 +42,7 @@
 	}
 	for name, line := range map[string]string{"run": deploy.Run, "sim": deploy.Sim} {
 		if !regexp.MustCompile(`^exec bin/[a-z]+$`).MatchString(line) {
-			t.Errorf("%s = %q: want a single exec of a program in bin", name, line)
+			t.Errorf("%s = %q: want a single exec of a program in bin and no other command", name, line)
 		}
 	}
 	_, build, _ := strings.Cut(deploy.Build, "&& ")
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -35,8 +35,8 @@
 	// bodyMemoryShare is the share of the memory limit for request bodies that are being read or buffered.
 	bodyMemoryShare = 1.0 / 8
 
-	// The platform sends SIGKILL this long after SIGTERM: the longest deadline of any class, of which
-	// maxDrainDeadline counts at most, plus killAfter. The node sends its last answers killMargin before that.
+	// The platform waits after SIGTERM for the longest deadline of any class, capped at maxDrainDeadline, and for
+	// killAfter, and then sends SIGKILL. The node sends its last answers killMargin before that.
 	maxDrainDeadline = 3 * time.Second
 	killAfter        = 700 * time.Millisecond
 	killMargin       = 200 * time.Millisecond
@@ -54,12 +54,12 @@
 
 // assembly holds the parts of a node and what several of them need, while the node is built and while it runs.
 type assembly struct {
-	config  *Config
-	log     *slog.Logger
-	sockets *sockets
-	split   descriptors.Split
+	config      *Config
+	log         *slog.Logger
+	sockets     *sockets
+	descriptors descriptors.Split
 
-	figures     *stats.Metrics
+	metrics     *stats.Metrics
 	guard       *guard.Guard
 	transport   *upstream.Transport
 	gateway     *siteGateway // to and from other sites; nil: no requests are handed to or taken from other sites
@@ -91,7 +91,7 @@
 		opened.clients.Close()
 		return err
 	}
-	attrs := []any{"name", config.Name, "listen", opened.clients.Addr(), "sockets", node.split.Total()}
+	attrs := []any{"name", config.Name, "listen", opened.clients.Addr(), "sockets", node.descriptors.Total()}
 	if node.opsListener != nil {
 		attrs = append(attrs, "ops", node.opsListener.Addr())
 	}
@@ -130,7 +130,7 @@
 		}
 	}
 	var err error
-	if a.split, err = divideDescriptors(config, log); err != nil {
+	if a.descriptors, err = divideDescriptors(config, log); err != nil {
 		return err
 	}
 	if config.Ops.IsValid() {
@@ -143,7 +143,7 @@
 		a.peers = peer.New(opened.peers, config.Peers, config.PeersAll, config.Settings.Self, log)
 	}
 	a.guard = guard.New(config.Settings.DrainGrace, a.logViolation)
-	a.transport = upstream.New(config.Settings, config.Limits.MemoryMB, a.split.Servers, a.guard, log)
+	a.transport = upstream.New(config.Settings, config.Limits.MemoryMB, a.descriptors.Servers, a.guard, log)
 	if config.Gateway != nil {
 		if a.gateway, err = openSiteGateway(config, log); err != nil {
 			return err
@@ -154,12 +154,12 @@
 		return err
 	}
 	a.takeover = &takeover{front: a.front, handler: a.handler, transport: a.transport, peers: a.peers, loop: a.loop,
-		maxClients: a.split.Clients, maxServerConnections: a.split.Servers,
+		maxClients: a.descriptors.Clients, maxServerConnections: a.descriptors.Servers,
 		memoryMB: config.Limits.MemoryMB, setMemory: config.setMemory, log: log, predecessorRunning: opened.predecessor != nil,
 		serving: opened.predecessor == nil}
 
 	if opened.predecessor != nil {
-		a.takeover.predecessorConnections = a.split.Clients
+		a.takeover.predecessorConnections = a.descriptors.Clients
 	}
 
 	a.add(part{run: func(context.Context) { a.loop.Run(config.Known) }}, part{run: a.transport.Run})
@@ -201,8 +201,8 @@
 // maxViolationsLogged bounds the log lines about broken rules. The statistics count all violations.
 const maxViolationsLogged = 100
 
-// logViolation logs an attempt that was sent although it broke one of the guard's rules, up to maxViolationsLogged
-// times.
+// logViolation logs an attempt that broke a rule, although the guard was consulted before it was sent. It logs at most
+// maxViolationsLogged of them.
 func (a *assembly) logViolation(rule guard.Rule, attempt guard.Attempt) {
 	if a.violations.Add(1) > maxViolationsLogged {
 		return
@@ -223,21 +223,21 @@
 	}
 	settings := config.Settings
 	settings.NotifyOverload = a.gateway != nil
-	a.figures = stats.New(classNames(settings))
-	a.figures.SetGuard(a.guard)
+	a.metrics = stats.New(classNames(settings))
+	a.metrics.SetGuard(a.guard)
 	var err error
 	a.loop, err = core.New(ctx, core.Options{Remote: a.gateway.remote(), Settings: settings, Seed: config.Seed,
 		Transport: a.transport, Membership: registry.New(config.Discovery, settings, log),
-		Messenger: messenger, Metrics: a.figures, Learned: learned, Guard: a.guard, Log: log})
+		Messenger: messenger, Metrics: a.metrics, Learned: learned, Guard: a.guard, Log: log})
 	if err != nil {
 		return err
 	}
 	a.handler = front.NewHandler(a.loop, config.Settings, int64(bodyMemoryShare*float64(config.Limits.MemoryMB<<20)), log)
-	a.handler.Metrics, a.handler.Guard = a.figures, a.guard
+	a.handler.Metrics, a.handler.Guard = a.metrics, a.guard
 	if config.Record != nil {
 		a.addRecorder()
 	}
-	a.front = http1.New(a.sockets.clients, a.split.Clients, a.handler, log)
+	a.front = http1.New(a.sockets.clients, a.descriptors.Clients, a.handler, log)
 	return nil
 }
 
@@ -262,10 +262,10 @@
 func (a *assembly) addFleetControl() error {
 	for _, class := range a.config.Settings.Classes {
 		if class.Aim > 0 {
-			a.figures.TrackLatency(class.Name, health.Bounds(class.Aim))
+			a.metrics.TrackLatency(class.Name, health.Bounds(class.Aim))
 		}
 	}
-	fleetControl, err := control.Open(a.config.Fleet, a.loop, fleetNode{a.takeover, a.figures}, a.log)
+	fleetControl, err := control.Open(a.config.Fleet, a.loop, fleetNode{a.takeover, a.metrics}, a.log)
 	if err != nil {
 		return err
 	}
@@ -279,7 +279,7 @@
 // fleetNode is what the fleet's control sees and uses of this node.
 type fleetNode struct {
 	*takeover
-	figures *stats.Metrics
+	metrics *stats.Metrics
 }
 
 // Away makes the node report that it is not ready, because the fleet has drained it, or ends that.
@@ -288,12 +288,12 @@
 // Ends returns for each class the number of completed requests by outcome since the start of the process, and the
 // distribution of the response times of those that were served.
 func (n fleetNode) Ends() map[string]health.Ends {
-	ends := map[string]health.Ends{}
-	n.figures.EachClass(func(class string, answered, deferred, errored int64) {
-		ends[class] = health.Ends{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored),
-			Took: n.figures.LatencyCounts(class)}
+	results := map[string]health.Ends{}
+	n.metrics.EachClass(func(class string, answered, deferred, errored int64) {
+		results[class] = health.Ends{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored),
+			Took: n.metrics.LatencyCounts(class)}
 	})
-	return ends
+	return results
 }
 
 // Resident returns the resident memory of this process in bytes, from /proc/self/statm, or 0 if that can't be read.
@@ -309,7 +309,7 @@
 
 // addOpsServer serves the operators' address: health checks and statistics.
 func (a *assembly) addOpsServer() {
-	opsServer := ops.New(a.opsListener, a.handler.Ready, a.figures, a.log)
+	opsServer := ops.New(a.opsListener, a.handler.Ready, a.metrics, a.log)
 	a.add(part{run: func(context.Context) {
 		if err := opsServer.Serve(); err != nil {
 			a.log.Error("operators' address: serving failed", "err", err)
