--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -94,13 +94,13 @@
 	process := &descriptorProcess{Cmd: cmd, started: time.Now()}
 	guard := time.AfterFunc(2*time.Minute, func() { cmd.Process.Kill() })
 	ctx, stop := context.WithCancel(context.Background())
-	second := make(chan string, 1)
+	opsAddr := make(chan string, 1)
 	var watching sync.WaitGroup
 	n.t.Cleanup(func() { guard.Stop(); cmd.Process.Kill(); stop(); watching.Wait(); cmd.Wait() })
-	watching.Go(func() { process.readLog(n.t, log, second) })
+	watching.Go(func() { process.readLog(n.t, log, opsAddr) })
 	watching.Go(func() { process.count(ctx) })
 	select {
-	case n.opsAddr = <-second:
+	case n.opsAddr = <-opsAddr:
 	case <-time.After(testkit.Patient):
 		n.t.Fatal("the process does not start")
 	}
@@ -108,12 +108,12 @@
 }
 
 // readLog counts the lines of the log, and sends the operators' address that it names.
-func (p *descriptorProcess) readLog(t *testing.T, log io.Reader, second chan<- string) {
+func (p *descriptorProcess) readLog(t *testing.T, log io.Reader, opsAddr chan<- string) {
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		p.lines.Add(1)
 		t.Log(p.Process.Pid, lines.Text())
 		if _, addr, ok := strings.Cut(lines.Text(), "ops="); ok {
-			second <- addr
+			opsAddr <- addr
 		}
 	}
 }
--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -87,9 +87,9 @@
 // checkExpiredList makes requests while discovery is overloaded and until it answers again. No request may reach the
 // draining server too late, and the node has to serve again once it has a fresh list.
 func (n *onRequestNode) checkExpiredList(service *discovery.Service, caller *discovery.Caller, change discovery.Change,
-	crowded time.Duration) {
+	overloadedFor time.Duration) {
 	n.t.Helper()
-	over := time.Now().Add(crowded)
+	over := time.Now().Add(overloadedFor)
 	n.requestsUntil("the end of the overload", func() bool { return time.Now().After(over) })
 	service.SetFault(discovery.Fault{})
 	n.requestsUntil("an answer", func() bool { return len(caller.Answers()) > 0 })
--- a/cmd/starlingvalve/much_test.go
+++ b/cmd/starlingvalve/much_test.go
@@ -147,8 +147,8 @@
 			for _, text := range uploadKinds {
 				sent++
 				id, reset := fmt.Sprintf("Id: held%d-%d", wave, sent), sent%2 == 0
-				own := strings.Replace(text, "Id: x", id, 1)
-				clients.Go(func() { sendAndGo(t, node.listen, own, reset) })
+				withOwnID := strings.Replace(text, "Id: x", id, 1)
+				clients.Go(func() { sendAndGo(t, node.listen, withOwnID, reset) })
 			}
 		}
 		clients.Wait()
--- a/cmd/starlingvalve/stats_test.go
+++ b/cmd/starlingvalve/stats_test.go
@@ -89,12 +89,12 @@
 			}
 		})
 	}
-	quiet := make(chan struct{})
-	go func() { clients.Wait(); close(quiet) }()
+	clientsDone := make(chan struct{})
+	go func() { clients.Wait(); close(clientsDone) }()
 	last := node.readStats()
 	for over := false; !over; {
 		select {
-		case <-quiet:
+		case <-clientsDone:
 			over = true
 		case <-time.After(20 * time.Millisecond):
 		}
--- a/internal/app/askedlist_test.go
+++ b/internal/app/askedlist_test.go
@@ -103,7 +103,8 @@
 var maxRefused = map[string]time.Duration{"silent": 1500 * time.Millisecond, "half an answer": 1500 * time.Millisecond}
 
 // Discovery is down when the node starts, and so is the one at the address that a reload gives. That one comes back
-// with a draining server in its list at the worst moment: just after a list request has failed or has begun in vain.
+// with a draining server in its list at the worst moment: just after a list request has failed, or was sent and will
+// never be answered.
 // Even with the request rate of a fleet of 300 nodes, the node has to get the list within 6 s and send nothing to the
 // draining server after its grace.
 func TestListOnRequestAfterOutage(t *testing.T) {
--- a/internal/app/departed_first_test.go
+++ b/internal/app/departed_first_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	settings := testkit.Settings()
 	scenario.change(&settings)
-	node, addr, letGo := nodeWithFullListener(t, settings)
+	node, addr, release := nodeWithFullListener(t, settings)
 	server := &attemptLog{}
 	conn := node.dial(t)
 	io.WriteString(conn, request(settings.Classes[class], leavingID, "60"))
@@ -28,7 +28,7 @@
 	io.WriteString(second, request(settings.Classes[0], "stays", "60"))
 	closed := scenario.perform(conn)
 	time.Sleep(scenario.after)
-	letGo(server.serve)
+	release(server.serve)
 	second.answer(t)
 	if scenario.leave == nil {
 		conn.answer(t)
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -340,8 +340,8 @@
 	return l
 }
 
-// disconnectDuringUpload has a client disconnect when it has sent its whole body, but the server has not: the server
-// does not read for a while or, if late is set, the connection to it is established late.
+// disconnectDuringUpload has a client disconnect when it has sent its whole body, but before the node could send all of
+// it on: the server does not read for a while or, if late is set, the connection to it is established late.
 func disconnectDuringUpload(t *testing.T, scenario disconnect, size int, late bool) disconnectOutcome {
 	t.Helper()
 	settings := testkit.Settings()
@@ -351,9 +351,9 @@
 	}
 	server := &attemptLog{bodies: make(chan struct{})}
 	var addr string
-	letGo := func(func(net.Conn)) {}
+	release := func(func(net.Conn)) {}
 	if late {
-		addr, letGo = newFullListener(t)
+		addr, release = newFullListener(t)
 	} else {
 		addr = testkit.ServerOn(t, smallBufferListener(t), server.serve)
 	}
@@ -370,7 +370,7 @@
 	}
 	closed := scenario.perform(conn)
 	time.Sleep(scenario.after)
-	letGo(server.serve)
+	release(server.serve)
 	close(server.bodies)
 	if scenario.leave == nil {
 		conn.answer(t)
--- a/internal/app/endings_test.go
+++ b/internal/app/endings_test.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// newFullListener opens a listener whose queue is full. Connections to it are established only once letGo is called,
+// newFullListener opens a listener whose queue is full. Connections to it are established only once release is called,
 // which accepts them and passes them to serve.
-func newFullListener(t *testing.T) (addr string, letGo func(serve func(net.Conn))) {
+func newFullListener(t *testing.T) (addr string, release func(serve func(net.Conn))) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -210,7 +210,7 @@
 // handshake was done, although nobody was left to get the answer.
 func TestLeftDuringHandshake(t *testing.T) {
 	forAllVariants(t, func(t *testing.T, s decide.Settings) {
-		node, addr, letGo := nodeWithFullListener(t, s)
+		node, addr, release := nodeWithFullListener(t, s)
 		first := node.dial(t)
 		io.WriteString(first, request(s.Classes[0], "left", "60"))
 		waitDialing(t, addr)
@@ -218,7 +218,7 @@
 		io.WriteString(second, request(s.Classes[0], "stays", "9"))
 		first.Close()
 		server := newHoldingServer(t)
-		letGo(server.serve)
+		release(server.serve)
 		if status, body, err := second.answer(t); err != nil || status == 200 && body != "stays" {
 			t.Errorf("%d %q %v", status, body, err)
 		}
@@ -506,8 +506,8 @@
 	server := newHoldingServer(t, "held")
 	node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
 	node.waitReady(t, 200)
-	halfSent, quiet, held := node.dial(t), node.dial(t), node.dial(t)
-	for _, conn := range []client{halfSent, quiet} {
+	halfSent, idle, held := node.dial(t), node.dial(t), node.dial(t)
+	for _, conn := range []client{halfSent, idle} {
 		if status, _, err := conn.ping(t); status != 200 || err != nil {
 			t.Fatal(status, err)
 		}
@@ -518,17 +518,17 @@
 	<-server.arrived
 	node.stop()
 	text := request(settings.Classes[0], "half", "9")
-	// The head is written byte by byte until the node closes the quiet connection, which is the last moment for new
+	// The head is written byte by byte until the node closes the idle connection, which is the last moment for new
 	// requests.
-	last := make(chan error, 1)
+	idleClosed := make(chan error, 1)
 	go func() {
-		_, err := quiet.r.ReadByte()
-		last <- err
+		_, err := idle.r.ReadByte()
+		idleClosed <- err
 	}()
 	sent := 0
 	for waiting := true; waiting; {
 		select {
-		case <-last:
+		case <-idleClosed:
 			waiting = false
 		case <-time.After(50 * time.Millisecond):
 			if sent < len(text)-20 {
@@ -539,7 +539,7 @@
 		}
 	}
 	io.WriteString(halfSent, text[sent:])
-	// After 1.9 s the idle timeout of the quiet connection is near.
+	// After 1.9 s the idle timeout of the idle connection is near.
 	late := max(longestStall, time.Since(lastWrite)) > admit.StalledHeadTimeout/2 ||
 		time.Since(began) > 1900*time.Millisecond
 	status, body, err := halfSent.answer(t)
--- a/internal/app/leaving_test.go
+++ b/internal/app/leaving_test.go
@@ -39,15 +39,15 @@
 	})
 }
 
-// nodeWithFullListener starts a node whose server accepts connections only once letGo is called. Until then the node
+// nodeWithFullListener starts a node whose server accepts connections only once release is called. Until then the node
 // neither probes the server nor times out a connection attempt.
-func nodeWithFullListener(t *testing.T, s decide.Settings) (n *testNode, addr string, letGo func(func(net.Conn))) {
+func nodeWithFullListener(t *testing.T, s decide.Settings) (n *testNode, addr string, release func(func(net.Conn))) {
 	t.Helper()
 	s.MayProbe, s.ConnectTimeout = false, testkit.Patient
-	addr, letGo = newFullListener(t)
+	addr, release = newFullListener(t)
 	n = start(t, &Config{Settings: s, Known: testkit.Known(addr)})
 	n.waitReady(t, 200)
-	return n, addr, letGo
+	return n, addr, release
 }
 
 // waitDialing waits until a connection attempt to an address with a full listen queue is under way.
@@ -80,7 +80,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			forAllVariants(t, func(t *testing.T, s decide.Settings) {
-				node, addr, letGo := nodeWithFullListener(t, s)
+				node, addr, release := nodeWithFullListener(t, s)
 				first := node.dial(t)
 				io.WriteString(first, text(s.Classes[2]))
 				waitDialing(t, addr)
@@ -89,7 +89,7 @@
 				first.CloseWrite()
 				first.waitDelivered(t)
 				server := newHoldingServer(t)
-				letGo(server.serve)
+				release(server.serve)
 				if status, body, err := second.answer(t); err != nil || status == 200 && body != "stays" {
 					t.Errorf("%d %q %v", status, body, err)
 				}
--- a/internal/app/long_test.go
+++ b/internal/app/long_test.go
@@ -77,11 +77,11 @@
 	t.Parallel()
 	body := patternBody(1 << 20)
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(body, 65_000)
-	whole := testkit.OK(string(body))
+	complete := testkit.OK(string(body))
 	for name, answer := range map[string]string{
-		"length, half":       whole[:1<<19],
-		"length, last byte":  whole[:len(whole)-1],
-		"length, noise":      whole + "\x8e1\xc0",
+		"length, half":       complete[:1<<19],
+		"length, last byte":  complete[:len(complete)-1],
+		"length, noise":      complete + "\x8e1\xc0",
 		"chunks, half":       chunked[:1<<19],
 		"chunks, in a size":  chunked[:strings.LastIndex(chunked, "0\r\nX-Sum")+1],
 		"chunks, no trailer": chunked[:len(chunked)-2],
