--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -56,7 +56,7 @@
 // A node must not go on using an old list while discovery is overloaded. After a reload that moved discovery and so
 // ended the watch, the first list request was delayed by up to 3.9 s and then timed out after 2 s in discovery's
 // queue, behind those of other nodes, and the next one was delayed again: the first answer came 8.6 s after the
-// reload. Requests went to a server that had begun to drain up to 0.64 s after the node counted as notified, because
+// reload. Up to 0.64 s after the node counted as notified of a drain, requests still went to that server, because
 // nothing bounded the time for which a list is used without a watch. The same holds for a process that starts with a
 // list from before the drain.
 func TestNothingIsSentByAnExpiredList(t *testing.T) {
--- a/internal/app/servers_test.go
+++ b/internal/app/servers_test.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/upstream/reuse"
 )
 
-// idleTimeout is longer than a connection to a server must be idle after an answer before it is used again.
+// idleWait is longer than a connection to a server must be idle after an answer before it is used again.
 const idleWait = 2 * reuse.Cooldown
 
 // A request on a connection that breaks is sent only once. A retry by an HTTP library would be an attempt that the
