--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -94,13 +94,13 @@
 	process := &descriptorProcess{Cmd: cmd, started: time.Now()}
 	guard := time.AfterFunc(2*time.Minute, func() { cmd.Process.Kill() })
 	ctx, stop := context.WithCancel(context.Background())
-	second := make(chan string, 1)
+	opsAddr := make(chan string, 1)
 	var watching sync.WaitGroup
 	n.t.Cleanup(func() { guard.Stop(); cmd.Process.Kill(); stop(); watching.Wait(); cmd.Wait() })
-	watching.Go(func() { process.readLog(n.t, log, second) })
+	watching.Go(func() { process.readLog(n.t, log, opsAddr) })
 	watching.Go(func() { process.count(ctx) })
 	select {
-	case n.opsAddr = <-second:
+	case n.opsAddr = <-opsAddr:
 	case <-time.After(testkit.Patient):
 		n.t.Fatal("the process does not start")
 	}
@@ -108,12 +108,12 @@
 }
 
 // readLog counts the lines of the log, and sends the operators' address that it names.
-func (p *descriptorProcess) readLog(t *testing.T, log io.Reader, second chan<- string) {
+func (p *descriptorProcess) readLog(t *testing.T, log io.Reader, opsAddr chan<- string) {
 	for lines := bufio.NewScanner(log); lines.Scan(); {
 		p.lines.Add(1)
 		t.Log(p.Process.Pid, lines.Text())
 		if _, addr, ok := strings.Cut(lines.Text(), "ops="); ok {
-			second <- addr
+			opsAddr <- addr
 		}
 	}
 }
@@ -244,9 +244,10 @@
 	discovery.takeDown()
 	c.saturate(node, idle, nil, clients)
 	after := newFleetServers(t, 101, servers)
-	notified := c.restoreDiscovery("drains at the return", node, discovery, after, append(entries(before, "draining"), entries(after, "ready")...))
-	for _, s := range before {
-		if _, last := s.requests(); last.After(notified.Add(drainGrace)) {
+	notified := c.restoreDiscovery("drains at the return", node, discovery, after,
+		append(entries(before, "draining"), entries(after, "ready")...))
+	for _, server := range before {
+		if _, last := server.requests(); last.After(notified.Add(drainGrace)) {
 			t.Errorf("a request went to a draining server %v after the node was notified", last.Sub(notified))
 		}
 	}
@@ -279,8 +280,8 @@
 	return n
 }
 
-// saturate waits until the idle clients have occupied all connections that they can get. If p is not nil, it then
-// suspends that process until all clients wait in the listener's queue, and resumes it. Such a process has no
+// saturate waits until the idle clients have occupied all connections that they can get. If process is not nil, it
+// then suspends that process until all clients wait in the listener's queue, and resumes it. Such a process has no
 // connection to a server yet, and must not have used the descriptors that are reserved for these.
 func (c descriptorCase) saturate(node *descriptorNode, idle *idleClients, process *descriptorProcess, clients int) {
 	node.t.Helper()
@@ -306,7 +307,8 @@
 
 // restoreDiscovery brings discovery back with a list and waits until the list's ready servers get requests. It
 // returns when the node first requested the list, which is when it counts as notified.
-func (c descriptorCase) restoreDiscovery(when string, node *descriptorNode, discovery *switchableDiscovery, ready []*fleetServer,
+func (c descriptorCase) restoreDiscovery(when string, node *descriptorNode, discovery *switchableDiscovery,
+	ready []*fleetServer,
 	list []standin.Entry) (notified time.Time) {
 	node.t.Helper()
 	at := discovery.bringBack(list...)
@@ -325,7 +327,8 @@
 
 // replace starts a successor of the process and ends the old one with SIGTERM. Both together have to stay within the
 // limit of descriptors.
-func (c descriptorCase) replace(node *descriptorNode, idle *idleClients, old *descriptorProcess, servers []*fleetServer, clients int) {
+func (c descriptorCase) replace(node *descriptorNode, idle *idleClients, old *descriptorProcess,
+	servers []*fleetServer, clients int) {
 	node.t.Helper()
 	next := node.start()
 	ctx, stop := context.WithCancel(context.Background())
@@ -351,9 +354,9 @@
 	if most > c.limit {
 		node.t.Errorf("both processes had %d descriptors, %d allowed", most, c.limit)
 	}
-	for _, p := range []*descriptorProcess{old, next} {
-		seconds := time.Since(p.started).Seconds()
-		if lines := p.lines.Load(); float64(lines) > logRate*(1+seconds) {
+	for _, process := range []*descriptorProcess{old, next} {
+		seconds := time.Since(process.started).Seconds()
+		if lines := process.lines.Load(); float64(lines) > logRate*(1+seconds) {
 			node.t.Errorf("%d log lines in %.1f s", lines, seconds)
 		}
 	}
--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -21,9 +21,9 @@
 
 // drainFirstServer has discovery list the first server as draining.
 func (n *onRequestNode) drainFirstServer(s *discovery.Service) discovery.Change {
-	e := standin.EntryOf(n.servers[0])
-	e.State = "draining"
-	return s.Set(e)
+	entry := standin.EntryOf(n.servers[0])
+	entry.State = "draining"
+	return s.Set(entry)
 }
 
 // lateRequests counts the requests that reached the draining server after the grace that follows the latest time of
@@ -56,7 +56,7 @@
 // A node must not go on using an old list while discovery is overloaded. After a reload that moved discovery and so
 // ended the watch, the first list request was delayed by up to 3.9 s and then timed out after 2 s in discovery's
 // queue, behind those of other nodes, and the next one was delayed again: the first answer came 8.6 s after the
-// reload. Requests went to a server that had begun to drain up to 0.64 s after the node counted as notified, because
+// reload. Up to 0.64 s after the node counted as notified of a drain, requests still went to that server, because
 // nothing bounded the time for which a list is used without a watch. The same holds for a process that starts with a
 // list from before the drain.
 func TestNothingIsSentByAnExpiredList(t *testing.T) {
@@ -86,9 +86,10 @@
 
 // checkExpiredList makes requests while discovery is overloaded and until it answers again. No request may reach the
 // draining server too late, and the node has to serve again once it has a fresh list.
-func (n *onRequestNode) checkExpiredList(service *discovery.Service, caller *discovery.Caller, change discovery.Change, crowded time.Duration) {
+func (n *onRequestNode) checkExpiredList(service *discovery.Service, caller *discovery.Caller, change discovery.Change,
+	overloadedFor time.Duration) {
 	n.t.Helper()
-	over := time.Now().Add(crowded)
+	over := time.Now().Add(overloadedFor)
 	n.requestsUntil("the end of the overload", func() bool { return time.Now().After(over) })
 	service.SetFault(discovery.Fault{})
 	n.requestsUntil("an answer", func() bool { return len(caller.Answers()) > 0 })
--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -42,7 +42,7 @@
 	}
 	for name, line := range map[string]string{"run": deploy.Run, "sim": deploy.Sim} {
 		if !regexp.MustCompile(`^exec bin/[a-z]+$`).MatchString(line) {
-			t.Errorf("%s = %q: want a single exec of a program in bin", name, line)
+			t.Errorf("%s = %q: want a single exec of a program in bin and no other command", name, line)
 		}
 	}
 	_, build, _ := strings.Cut(deploy.Build, "&& ")
@@ -113,15 +113,18 @@
 		unix.BPF_JMP | unix.BPF_JSET | unix.BPF_K, unix.BPF_RET | unix.BPF_K
 	kill := unix.SockFilter{Code: give, K: 0x80000000} // SECCOMP_RET_KILL_PROCESS
 	filter := []unix.SockFilter{{Code: load, K: 0}}    // load the number of the system call
-	for _, call := range []uint32{unix.SYS_SPLICE, unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_EXECVE, unix.SYS_EXECVEAT} {
+	for _, call := range []uint32{unix.SYS_SPLICE, unix.SYS_SENDFILE, unix.SYS_IO_URING_SETUP, unix.SYS_EXECVE,
+		unix.SYS_EXECVEAT} {
 		filter = append(filter, unix.SockFilter{Code: equal, K: call, Jf: 1}, kill)
 	}
 	// A clone that creates no thread is a fork. The flags are the first argument, at offset 16.
 	filter = append(filter, unix.SockFilter{Code: equal, K: unix.SYS_CLONE, Jf: 3}, unix.SockFilter{Code: load, K: 16},
-		unix.SockFilter{Code: set, K: unix.CLONE_THREAD, Jt: 1}, kill, unix.SockFilter{Code: give, K: 0x7fff0000}) // SECCOMP_RET_ALLOW
+		unix.SockFilter{Code: set, K: unix.CLONE_THREAD, Jt: 1}, kill,
+		unix.SockFilter{Code: give, K: 0x7fff0000}) // SECCOMP_RET_ALLOW
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
 	const setFilter, allThreads = 1, 1 // SECCOMP_SET_MODE_FILTER, SECCOMP_FILTER_FLAG_TSYNC
-	if _, _, errno := unix.Syscall(unix.SYS_SECCOMP, setFilter, allThreads, uintptr(unsafe.Pointer(&program))); errno != 0 {
+	if _, _, errno := unix.Syscall(unix.SYS_SECCOMP, setFilter, allThreads,
+		uintptr(unsafe.Pointer(&program))); errno != 0 {
 		return errno
 	}
 	runtime.KeepAlive(filter)
@@ -162,8 +165,8 @@
 	want := bytes.Repeat(fmt.Appendf(nil, "%x\n", sha256.Sum256(nil)), 1<<20/65)
 	var requests atomic.Int64
 	addr := testkit.Server(t, func(c net.Conn) {
-		for r := bufio.NewReader(c); ; {
-			req, err := http.ReadRequest(r)
+		for reader := bufio.NewReader(c); ; {
+			req, err := http.ReadRequest(reader)
 			if err != nil {
 				return
 			}
--- a/cmd/starlingvalve/stats_test.go
+++ b/cmd/starlingvalve/stats_test.go
@@ -89,19 +89,21 @@
 			}
 		})
 	}
-	quiet := make(chan struct{})
-	go func() { clients.Wait(); close(quiet) }()
+	clientsDone := make(chan struct{})
+	go func() { clients.Wait(); close(clientsDone) }()
 	last := node.readStats()
 	for over := false; !over; {
 		select {
-		case <-quiet:
+		case <-clientsDone:
 			over = true
 		case <-time.After(20 * time.Millisecond):
 		}
 		now := node.readStats()
-		for name, v := range now {
-			if v < last[name] && name != "gw.current" && !strings.HasPrefix(name, "gw.cluster") && !strings.HasPrefix(name, "gw.list.") { // gauges
-				t.Errorf("%s went from %d to %d", name, last[name], v)
+		for name, value := range now {
+			// Gauges may decrease.
+			if value < last[name] && name != "gw.current" && !strings.HasPrefix(name, "gw.cluster") &&
+				!strings.HasPrefix(name, "gw.list.") {
+				t.Errorf("%s went from %d to %d", name, last[name], value)
 			}
 		}
 		last = now
@@ -117,7 +119,8 @@
 		}
 	}
 	if sum > disconnected {
-		t.Errorf("%d more results than the clients counted, of whom %d disconnected: %v, %v", sum, disconnected, stats, results)
+		t.Errorf("%d more results than the clients counted, of whom %d disconnected: %v, %v", sum, disconnected,
+			stats, results)
 	}
 	if got := len(node.server.Log()); stats["gw.sends"] != got {
 		t.Errorf("sends %d, the server got %d", stats["gw.sends"], got)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -35,8 +35,8 @@
 	// bodyMemoryShare is the share of the memory limit for request bodies that are being read or buffered.
 	bodyMemoryShare = 1.0 / 8
 
-	// The platform sends SIGKILL this long after SIGTERM: the longest deadline of any class, of which
-	// maxDrainDeadline counts at most, plus killAfter. The node sends its last answers killMargin before that.
+	// The platform waits after SIGTERM for the longest deadline of any class, capped at maxDrainDeadline, and for
+	// killAfter, and then sends SIGKILL. The node sends its last answers killMargin before that.
 	maxDrainDeadline = 3 * time.Second
 	killAfter        = 700 * time.Millisecond
 	killMargin       = 200 * time.Millisecond
@@ -45,21 +45,21 @@
 // Run opens the node's sockets, or takes over its predecessor's, and serves until ctx ends and all requests accepted
 // by then are answered. Each signal on reload makes it read the configuration file again.
 func Run(ctx context.Context, config *Config, reload <-chan os.Signal, log *slog.Logger) error {
-	s, err := openSockets(config, log)
+	opened, err := openSockets(config, log)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, config, s, reload, log)
+	return serve(ctx, config, opened, reload, log)
 }
 
 // assembly holds the parts of a node and what several of them need, while the node is built and while it runs.
 type assembly struct {
-	config  *Config
-	log     *slog.Logger
-	sockets *sockets
-	split   descriptors.Split
+	config      *Config
+	log         *slog.Logger
+	sockets     *sockets
+	descriptors descriptors.Split
 
-	figures     *stats.Metrics
+	metrics     *stats.Metrics
 	guard       *guard.Guard
 	transport   *upstream.Transport
 	gateway     *siteGateway // to and from other sites; nil: no requests are handed to or taken from other sites
@@ -76,22 +76,22 @@
 
 // serve assembles a node on the given sockets and runs it until ctx ends and all requests accepted by then are
 // answered. It also returns, with an error, if the node can't start or its clients' listener fails.
-func serve(ctx context.Context, config *Config, s *sockets, reload <-chan os.Signal, log *slog.Logger) error {
+func serve(ctx context.Context, config *Config, opened *sockets, reload <-chan os.Signal, log *slog.Logger) error {
 	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	node := &assembly{config: config, log: log, sockets: s}
+	node := &assembly{config: config, log: log, sockets: opened}
 	frontEnded := make(chan error, 1)
 	defer func() { node.parts.cleanup() }()
 	if err := node.assemble(runCtx, reload, frontEnded); err != nil {
-		s.clients.Close()
+		opened.clients.Close()
 		return err
 	}
 	var running sync.WaitGroup
 	if err := node.parts.start(runCtx, stop, &running); err != nil {
-		s.clients.Close()
+		opened.clients.Close()
 		return err
 	}
-	attrs := []any{"name", config.Name, "listen", s.clients.Addr(), "sockets", node.split.Total()}
+	attrs := []any{"name", config.Name, "listen", opened.clients.Addr(), "sockets", node.descriptors.Total()}
 	if node.opsListener != nil {
 		attrs = append(attrs, "ops", node.opsListener.Addr())
 	}
@@ -117,12 +117,12 @@
 // assemble creates the parts in the order in which they start. If it fails, the cleanup of the parts that were added
 // releases what they own.
 func (a *assembly) assemble(ctx context.Context, reload <-chan os.Signal, frontEnded chan<- error) error {
-	config, s, log := a.config, a.sockets, a.log
+	config, opened, log := a.config, a.sockets, a.log
 	var learned *decide.Snapshot
 	otherDiscovery := false
-	if s.predecessor != nil {
-		a.add(part{cleanup: func() { s.predecessor.Close() }})
-		if state, err := decodeState(s.predecessor.State); err != nil {
+	if opened.predecessor != nil {
+		a.add(part{cleanup: func() { opened.predecessor.Close() }})
+		if state, err := decodeState(opened.predecessor.State); err != nil {
 			log.Warn("ignoring the predecessor's state", "err", err)
 		} else {
 			config.Known, learned, otherDiscovery = state.List, state.Learned, state.fromOtherDiscovery(config.Discovery)
@@ -130,7 +130,7 @@
 		}
 	}
 	var err error
-	if a.split, err = divideDescriptors(config, log); err != nil {
+	if a.descriptors, err = divideDescriptors(config, log); err != nil {
 		return err
 	}
 	if config.Ops.IsValid() {
@@ -139,11 +139,11 @@
 		}
 		a.add(part{cleanup: func() { a.opsListener.Close() }})
 	}
-	if s.peers != nil {
-		a.peers = peer.New(s.peers, config.Peers, config.PeersAll, config.Settings.Self, log)
+	if opened.peers != nil {
+		a.peers = peer.New(opened.peers, config.Peers, config.PeersAll, config.Settings.Self, log)
 	}
 	a.guard = guard.New(config.Settings.DrainGrace, a.logViolation)
-	a.transport = upstream.New(config.Settings, config.Limits.MemoryMB, a.split.Servers, a.guard, log)
+	a.transport = upstream.New(config.Settings, config.Limits.MemoryMB, a.descriptors.Servers, a.guard, log)
 	if config.Gateway != nil {
 		if a.gateway, err = openSiteGateway(config, log); err != nil {
 			return err
@@ -153,11 +153,13 @@
 	if err := a.createLoop(ctx, learned); err != nil {
 		return err
 	}
-	a.takeover = &takeover{front: a.front, handler: a.handler, transport: a.transport, peers: a.peers, loop: a.loop, maxClients: a.split.Clients, maxServerConnections: a.split.Servers,
-		memoryMB: config.Limits.MemoryMB, setMemory: config.setMemory, log: log, predecessorRunning: s.predecessor != nil, serving: s.predecessor == nil}
+	a.takeover = &takeover{front: a.front, handler: a.handler, transport: a.transport, peers: a.peers, loop: a.loop,
+		maxClients: a.descriptors.Clients, maxServerConnections: a.descriptors.Servers,
+		memoryMB: config.Limits.MemoryMB, setMemory: config.setMemory, log: log, predecessorRunning: opened.predecessor != nil,
+		serving: opened.predecessor == nil}
 
-	if s.predecessor != nil {
-		a.takeover.predecessorConnections = a.split.Clients
+	if opened.predecessor != nil {
+		a.takeover.predecessorConnections = a.descriptors.Clients
 	}
 
 	a.add(part{run: func(context.Context) { a.loop.Run(config.Known) }}, part{run: a.transport.Run})
@@ -175,18 +177,20 @@
 	}
 	a.add(part{run: func(context.Context) { frontEnded <- a.front.Serve() }, drain: a.front.Drain, close: a.front.Close})
 	if a.gateway != nil {
-		a.add(part{start: func() error { return a.gateway.startServer(config, a.loop) }, run: func(context.Context) { a.gateway.server.Serve() }, drain: a.gateway.drain,
+		a.add(part{start: func() error { return a.gateway.startServer(config, a.loop) },
+			run: func(context.Context) { a.gateway.server.Serve() }, drain: a.gateway.drain,
 			close: func() { a.gateway.server.Close() }})
 	}
 	a.add(part{run: func(ctx context.Context) {
 		if otherDiscovery {
-			log.Info("discovery: the predecessor's list is from another discovery server; requesting the full list", "at", config.Discovery)
+			log.Info("discovery: the predecessor's list is from another discovery server; requesting the full list",
+				"at", config.Discovery)
 			a.loop.SetMembership(registry.New(config.Discovery, config.Settings, log))
 		}
 		reloadOnSignal(ctx, config, a.loop, a.gateway, &a.takeover.source, reload, log)
 	}})
-	if s.predecessor != nil {
-		a.add(part{run: func(ctx context.Context) { a.takeover.replacePredecessor(ctx, s.predecessor) }})
+	if opened.predecessor != nil {
+		a.add(part{run: func(ctx context.Context) { a.takeover.replacePredecessor(ctx, opened.predecessor) }})
 	}
 	if config.Handover != "" {
 		a.addHandoverServer()
@@ -197,13 +201,14 @@
 // maxViolationsLogged bounds the log lines about broken rules. The statistics count all violations.
 const maxViolationsLogged = 100
 
-// logViolation logs an attempt that was sent although it broke one of the guard's rules, up to maxViolationsLogged
-// times.
+// logViolation logs an attempt that broke a rule, although the guard was consulted before it was sent. It logs at most
+// maxViolationsLogged of them.
 func (a *assembly) logViolation(rule guard.Rule, attempt guard.Attempt) {
 	if a.violations.Add(1) > maxViolationsLogged {
 		return
 	}
-	a.log.Error("rule broken", "rule", rule.String(), "deadline", attempt.Deadline, "off since", attempt.UnavailableSince, "told", attempt.TimeLeft, "sent", attempt.Now)
+	a.log.Error("rule broken", "rule", rule.String(), "deadline", attempt.Deadline, "off since", attempt.UnavailableSince,
+		"told", attempt.TimeLeft, "sent", attempt.Now)
 }
 
 func (a *assembly) add(p ...part) { a.parts = append(a.parts, p...) }
@@ -218,20 +223,21 @@
 	}
 	settings := config.Settings
 	settings.NotifyOverload = a.gateway != nil
-	a.figures = stats.New(classNames(settings))
-	a.figures.SetGuard(a.guard)
+	a.metrics = stats.New(classNames(settings))
+	a.metrics.SetGuard(a.guard)
 	var err error
-	a.loop, err = core.New(ctx, core.Options{Remote: a.gateway.remote(), Settings: settings, Seed: config.Seed, Transport: a.transport, Membership: registry.New(config.Discovery, settings, log),
-		Messenger: messenger, Metrics: a.figures, Learned: learned, Guard: a.guard, Log: log})
+	a.loop, err = core.New(ctx, core.Options{Remote: a.gateway.remote(), Settings: settings, Seed: config.Seed,
+		Transport: a.transport, Membership: registry.New(config.Discovery, settings, log),
+		Messenger: messenger, Metrics: a.metrics, Learned: learned, Guard: a.guard, Log: log})
 	if err != nil {
 		return err
 	}
 	a.handler = front.NewHandler(a.loop, config.Settings, int64(bodyMemoryShare*float64(config.Limits.MemoryMB<<20)), log)
-	a.handler.Metrics, a.handler.Guard = a.figures, a.guard
+	a.handler.Metrics, a.handler.Guard = a.metrics, a.guard
 	if config.Record != nil {
 		a.addRecorder()
 	}
-	a.front = http1.New(a.sockets.clients, a.split.Clients, a.handler, log)
+	a.front = http1.New(a.sockets.clients, a.descriptors.Clients, a.handler, log)
 	return nil
 }
 
@@ -256,22 +262,24 @@
 func (a *assembly) addFleetControl() error {
 	for _, class := range a.config.Settings.Classes {
 		if class.Aim > 0 {
-			a.figures.TrackLatency(class.Name, health.Bounds(class.Aim))
+			a.metrics.TrackLatency(class.Name, health.Bounds(class.Aim))
 		}
 	}
-	fleetControl, err := control.Open(a.config.Fleet, a.loop, fleetNode{a.takeover, a.figures}, a.log)
+	fleetControl, err := control.Open(a.config.Fleet, a.loop, fleetNode{a.takeover, a.metrics}, a.log)
 	if err != nil {
 		return err
 	}
 	a.takeover.fleetControl = fleetControl
-	a.add(part{start: func() error { fleetControl.Begin(); return nil }, run: func(context.Context) { fleetControl.Run() }, announceLeave: fleetControl.Leaving, afterDrain: fleetControl.Close, close: fleetControl.Stop})
+	a.add(part{start: func() error { fleetControl.Begin(); return nil },
+		run: func(context.Context) { fleetControl.Run() }, announceLeave: fleetControl.Leaving,
+		afterDrain: fleetControl.Close, close: fleetControl.Stop})
 	return nil
 }
 
 // fleetNode is what the fleet's control sees and uses of this node.
 type fleetNode struct {
 	*takeover
-	figures *stats.Metrics
+	metrics *stats.Metrics
 }
 
 // Away makes the node report that it is not ready, because the fleet has drained it, or ends that.
@@ -280,11 +288,12 @@
 // Ends returns for each class the number of completed requests by outcome since the start of the process, and the
 // distribution of the response times of those that were served.
 func (n fleetNode) Ends() map[string]health.Ends {
-	ends := map[string]health.Ends{}
-	n.figures.EachClass(func(class string, answered, deferred, errored int64) {
-		ends[class] = health.Ends{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored), Took: n.figures.LatencyCounts(class)}
+	results := map[string]health.Ends{}
+	n.metrics.EachClass(func(class string, answered, deferred, errored int64) {
+		results[class] = health.Ends{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored),
+			Took: n.metrics.LatencyCounts(class)}
 	})
-	return ends
+	return results
 }
 
 // Resident returns the resident memory of this process in bytes, from /proc/self/statm, or 0 if that can't be read.
@@ -300,7 +309,7 @@
 
 // addOpsServer serves the operators' address: health checks and statistics.
 func (a *assembly) addOpsServer() {
-	opsServer := ops.New(a.opsListener, a.handler.Ready, a.figures, a.log)
+	opsServer := ops.New(a.opsListener, a.handler.Ready, a.metrics, a.log)
 	a.add(part{run: func(context.Context) {
 		if err := opsServer.Serve(); err != nil {
 			a.log.Error("operators' address: serving failed", "err", err)
@@ -313,8 +322,10 @@
 	var server *handover.Server
 	a.add(part{start: func() error {
 		var err error
-		server, err = handover.Listen(a.config.Handover, handover.Offer{Name: a.config.Name, Listener: a.sockets.clients, Peers: a.sockets.peers, State: a.takeover.encodeState,
-			Connections: a.front.OpenConnections, Changed: a.takeover.stageChanged}, a.log)
+		server, err = handover.Listen(a.config.Handover,
+			handover.Offer{Name: a.config.Name, Listener: a.sockets.clients, Peers: a.sockets.peers,
+				State: a.takeover.encodeState, Connections: a.front.OpenConnections,
+				Changed: a.takeover.stageChanged}, a.log)
 		if err != nil {
 			a.log.Warn("handover is not available; a successor can only share the port", "err", err)
 		}
@@ -336,8 +347,10 @@
 // recorderTry converts a completed request to the form in which it is recorded.
 func recorderTry(seen *front.CompletedRequest) *recorder.Try {
 	arrival := &seen.Request.Arrived
-	try := &recorder.Try{Began: seen.Began, Class: arrival.Class, Tenant: arrival.Tenant, Order: seen.Request.Header.Get("Idempotency-Key"), Size: len(seen.Request.Body), Answer: len(seen.Answer.Body),
-		Repeat: arrival.Repeat, Outcome: trace.Failed, Took: seen.Took, Work: seen.Answer.AttemptTime, Patience: seen.Patience}
+	try := &recorder.Try{Began: seen.Began, Class: arrival.Class, Tenant: arrival.Tenant,
+		Order: seen.Request.Header.Get("Idempotency-Key"), Size: len(seen.Request.Body), Answer: len(seen.Answer.Body),
+		Repeat: arrival.Repeat, Outcome: trace.Failed, Took: seen.Took, Work: seen.Answer.AttemptTime,
+		Patience: seen.Patience}
 	if try.Order == "" {
 		try.Order = string(arrival.ID)
 	}
@@ -361,7 +374,8 @@
 // reloadOnSignal reads the configuration again at each signal on reload, until ctx ends. An invalid configuration
 // changes nothing. Of a valid one, discovery's address and the gateway's certificates, roots and removed sites take
 // effect at once, all else at the next start. The address of discovery in use is kept in source.
-func reloadOnSignal(ctx context.Context, config *Config, loop *core.Loop, gateway *siteGateway, source *atomic.Pointer[netip.AddrPort], reload <-chan os.Signal, log *slog.Logger) {
+func reloadOnSignal(ctx context.Context, config *Config, loop *core.Loop, gateway *siteGateway,
+	source *atomic.Pointer[netip.AddrPort], reload <-chan os.Signal, log *slog.Logger) {
 	discovery := config.Discovery
 	source.Store(new(discovery))
 	for {
--- a/internal/app/askedlist_test.go
+++ b/internal/app/askedlist_test.go
@@ -103,7 +103,8 @@
 var maxRefused = map[string]time.Duration{"silent": 1500 * time.Millisecond, "half an answer": 1500 * time.Millisecond}
 
 // Discovery is down when the node starts, and so is the one at the address that a reload gives. That one comes back
-// with a draining server in its list at the worst moment: just after a list request has failed or has begun in vain.
+// with a draining server in its list at the worst moment: just after a list request has failed, or was sent and will
+// never be answered.
 // Even with the request rate of a fleet of 300 nodes, the node has to get the list within 6 s and send nothing to the
 // draining server after its grace.
 func TestListOnRequestAfterOutage(t *testing.T) {
@@ -162,7 +163,8 @@
 			graceEnds := second.answeredAt.Add(config.Settings.DrainGrace)
 			requestUntil("told", func() bool { return time.Now().After(graceEnds.Add(500 * time.Millisecond)) })
 			if last := time.Unix(0, lastAtDraining.Load()); last.After(graceEnds) {
-				t.Errorf("a request reached the draining server %v after the node was notified, %v at most", last.Sub(second.answeredAt), config.Settings.DrainGrace)
+				t.Errorf("a request reached the draining server %v after the node was notified, %v at most",
+					last.Sub(second.answeredAt), config.Settings.DrainGrace)
 			}
 			if most := maxRefused[name]; refusedFor > most {
 				t.Errorf("requests were refused for %v because there was no valid list, %v at most", refusedFor, most)
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -52,9 +52,9 @@
 	conns    sync.WaitGroup
 }
 
-func (l *attemptLog) serve(c net.Conn) {
-	defer c.Close()
-	reader := bufio.NewReader(c)
+func (l *attemptLog) serve(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReader(conn)
 	if _, err := reader.Peek(1); err != nil {
 		return // a connection without a request, as the one that fills a listen queue
 	}
@@ -85,7 +85,7 @@
 		if text == "" {
 			return
 		}
-		io.WriteString(c, text)
+		io.WriteString(conn, text)
 	}
 }
 
@@ -340,8 +340,8 @@
 	return l
 }
 
-// disconnectDuringUpload has a client disconnect when it has sent its whole body, but the server has not: the server
-// does not read for a while or, if late is set, the connection to it is established late.
+// disconnectDuringUpload has a client disconnect when it has sent its whole body, but before the node could send all of
+// it on: the server does not read for a while or, if late is set, the connection to it is established late.
 func disconnectDuringUpload(t *testing.T, scenario disconnect, size int, late bool) disconnectOutcome {
 	t.Helper()
 	settings := testkit.Settings()
@@ -351,9 +351,9 @@
 	}
 	server := &attemptLog{bodies: make(chan struct{})}
 	var addr string
-	letGo := func(func(net.Conn)) {}
+	release := func(func(net.Conn)) {}
 	if late {
-		addr, letGo = newFullListener(t)
+		addr, release = newFullListener(t)
 	} else {
 		addr = testkit.ServerOn(t, smallBufferListener(t), server.serve)
 	}
@@ -370,7 +370,7 @@
 	}
 	closed := scenario.perform(conn)
 	time.Sleep(scenario.after)
-	letGo(server.serve)
+	release(server.serve)
 	close(server.bodies)
 	if scenario.leave == nil {
 		conn.answer(t)
@@ -399,7 +399,8 @@
 					var worst time.Duration
 					for _, leave := range disconnectKinds {
 						worst = max(worst, checkLimit(t, func() disconnectOutcome {
-							return disconnectDuringUpload(t, disconnect{leave: leave, after: pastDisconnectLimit, change: change}, size, late)
+							return disconnectDuringUpload(t, disconnect{leave: leave, after: pastDisconnectLimit,
+								change: change}, size, late)
 						}))
 					}
 					t.Logf("worst %v, limit %v", worst, disconnectLimit)
--- a/internal/app/endings_test.go
+++ b/internal/app/endings_test.go
@@ -33,7 +33,8 @@
 	"short deadlines, keyed by all, pushed": func(s *decide.Settings) {
 		s.MayCancel, s.MaxAttempts = false, 2
 		for i := range s.Classes {
-			s.Classes[i].Deadline, s.Classes[i].Aim, s.Classes[i].DedupWindow = 150*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
+			s.Classes[i].Deadline, s.Classes[i].Aim, s.Classes[i].DedupWindow = 150*time.Millisecond, 100*time.Millisecond,
+				300*time.Millisecond
 			s.Classes[i].KeyScope = decide.ScopeAll
 		}
 	},
@@ -156,15 +157,16 @@
 	}
 }
 
-// newFullListener opens a listener whose queue is full. Connections to it are established only once letGo is called,
+// newFullListener opens a listener whose queue is full. Connections to it are established only once release is called,
 // which accepts them and passes them to serve.
-func newFullListener(t *testing.T) (addr string, letGo func(serve func(net.Conn))) {
+func newFullListener(t *testing.T) (addr string, release func(serve func(net.Conn))) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
+	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}),
+		syscall.Listen(fd, 0)); err != nil {
 		t.Fatal(err)
 	}
 	address, err := syscall.Getsockname(fd)
@@ -208,7 +210,7 @@
 // handshake was done, although nobody was left to get the answer.
 func TestLeftDuringHandshake(t *testing.T) {
 	forAllVariants(t, func(t *testing.T, s decide.Settings) {
-		node, addr, letGo := nodeWithFullListener(t, s)
+		node, addr, release := nodeWithFullListener(t, s)
 		first := node.dial(t)
 		io.WriteString(first, request(s.Classes[0], "left", "60"))
 		waitDialing(t, addr)
@@ -216,7 +218,7 @@
 		io.WriteString(second, request(s.Classes[0], "stays", "9"))
 		first.Close()
 		server := newHoldingServer(t)
-		letGo(server.serve)
+		release(server.serve)
 		if status, body, err := second.answer(t); err != nil || status == 200 && body != "stays" {
 			t.Errorf("%d %q %v", status, body, err)
 		}
@@ -250,7 +252,8 @@
 	settings := testkit.Settings()
 	more := pipelinedRequests(settings.Classes[0], 120) // beyond net/http's buffer of 4 KB
 	for how, end := range disconnectKinds {
-		for what, behind := range map[string]string{"nothing": "", "a byte": "G", "a request": request(settings.Classes[0], "behind", "9"), "many": more, "stray bytes": "\r\n\x00\r\n"} {
+		for what, behind := range map[string]string{"nothing": "", "a byte": "G",
+			"a request": request(settings.Classes[0], "behind", "9"), "many": more, "stray bytes": "\r\n\x00\r\n"} {
 			for _, class := range []int{0, 2} {
 				t.Run(fmt.Sprint(how, " after ", what, " ", class), func(t *testing.T) {
 					t.Parallel()
@@ -361,7 +364,8 @@
 func TestLongAnswerAfterItsTime(t *testing.T) {
 	t.Parallel()
 	const size = 100 << 10
-	for name, frame := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n\r\n", size), "close": "Connection: close\r\n\r\n"} {
+	for name, frame := range map[string]string{"length": fmt.Sprintf("Content-Length: %d\r\n\r\n", size),
+		"close": "Connection: close\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			over := make(chan bool)
@@ -502,8 +506,8 @@
 	server := newHoldingServer(t, "held")
 	node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
 	node.waitReady(t, 200)
-	halfSent, quiet, held := node.dial(t), node.dial(t), node.dial(t)
-	for _, conn := range []client{halfSent, quiet} {
+	halfSent, idle, held := node.dial(t), node.dial(t), node.dial(t)
+	for _, conn := range []client{halfSent, idle} {
 		if status, _, err := conn.ping(t); status != 200 || err != nil {
 			t.Fatal(status, err)
 		}
@@ -514,17 +518,17 @@
 	<-server.arrived
 	node.stop()
 	text := request(settings.Classes[0], "half", "9")
-	// The head is written byte by byte until the node closes the quiet connection, which is the last moment for new
+	// The head is written byte by byte until the node closes the idle connection, which is the last moment for new
 	// requests.
-	last := make(chan error, 1)
+	idleClosed := make(chan error, 1)
 	go func() {
-		_, err := quiet.r.ReadByte()
-		last <- err
+		_, err := idle.r.ReadByte()
+		idleClosed <- err
 	}()
 	sent := 0
 	for waiting := true; waiting; {
 		select {
-		case <-last:
+		case <-idleClosed:
 			waiting = false
 		case <-time.After(50 * time.Millisecond):
 			if sent < len(text)-20 {
@@ -535,8 +539,9 @@
 		}
 	}
 	io.WriteString(halfSent, text[sent:])
-	// After 1.9 s the idle timeout of the quiet connection is near.
-	late := max(longestStall, time.Since(lastWrite)) > admit.StalledHeadTimeout/2 || time.Since(began) > 1900*time.Millisecond
+	// After 1.9 s the idle timeout of the idle connection is near.
+	late := max(longestStall, time.Since(lastWrite)) > admit.StalledHeadTimeout/2 ||
+		time.Since(began) > 1900*time.Millisecond
 	status, body, err := halfSent.answer(t)
 	if late {
 		return false
--- a/internal/app/long_test.go
+++ b/internal/app/long_test.go
@@ -77,11 +77,11 @@
 	t.Parallel()
 	body := patternBody(1 << 20)
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(body, 65_000)
-	whole := testkit.OK(string(body))
+	complete := testkit.OK(string(body))
 	for name, answer := range map[string]string{
-		"length, half":       whole[:1<<19],
-		"length, last byte":  whole[:len(whole)-1],
-		"length, noise":      whole + "\x8e1\xc0",
+		"length, half":       complete[:1<<19],
+		"length, last byte":  complete[:len(complete)-1],
+		"length, noise":      complete + "\x8e1\xc0",
 		"chunks, half":       chunked[:1<<19],
 		"chunks, in a size":  chunked[:strings.LastIndex(chunked, "0\r\nX-Sum")+1],
 		"chunks, no trailer": chunked[:len(chunked)-2],
@@ -128,7 +128,8 @@
 	}))
 	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
 	head := func(form string) string {
-		return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n", lastRequestID.Add(1), form)
+		return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n",
+			lastRequestID.Add(1), form)
 	}
 	for _, size := range []int{1, 64 << 10, 64<<10 + 1, 3 << 20} {
 		body := patternBody(size)
@@ -141,7 +142,8 @@
 				t.Fatalf("%d bytes, %s: status %d", size, form, resp.StatusCode)
 			}
 			received := <-seen
-			if want := int64(size); !bytes.Equal(received.body, body) || received.length != want && (size < 64<<10 || received.length != -1) {
+			if want := int64(size); !bytes.Equal(received.body, body) || received.length != want &&
+				(size < 64<<10 || received.length != -1) {
 				t.Errorf("%d bytes, %s: the server got %d, length %d", size, form, len(received.body), received.length)
 			}
 		}
