--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -347,9 +347,9 @@
 // recorderTry converts a completed request to the form in which it is recorded.
 func recorderTry(seen *front.CompletedRequest) *recorder.Try {
 	arrival := &seen.Request.Arrived
-	try := &recorder.Try{Began: seen.Began, Class: arrival.Class, Tenant: arrival.Tenant,
+	try := &recorder.Try{Began: seen.StartedAt, Class: arrival.Class, Tenant: arrival.Tenant,
 		Order: seen.Request.Header.Get("Idempotency-Key"), Size: len(seen.Request.Body), Answer: len(seen.Answer.Body),
-		Repeat: arrival.Repeat, Outcome: trace.Failed, Took: seen.Took, Work: seen.Answer.AttemptTime,
+		Repeat: arrival.Repeat, Outcome: trace.Failed, Took: seen.Duration, Work: seen.Answer.AttemptTime,
 		Patience: seen.Patience}
 	if try.Order == "" {
 		try.Order = string(arrival.ID)
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -47,7 +47,7 @@
 	}
 	memory := float64(config.Limits.MemoryMB << 20)
 	g.handler = front.NewHandler(loop, config.Settings, int64(handoffBodyMemoryShare*memory), g.log)
-	g.handler.Foreign = true
+	g.handler.HandedOff = true
 	g.server, err = link.NewServer(udp, link.ServerOptions{Keeper: g.identities, Handoffs: g.config.In,
 		Ledger: ledger.Limits{Entries: g.config.Entries, Bytes: min(g.config.Bytes, int(ledgerMemoryShare*memory)),
 			Keep: config.Settings.LongestDeadline() + time.Second},
--- a/internal/front/handler.go
+++ b/internal/front/handler.go
@@ -53,7 +53,7 @@
 	ConnectionPressure func() bool
 	// HandedOff is set if the requests are handed off by another site. They are served from spare capacity only. Keyed
 	// ones are rejected, because the servers here don't know the keys that the servers of the other site have seen.
-	Foreign bool
+	HandedOff bool
 	// OnComplete, if set, is called for each request that was passed to the loop, once its client has been answered or
 	// has left. It must not block.
 	OnComplete func(*CompletedRequest)
@@ -81,8 +81,8 @@
 	Request    *core.Request
 	Answer     core.Answer
 	ClientGone bool // the client left before it was answered
-	Began      time.Time
-	Took       time.Duration // until the final answer was there
+	StartedAt  time.Time
+	Duration   time.Duration // until the final answer was there
 	Patience   time.Duration // how long the client waits, by its X-Time-Left
 }
 
@@ -147,7 +147,7 @@
 		f.writeAnswer(w, a)
 		f.Metrics.RequestEnded(class, a.Status)
 	}
-	if f.Foreign && settings.Effect == decide.Keyed {
+	if f.HandedOff && settings.Effect == decide.Keyed {
 		rejectCounted(http.StatusForbidden, "keyed requests do not cross")
 		return
 	}
@@ -205,7 +205,7 @@
 		return
 	}
 	req := newRequest(r, class, patience, body)
-	req.Arrived.HandedOff = f.Foreign
+	req.Arrived.HandedOff = f.HandedOff
 	if upload != nil {
 		req.Upload = &upload.Upload
 	}
@@ -223,8 +223,8 @@
 	result, ok := f.loop.Do(ctx, req)
 	f.Metrics.RecordLatency(class, result.Status, startedAt)
 	if f.OnComplete != nil {
-		completed := &CompletedRequest{Request: req, Answer: result, ClientGone: !ok, Began: startedAt,
-			Took: time.Since(startedAt), Patience: patience}
+		completed := &CompletedRequest{Request: req, Answer: result, ClientGone: !ok, StartedAt: startedAt,
+			Duration: time.Since(startedAt), Patience: patience}
 		defer func() { f.OnComplete(completed) }() // deferred until the client has its answer
 	}
 	if !ok {
@@ -251,7 +251,7 @@
 // rejectNotTaken answers a request that fails a check. A request from another site has passed the checks there and only
 // doesn't fit the settings here, which is not its client's fault: it gets 503, so that its own site answers it.
 func (f *Handler) rejectNotTaken(w http.ResponseWriter, status int, problem string) {
-	if f.Foreign {
+	if f.HandedOff {
 		status = http.StatusServiceUnavailable
 	}
 	reject(w, status, problem)
@@ -450,7 +450,7 @@
 			answer.Rest.Close()
 		}
 	}()
-	if f.Foreign { // the other site gets an answer only whole, so it is buffered
+	if f.HandedOff { // the other site gets an answer only whole, so it is buffered
 		var body []byte
 		err := answer.Rest.Copy(func(piece []byte) error {
 			if len(answer.Body)+len(body)+len(piece) > maxHandedOffAnswer {
--- a/internal/front/handler_test.go
+++ b/internal/front/handler_test.go
@@ -40,7 +40,7 @@
 	}{{"GET", "/unheard-of", 404}, {"POST", "/read", 405}, {"GET", "/read", 400}} {
 		for _, handedOff := range []bool{false, true} {
 			handler := NewHandler(nil, settings, 1<<20, nil)
-			handler.Foreign = handedOff
+			handler.HandedOff = handedOff
 			w := httptest.NewRecorder()
 			handler.ServeHTTP(w, httptest.NewRequest(step.method, step.path, nil))
 			want := step.clientStatus
@@ -53,7 +53,7 @@
 		}
 	}
 	handler := NewHandler(nil, settings, 1<<20, nil)
-	handler.Foreign = true
+	handler.HandedOff = true
 	r := httptest.NewRequest("POST", "/tag", nil)
 	r.Header.Set("X-Correlation-Id", "q")
 	r.Header.Set("X-Time-Left", "1")
