--- a/internal/link/calls.go
+++ b/internal/link/calls.go
@@ -14,27 +14,31 @@
 )
 
 const (
-	callLimit   = 16 << 20 // bytes of a call, an answer or a message: a snapshot of a large fleet is one
-	mostCalls   = 128      // at once, of one caller
-	mostCallers = 4096
-	callAlive   = time.Second // between two signs of life on a connection
-	postQueue   = 256         // messages that wait for one receiver; more are lost
-	postWait    = 2 * time.Second
-	callDial    = time.Second
-	dialAgain   = 100 * time.Millisecond // a receiver that was not reached is left alone for so long
+	callLimit   = 16 << 20 // bytes of a request, an answer or a message; the snapshot of a large fleet has to fit
+	mostCalls   = 128      // calls served at once for one connection
+	mostCallers = 4096     // connections served at once
+	callAlive   = time.Second // of QUIC; keeps a connection without calls from its idle timeout
+	postQueue   = 256         // messages queued for one receiver; further ones are dropped
+	postWait    = 2 * time.Second // for the write of one message
+	callDial    = time.Second     // for the address lookup and the handshake
+	dialAgain   = 100 * time.Millisecond // after a failed dial, calls to this address fail without a new dial
 )
 
-// CallsOptions are what Calls are made of.
+// CallsOptions configures Calls.
 type CallsOptions struct {
 	Keeper *Keeper
-	// Handle answers a call of a kind; from is the name in the caller's certificate. ctx ends with the caller.
+	// Handle serves a call and returns its status and answer. The meaning of kind, status and the bytes is the
+	// application's. from is the node name in the caller's certificate. ctx ends when the caller cancels the call or its
+	// connection is lost.
+	// Without Handle (nil), Calls only makes calls and accepts no connections.
 	Handle func(ctx context.Context, from string, kind uint64, request []byte) (status uint64, answer []byte)
-	// Posted takes a one-way message. It must not block.
+	// OnPost receives each one-way message. It must not block: it holds up the later messages of the same sender.
 	Posted func(from string, kind uint64, message []byte)
 	Log    *slog.Logger
 }
 
-// Calls carries calls and one-way messages between the nodes of one fleet, over one UDP socket.
+// Calls carries calls (a request and its answer) and one-way messages between the nodes of one fleet, over QUIC with
+// mutual TLS on one UDP socket. It is safe for concurrent use.
 type Calls struct {
 	o        CallsOptions
 	tr       *quic.Transport
@@ -45,24 +49,25 @@
 	traffic  traffic
 
 	mu    sync.Mutex
-	lines map[string]*line // by name and address: a connection is good for the name that its certificate had to hold
+	lines map[string]*line // by node name and address, as a connection is authenticated for one node name
 }
 
-// line is the way to one address.
+// endpoint holds the connection to one node at one address, and the messages queued for that node.
 type line struct {
-	turn   chan struct{} // holds one; whoever has taken it may use what follows
+	turn   chan struct{} // a lock: holds one token, and its taker may use conn and failed
 	conn   *quic.Conn
-	failed time.Time
+	failed time.Time // the last failed dial
 	posts  chan post
 }
 
+// post is one queued one-way message.
 type post struct {
 	kind    uint64
 	message []byte
-	sent    func(error) // may be nil
+	sent    func(error) // called with the result; may be nil
 }
 
-// NewCalls takes a UDP socket, which it owns from then on. Where Handle is nil it only calls.
+// NewCalls starts to accept calls on a UDP socket, which it owns and closes. Without o.Handle it only makes calls.
 func NewCalls(conn net.PacketConn, o CallsOptions) (*Calls, error) {
 	c := &Calls{o: o, tr: &quic.Transport{Conn: conn}, lines: map[string]*line{}}
 	c.ctx, c.stop = context.WithCancel(context.Background())
@@ -77,13 +82,14 @@
 	return c, nil
 }
 
+// callConfig returns the QUIC settings of connections for calls: at most streams incoming streams each, and keep-alives.
 func callConfig(streams int64) *quic.Config {
 	q := quicConfig(streams)
 	q.KeepAlivePeriod = callAlive
 	return q
 }
 
-// Close ends all calls, and waits for them.
+// Close ends all calls and connections, and returns once the handlers have returned.
 func (c *Calls) Close() {
 	c.stop()
 	if c.listener != nil {
@@ -94,6 +100,7 @@
 	c.tr.Conn.Close()
 }
 
+// acceptCallers serves connections of other nodes until Close.
 func (c *Calls) accept() {
 	callers := newLimiter(mostCallers, &c.work)
 	for {
@@ -105,6 +112,7 @@
 	}
 }
 
+// serveCaller serves one connection of another node, until it ends or the node is no longer a peer.
 func (c *Calls) caller(conn *quic.Conn) {
 	from, err := c.o.Keeper.caller(conn.ConnectionState().TLS.PeerCertificates)
 	if err != nil {
@@ -121,20 +129,20 @@
 			return
 		}
 		if c.o.Keeper.Get().peer(from) == nil {
-			return // it has been removed
+			return // the peer has been removed from the configuration
 		}
 		streams.Go(func() { c.stream(conn, from, st) })
 	}
 }
 
-// stream serves one stream of a caller: a call, or messages until its end.
+// serveStream serves one stream of a caller: either one call, or one-way messages until the stream ends.
 func (c *Calls) stream(conn *quic.Conn, from string, st *quic.Stream) {
 	r := bufio.NewReader(st)
 	for posts := false; ; posts = true {
 		types := []uint64{typeCall, typePost}
 		if posts {
 			types = types[1:]
-			st.SetReadDeadline(time.Time{}) // its connection ends when nobody is there
+			st.SetReadDeadline(time.Time{}) // no deadline: the idle timeout ends the connection of a lost peer
 		} else {
 			st.SetReadDeadline(time.Now().Add(streamWait))
 		}
@@ -160,6 +168,7 @@
 	}
 }
 
+// endpoint returns the entry of a node at an address, and creates it if there is none.
 func (c *Calls) line(name, addr string) *line {
 	key := name + " " + addr
 	c.mu.Lock()
@@ -173,23 +182,24 @@
 	return l
 }
 
-// reach gives the connection to the node of that name at an address, made anew if it is lost.
+// connect returns the connection to a node at an address. If there is none, or it is lost, it dials. One caller at a time
+// dials an address; the others wait for it, until ctx ends.
 func (c *Calls) reach(ctx context.Context, name, addr string) (*quic.Conn, error) {
 	l := c.line(name, addr)
 	select {
 	case <-l.turn:
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%s at %s is being called: %w", name, addr, ctx.Err())
+		return nil, fmt.Errorf("%s at %s: waiting for the connection: %w", name, addr, ctx.Err())
 	}
 	defer func() { l.turn <- struct{}{} }()
 	if l.conn != nil && l.conn.Context().Err() == nil {
 		return l.conn, nil
 	}
 	if time.Since(l.failed) < dialAgain {
-		return nil, fmt.Errorf("%s at %s was not reached a moment ago", name, addr)
+		return nil, fmt.Errorf("%s at %s: the last dial failed moments ago", name, addr)
 	}
 	if c.o.Keeper.Get().peer(name) == nil {
-		return nil, fmt.Errorf("%s is no name that this node calls", name)
+		return nil, fmt.Errorf("%s is not the name of a peer of this node", name)
 	}
 	to, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
@@ -209,20 +219,20 @@
 	return conn, nil
 }
 
-// Up tells whether there is a connection to a node at this moment.
+// Connected reports whether a node is connected now. While it is being dialed, the result is false.
 func (c *Calls) Up(name, addr string) bool {
 	l := c.line(name, addr)
 	select {
 	case <-l.turn:
 	default:
-		return false // it is being dialled
+		return false // the node is being dialed
 	}
 	defer func() { l.turn <- struct{}{} }()
 	return l.conn != nil && l.conn.Context().Err() == nil
 }
 
-// Call asks a node and gives its answer. It ends with ctx, which has to have a deadline. An error tells nothing about whether the call
-// was taken.
+// Call sends a request to a node and returns the status and answer that its handler gave. It returns when ctx ends; if
+// ctx has no deadline, the exchange takes exchangeTimeout at most. After an error the call may or may not have been handled.
 func (c *Calls) Call(ctx context.Context, name, addr string, kind uint64, request []byte) (status uint64, answer []byte, err error) {
 	conn, err := c.reach(ctx, name, addr)
 	if err != nil {
@@ -252,9 +262,11 @@
 	return 0, nil, fmt.Errorf("%s at %s: %w", name, addr, err)
 }
 
-var errPostLost = errors.New("lost on the way")
+var errPostLost = errors.New("message dropped: the queue is full")
 
-// Post sends a message to a node, perhaps. It never blocks. sent, if there is one, is told how that ended.
+// Post queues a one-way message for a node; a goroutine that StartSender starts sends it. Post never blocks, and the message may
+// be lost. onSent, unless nil, is called once with the result: nil when the message was written to the stream, which is no
+// proof of its arrival; an error when the queue is full or the write fails.
 func (c *Calls) Post(name, addr string, kind uint64, message []byte, sent func(error)) {
 	select {
 	case c.line(name, addr).posts <- post{kind, message, sent}:
@@ -265,7 +277,8 @@
 	}
 }
 
-// Keep carries posts to the node of that name at an address, until Close.
+// StartSender starts a goroutine that sends the messages queued by Post to a node at an address, in order, until Close. All
+// messages share a stream; after a failed write the next message opens a new one.
 func (c *Calls) Keep(name, addr string) {
 	l := c.line(name, addr)
 	c.work.Go(func() {
--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -23,23 +23,24 @@
 )
 
 const (
-	silence      = time.Second            // without news from a far node its connection is given up
-	redialFirst  = 100 * time.Millisecond // wait before a path is dialled again; doubles, jittered
+	silence      = time.Second            // a connection is closed when a beat has not been answered within this time
+	redialFirst  = 100 * time.Millisecond // before a path is dialed again; doubles up to maxRedialWait, with jitter
 	redialLast   = 2 * time.Second
-	answerMargin = 15 * time.Millisecond // kept from a request's time: for the way back to its client
-	askWait      = 500 * time.Millisecond
-	askPause     = 20 * time.Millisecond // between two questions that fail
+	answerMargin = 15 * time.Millisecond // taken off a request's time left, for the answer's way from this node to the client
+	askWait      = 500 * time.Millisecond // longest time that the receiver holds a query about a running hand-off
+	askPause     = 20 * time.Millisecond  // before the next query, after one that failed or found the hand-off running
 )
 
-// DialerOptions are what a Dialer is made of.
+// DialerOptions configures a Dialer.
 type DialerOptions struct {
 	Keeper *Keeper
-	Most   int // hand-offs out at once, at each site; default 256
-	Seed   uint64
+	Most   int    // hand-offs in flight at once to each site; default 256
+	Seed   uint64 // of the random jitter of the circuit breakers
 	Log    *slog.Logger
 }
 
-// Dialer hands requests to other sites' nodes. It is a core.Remote.
+// Dialer hands requests off to nodes of other sites, over connections that it keeps open to all their addresses. It
+// implements core.Remote and is safe for concurrent use.
 type Dialer struct {
 	o     DialerOptions
 	epoch uint64
@@ -54,39 +55,40 @@
 	decider *cross.Decider
 	sites   []*farSite
 	next    uint64              // number of the next hand-off
-	settled uint64              // all numbers below are
-	open    map[uint64]struct{} // numbers that are not
-	changed chan struct{}       // closed, and made anew, when a connection comes or goes
+	settled uint64              // all hand-offs with lower numbers have ended at this side
+	open    map[uint64]struct{} // numbers of hand-offs that have not ended
+	changed chan struct{}       // closed and replaced whenever a connection is set up or lost
 }
 
-// farSite is one other site.
+// remoteSite is one other site.
 type farSite struct {
-	place int
+	place int // in Identity.Peers at the start, and in the decider
 	name  string
 	paths []*path
 }
 
-// path is one address of a site.
+// path is one address of a site, with its connection.
 type path struct {
 	site    *farSite
 	addr    string
-	session *session // while it is up
-	epoch   uint64   // of the far process that it last reached
+	session *session // nil while there is no connection
+	epoch   uint64   // of the process that was last reached at this address; 0: none yet
 }
 
-// session is one connection to a far node.
+// session is one connection to a node of another site.
 type session struct {
 	path    *path
 	conn    *quic.Conn
-	epoch   uint64
-	credit  int
-	at      time.Duration // of that credit
-	rtt     time.Duration // least of late
-	out     int
-	closing bool
+	epoch   uint64        // of the process at the other end
+	credit  int           // hand-offs that this connection may have in flight at once
+	at      time.Duration // when that credit was received
+	rtt     time.Duration // lowest of the last 16 beats
+	out     int           // hand-offs in flight
+	closing bool          // the node at the other end drains, or its site has been removed here
 }
 
-// NewDialer begins to call all peers of the identity. Close ends it.
+// NewDialer starts to connect to all addresses of all peers. Sites that a later identity adds are not connected to; sites
+// that it removes get no new hand-offs. Close ends it.
 func NewDialer(o DialerOptions) (*Dialer, error) {
 	if o.Most <= 0 {
 		o.Most = 256
@@ -115,7 +117,7 @@
 	return d, nil
 }
 
-// Close ends all connections.
+// Close closes all connections, and ends the hand-offs that are in flight.
 func (d *Dialer) Close() {
 	d.stop()
 	d.work.Wait()
@@ -123,23 +125,24 @@
 	d.udp.Close()
 }
 
-// Views gives the state of all sites.
+// Views returns the state of all sites, in the order of the configuration.
 func (d *Dialer) Views() []cross.View {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.decider.Views(d.now())
 }
 
+// now is the time since the start, as package cross takes it.
 func (d *Dialer) now() time.Duration { return time.Since(d.began) }
 
-// keep has a path up, and dials it again whenever it is lost, until Close.
+// maintain keeps a path connected until Close: it dials again, with backoff, whenever the connection is lost.
 func (d *Dialer) keep(p *path) {
 	wait := redialFirst
 	for d.ctx.Err() == nil {
 		began := time.Now()
 		err := d.connect(p)
 		if time.Since(began) > 2*redialLast {
-			wait = redialFirst // it was up for a while
+			wait = redialFirst // the connection was up for a while, so the backoff starts again
 		}
 		d.o.Log.Debug("link", "site", p.site.name, "addr", p.addr, "err", err)
 		select {
@@ -150,10 +153,10 @@
 	}
 }
 
-// connect dials a path and stays until the connection is lost.
+// connect dials a path and uses the connection until it is lost or the site is removed. It returns why it ended.
 func (d *Dialer) connect(p *path) error {
 	if d.o.Keeper.Get().peer(p.site.name) == nil {
-		return errors.New("the site has been removed")
+		return errors.New("the site has been removed from the configuration")
 	}
 	addr, err := net.ResolveUDPAddr("udp", p.addr)
 	if err != nil {
@@ -204,14 +207,14 @@
 	return err
 }
 
-// news wakes those who wait for a connection.
+// notifySessionsChanged wakes the hand-offs that wait for a connection. The caller holds d.mu.
 func (d *Dialer) news() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// beat asks for credit at a steady pace until the far side is silent for too long. The time that an answer takes is
-// the round trip.
+// exchangeBeats sends a BEAT every beatInterval and takes the credit from the answer, until the connection fails, an
+// answer takes longer than beatTimeout, or the site is removed. The time from a BEAT to its CREDIT is a round trip.
 func (d *Dialer) beat(s *session, control *quic.Stream, r *bufio.Reader) error {
 	var recent [16]time.Duration
 	for seq := uint64(1); ; seq++ {
@@ -231,7 +234,7 @@
 			return err
 		}
 		if credit[0] != seq {
-			return fmt.Errorf("%w: CREDIT of beat %d, want %d", errFrame, credit[0], seq)
+			return fmt.Errorf("%w: got the CREDIT for beat %d, want beat %d", errFrame, credit[0], seq)
 		}
 		trip := time.Since(sent)
 		recent[seq%uint64(len(recent))] = trip
@@ -254,7 +257,7 @@
 	}
 }
 
-// letGo waits for what a removed site still has.
+// awaitInFlight gives the connection to a removed site no new hand-offs, and waits up to idleTimeout for those in flight.
 func (d *Dialer) letGo(s *session) error {
 	d.mu.Lock()
 	s.closing = true
@@ -268,13 +271,14 @@
 			break
 		}
 	}
-	return errors.New("the site has been removed")
+	return errors.New("the site has been removed from the configuration")
 }
 
-// tell gives the decider what a site's nodes take in all.
+// updateDecider passes the total credit of a site's nodes to the decider, from all connections whose credit is current.
+// The caller holds d.mu.
 func (d *Dialer) tell(site *farSite) {
 	credit, rtt, up, at := 0, time.Duration(0), false, time.Duration(0)
-	seen := map[uint64]bool{} // two paths may lead to one node
+	seen := map[uint64]bool{} // epochs; two paths may lead to the same node, which counts once
 	for _, p := range site.paths {
 		if s := p.session; s != nil && !s.closing && !seen[s.epoch] && d.now()-s.at <= cross.CreditLife {
 			seen[s.epoch], up = true, true
@@ -287,7 +291,7 @@
 	}
 }
 
-// best gives the session of a site with the most room left.
+// bestSession returns the session of a site with the most unused credit, or nil if none has any. The caller holds d.mu.
 func (d *Dialer) best(site *farSite) (best *session) {
 	for _, p := range site.paths {
 		s := p.session
@@ -301,18 +305,20 @@
 	return best
 }
 
-// handed is one hand-off at the near side.
+// outgoing is one hand-off at the sender. It implements core.HandOff.
 type handed struct {
 	d      *Dialer
 	r      *core.Request
 	site   *farSite
-	on     *session
-	epoch  uint64
+	on     *session // on which it is sent
+	epoch  uint64   // of the receiving process; only that process knows what became of the hand-off
 	number uint64
 	sent   time.Time
 }
 
-// Offer is core.Remote's.
+// Offer chooses a site for a request that this site's servers refuse, as core.Remote says; ran means that an attempt here
+// may have run. It returns nil if no site takes the request. Otherwise the hand-off counts as in flight, and the caller
+// has to call Run.
 func (d *Dialer) Offer(r *core.Request, effect decide.Effect, ran bool) core.HandOff {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -332,7 +338,8 @@
 	return h
 }
 
-// Run is core.Crossing's: it makes the hand-off and blocks until it has ended, in time for the client.
+// Run makes the hand-off and returns its answer, as core.HandOff says: answerMargin before the request's deadline at the
+// latest. If it is not known by then whether the request ran, the result is HandOffUncertain.
 func (h *handed) Run(ctx context.Context) (core.Answer, core.HandOffResult) {
 	h.sent = time.Now()
 	a, o := h.do(ctx)
@@ -357,14 +364,15 @@
 	return a, core.HandOffUncertain
 }
 
+// exchange sends the request and reads the answer. If the stream breaks, it queries the receiver for the outcome.
 func (h *handed) do(ctx context.Context) (core.Answer, cross.Outcome) {
 	deadline := h.r.Deadline.Add(-answerMargin)
 	if ctx.Err() != nil {
-		return core.Answer{}, cross.Unseen // its client left before anything was handed to QUIC
+		return core.Answer{}, cross.Unseen // the client left before anything was given to QUIC
 	}
 	st, err := h.on.conn.OpenStream()
 	if err != nil {
-		return core.Answer{}, cross.Unseen // nothing was handed to QUIC
+		return core.Answer{}, cross.Unseen // nothing was given to QUIC
 	}
 	stop := context.AfterFunc(ctx, func() {
 		st.CancelRead(codeWithdrawn)
@@ -392,18 +400,19 @@
 		return core.Answer{}, cross.Withdrawn
 	}
 	st.CancelRead(codeDone)
-	st.CancelWrite(codeDone) // a hand-off that has not left whole stays so
+	st.CancelWrite(codeDone) // if the request was not sent completely, the receiver never sees the rest
 	return h.ask(ctx, deadline)
 }
 
-// answer reads the far side's word on this hand-off.
+// readAnswer reads an ANSWER frame, of the hand-off or of a query: the state of the hand-off and, if it is Done, the
+// response.
 func (h *handed) answer(st *quic.Stream) (ledger.State, core.Answer, error) {
 	_, f, text, err := readFrame(bufio.NewReader(st), answerLimit, 2, typeAnswer)
 	if err != nil {
 		return 0, core.Answer{}, err
 	}
 	if f[0] != h.number || f[1] > uint64(ledger.Failed) {
-		return 0, core.Answer{}, fmt.Errorf("%w: ANSWER to %d in state %d, asked for %d", errFrame, f[0], f[1], h.number)
+		return 0, core.Answer{}, fmt.Errorf("%w: ANSWER for hand-off %d in state %d, want hand-off %d", errFrame, f[0], f[1], h.number)
 	}
 	state := ledger.State(f[1])
 	if state != ledger.Done {
@@ -416,12 +425,12 @@
 	defer resp.Body.Close()
 	var body bytes.Buffer
 	if _, err := body.ReadFrom(resp.Body); err != nil || resp.ContentLength < 0 {
-		return 0, core.Answer{}, fmt.Errorf("%w: the response's body", errFrame)
+		return 0, core.Answer{}, fmt.Errorf("%w: incomplete response body", errFrame)
 	}
 	return state, core.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body.Bytes()}, nil
 }
 
-// judge is what a state that is no longer Running means for the client.
+// outcomeOf returns the outcome of a hand-off from its final state at the receiver, with the answer if it was served.
 func (h *handed) judge(state ledger.State, a core.Answer) (core.Answer, cross.Outcome) {
 	switch state {
 	case ledger.Done:
@@ -434,8 +443,8 @@
 	return a, cross.Doubt
 }
 
-// ask finds out what became of a hand-off whose stream broke: by any path to the same far process, until it is known or
-// the client's time is over. Another process knows nothing of it.
+// resolve finds out what became of a hand-off whose stream broke. It queries the receiving process, over any path to it,
+// until the outcome is known or the deadline has passed. Another process has another ledger and knows nothing of it.
 func (h *handed) ask(ctx context.Context, deadline time.Time) (core.Answer, cross.Outcome) {
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		s, changed, hope := h.d.reach(h.site, h.epoch)
@@ -465,6 +474,8 @@
 	return core.Answer{}, cross.Doubt
 }
 
+// query sends one ASK for the hand-off and returns the answer. The receiver holds it while the hand-off is running, for
+// queryWait at most.
 func (h *handed) question(ctx context.Context, s *session, deadline time.Time) (ledger.State, core.Answer, error) {
 	st, err := s.conn.OpenStream()
 	if err != nil {
@@ -487,8 +498,9 @@
 	return state, a, err
 }
 
-// reach gives a connection to a far process, or what to wait for. There is no hope once each path of the site has come
-// to another process: that one is gone, and what it knew.
+// sessionTo returns a connection to the process of a site with that epoch. If there is none, changed is closed on the next
+// change of connections, and mayReturn tells whether to wait for it: it is false once every path of the site has reached
+// another process, as the process with that epoch has then ended and its ledger is lost.
 func (d *Dialer) reach(site *farSite, epoch uint64) (s *session, changed chan struct{}, hope bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/link/limiter.go
+++ b/internal/link/limiter.go
@@ -6,18 +6,18 @@
 	"github.com/quic-go/quic-go"
 )
 
-// limiter bounds how many connections are served at once. Further ones are closed with codeFull.
+// limiter bounds how many connections are served at once, and closes further ones with codeFull.
 type limiter struct {
 	slots chan struct{}
-	work  *sync.WaitGroup // of the goroutines that serve
+	work  *sync.WaitGroup // counts the goroutines that serve connections
 }
 
-// newLimiter returns a limiter for at most that many connections, whose goroutines work waits for.
+// newLimiter returns a limiter for at most limit connections at once. Each serving goroutine is counted in wg.
 func newLimiter(most int, work *sync.WaitGroup) limiter {
 	return limiter{slots: make(chan struct{}, most), work: work}
 }
 
-// serve runs handle in a goroutine of its own, or closes the connection if as many as allowed are served already.
+// serve runs handle in a goroutine of its own; at the limit it closes the connection instead. It does not block.
 func (l limiter) serve(conn *quic.Conn, handle func()) {
 	select {
 	case l.slots <- struct{}{}:
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -18,42 +18,43 @@
 )
 
 const (
-	handshakeWait = 3 * time.Second
-	idleTimeout   = 3 * time.Second // of QUIC; BEATs come far more often
-	streamWait    = 2 * time.Second // for an exchange's first frame, whole, and for its answer to be taken
+	handshakeWait = 3 * time.Second   // for the QUIC handshake, and then for HELLO and WELCOME
+	idleTimeout   = 3 * time.Second   // of QUIC; BEATs are far more frequent
+	streamWait    = 2 * time.Second   // for the first frame of an exchange to arrive whole, and for writing its answer
 	beatEvery     = 100 * time.Millisecond
 	drainLook     = 10 * time.Millisecond
-	ackWait       = time.Second       // at the end, for near sides to say (in their beats) that they have the last answers
-	ackSlack      = beatEvery         // the same beyond the end of a drain: answers may be given at its very end
-	askSlack      = 16                // streams for questions, beside those of hand-offs
-	mostConns     = 64                // of other sites' nodes
-	streamWindow  = 256 << 10         // bytes that may be on their way on one stream,
-	connWindow    = 4 << 20           // and on one connection
-	longestLeft   = time.Hour         // of a hand-off's time
-	codeDone      = 0x0               // application error codes: the end, as it should be
-	codeMalformed = 0x1               // what came makes no sense
-	codeWithdrawn = 0x2               // the client has gone
-	codeSilent    = 0x3               // no news for too long
-	codeFull      = 0x4               // too many connections
-	epochBits     = uint64(1)<<62 - 1 // a variable-length integer holds so many
+	ackWait       = time.Second       // after the last hand-off of a drain, for senders to acknowledge the answers in BEATs
+	ackSlack      = beatEvery         // the same after the end of the drain time, as an answer may be written at its very end
+	askSlack      = 16                // streams per connection for queries, in addition to those for hand-offs
+	mostConns     = 64                // connections from nodes of other sites
+	streamWindow  = 256 << 10         // bytes in flight on one stream
+	connWindow    = 4 << 20           // bytes in flight on one connection
+	longestLeft   = time.Hour         // time left of a hand-off; larger values are cut to this
+	codeDone      = 0x0               // QUIC application error code: normal end
+	codeMalformed = 0x1               // malformed frame, or unknown certificate
+	codeWithdrawn = 0x2               // the client has disconnected
+	codeSilent    = 0x3               // timeout
+	codeFull      = 0x4               // too many connections or sessions
+	epochBits     = uint64(1)<<62 - 1 // a variable-length integer has 62 bits
 )
 
-// Handle serves a hand-off that has been taken: an HTTP/1.1 request, to be answered within left. An end of ctx means
-// that its client has gone. It gives the state that the ledger is to have and the response.
+// Handler serves an accepted hand-off: an HTTP/1.1 request from the named site, to be answered within left. ctx ends after
+// left, when the client has disconnected, or on Close. It returns the final state for the ledger (Done, Refused or
+// Failed) and, if Done, the HTTP/1.1 response.
 type Handle func(ctx context.Context, site string, request []byte, left time.Duration) (ledger.State, []byte)
 
-// ServerOptions are what a Server is made of. Credit tells how many hand-offs more are welcome at present, over all
-// callers; it may be called from any goroutine.
+// ServerOptions configures a Server. Headroom returns how many more hand-offs this site's servers can take now, in total
+// over all senders; it has to be safe for concurrent use.
 type ServerOptions struct {
 	Keeper   *Keeper
 	Ledger   ledger.Limits
-	Handoffs int // taken at once, over all callers; default 256
+	Handoffs int // in flight at once, in total over all senders; default 256
 	Handle   Handle
 	Credit   func() int
 	Log      *slog.Logger
 }
 
-// Server takes hand-offs from other sites' nodes. It is a core.Front.
+// Server accepts hand-offs from nodes of other sites, and keeps the ledger of them. It is safe for concurrent use.
 type Server struct {
 	o        ServerOptions
 	epoch    uint64
@@ -63,21 +64,22 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	work     sync.WaitGroup
-	closing  atomic.Bool
+	closing  atomic.Bool // no hand-offs are accepted any more
 
 	mu      sync.Mutex
 	ledger  *ledger.Ledger
-	callers map[string]int            // connections by session name
-	running int                       // hand-offs
-	ended   map[handoff]chan struct{} // closed when it has: for questions that wait
+	callers map[string]int            // number of connections, by session name
+	running int                       // hand-offs that are being handled
+	ended   map[handoff]chan struct{} // closed at the end of each running hand-off, for queries that wait for it
 }
 
+// handOffID identifies a hand-off: the session of its sender and its number there.
 type handoff struct {
 	session *ledger.Session
 	number  uint64
 }
 
-// NewServer listens on a UDP socket, which it owns from then on.
+// NewServer listens on a UDP socket, which it owns and closes. Serve has to be called to accept connections.
 func NewServer(conn net.PacketConn, o ServerOptions) (*Server, error) {
 	if o.Handoffs <= 0 {
 		o.Handoffs = 256
@@ -93,16 +95,19 @@
 	return s, nil
 }
 
+// newEpoch returns a random number that identifies this process to the other sites.
 func newEpoch() uint64 { return rand.Uint64() & epochBits }
 
+// quicConfig returns the QUIC settings of a connection with at most streams incoming streams; -1 allows none.
 func quicConfig(streams int64) *quic.Config {
 	return &quic.Config{HandshakeIdleTimeout: handshakeWait, MaxIdleTimeout: idleTimeout, MaxIncomingStreams: streams, MaxIncomingUniStreams: -1,
 		InitialStreamReceiveWindow: streamWindow, MaxStreamReceiveWindow: streamWindow, InitialConnectionReceiveWindow: connWindow, MaxConnectionReceiveWindow: connWindow}
 }
 
+// now is the time since the start, as package ledger takes it.
 func (s *Server) now() time.Duration { return time.Since(s.began) }
 
-// Serve takes connections until Close.
+// Serve accepts connections until Close, and then returns net.ErrClosed.
 func (s *Server) Serve() error {
 	callers := newLimiter(mostConns, &s.work)
 	for {
@@ -120,12 +125,13 @@
 	}
 }
 
-// Drain takes no more hand-offs and answers those it has, and questions about them. It returns once the near sides
-// have the answers, by end; for answers that are given at end itself it waits ackSlack longer. An answer that has been
-// written may still be on its way: Close drops it, and its client would wait for nothing until its time is over.
+// Drain accepts no more hand-offs, but completes those that are running and still answers queries. It returns once the
+// senders have acknowledged all answers, or maxAckWait after the last hand-off ended, or at end. For answers that are
+// written right at end it waits lateAckWait longer. Acknowledgements matter because a written answer may still be in
+// transit: Close would drop it, and its client would wait in vain until its deadline.
 func (s *Server) Drain(end time.Time) {
 	s.closing.Store(true)
-	ended := time.Now() // the last hand-off
+	ended := time.Now() // when a hand-off was last seen running
 	for now := time.Now(); now.Before(end.Add(ackSlack)); now = time.Now() {
 		running, owed := s.left()
 		switch {
@@ -140,14 +146,14 @@
 	}
 }
 
-// left gives the hand-offs that run, and those that have ended and whose near side may not know.
+// pending returns the number of running hand-offs, and of ended ones whose answer the sender has not acknowledged.
 func (s *Server) left() (running, owed int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running, s.ledger.Owed()
 }
 
-// Close ends all connections, and Serve. Further calls do nothing.
+// Close closes all connections and ends Serve. It returns once all handlers have returned. Further calls do nothing.
 func (s *Server) Close() {
 	if s.ctx.Err() != nil {
 		return
@@ -159,7 +165,8 @@
 	s.tr.Conn.Close()
 }
 
-// Size gives the ledger's entries, bytes and sessions, and the hand-offs that run.
+// Size returns the number of entries in the ledger, the bytes of kept answers, the number of sessions, and the number of
+// running hand-offs.
 func (s *Server) Size() (entries, bytes, sessions, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +174,7 @@
 	return entries, bytes, sessions, s.running
 }
 
-// caller serves one connection of another site's node.
+// serveConn serves one connection from a node of another site, and returns why it ended.
 func (s *Server) caller(c *quic.Conn) error {
 	site, err := s.o.Keeper.caller(c.ConnectionState().TLS.PeerCertificates)
 	if err != nil {
@@ -185,7 +192,7 @@
 	control.SetDeadline(time.Now().Add(handshakeWait))
 	_, hello, _, err := readFrame(r, controlLimit, 3, typeHello)
 	if err == nil && hello[0] != version {
-		err = fmt.Errorf("%w: version %d, this side speaks %d", errFrame, hello[0], version)
+		err = fmt.Errorf("%w: got version %d, want %d", errFrame, hello[0], version)
 	}
 	if err == nil {
 		_, err = control.Write(appendFrame(nil, typeWelcome, []uint64{version, s.epoch}, nil))
@@ -251,7 +258,8 @@
 	}
 }
 
-// credit is what one caller may have out: what it has, and its share of what more is welcome.
+// creditFor returns how many hand-offs one sender may have in flight: those that it has, plus an equal share of the
+// headroom. It also records ack, up to which the sender has acknowledged its hand-offs.
 func (s *Server) credit(session *ledger.Session, ack uint64) int {
 	spare := max(0, s.o.Credit())
 	s.mu.Lock()
@@ -259,10 +267,10 @@
 	session.Ack(ack)
 	spare = min(spare, s.o.Handoffs-s.running)
 	callers := max(1, len(s.callers))
-	return session.Running() + (spare+callers-1)/callers // rounded up: who has little to spare still tells everybody of it
+	return session.Running() + (spare+callers-1)/callers // rounded up, so that a headroom below the number of senders still gives each of them one
 }
 
-// exchange serves one stream.
+// serveStream serves one exchange: a hand-off or a query.
 func (s *Server) exchange(site string, session *ledger.Session, st *quic.Stream) {
 	st.SetReadDeadline(time.Now().Add(streamWait))
 	typ, f, request, err := readFrame(bufio.NewReader(st), requestLimit, 2, typeHandoff, typeAsk)
@@ -282,10 +290,12 @@
 	s.handoff(site, session, st, f[0], f[1], micros(left), request)
 }
 
+// micros converts microseconds from a frame, and cuts them to maxTimeLeft.
 func micros(v uint64) time.Duration {
 	return time.Duration(min(v, uint64(longestLeft/time.Microsecond))) * time.Microsecond
 }
 
+// serveHandOff enters a hand-off into the ledger, runs it if the ledger accepts it, and writes the answer to the stream.
 func (s *Server) handoff(site string, session *ledger.Session, st *quic.Stream, number, ack uint64, left time.Duration, request []byte) {
 	id, done := handoff{session, number}, make(chan struct{})
 	s.mu.Lock()
@@ -302,7 +312,8 @@
 		s.reply(st, number, state, nil)
 		return
 	}
-	// It runs on when the connection breaks, as it will be asked for; it ends early only if the near side says so.
+	// The hand-off continues if the connection breaks, as the sender will query for its outcome. It ends early only if the
+	// sender cancels the stream because its client has disconnected.
 	ctx, cancel := context.WithTimeout(s.ctx, left)
 	defer cancel()
 	stop := context.AfterFunc(st.Context(), func() {
@@ -322,7 +333,7 @@
 	s.reply(st, number, state, answer)
 }
 
-// question answers what became of a hand-off, once it has ended or the near side waits no longer.
+// answerQuery answers a query about a hand-off. While the hand-off is running it waits for the end, up to wait.
 func (s *Server) question(session *ledger.Session, st *quic.Stream, number uint64, wait time.Duration) {
 	s.mu.Lock()
 	state, answer, kept := session.Ask(s.now(), number)
@@ -342,11 +353,12 @@
 		s.mu.Unlock()
 	}
 	if state == ledger.Done && !kept {
-		state = ledger.Failed // it has run, and there is nothing to give the client
+		state = ledger.Failed // the hand-off has run, but its answer was not kept
 	}
 	s.reply(st, number, state, answer)
 }
 
+// reply writes an ANSWER frame and closes the stream.
 func (s *Server) reply(st *quic.Stream, number uint64, state ledger.State, answer []byte) {
 	st.SetWriteDeadline(time.Now().Add(streamWait))
 	if _, err := st.Write(appendFrame(nil, typeAnswer, []uint64{number, uint64(state)}, answer)); err != nil {
--- a/internal/link/tls.go
+++ b/internal/link/tls.go
@@ -10,31 +10,32 @@
 	"time"
 )
 
-const protocol = "starlingvalve-link/1" // ALPN
+const protocol = "starlingvalve-link/1" // the ALPN protocol name
 
-// Peer is another site as this one knows it.
+// Peer is another site or, for links within a fleet, the domain of its nodes.
 type Peer struct {
-	Name      string         // a DNS name that its certificate must hold
-	Members   bool           // Name is a domain: each member has a certificate for a name right below it
-	Roots     *x509.CertPool // of its own; no other site's certificate is good for it
-	Addresses []string       // of its nodes, IP:port
+	Name      string         // the DNS name that its certificates must hold
+	Members   bool           // each node has a certificate for a name of its own, one label below the domain Name
+	Roots     *x509.CertPool // the only roots that are accepted for this peer
+	Addresses []string       // of its nodes, as IP:port
 }
 
-// Identity is what this site shows and whom it believes. It may be replaced while connections are up: new handshakes
-// use the new one.
+// Identity is the certificate that this node presents, and the peers whose certificates it accepts. It is not changed once
+// it is in use; IdentityStore.Set replaces it as a whole.
 type Identity struct {
 	Site        string
 	Certificate tls.Certificate
 	Peers       []Peer
 }
 
-// Keeper holds the identity in force.
+// IdentityStore holds the current identity. After Set, new handshakes use the new identity; connections that exist stay
+// open. It is safe for concurrent use.
 type Keeper struct {
 	current atomic.Pointer[Identity]
-	now     func() time.Time // of certificates' validity
+	now     func() time.Time // the time at which certificates have to be valid
 }
 
-// NewKeeper starts with an identity.
+// NewIdentityStore returns a store that holds id.
 func NewKeeper(id *Identity) *Keeper {
 	k := &Keeper{now: time.Now}
 	k.current.Store(id)
@@ -44,9 +45,10 @@
 // Set replaces the identity.
 func (k *Keeper) Set(id *Identity) { k.current.Store(id) }
 
-// Get gives the identity in force.
+// Get returns the current identity.
 func (k *Keeper) Get() *Identity { return k.current.Load() }
 
+// peerFor returns the peer that a certificate name belongs to, or nil.
 func (id *Identity) peer(name string) *Peer {
 	for i := range id.Peers {
 		if p := &id.Peers[i]; p.Name == name && !p.Members || p.Members && p.member(name) {
@@ -56,13 +58,14 @@
 	return nil
 }
 
-// member tells whether a name is right below the peer's domain.
+// isMember reports whether a name is exactly one label below the peer's domain. A wildcard is not.
 func (p *Peer) member(name string) bool {
 	label, domain, ok := strings.Cut(name, ".")
 	return ok && label != "" && label != "*" && domain == p.Name
 }
 
-// name is what a certificate is to be good for, as this peer's.
+// certificateName returns the name for which a certificate has to be valid if it is one of this peer: the peer's own name
+// or, in a domain, the first name in the certificate that is below the domain.
 func (p *Peer) name(leaf *x509.Certificate) string {
 	if p.Members {
 		for _, n := range leaf.DNSNames {
@@ -74,7 +77,7 @@
 	return p.Name
 }
 
-// verify checks a chain against one peer's roots and a name of its.
+// verify checks that a certificate chain is valid for a name and a usage, and leads to one of the peer's roots.
 func (k *Keeper) verify(p *Peer, name string, chain []*x509.Certificate, use x509.ExtKeyUsage) error {
 	if len(chain) == 0 {
 		return errors.New("no certificate")
@@ -88,7 +91,7 @@
 	return err
 }
 
-// caller tells which peer's node is calling, by its certificate.
+// callerName returns the name of the peer or node that has connected, from its certificate chain.
 func (k *Keeper) caller(chain []*x509.Certificate) (string, error) {
 	if len(chain) == 0 {
 		return "", errors.New("no certificate")
@@ -103,11 +106,11 @@
 		}
 		errs = append(errs, fmt.Errorf("as %s: %w", id.Peers[i].Name, err))
 	}
-	return "", fmt.Errorf("the caller's certificate is no known site's: %w", errors.Join(errs...))
+	return "", fmt.Errorf("the caller's certificate belongs to no peer: %w", errors.Join(errs...))
 }
 
-// serverTLS is for the side that is called. Every handshake is checked whole: there are no session tickets, which would
-// let a site in that has been removed.
+// serverTLS returns the settings for accepting connections. Session tickets are disabled, so that every handshake is
+// verified in full: with a ticket, a site could still connect after its removal.
 func (k *Keeper) serverTLS() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.Get().Certificate, nil },
@@ -117,14 +120,15 @@
 		}}
 }
 
-// clientTLS is for calling a site. crypto/tls's own check would use one pool for ever; VerifyConnection does all of it.
+// clientTLS returns the settings for connecting to a site or node. InsecureSkipVerify is set because the verification of
+// crypto/tls would use the roots of the time of this call; VerifyConnection verifies in full with the current roots.
 func (k *Keeper) clientTLS(site string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}, ServerName: site, InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.Get().Certificate, nil },
 		VerifyConnection: func(s tls.ConnectionState) error {
 			p := k.Get().peer(site)
 			if p == nil {
-				return fmt.Errorf("site %s has been removed", site)
+				return fmt.Errorf("site %s has been removed from the configuration", site)
 			}
 			return k.verify(p, site, s.PeerCertificates, x509.ExtKeyUsageServerAuth)
 		}}
--- a/internal/link/traffic.go
+++ b/internal/link/traffic.go
@@ -8,25 +8,25 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Traffic is what a node's connections to the others of its fleet have carried so far. Bytes are those of UDP payloads, without
-// IP and UDP headers.
+// Traffic counts what the connections of a node to the other nodes of its fleet have carried since its start. Bytes are UDP
+// payloads, without IP and UDP headers.
 type Traffic struct {
 	DatagramsOut uint64 `json:"datagrams_out"`
 	DatagramsIn  uint64 `json:"datagrams_in"`
 	BytesOut     uint64 `json:"bytes_out"`
 	BytesIn      uint64 `json:"bytes_in"`
-	// Calls are the calls that were made and answered, by kind.
+	// Calls is the number of calls that this node made and that were answered, by kind.
 	Calls map[uint64]uint64 `json:"calls,omitempty"`
 }
 
-// traffic adds up what the connections carry, those that are over included. The zero value is ready.
+// traffic adds up the counters of the open connections and of those that have ended. The zero value is ready to use.
 type traffic struct {
 	mu    sync.Mutex
 	conns map[*quic.Conn]struct{}
-	past  Traffic // of connections that are over, and the calls
+	past  Traffic // sums over the connections that have ended; and all calls
 }
 
-// follow counts a connection until its end.
+// track includes a connection, and adds its final counters to the sums when it ends.
 func (t *traffic) follow(conn *quic.Conn) {
 	t.mu.Lock()
 	if t.conns == nil {
@@ -42,7 +42,7 @@
 	})
 }
 
-// called notes a call that was answered.
+// countCall counts an answered call.
 func (t *traffic) called(kind uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 	t.past.Calls[kind]++
 }
 
-// sum gives all of it.
+// sum returns the totals so far.
 func (t *traffic) sum() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -64,6 +64,7 @@
 	return all
 }
 
+// add adds the counters of a connection.
 func (t *Traffic) add(conn *quic.Conn) {
 	s := conn.ConnectionStats()
 	t.DatagramsOut += s.PacketsSent
@@ -72,5 +73,5 @@
 	t.BytesIn += s.BytesReceived
 }
 
-// Traffic gives what the connections have carried so far, both those that this node has opened and those that it has taken.
+// Traffic returns the totals over all connections so far: those that this node opened and those that it accepted.
 func (c *Calls) Traffic() Traffic { return c.traffic.sum() }
