--- a/internal/cross/cross.go
+++ b/internal/cross/cross.go
@@ -1,9 +1,11 @@
-// Package cross decides whether a request that its own hall has just refused may cross to another site, to which, how much may
-// be out there, and when a site is left alone. It is pure: no I/O, no clock, no goroutine; it is fed with events and
-// asked. What becomes of a request at home and within the other hall stays with package decide.
+// Package cross decides whether a request that this site has refused may be handed off to another site, to which one, and
+// how many hand-offs may be in flight there. A circuit breaker per site stops hand-offs to a site whose hand-offs fail.
+// The package is pure: it has no I/O, no clock and no goroutine, and its callers pass in events and the time. How a request
+// is handled within a site is decided by package decide.
 //
-// A keyed request never crosses: the servers of a pod drop a repeat of a key that they have seen, and those of another hall
-// have not; the next try of the client may come to another node of the home hall, which knows nothing of the first.
+// A keyed request is never handed off. The servers of a cell drop a repeated key that they have seen, but the servers of
+// another site have not seen it. And the client's next attempt may reach another node of this site, which does not know of
+// the hand-off, so that the request could take effect at both sites.
 // See docs/design/gateway.md.
 package cross
 
@@ -15,67 +17,71 @@
 )
 
 const (
-	// CreditLife is how long a site's word on its spare capacity counts.
+	// CreditLifetime is how long the credit that a site has granted may be used.
 	CreditLife = 500 * time.Millisecond
-	// doubtful outcomes in a row close a site for a pause, which doubles from pauseFirst to pauseLast; after it one
-	// hand-off of a safe class tries the site (half-open).
+	// After breakerThreshold outcomes NotReceived or Uncertain in a row the circuit breaker of a site opens. The wait until
+	// a trial doubles from minBreakerWait to maxBreakerWait with each failed trial. The trial is one hand-off of a safe
+	// request, while the breaker is half-open.
 	doubtful   = 3
 	pauseFirst = 500 * time.Millisecond
 	pauseLast  = 16 * time.Second
-	// A request crosses only if its time left is tripFactor times a round trip and a usual answer there.
+	// A request is handed off only if its time left exceeds timeLeftFactor times the sum of a round trip and the usual
+	// response time of the site.
 	tripFactor = 1.5
-	tripGain   = 0.1 // weight of a new time in the smoothed one
+	tripGain   = 0.1 // weight of a new value in the smoothed response time
 )
 
-// Outcome is how a hand-off ended.
+// Outcome tells how a hand-off ended.
 type Outcome int
 
 const (
-	// Served: the far site answered it.
+	// Served: the other site has answered it.
 	Served Outcome = iota
-	// TurnedAway: it has never run; the far site had no room.
+	// Rejected: the other site has refused it without running it.
 	TurnedAway
-	// Unseen: it never reached the far site, and is fenced.
+	// NotReceived: it did not reach the other site, and will not be run if it still arrives.
 	Unseen
-	// Doubt: it may have run.
+	// Uncertain: it may have run.
 	Doubt
-	// Withdrawn: the client has gone.
+	// ClientGone: the client disconnected before the outcome was known.
 	Withdrawn
 )
 
-// Request is what counts of a request that may cross.
+// Request describes a request that this site has refused.
 type Request struct {
 	Effect decide.Effect
-	Left   time.Duration // until its client must have the answer
-	Ran    bool          // some attempt at home may have run
-	Came   bool          // it came from another site itself
+	Left   time.Duration // until the answer has to be at this node
+	Ran    bool          // an attempt at this site may have run
+	Came   bool          // it came from another site, so it is not handed off again
 }
 
-// Site is one other site, by its place in the configuration.
+// site is one other site.
 type site struct {
 	name     string
-	most     int // hand-offs out at once, whatever its credit
-	up       bool
-	credit   int
+	most     int // hand-offs in flight at once, whatever the credit
+	up       bool // a node of the site is connected
+	credit   int  // hand-offs that the site accepts at once from this node
 	creditAt time.Duration
-	out      int
-	trip     time.Duration // smoothed, of answers; 0: none yet
-	rtt      time.Duration // of the link
-	strikes  int
-	pause    time.Duration
-	closedAt time.Duration // since when it is left alone, for pause (jittered: until)
-	until    time.Duration
-	closed   bool
-	trying   bool // half-open: one is out
+	out      int // hand-offs in flight
+	trip     time.Duration // smoothed time until an answer; 0: none yet
+	rtt      time.Duration // round trip of the link
+	strikes  int           // NotReceived or Uncertain outcomes since the last answer
+	pause    time.Duration // from opening the breaker to the trial, without jitter
+	closedAt time.Duration // when the breaker opened
+	until    time.Duration // when a trial is allowed: openedAt plus 0.5 to 1.5 times breakerWait
+	closed   bool          // no hand-offs but a trial
+	trying   bool          // half-open: the trial is in flight
 }
 
-// Decider holds the state of all sites. It is not safe for concurrent use.
+// Decider holds the state of all other sites. Its methods take a site as its index in the configuration, and now as the time
+// since any fixed point. It is not safe for concurrent use.
 type Decider struct {
 	sites []*site
 	rng   *rand.Rand
 }
 
-// New makes a decider for sites in order of preference; most bounds the hand-offs out at each.
+// New returns a decider for sites in order of preference, with at most maxHandOffs hand-offs in flight at each. All sites
+// start disconnected and without credit.
 func New(names []string, most int, seed uint64) *Decider {
 	d := &Decider{rng: rand.New(rand.NewPCG(seed, 0x6761746577617973))}
 	for _, n := range names {
@@ -84,8 +90,8 @@
 	return d
 }
 
-// Offer tells to which site a request that home has just refused may cross, by its place, or -1. It counts as out there
-// until Ended.
+// ChooseSite returns the index of the first site to which a request may be handed off, or -1 if there is none. The hand-off
+// counts as in flight there until HandOffEnded.
 func (d *Decider) Offer(now time.Duration, r Request) int {
 	if r.Came || r.Effect == decide.Keyed || r.Ran && r.Effect != decide.Safe {
 		return -1
@@ -99,6 +105,8 @@
 	return -1
 }
 
+// accepts reports whether a request may be handed off to a site now. If it is the trial of a half-open breaker, it marks
+// the trial as in flight.
 func (d *Decider) takes(now time.Duration, s *site, r Request) bool {
 	if !s.up || now-s.creditAt > CreditLife || s.out >= min(s.credit, s.most) {
 		return false
@@ -115,7 +123,7 @@
 	return true
 }
 
-// Ended tells how a hand-off to a site ended, after so long.
+// HandOffEnded records the outcome of a hand-off to a site, and the time that it took.
 func (d *Decider) Ended(now time.Duration, at int, o Outcome, took time.Duration) {
 	s := d.sites[at]
 	s.out--
@@ -140,13 +148,13 @@
 	}
 }
 
-// Credit is a site's word on how many hand-offs of this node it takes at once.
+// SetCredit records how many hand-offs of this node a site accepts at once, and the round trip of the link.
 func (d *Decider) Credit(now time.Duration, at, n int, rtt time.Duration) {
 	s := d.sites[at]
 	s.credit, s.creditAt, s.rtt = max(0, n), now, max(0, rtt)
 }
 
-// Link tells that some path to a site is up, or that none is.
+// SetLink records whether any node of a site is connected. The credit of a site that is not is dropped.
 func (d *Decider) Link(now time.Duration, at int, up bool) {
 	s := d.sites[at]
 	if s.up = up; !up {
@@ -154,16 +162,16 @@
 	}
 }
 
-// View is a site's state, for operators.
+// View is the state of a site, for operators.
 type View struct {
 	Name        string
 	Up, Closed  bool
 	Credit, Out int
 	RTT, Trip   time.Duration
-	ClosedFor   time.Duration // since it is left alone
+	ClosedFor   time.Duration // time since the circuit breaker opened
 }
 
-// Views gives all sites' states.
+// Views returns the state of all sites.
 func (d *Decider) Views(now time.Duration) []View {
 	var out []View
 	for _, s := range d.sites {
--- a/internal/cross/cross_test.go
+++ b/internal/cross/cross_test.go
@@ -11,6 +11,7 @@
 
 const ms = time.Millisecond
 
+// newReadyDecider returns a decider for one connected site with a credit.
 func ready(most, credit int) *Decider {
 	d := New([]string{"b"}, most, 1)
 	d.Link(0, 0, true)
@@ -20,7 +21,8 @@
 
 var safe = Request{Effect: decide.Safe, Left: time.Second}
 
-// What may cross at all.
+// Guards against hand-offs that could take effect twice: keyed requests, unsafe ones that may have run, those that came from
+// another site; and against those without time for a round trip.
 func TestWhatMayCross(t *testing.T) {
 	for name, c := range map[string]struct {
 		r    Request
@@ -40,21 +42,21 @@
 	}
 }
 
-// Credit lapses, and a link that is down has none.
+// Guards against use of outdated credit: it expires after CreditLifetime, and with the loss of the link.
 func TestCreditLapses(t *testing.T) {
 	d := ready(9, 9)
 	if d.Offer(CreditLife, safe) != 0 || d.Offer(CreditLife+1, safe) != -1 {
-		t.Error("credit does not lapse when it should")
+		t.Error("credit does not expire after exactly CreditLifetime")
 	}
 	d.Credit(time.Second, 0, 9, 0)
 	d.Link(time.Second, 0, false)
 	d.Link(time.Second, 0, true)
 	if d.Offer(time.Second, safe) != -1 {
-		t.Error("credit outlives the link")
+		t.Error("credit is still used after the link was lost")
 	}
 }
 
-// The second site is taken when the first has no room.
+// The second site is chosen only when the first has no credit left.
 func TestOrderOfSites(t *testing.T) {
 	d := New([]string{"b", "c"}, 9, 1)
 	for i := range 2 {
@@ -68,15 +70,15 @@
 	}
 }
 
-// A site of which hand-offs end in doubt is left alone, then tried with one safe request; the pauses grow, and one that
-// answers is open again.
+// Guards against hand-offs to a site that keeps failing. Uncertain outcomes open its circuit breaker; trials with one safe
+// request each follow at growing intervals, and the first answer closes the breaker.
 func TestLeftAloneAndTried(t *testing.T) {
 	d := ready(9, 9)
 	now := time.Duration(0)
 	fresh := func() { d.Credit(now, 0, 9, 2*ms) }
 	for range doubtful {
 		if d.Offer(now, safe) != 0 {
-			t.Fatal("left alone too early")
+			t.Fatal("the breaker opened too early")
 		}
 		d.Ended(now, 0, Doubt, time.Second)
 	}
@@ -86,14 +88,14 @@
 		for fresh(); d.Offer(now, safe) < 0; fresh() {
 			now += 10 * ms
 			if now-began > 2*pauseLast {
-				t.Fatal("never tried again")
+				t.Fatal("no trial was allowed in time")
 			}
 		}
 		if d.Offer(now, safe) >= 0 || d.Offer(now, Request{Effect: decide.Unsafe, Left: time.Second}) >= 0 {
-			t.Error("tried with more than one")
+			t.Error("a second hand-off was allowed during a trial")
 		}
 		if pause := now - began; round > 0 && pause < last/4 {
-			t.Errorf("pause %v after %v", pause, last)
+			t.Errorf("the breaker waited %v, after %v the time before", pause, last)
 		} else {
 			last = pause
 		}
@@ -102,20 +104,21 @@
 	now += 2 * pauseLast
 	fresh()
 	if d.Offer(now, Request{Effect: decide.Unsafe, Left: time.Second}) >= 0 {
-		t.Error("an unsafe request is the trial")
+		t.Error("an unsafe request was allowed as the trial")
 	}
 	if d.Offer(now, safe) < 0 {
-		t.Fatal("no trial")
+		t.Fatal("no trial was allowed")
 	}
 	d.Ended(now, 0, Served, 10*ms)
 	for range 2 {
 		if d.Offer(now, safe) < 0 {
-			t.Error("still closed after an answer")
+			t.Error("the breaker is still open after an answer")
 		}
 	}
 }
 
-// Whatever happens, no more is out at a site than its last word allows and its bound, and what is out is counted right.
+// Guards against more hand-offs at a site than its latest credit and the configured bound allow, and against a wrong count
+// of those in flight, over random sequences of events.
 func TestNeverMoreThanCredit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
@@ -131,7 +134,7 @@
 			case "offer":
 				if got := d.Offer(now, safe); got >= 0 {
 					if !up[got] || now-at[got] > CreditLife || out[got] >= min(credit[got], most) {
-						t.Fatalf("site %d: up %v, credit %d, %v old, %d out", got, up[got], credit[got], now-at[got], out[got])
+						t.Fatalf("site %d was chosen: up %v, credit %d, %v old, %d in flight", got, up[got], credit[got], now-at[got], out[got])
 					}
 					out[got]++
 				}
@@ -149,18 +152,19 @@
 				now += time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * ms
 			}
 			if v := d.Views(now)[i]; v.Out != out[i] || v.Up != up[i] {
-				t.Fatalf("%+v, want %d out", v, out[i])
+				t.Fatalf("got %+v, want %d in flight", v, out[i])
 			}
 		}
 	})
 }
 
+// BenchmarkStaysHome measures a request for which no site is available.
 func BenchmarkStaysHome(b *testing.B) {
 	d := New([]string{"b", "c", "d"}, 256, 1)
 	b.ReportAllocs()
 	for b.Loop() {
 		if d.Offer(time.Second, safe) >= 0 {
-			b.Fatal("crossed")
+			b.Fatal("a disconnected site was chosen")
 		}
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,15 +1,16 @@
-// Package ledger is the far side's memory of hand-offs: what was taken, what became of it, and what has been refused for
-// good. It lets the near side act after a link has broken: a question about a hand-off that was never seen closes the
-// door for it, so that "never seen" stays true. It is pure: no I/O, no clock, no goroutine; the caller holds a lock.
+// Package ledger is the receiver's record of hand-offs: which ones it accepted and how they ended. After a link has broken,
+// the sender queries it to learn whether a hand-off has run. A query about a hand-off that has not arrived fences it: if it
+// arrives later it is rejected, so the sender can rely on the reply that it has not run. The package is pure: it has no
+// I/O, no clock and no goroutine, and its callers pass in the time and hold a lock.
 //
-// A near process (a session, named by its epoch) numbers its hand-offs from 1 on and uses no number twice. States of a
-// number:
+// A session stands for one sender process, and is named by its site and epoch. The sender numbers its hand-offs from 1 and
+// uses no number twice. States of a number:
 //
-//	(none) -- Take --> Running -- Finish --> Done, Refused
-//	(none) -- Ask ---> Fenced                        a Take that comes later is turned away
+//	(none) -- Accept --> Running -- Finish --> Done, Refused, Failed
+//	(none) -- Query ---> Fenced                      a later Accept is rejected
 //
-// An entry goes when the near side acknowledges it or when its time is over. Numbers without an entry that may once have had
-// one are Unknown, which counts as "may have run".
+// An entry is removed when the sender acknowledges it, or when it expires. A number without an entry that may have had one
+// is Unknown, and the sender has to assume that the hand-off may have run.
 package ledger
 
 import (
@@ -21,33 +22,34 @@
 type State int
 
 const (
-	// Unknown: it may have run, and may yet.
+	// Unknown: it may have run, or may still run.
 	Unknown State = iota
-	// Running: taken, no answer yet.
+	// Running: accepted, and not ended yet.
 	Running
-	// Done: it has run, and its answer is there unless it was too large to keep.
+	// Done: it has run. Its answer is kept unless that would have exceeded Limits.Bytes.
 	Done
-	// Refused: taken and turned away; it has never run and never will.
+	// Refused: it has not run and will not.
 	Refused
-	// Fenced: never seen, and turned away if it still comes.
+	// Fenced: it had not arrived when it was queried, and is rejected if it still does.
 	Fenced
-	// Failed: taken, and it may have run; there is no answer and there will be none.
+	// Failed: it was accepted and may have run, and there is no answer.
 	Failed
 )
 
-// String is the state in lower case, as logs print it.
+// String returns the state in lower case, for logs.
 func (s State) String() string {
 	return [...]string{"unknown", "running", "done", "refused", "fenced", "failed"}[s]
 }
 
-// Limits bound a ledger. Zero values stand for the defaults.
+// Limits bounds a ledger. Zero values stand for the defaults.
 type Limits struct {
-	Entries  int           // over all sessions; default 10,000
+	Entries  int           // in all sessions together; default 10,000
 	Bytes    int           // of kept answers; default 16 MiB
-	Sessions int           // near processes at once; default 64
-	Keep     time.Duration // of an entry beyond its deadline, and of a session that is detached; default 10 s
+	Sessions int           // sender processes at once; default 64
+	Keep     time.Duration // how long an entry is kept after its deadline, and a session after its last connection; default 10 s
 }
 
+// withDefaults returns the limits with the defaults in place of zero or negative values.
 func (l Limits) withDefaults() Limits {
 	if l.Entries <= 0 {
 		l.Entries = 10_000
@@ -64,45 +66,47 @@
 	return l
 }
 
-// Ledger is the memory of one process. It is not safe for concurrent use.
+// Ledger is the record of one receiving process. It is not safe for concurrent use.
 type Ledger struct {
 	limits   Limits
 	sessions map[string]*Session
 	entries  int
 	bytes    int
-	due      dueHeap // entries by the time at which they go
+	due      dueHeap // entries by expiry time
 }
 
-// Session is what is known of one near process.
+// Session holds the hand-offs of one sender process.
 type Session struct {
 	ledger   *Ledger
 	name     string
 	entries  map[uint64]*entry
-	acked    uint64 // numbers below it are settled at the near side: nobody asks for them
-	blurred  uint64 // numbers below it without an entry may have had one
-	attached int    // connections that it has
-	running  int    // entries that are Running
-	idleAt   time.Duration
+	acked    uint64 // the sender has acknowledged all lower numbers and queries none of them
+	blurred  uint64 // lower numbers without an entry may have had one
+	attached int    // number of connections
+	running  int    // number of Running entries
+	idleAt   time.Duration // when a connection was last detached
 }
 
+// entry is what is recorded of one hand-off.
 type entry struct {
 	session *Session
 	number  uint64
 	state   State
 	answer  []byte
-	kept    bool // Done, and answer is it
+	kept    bool // the state is Done and answer holds the answer, which may be empty
 	until   time.Duration
-	slot    int
+	slot    int // index in the expiry heap
 }
 
-// New makes an empty ledger.
+// New returns an empty ledger.
 func New(l Limits) *Ledger {
 	return &Ledger{limits: l.withDefaults(), sessions: map[string]*Session{}}
 }
 
-// Attach gives the session of a near process, named by its identity and epoch, for one more connection; nil if there are
-// too many. Each needs a Detach. next is the number that the near side will use next: where the session has been
-// forgotten (or was another process's), what it was told of the numbers before is not known, and they are Unknown.
+// Attach returns the session of a sender process, named by its site and epoch, for one more connection. It returns nil if
+// there are too many sessions. Each Attach needs a Detach. next is the number of the sender's next hand-off. If this ledger
+// has no such session, it may have been removed, or another process here may have had it; what became of the lower numbers
+// is not known, so they are Unknown.
 func (l *Ledger) Attach(now time.Duration, name string, next uint64) *Session {
 	l.Expire(now)
 	s := l.sessions[name]
@@ -117,15 +121,16 @@
 	return s
 }
 
-// Detach ends a connection's use of a session. The session stays for Limits.Keep more: a hand-off of a connection that
-// is gone can't come any more by then.
+// Detach ends a connection's use of a session. A session without connections is kept for Limits.Retention at least; by then
+// no delayed hand-off of a closed connection can arrive any more.
 func (s *Session) Detach(now time.Duration) {
 	s.attached--
 	s.idleAt = now
 }
 
-// Take enters a hand-off that has come; deadline is when its answer is of no more use. It tells whether the hand-off may
-// be run: if not, state says why (Refused: no room, it has not been entered; else what is known of that number).
+// Accept enters a hand-off that has arrived. deadline is the time after which its answer is useless. ok tells whether the
+// hand-off may be run. If not, state tells why: Refused if the ledger is full (nothing is entered then), otherwise the
+// state of that number.
 func (s *Session) Take(now time.Duration, number uint64, deadline time.Duration) (ok bool, state State) {
 	s.ledger.Expire(now)
 	if e := s.entries[number]; e != nil {
@@ -142,8 +147,8 @@
 	return true, Running
 }
 
-// Finish enters how a hand-off that was taken has ended: Done with its answer, Refused, or Failed. The answer is kept if
-// there is room for it.
+// Finish records how an accepted hand-off has ended: Done with its answer, Refused, or Failed. The answer is kept if it
+// fits into Limits.Bytes.
 func (s *Session) Finish(now time.Duration, number uint64, state State, answer []byte) {
 	e := s.entries[number]
 	if e == nil || e.state != Running {
@@ -157,8 +162,8 @@
 	}
 }
 
-// Ask tells what became of a hand-off. One that has not been seen is fenced, which lasts as long as a hand-off of this
-// session may still come; where there is no room to remember that, it is Unknown. kept tells whether answer is the one.
+// Query returns the state of a hand-off, and its answer if answerKept is true. A hand-off that has not arrived is fenced,
+// for longer than it could still be in transit; if the ledger has no free entry for the fence, it is Unknown.
 func (s *Session) Ask(now time.Duration, number uint64) (state State, answer []byte, kept bool) {
 	s.ledger.Expire(now)
 	if e := s.entries[number]; e != nil {
@@ -171,12 +176,13 @@
 	return Fenced, nil, false
 }
 
-// Ack drops what the near side asks for no more: all numbers below. They are never taken again.
+// Ack removes the ended hand-offs with numbers lower than below, which the sender will not query any more. None of these
+// numbers is accepted again.
 func (s *Session) Ack(below uint64) {
 	if below <= s.acked {
 		return
 	}
-	// By whichever is less: a near side may acknowledge far ahead.
+	// Loop over the numbers or over the entries, whichever are fewer: a sender may acknowledge numbers far ahead.
 	if below-s.acked <= uint64(len(s.entries)) {
 		for n := s.acked; n < below; n++ {
 			if e := s.entries[n]; e != nil && e.state != Running {
@@ -193,7 +199,8 @@
 	s.acked = below
 }
 
-// Expire drops the entries whose time is over, and sessions that have been detached for long.
+// Expire removes entries whose time is over and, if all sessions are in use, those that have been without connections and
+// entries for Limits.Retention.
 func (l *Ledger) Expire(now time.Duration) {
 	for len(l.due) > 0 && l.due[0].until <= now {
 		e := l.due[0]
@@ -209,11 +216,11 @@
 	}
 }
 
-// Running is the number of this session's hand-offs that have no answer yet.
+// Running returns the number of this session's hand-offs that have not ended.
 func (s *Session) Running() int { return s.running }
 
-// Owed is the number of hand-offs that have ended and whose near side has not said that it knows. Near sides that
-// are not attached don't count.
+// Unacknowledged returns the number of hand-offs that have ended and whose sender has not acknowledged the answer. Senders
+// without a connection are not counted.
 func (l *Ledger) Owed() (n int) {
 	for _, s := range l.sessions {
 		if s.attached == 0 {
@@ -228,9 +235,10 @@
 	return n
 }
 
-// Size gives the number of entries, the bytes of kept answers and the number of sessions.
+// Size returns the number of entries, the bytes of kept answers and the number of sessions.
 func (l *Ledger) Size() (entries, bytes, sessions int) { return l.entries, l.bytes, len(l.sessions) }
 
+// add adds an entry that expires at expiresAt.
 func (s *Session) enter(number uint64, state State, until time.Duration) {
 	e := &entry{session: s, number: number, state: state, until: until}
 	s.entries[number] = e
@@ -238,6 +246,7 @@
 	heap.Push(&s.ledger.due, e)
 }
 
+// remove removes an entry, with its answer.
 func (s *Session) drop(e *entry) {
 	if e.state == Running {
 		s.running--
@@ -250,24 +259,25 @@
 	heap.Remove(&s.ledger.due, e.slot)
 }
 
+// expiryHeap is a heap of entries by expiry time.
 type dueHeap []*entry
 
-// Len is the number of entries, for container/heap.
+// Len returns the number of entries, for container/heap.
 func (h dueHeap) Len() int { return len(h) }
 
-// Less puts the entry that expires first at the top, for container/heap.
+// Less orders entries by expiry time, for container/heap.
 func (h dueHeap) Less(i, j int) bool { return h[i].until < h[j].until }
 
-// Swap exchanges two entries and keeps their slots right, for container/heap.
+// Swap swaps two entries and updates their indices, for container/heap.
 func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].slot, h[j].slot = i, j }
 
-// Push appends an *entry and notes its slot, for container/heap.
+// Push appends an *entry and sets its index, for container/heap.
 func (h *dueHeap) Push(e any) {
 	e.(*entry).slot = len(*h)
 	*h = append(*h, e.(*entry))
 }
 
-// Pop removes the last *entry, for container/heap.
+// Pop removes and returns the last *entry, for container/heap.
 func (h *dueHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Random hand-offs, questions, acknowledgements and times, on a ledger so small that its bounds bind all the time. What the
-// near side concludes is checked against what has run: "never ran" (Fenced, Refused) must stay true for ever.
+// Guards against a hand-off that runs although the sender was assured that it never will (Fenced, Refused), runs twice, or
+// is reported in a wrong state. Random hand-offs, queries, acknowledgements and pauses on a ledger so small that its limits
+// are reached all the time; each reply is checked against what has run.
 func TestNeverSeenStaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Limits{Entries: 6, Bytes: 40, Sessions: 2, Keep: time.Second})
@@ -21,7 +22,7 @@
 			next     uint64
 			acked    uint64
 			ran      map[uint64]bool
-			never    map[uint64]bool // the near side has acted on it
+			never    map[uint64]bool // the sender was assured that the hand-off never runs
 			finished map[uint64]bool
 		}
 		var nears []*near
@@ -41,11 +42,11 @@
 					n.s.Detach(now)
 					n.s = nil
 				}
-			case "slow": // sent, and it arrives later or never
+			case "slow": // sent; it arrives later or never
 				if n.s != nil {
 					n.next++
 				}
-			case "send": // numbers are given out on a live session only
+			case "send": // the sender uses new numbers only while it is connected
 				if n.s != nil {
 					number = n.next
 					n.next++
@@ -57,10 +58,10 @@
 				}
 				if ok, _ := n.s.Take(now, number, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "left"))*time.Millisecond); ok {
 					if n.never[number] {
-						t.Fatalf("%d runs, though the near side was told that it never will", number)
+						t.Fatalf("hand-off %d runs, though the sender was assured that it never will", number)
 					}
 					if n.ran[number] {
-						t.Fatalf("%d runs twice", number)
+						t.Fatalf("hand-off %d runs twice", number)
 					}
 					n.ran[number] = true
 				}
@@ -76,12 +77,12 @@
 				switch state, answer, kept := n.s.Ask(now, number); state {
 				case Fenced, Refused:
 					if n.ran[number] {
-						t.Fatalf("%d has run, and is called %v", number, state)
+						t.Fatalf("hand-off %d has run, but is reported as %v", number, state)
 					}
 					n.never[number] = true
 				case Running, Done:
 					if !n.ran[number] || state == Done && !n.finished[number] || !kept && answer != nil {
-						t.Fatalf("%d: %v", number, state)
+						t.Fatalf("hand-off %d is reported as %v, which contradicts what has run", number, state)
 					}
 				}
 			case "ack":
@@ -103,45 +104,45 @@
 					}
 				}
 				if count != s.running {
-					t.Fatalf("%d run, %d are counted", count, s.running)
+					t.Fatalf("%d hand-offs are running, %d are counted", count, s.running)
 				}
 				running += count
 			}
 			if entries > 6 || bytes > 40 || sessions > 2 || entries != held || entries != len(l.due) {
-				t.Fatalf("%d entries (%d held, %d due), %d bytes, %d sessions", entries, held, len(l.due), bytes, sessions)
+				t.Fatalf("%d entries counted (%d in sessions, %d in the heap), %d bytes, %d sessions", entries, held, len(l.due), bytes, sessions)
 			}
 		}
 	})
 }
 
-// A session that has been forgotten, or was another process's, knows nothing of the numbers before: they are unknown, not
-// "never seen".
+// Guards against a false assurance after a session was removed: its earlier numbers are Unknown, and not fenced, as they may
+// have run.
 func TestForgottenSessionIsUnknown(t *testing.T) {
 	l := New(Limits{Sessions: 1, Keep: time.Second})
 	s := l.Attach(0, "a", 1)
 	if ok, _ := s.Take(0, 1, 0); !ok {
-		t.Fatal("not taken")
+		t.Fatal("the first hand-off was not accepted")
 	}
 	s.Finish(0, 1, Done, nil)
 	s.Detach(0)
 	if l.Attach(500*time.Millisecond, "b", 1) != nil {
-		t.Error("a session that may still be asked for was dropped")
+		t.Error("a session was removed before its retention time was over")
 	}
 	other := l.Attach(3*time.Second, "b", 1)
 	if other == nil {
-		t.Fatal("the old session is still there")
+		t.Fatal("the old session was not removed after its retention time")
 	}
 	other.Detach(3 * time.Second)
 	s = l.Attach(6*time.Second, "a", 2)
 	if state, _, _ := s.Ask(6*time.Second, 1); state != Unknown {
-		t.Errorf("%v, want unknown", state)
+		t.Errorf("number from before the removal: got %v, want unknown", state)
 	}
 	if state, _, _ := s.Ask(6*time.Second, 2); state != Fenced {
-		t.Errorf("%v, want fenced", state)
+		t.Errorf("number not used yet: got %v, want fenced", state)
 	}
 }
 
-// Bytes of answers are bounded; one that finds no room is Done all the same, without an answer.
+// Guards against answers that fill the memory: beyond Limits.Bytes a hand-off is Done without its answer.
 func TestAnswersBounded(t *testing.T) {
 	l := New(Limits{Bytes: 10})
 	s := l.Attach(0, "a", 1)
@@ -150,17 +151,18 @@
 		s.Finish(0, n, Done, make([]byte, 6))
 	}
 	if state, answer, kept := s.Ask(0, 1); state != Done || !kept || len(answer) != 6 {
-		t.Error("the first is not kept")
+		t.Error("the first answer was not kept")
 	}
 	if state, _, kept := s.Ask(0, 2); state != Done || kept {
-		t.Error("the second is kept beyond the bound")
+		t.Error("the second answer was kept beyond the limit")
 	}
 	s.Ack(2)
 	if _, bytes, _ := l.Size(); bytes != 0 {
-		t.Errorf("%d bytes after the acknowledgement", bytes)
+		t.Errorf("%d bytes are kept after the acknowledgement, want 0", bytes)
 	}
 }
 
+// BenchmarkHandoff measures one hand-off, with an acknowledgement per 100.
 func BenchmarkHandoff(b *testing.B) {
 	l := New(Limits{})
 	s := l.Attach(0, "a", 1)
@@ -177,7 +179,7 @@
 	}
 }
 
-// BenchmarkFull tells the memory of a full ledger, without the answers.
+// BenchmarkFull reports the memory per entry of a full ledger, without answers.
 func BenchmarkFull(b *testing.B) {
 	var before, after runtime.MemStats
 	for b.Loop() {
--- a/internal/link/calls_test.go
+++ b/internal/link/calls_test.go
@@ -15,7 +15,7 @@
 
 const callDomain = "fleet.example.org"
 
-// callNode is a node of a fleet, with what has been posted to it.
+// callNode is a node of a fleet that records the messages posted to it.
 type callNode struct {
 	*Calls
 	addr string
@@ -23,13 +23,15 @@
 	got  []string
 }
 
+// postedText returns the messages received so far, each as "sender:text".
 func (n *callNode) posted() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return strings.Join(n.got, " ")
 }
 
-// newCaller makes a node with a certificate for that name, by an authority, that believes another one.
+// newCaller starts a node that has a certificate for name from the authority issuer, and trusts the roots of trusted. Its
+// handler answers with kind+1 and "sender:request"; for kind 9 it waits until the call ends.
 func newCaller(t *testing.T, name string, by, believes *standin.Authority) *callNode {
 	t.Helper()
 	cert, _, _, err := by.Issue(name, time.Now().Add(time.Hour))
@@ -59,8 +61,9 @@
 	return n
 }
 
-// Calls are answered, also large ones, by whom they were meant for; names come from certificates; other authorities' nodes, and names
-// that are no member's, reach nobody.
+// Guards against calls that reach the wrong node or come from a wrong one. A call, also one of 1 MiB, is answered by the
+// named node, which gets the caller's name from its certificate. Callers and callees whose certificate is by another
+// authority, or for a name outside the domain, get no answer.
 func TestCalls(t *testing.T) {
 	a, err := standin.NewAuthority()
 	if err != nil {
@@ -73,10 +76,10 @@
 	large := bytes.Repeat([]byte("x"), 1<<20)
 	status, answer, err := n1.Call(ctx, "n2."+callDomain, n2.addr, 4, large)
 	if err != nil || status != 5 || len(answer) != len(large)+len("n1."+callDomain+":") || !strings.HasPrefix(string(answer[:40]), "n1."+callDomain+":x") {
-		t.Errorf("status %d, %d bytes, %v", status, len(answer), err)
+		t.Errorf("got status %d, %d bytes, error %v; want status 5 and the whole answer", status, len(answer), err)
 	}
 	if !n1.Up("n2."+callDomain, n2.addr) || n2.Up("n1."+callDomain, n1.addr) {
-		t.Error("which connections are up")
+		t.Error("Connected is wrong: want only the connection from n1 to n2")
 	}
 	for name, c := range map[string]struct {
 		from *callNode
@@ -92,13 +95,14 @@
 	} {
 		short, cancel := context.WithTimeout(ctx, 3*time.Second)
 		if _, answer, err := c.from.Call(short, c.to, n2.addr, 4, nil); err == nil {
-			t.Errorf("%s: answered %q", name, answer)
+			t.Errorf("%s: the call was answered with %q", name, answer)
 		}
 		cancel()
 	}
 }
 
-// A call ends with its caller's time, and its handler with the call; messages come in order, and again after the receiver was cut off.
+// Guards against calls that outlive their caller's deadline and against a sender that stays broken after an outage of the
+// path. Messages arrive in order, and arrive again after the path was cut; messages beyond the queue are reported as lost.
 func TestCallsCut(t *testing.T) {
 	a, err := standin.NewAuthority()
 	if err != nil {
@@ -115,7 +119,7 @@
 		t.Helper()
 		for end := time.Now().Add(testkit.Patient); !done(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%s: not in time; got %q", what, n2.posted())
+				t.Fatalf("timed out waiting for: %s; messages received: %q", what, n2.posted())
 			}
 		}
 	}
@@ -124,17 +128,17 @@
 	}
 	until("three messages", func() bool { return len(n2.posted()) > 0 && strings.Count(n2.posted(), ":") == 3 })
 	if from := "n1." + callDomain; n2.posted() != from+":a "+from+":b "+from+":c" {
-		t.Errorf("%q", n2.posted())
+		t.Errorf("messages received: %q, want a, b, c in order", n2.posted())
 	}
 	short, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	if _, _, err := n1.Call(short, "n2."+callDomain, wire.Addr, 9, nil); err == nil {
-		t.Error("a call that is held has an answer")
+		t.Error("a call whose handler does not return was answered")
 	}
 	cancel()
 	wire.Cut(true, true)
 	short, cancel = context.WithTimeout(t.Context(), 300*time.Millisecond)
 	if _, _, err := n1.Call(short, "n2."+callDomain, wire.Addr, 1, nil); err == nil {
-		t.Error("a call through a cut has an answer")
+		t.Error("a call over a cut path was answered")
 	}
 	cancel()
 	until("the connection is given up", func() bool { return !n1.Up("n2."+callDomain, wire.Addr) })
@@ -145,15 +149,16 @@
 	})
 	lost := make(chan error, postQueue+100)
 	n3 := newCaller(t, "n3."+callDomain, a, a)
-	for range postQueue + 100 { // nobody carries them
+	for range postQueue + 100 { // no sender has been started, so they stay in the queue
 		n3.Post("n1."+callDomain, "127.0.0.1:1", 1, nil, func(err error) { lost <- err })
 	}
 	if len(lost) != 100 {
-		t.Errorf("%d messages too many were told as lost, want 100", len(lost))
+		t.Errorf("%d messages beyond the queue were reported as lost, want 100", len(lost))
 	}
 }
 
-// What one side has sent the other one has got, calls are counted by kind, and what a connection has carried counts after its end.
+// Guards against wrong traffic counters: both ends count the bytes of a call, only the calling side counts calls, by kind,
+// and the counters of a connection are kept after its end.
 func TestTraffic(t *testing.T) {
 	a, err := standin.NewAuthority()
 	if err != nil {
@@ -161,7 +166,7 @@
 	}
 	near, far := newCaller(t, "n1."+callDomain, a, a), newCaller(t, "n2."+callDomain, a, a)
 	if s := near.Traffic(); s.DatagramsOut != 0 || len(s.Calls) != 0 {
-		t.Errorf("before anything: %+v", s)
+		t.Errorf("before the first call: %+v, want zero", s)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
 	defer cancel()
@@ -173,10 +178,10 @@
 	}
 	here, there := near.Traffic(), far.Traffic()
 	if here.Calls[3] != 2 || here.Calls[4] != 1 || len(there.Calls) != 0 {
-		t.Errorf("calls: %v, and at the far side %v", here.Calls, there.Calls)
+		t.Errorf("calls at the caller: %v, at the callee: %v; want 2 of kind 3, 1 of kind 4, and none", here.Calls, there.Calls)
 	}
 	if here.BytesOut < 3*size || here.BytesIn < 3*size || there.BytesIn < 3*size || there.BytesOut < 3*size || here.DatagramsOut < 3*size/1500 {
-		t.Errorf("near %+v, far %+v", here, there)
+		t.Errorf("bytes or datagrams are missing: caller %+v, callee %+v", here, there)
 	}
 	near.Close()
 	for end := time.Now().Add(testkit.Patient); ; time.Sleep(5 * time.Millisecond) {
@@ -187,10 +192,10 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("the connection is still followed")
+			t.Fatal("the callee still tracks the closed connection")
 		}
 	}
 	if after := far.Traffic(); after.BytesIn < there.BytesIn || after.DatagramsIn < there.DatagramsIn {
-		t.Errorf("after its end %+v, before %+v", after, there)
+		t.Errorf("counters fell with the end of the connection: %+v, before %+v", after, there)
 	}
 }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -30,7 +30,7 @@
 	return ledger.Done, okText
 }
 
-// sites are a near and a far one, with a wire between.
+// sitePair is a sending and a receiving site in one process. The wire between them can delay, lose or cut datagrams.
 type sites struct {
 	t          testing.TB
 	a, b       *standin.Authority
@@ -38,12 +38,13 @@
 	server     *Server
 	wire       *standin.Wire
 	dialer     *Dialer
-	runs       atomic.Int64
+	runs       atomic.Int64 // hand-offs that the receiving site has started to handle
 	handle     atomic.Pointer[Handle]
 	serverDone chan error
 }
 
-// stall has the far side begin one request, and end it once let is closed.
+// blockHandler has the receiving site handle one request. started is closed when it begins; it ends once the test closes
+// release.
 func (s *sites) stall() (began, let chan struct{}) {
 	began, let = make(chan struct{}), make(chan struct{})
 	s.answer(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
@@ -54,6 +55,7 @@
 	return began, let
 }
 
+// newSitePair starts both sites, with certificates from two authorities.
 func newSites(t testing.TB) *sites {
 	t.Helper()
 	s := &sites{t: t}
@@ -90,8 +92,10 @@
 	return s
 }
 
+// setHandler sets how the receiving site handles the hand-offs to come.
 func (s *sites) answer(h Handle) { s.handle.Store(&h) }
 
+// start starts the receiving site at a UDP address.
 func (s *sites) start(addr string) {
 	s.t.Helper()
 	udp, err := net.ListenPacket("udp", addr)
@@ -112,20 +116,23 @@
 	go func() { done <- server.Serve() }()
 }
 
+// stop closes the receiving site.
 func (s *sites) stop() {
 	s.server.Close()
 	<-s.serverDone
 }
 
-// noise is how late a busy machine may make a test's own goroutine; rig gateway judges by the clients' clocks.
+// schedulingMargin is how late a goroutine of a test may run on a busy machine. The strict check of clients' deadlines is
+// in rig gateway, by the clients' clocks.
 const noise = 500 * time.Millisecond
 
+// request returns a request that has to be answered within left.
 func request(class string, left time.Duration) *core.Request {
 	return &core.Request{Arrived: decide.RequestArrived{ID: "q", Class: class}, Deadline: time.Now().Add(left), Method: "POST",
 		URL: &url.URL{Path: "/" + class, Host: "h"}, Header: http.Header{"X-Correlation-Id": {"q"}}, Body: []byte("body")}
 }
 
-// offer waits until the far side takes something.
+// offer offers a request until there is credit for it, and returns the hand-off.
 func (s *sites) offer(r *core.Request, effect decide.Effect) core.HandOff {
 	s.t.Helper()
 	for end := time.Now().Add(testkit.Patient); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -133,17 +140,19 @@
 			return c
 		}
 	}
-	s.t.Fatal("nothing may cross")
+	s.t.Fatal("timed out: no hand-off was accepted")
 	return nil
 }
 
+// allSettled reports whether all hand-offs have ended at the sending site.
 func (s *sites) settled() bool {
 	s.dialer.mu.Lock()
 	defer s.dialer.mu.Unlock()
 	return len(s.dialer.open) == 0 && s.dialer.settled == s.dialer.next
 }
 
-// A hand-off arrives as it is, with the time that is left, and its answer comes back.
+// Guards against hand-offs that change on the way: method, path, headers, body and time left arrive at the receiver, and
+// the answer with its header comes back.
 func TestHandoff(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -161,17 +170,18 @@
 	})
 	a, how := s.offer(request("order", 10*time.Second), decide.Unsafe).Run(t.Context())
 	if how != core.HandOffServed || a.Status != 200 || string(a.Body) != "ok" || a.Header.Get("X-Of") != "b" {
-		t.Errorf("%v, %+v", how, a)
+		t.Errorf("got result %v, answer %+v; want HandOffServed and 200 ok", how, a)
 	}
 	if text := <-got; text != "hall-a.example.org POST /order q body true" {
-		t.Errorf("the far side got %q", text)
+		t.Errorf("the receiver got %q", text)
 	}
 	if !s.settled() {
-		t.Error("the number is not settled")
+		t.Error("the hand-off is still listed as unsettled after its end")
 	}
 }
 
-// The link goes silent while the far side runs a hand-off, and comes back: the answer is asked for, nothing runs twice.
+// Guards against a lost answer or a second run when the link is cut while the receiver handles a hand-off. Once the link
+// is back, the sender queries for the answer.
 func TestAnswerAfterSilence(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -181,7 +191,7 @@
 		<-began
 		s.wire.Cut(true, true)
 		close(let)
-		for up := true; up; time.Sleep(10 * time.Millisecond) { // until the near side has given the connection up
+		for up := true; up; time.Sleep(10 * time.Millisecond) { // until the sender has closed the connection
 			s.dialer.mu.Lock()
 			up = s.dialer.sites[0].paths[0].session != nil
 			s.dialer.mu.Unlock()
@@ -189,12 +199,12 @@
 		s.wire.Cut(false, false)
 	}()
 	if a, how := c.Run(t.Context()); how != core.HandOffServed || string(a.Body) != "ok" || s.runs.Load() != 1 {
-		t.Errorf("%v, %+v, %d runs", how, a, s.runs.Load())
+		t.Errorf("got result %v, answer %+v, %d runs; want HandOffServed, ok, 1 run", how, a, s.runs.Load())
 	}
 }
 
-// A node that ends stays until the near side has the last answers, also where what carries them has to be sent again: they were dropped with the
-// connection, and their clients waited for them to the end of their time.
+// Guards against answers lost at a shutdown. The last answers were written but dropped with the connection when their
+// datagrams had to be sent again, and the clients waited until their deadlines. Drain has to wait for the acknowledgement.
 func TestDrainDeliversAnswers(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -214,20 +224,21 @@
 		s.server.Close()
 	}()
 	close(let)
-	testkit.Until(t, "the hand-off does not end", func() bool { _, _, _, running := s.server.Size(); return running == 0 })
+	testkit.Until(t, "the hand-off did not end in time", func() bool { _, _, _, running := s.server.Size(); return running == 0 })
 	select {
 	case <-drained:
-		t.Error("it has ended, and the near side has no answer")
-	case <-time.After(10 * drainLook): // a path that loses what is sent, for a moment
+		t.Error("Drain returned before the sender had the answer")
+	case <-time.After(10 * drainLook): // meanwhile the path loses everything that the receiver sends
 	}
 	s.wire.Cut(false, false)
 	if how := <-served; how != core.HandOffServed {
-		t.Errorf("%v", how)
+		t.Errorf("got result %v, want HandOffServed", how)
 	}
 	<-drained
 }
 
-// A near side that has gone holds up nobody's end for long.
+// Guards against a shutdown that hangs: when the sender is unreachable and can't acknowledge, Drain gives up after
+// maxAckWait.
 func TestDrainWithoutNearSide(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -242,13 +253,14 @@
 	from := time.Now()
 	s.server.Drain(from.Add(testkit.Patient))
 	if took := time.Since(from); took > testkit.Patient/2 {
-		t.Errorf("it takes %v, %v wanted", took, ackWait)
+		t.Errorf("Drain took %v, want about %v", took, ackWait)
 	}
 	leave()
 	<-crossing
 }
 
-// A hand-off that never arrived is fenced by the question, and so has not run.
+// Guards against a needless uncertain result: a hand-off that never arrived is fenced by the sender's query, so the result
+// is that it has not run.
 func TestNeverArrived(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -257,11 +269,12 @@
 	back := time.AfterFunc(2*silence, func() { s.wire.Cut(false, false) })
 	defer back.Stop()
 	if _, how := c.Run(t.Context()); how != core.HandOffNotRun || s.runs.Load() != 0 {
-		t.Errorf("%v, %d runs", how, s.runs.Load())
+		t.Errorf("got result %v, %d runs; want HandOffNotRun, 0 runs", how, s.runs.Load())
 	}
 }
 
-// Cut for good: doubt, within the client's time; never later, and never called a refusal.
+// Guards against a wrong or late result when the link is cut for good while the hand-off runs: the result is uncertain, by
+// the client's deadline, and is not reported as a refusal.
 func TestCutForGood(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -274,12 +287,13 @@
 	})
 	r := request("order", 1500*time.Millisecond)
 	if _, how := s.offer(r, decide.Unsafe).Run(t.Context()); how != core.HandOffUncertain || time.Now().After(r.Deadline.Add(noise)) {
-		t.Errorf("%v, %v after the client's time", how, time.Since(r.Deadline))
+		t.Errorf("got result %v, %v after the client's deadline; want HandOffUncertain by the deadline", how, time.Since(r.Deadline))
 	}
 	<-began
 }
 
-// The far node dies and comes back with an empty ledger: what it knew is gone, and that is doubt, at once.
+// Guards against a wait until the deadline when the receiver crashes and restarts with an empty ledger. What became of the
+// hand-off can't be known any more, so the result is uncertain, as soon as the new process has been reached.
 func TestFarNodeRestarts(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -293,22 +307,23 @@
 		for s.runs.Load() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		s.wire.Cut(true, true) // it dies without a word
+		s.wire.Cut(true, true) // the process ends without closing its connections
 		s.stop()
 		s.start(addr)
 		s.wire.Cut(false, false)
 	}()
 	began := time.Now()
 	if _, how := c.Run(t.Context()); how != core.HandOffUncertain || time.Since(began) > testkit.Patient/2 {
-		t.Errorf("%v after %v", how, time.Since(began))
+		t.Errorf("got result %v after %v, want HandOffUncertain well before the deadline", how, time.Since(began))
 	}
 	if s.runs.Load() != 1 {
-		t.Errorf("%d runs", s.runs.Load())
+		t.Errorf("%d runs, want 1", s.runs.Load())
 	}
 }
 
-// The link breaks at every moment of a hand-off whose request and answer take many datagrams, in either direction or both, and
-// comes back in time or not. It runs once at most, "never" means never, and an end comes within the client's time.
+// Guards against hand-offs that run twice, run after the sender was assured that they never will, or end after the client's
+// deadline. The link is cut at each stage of a hand-off, whose request and answer take many datagrams, in one or both
+// directions, and is restored in time or not.
 func TestCutAtEveryMoment(t *testing.T) {
 	t.Parallel()
 	answer := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 100<<10, strings.Repeat("x", 100<<10)))
@@ -355,20 +370,20 @@
 					a, how := c.Run(t.Context())
 					runs := s.runs.Load()
 					if time.Now().After(r.Deadline.Add(noise)) {
-						t.Errorf("it ends %v after the client's time", time.Since(r.Deadline))
+						t.Errorf("the hand-off ended %v after the client's deadline", time.Since(r.Deadline))
 					}
 					switch {
 					case runs > 1, how == core.HandOffNotRun && runs > 0, how == core.HandOffServed && (runs != 1 || len(a.Body) != 100<<10):
-						t.Errorf("%v after %d runs, %d bytes", how, runs, len(a.Body))
+						t.Errorf("result %v contradicts %d runs and an answer of %d bytes", how, runs, len(a.Body))
 					case back && how == core.HandOffUncertain:
-						t.Errorf("in doubt though the link came back")
+						t.Errorf("the result is uncertain although the link was restored")
 					}
-					// What was left behind may still come: it must not run once "never" has been said.
+					// Delayed datagrams may still arrive. A hand-off that was reported as not run must not run then.
 					s.wire.Cut(false, false)
 					if how == core.HandOffNotRun {
 						time.Sleep(200 * time.Millisecond)
 						if s.runs.Load() > 0 {
-							t.Error("it runs after all")
+							t.Error("the hand-off ran after it was reported as not run")
 						}
 					}
 				})
@@ -377,7 +392,8 @@
 	}
 }
 
-// A site that is known sends what makes no sense: it loses that stream or its connection, and others go on.
+// Guards against a known site that sends malformed frames: it loses the stream or the connection, and other connections
+// are not affected.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -409,7 +425,7 @@
 		select {
 		case <-c.Context().Done():
 		case <-time.After(testkit.Patient):
-			t.Errorf("%s on the control stream is borne", name)
+			t.Errorf("%s on the control stream: the connection was not closed", name)
 		}
 	}
 	c := dial()
@@ -420,24 +436,24 @@
 		st.SetReadDeadline(time.Now().Add(testkit.Patient))
 		var broken *quic.StreamError
 		if _, err := st.Read(make([]byte, 1)); !errors.As(err, &broken) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want a stream error", name, err)
 		}
 	}
-	// It asks for a number that is another caller's: it learns nothing of it, and closes no door but its own.
+	// It queries a number that another sender has used. It learns nothing about that hand-off, and fences only its own number.
 	st := send(c, appendFrame(nil, typeAsk, []uint64{1, 0}, nil))
 	_, f, text, err := readFrame(bufio.NewReader(st), answerLimit, 2, typeAnswer)
 	if err != nil || ledger.State(f[1]) != ledger.Fenced || len(text) > 0 {
-		t.Errorf("%v %q %v", f, text, err)
+		t.Errorf("query for another sender's number: got fields %v, text %q, error %v; want fenced and no text", f, text, err)
 	}
 	if s.runs.Load() != before {
-		t.Error("something ran")
+		t.Error("a malformed hand-off was run")
 	}
 	if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
-		t.Errorf("others: %v", how)
+		t.Errorf("hand-off of another sender: got result %v, want HandOffServed", how)
 	}
 }
 
-// One that stalls blocks no other: each has a stream of its own.
+// Guards against one slow hand-off that blocks others on the same connection: each has a stream of its own.
 func TestStalledBlocksNone(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -449,19 +465,20 @@
 	s.answer(answerOK)
 	for range 20 {
 		if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
-			t.Errorf("%v beside one that stalls", how)
+			t.Errorf("got result %v beside a blocked hand-off, want HandOffServed", how)
 		}
 	}
 	if len(ended) > 0 {
-		t.Error("the stalled one has ended")
+		t.Error("the blocked hand-off ended before its handler was released")
 	}
 	close(let)
 	if how := <-ended; how != core.HandOffServed {
-		t.Errorf("the stalled one: %v", how)
+		t.Errorf("the blocked hand-off: got result %v, want HandOffServed", how)
 	}
 }
 
-// A site is removed while a hand-off to it is out: that one is answered, and nothing new crosses.
+// Guards against hand-offs lost when a site is removed from the configuration: the one in flight is answered, and no new
+// one is offered to the site.
 func TestRemovedWithOneOut(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -476,16 +493,16 @@
 			time.Sleep(time.Millisecond)
 		}
 		if s.dialer.Offer(request("order", testkit.Patient), decide.Unsafe, false) != nil {
-			t.Error("a new one crosses")
+			t.Error("a new hand-off was accepted for a removed site")
 		}
 		close(let)
 	}()
 	if _, how := c.Run(t.Context()); how != core.HandOffServed {
-		t.Errorf("%v", how)
+		t.Errorf("got result %v, want HandOffServed", how)
 	}
 }
 
-// A client that goes takes its hand-off with it.
+// Guards against wasted work: when a client disconnects, its hand-off is cancelled at the receiver.
 func TestClientGone(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -502,11 +519,12 @@
 	select {
 	case <-gone:
 	case <-time.After(testkit.Patient / 2):
-		t.Error("the far side goes on")
+		t.Error("the receiver still handles the hand-off of a disconnected client")
 	}
 }
 
-// Many at once, over a wire that loses a twentieth and takes its time: none blocks another, each is answered once.
+// Guards against lost or repeated hand-offs under packet loss: 60 at once, over a wire with 2 ms delay that loses 5% of
+// the datagrams, are each run and answered once.
 func TestManyAtOnce(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -524,12 +542,13 @@
 	}
 	work.Wait()
 	if served.Load() != 60 || s.runs.Load() != 60 || !s.settled() {
-		t.Errorf("%d served, %d runs", served.Load(), s.runs.Load())
+		t.Errorf("%d served, %d runs, want 60 each and all settled", served.Load(), s.runs.Load())
 	}
 }
 
-// Both sides' authorities and certificates are replaced while a hand-off is out: it is answered, connections that are made from then
-// on are good by the new ones only, and a site that is removed is let go.
+// Guards against a certificate rotation that breaks running hand-offs or leaves old certificates accepted. Authority and
+// certificates are replaced during a hand-off: it is answered, and new connections need the new certificate. A site that
+// is removed afterwards is disconnected.
 func TestReplacedIdentity(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -547,7 +566,7 @@
 		close(let)
 	}()
 	if _, how := c.Run(t.Context()); how != core.HandOffServed {
-		t.Errorf("%v", how)
+		t.Errorf("got result %v, want HandOffServed", how)
 	}
 	s.answer(answerOK)
 	for keeper, good := range map[*Keeper]bool{s.near: true, NewKeeper(&old): false} {
@@ -563,7 +582,7 @@
 			}
 		}
 		if up != good {
-			t.Errorf("up: %v, want %v", up, good)
+			t.Errorf("connected: %v, want %v", up, good)
 		}
 		d.Close()
 	}
@@ -575,7 +594,7 @@
 	}
 }
 
-// Neither side talks to one whose certificate is expired, of another name, or by another site's authority.
+// Guards against connections with a certificate that has expired, is for another name, or is by another site's authority.
 func TestCertificates(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(s *sites) (id Identity){
@@ -601,7 +620,7 @@
 		},
 	} {
 		s := newSites(t)
-		s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()) // it is up
+		s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()) // the first sender is connected
 		id := change(s)
 		d, err := NewDialer(DialerOptions{Keeper: NewKeeper(&id), Log: testkit.Quiet})
 		if err != nil {
@@ -610,16 +629,16 @@
 		before := s.runs.Load()
 		err = d.connect(d.sites[0].paths[0])
 		if err == nil || !strings.Contains(err.Error(), "certificate") && !strings.Contains(err.Error(), "CRYPTO_ERROR") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want a certificate error", name, err)
 		}
 		if d.Offer(request("order", time.Second), decide.Unsafe, false) != nil || s.runs.Load() != before {
-			t.Errorf("%s: a hand-off crossed", name)
+			t.Errorf("%s: a hand-off was accepted or run", name)
 		}
 		d.Close()
 	}
 }
 
-// BenchmarkHandoff is one hand-off after the other, with its answer; and 64 at a time.
+// BenchmarkHandoff measures hand-offs with their answers: one after the other, and 64 at a time.
 func BenchmarkHandoff(b *testing.B) {
 	for _, at := range []int{1, 64} {
 		b.Run(fmt.Sprint(at), func(b *testing.B) {
