--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,5 +1,5 @@
-// Package gateway is what a node needs beside its own hall's parts to hand work to other sites and take theirs: the
-// configuration file, and the way of a hand-off into the node's own loop.
+// Package gateway holds what a node needs to exchange requests with other sites: the gateway configuration file, and the
+// handler that passes a hand-off from another site to the node's own HTTP handler.
 package gateway
 
 import (
@@ -16,18 +16,18 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// Config is a gateway file, checked. Paths in it are relative to its folder.
+// Config is a validated gateway file. Paths in the file are relative to its folder.
 type Config struct {
 	Path       string
-	Listen     netip.AddrPort // UDP; other sites' nodes call here
+	Listen     netip.AddrPort // UDP; nodes of other sites connect to this address
 	Identity   *link.Identity
-	Out, In    int     // hand-offs at once: to each site; from all sites
-	Entries    int     // of the ledger
-	Bytes      int     // of answers that the ledger keeps
-	SpareShare float64 // part of the spare capacity that other sites are told of
+	Out, In    int     // limits of hand-offs in flight: to each site; from all sites together
+	Entries    int     // limit of entries in the ledger
+	Bytes      int     // limit of the answers that the ledger keeps, in bytes
+	SpareShare float64 // share of the headroom that is offered to other sites, 0 to 1
 }
 
-// file is the form of the file.
+// fileFormat is the layout of the TOML file.
 type file struct {
 	Site struct {
 		Name        string `toml:"name"`
@@ -49,7 +49,7 @@
 	} `toml:"peer"`
 }
 
-// Bounds of the figures in a file.
+// Largest values that a file may have.
 const (
 	mostHandoffs = 4096
 	mostEntries  = 1_000_000
@@ -60,11 +60,11 @@
 
 var hostName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?(\.[a-z0-9]([a-z0-9-]*[a-z0-9])?)*$`)
 
-// HostName tells whether a text is a DNS name in lower case.
+// HostName reports whether text is a DNS name in lower case.
 func HostName(text string) bool { return hostName.MatchString(text) }
 
-// Load reads a file and checks all of it, certificates included, against the time now. An error is one line with file,
-// line and key.
+// Load reads and validates a gateway file, and the certificates that it names, which have to be valid at now. An error in
+// the file is reported as one line with file, line and key.
 func Load(path string, now time.Time) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -73,6 +73,7 @@
 	return parse(path, raw, now)
 }
 
+// parse validates the text of a gateway file. Relative paths in it start at the folder of path.
 func parse(path string, raw []byte, now time.Time) (*Config, error) {
 	f := file{}
 	f.Limits.Out, f.Limits.In, f.Limits.Entries, f.Limits.Bytes, f.Limits.SpareShare = 256, 256, 10_000, 16<<20, 0.5
@@ -112,7 +113,7 @@
 		return nil, fault("site.certificate", "%v", err)
 	}
 	if len(f.Peer) > mostPeers {
-		return nil, fault("peer", "%d sites, %d at most", len(f.Peer), mostPeers)
+		return nil, fault("peer", "%d sites, at most %d are allowed", len(f.Peer), mostPeers)
 	}
 	seen := map[string]string{f.Site.Name: "site"}
 	for i, p := range f.Peer {
@@ -121,7 +122,7 @@
 			return nil, fault(key+"name", "want a DNS name in lower case, have %q", p.Name)
 		}
 		if other := seen[p.Name]; other != "" {
-			return nil, fault(key+"name", "%q is the name of %s already", p.Name, other)
+			return nil, fault(key+"name", "%q is already the name of %s", p.Name, other)
 		}
 		seen[p.Name] = fmt.Sprintf("peer[%d]", i)
 		if len(p.Addresses) == 0 || len(p.Addresses) > mostAddrs {
@@ -133,7 +134,7 @@
 				return nil, fault(key+"addresses", "want IP:port, have %q", a)
 			}
 			if at == c.Listen {
-				return nil, fault(key+"addresses", "%s is this node's own", a)
+				return nil, fault(key+"addresses", "%s is the address of this node", a)
 			}
 		}
 		roots, err := ReadRoots(beside(p.Roots), now)
@@ -145,7 +146,7 @@
 	return c, nil
 }
 
-// Good tells whether a certificate is good for a name now.
+// CheckCertificate returns an error unless a certificate is valid for a name, and valid at now.
 func Good(leaf *x509.Certificate, name string, now time.Time) error {
 	if err := leaf.VerifyHostname(name); err != nil {
 		return err
@@ -156,7 +157,7 @@
 	return nil
 }
 
-// ReadRoots takes a file of PEM certificates of which one at least is good now.
+// ReadRoots reads a file of PEM certificates, at least one of which has to be valid at now.
 func ReadRoots(path string, now time.Time) (*x509.CertPool, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -169,7 +170,7 @@
 			break
 		}
 		if block.Type != "CERTIFICATE" {
-			return nil, fmt.Errorf("%s: a block of type %q", path, block.Type)
+			return nil, fmt.Errorf("%s: PEM block of type %q, want CERTIFICATE", path, block.Type)
 		}
 		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
@@ -179,7 +180,7 @@
 		some = some || !now.Before(cert.NotBefore) && !now.After(cert.NotAfter)
 	}
 	if !some {
-		return nil, fmt.Errorf("%s: no certificate that is good now", path)
+		return nil, fmt.Errorf("%s: no certificate in it is valid now", path)
 	}
 	return pool, nil
 }
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -30,7 +30,8 @@
 addresses = ["127.0.0.1:7444"]
 `
 
-// files writes what good1 names.
+// writeFiles writes the certificates, keys and roots that validFile names, and invalid ones, and returns the path of the
+// gateway file, which it does not write.
 func files(t testing.TB) string {
 	dir := t.TempDir()
 	a, err := standin.NewAuthority()
@@ -53,7 +54,7 @@
 	return filepath.Join(dir, "gateway.toml")
 }
 
-// What is wrong is one line with file, line and key.
+// Guards against errors that do not name their place: each fault in a file is one line with file, line and key.
 func TestFaultsNameTheirPlace(t *testing.T) {
 	path := files(t)
 	c, err := parse(path, []byte(good1), time.Now())
@@ -81,18 +82,19 @@
 	} {
 		_, err := parse(path, []byte(strings.Replace(good1, bad.from, bad.to, 1)), time.Now())
 		if err == nil || !strings.HasPrefix(err.Error(), path+bad.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: %v, want %q", bad.to, bad.from, err, bad.want)
+			t.Errorf("%s in place of %s: got error %v, want %q", bad.to, bad.from, err, bad.want)
 		}
 	}
 	expired := strings.Replace(strings.Replace(good1, "a.crt", "old.crt", 1), "a.key", "old.key", 1)
 	if _, err := parse(path, []byte(expired), time.Now()); err == nil || !strings.Contains(err.Error(), ":4: site.certificate: good from") {
-		t.Errorf("an expired certificate: %v", err)
+		t.Errorf("an expired certificate: got error %v", err)
 	}
 	if _, err := Load(filepath.Join(t.TempDir(), "none"), time.Now()); err == nil {
-		t.Error("a file that is not there")
+		t.Error("no error for a missing file")
 	}
 }
 
+// Guards against a panic, a result that is neither a configuration nor an error, and an error of several lines.
 func FuzzParse(f *testing.F) {
 	path := files(f)
 	f.Add(good1)
@@ -101,15 +103,16 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		c, err := parse(path, []byte(text), time.Now())
 		if (c == nil) == (err == nil) {
-			t.Error("neither a configuration nor an error")
+			t.Error("got neither a configuration nor an error, or both")
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q", err)
+			t.Errorf("the error has several lines: %q", err)
 		}
 	})
 }
 
-// What a handler answers, and what the ledger is told.
+// Guards against a wrong ledger state for an answer (only 503 and 429 may become Refused), and against a changed
+// time left, site name or response.
 func TestHandle(t *testing.T) {
 	const request = "POST /order HTTP/1.1\r\nHost: h\r\nX-Time-Left: 99\r\nContent-Length: 1\r\n\r\nx"
 	for _, c := range []struct {
@@ -122,7 +125,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		state, answer := Handle(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("X-Time-Left") != "1.500000" || r.RemoteAddr != "hall-a" {
-				t.Errorf("%v from %s", r.Header, r.RemoteAddr)
+				t.Errorf("the handler got header %v from %s", r.Header, r.RemoteAddr)
 			}
 			if c.gone {
 				cancel()
@@ -134,19 +137,20 @@
 		}))(ctx, "hall-a", []byte(c.request), 1500*time.Millisecond)
 		cancel()
 		if state != c.want {
-			t.Errorf("%d, gone %v: %v, want %v", c.status, c.gone, state, c.want)
+			t.Errorf("status %d, client gone %v: got state %v, want %v", c.status, c.gone, state, c.want)
 		}
 		if state != ledger.Done {
 			continue
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(answer)), nil)
 		if err != nil || resp.StatusCode != c.status || resp.ContentLength != 2 || resp.Close {
-			t.Errorf("%q: %v", answer, err)
+			t.Errorf("the answer %q is wrong: %v", answer, err)
 		}
 	}
 }
 
-// The example that is shipped is one that `check` accepts, once its certificates are there.
+// Guards against a shipped example that the `check` command rejects once its certificates exist, or that shows other values
+// than the defaults.
 func TestShippedExample(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/gateway.toml")
 	if err != nil {
@@ -163,6 +167,6 @@
 		t.Fatal(err)
 	}
 	if c.Out != 256 || c.In != 256 || c.Entries != 10_000 || c.Bytes != 16<<20 || c.SpareShare != 0.5 || len(c.Identity.Peers[0].Addresses) != 2 {
-		t.Errorf("%+v is not the defaults that it says it shows", c)
+		t.Errorf("the example does not show the defaults: %+v", c)
 	}
 }
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -13,12 +13,15 @@
 	"starlingvalve/internal/link"
 )
 
-// Handle serves hand-offs by the node's own handler, as a front would.
+// NewHandler returns a link.Handler that serves hand-offs with the node's own HTTP handler. It sets X-Time-Left to the time
+// left in seconds, and RemoteAddr to the name of the sending site. The status determines the ledger state: 503 and 429 are
+// Refused, as the handler gives them only where a repeat does no harm; other 5xx, 409, and any other status after ctx has
+// ended are Failed, as the request may have run; all others are Done.
 func Handle(h http.Handler) link.Handle {
 	return func(ctx context.Context, site string, request []byte, left time.Duration) (ledger.State, []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(request)))
 		if err != nil {
-			return ledger.Refused, nil // nothing of it has run
+			return ledger.Refused, nil // malformed, so nothing has run
 		}
 		r.Header.Set("X-Time-Left", strconv.FormatFloat(left.Seconds(), 'f', 6, 64))
 		r.RemoteAddr = site
@@ -34,30 +37,30 @@
 	}
 }
 
-// recorder keeps a response.
+// responseRecorder is an http.ResponseWriter that keeps the response.
 type recorder struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-// Header is the header that the response will have, as http.ResponseWriter says.
+// Header returns the response's header, as http.ResponseWriter says.
 func (w *recorder) Header() http.Header { return w.header }
 
-// WriteHeader sets the status. Only the first call counts.
+// WriteHeader sets the status. Only the first call has an effect.
 func (w *recorder) WriteHeader(status int) {
 	if w.status == 0 {
 		w.status = status
 	}
 }
 
-// Write appends to the body; without a status before it, that is 200. It never fails.
+// Write appends to the body, and sets the status to 200 if none is set. It never fails.
 func (w *recorder) Write(p []byte) (int, error) {
 	w.WriteHeader(http.StatusOK)
 	return w.body.Write(p)
 }
 
-// bytes is the response in the form of HTTP/1.1.
+// marshal returns the response as HTTP/1.1 text, with a Content-Length and without connection headers.
 func (w *recorder) bytes() []byte {
 	w.WriteHeader(http.StatusOK)
 	h := w.header.Clone()
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,5 +1,6 @@
-// Package recorder writes what arrives at a node, and what becomes of it, into trace files (internal/trace) beside the path of a
-// request: whatever the disk does, no request waits for it or fails by it. What finds no room is lost and counted.
+// Package recorder records the requests that arrive at a node, and how they end, in trace files (package trace). Writing is
+// asynchronous: no request waits for the disk or fails because of it. What does not fit in the queue, or can't be written,
+// is lost and counted.
 package recorder
 
 import (
@@ -22,16 +23,17 @@
 	"starlingvalve/internal/trace"
 )
 
-// Config is a record file, checked.
+// Config is a validated record file.
 type Config struct {
-	Path      string  // of the present trace; older ones have .1, .2, ... behind it
-	FileBytes int64   // a trace is closed and a new one begun once it holds so many
-	Files     int     // that are kept, the present one too
-	Sample    float64 // part of the orders that is recorded, by a hash of each: an order's tries are in or out together
-	PerSecond float64 // tries recorded a second, at most; more are lost, and counted
-	Key       []byte  // of the hashes; nodes with the same one have the same hashes
+	Path      string  // of the current trace; the older ones have .1, .2, ... appended, .1 being the newest
+	FileBytes int64   // size at which a trace is closed and a new one begun
+	Files     int     // number of files that are kept, with the current one
+	Sample    float64 // share of the orders that is recorded, over 0 to 1; chosen by a hash, so that an order is recorded with all its tries or not at all
+	PerSecond float64 // limit of tries recorded per second; more are lost, and counted
+	Key       []byte  // key of the hashes; nodes with the same key write the same hashes for a tenant and an order
 }
 
+// fileFormat is the layout of the TOML file.
 type file struct {
 	Record struct {
 		Path      string   `toml:"path"`
@@ -47,13 +49,13 @@
 	leastBytes, mostBytes = 64 << 10, 1 << 34
 	mostFiles             = 1000
 	mostPerSecond         = 100_000
-	leastKey              = 16 // bytes
-	queue                 = 4096
+	leastKey              = 16
+	queue                 = 4096 // tries that wait to be written
 	flushEvery            = time.Second
-	retryAfter            = 5 * time.Second // a disk that failed is tried again
+	retryAfter            = 5 * time.Second // after a failed write, until a new file is tried; and between log lines about losses
 )
 
-// Load reads a record file and checks all of it. An error is one line with file, line and key.
+// Load reads and validates a record file. An error in the file is reported as one line with file, line and key.
 func Load(path string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -62,6 +64,7 @@
 	return parse(path, raw)
 }
 
+// parse validates the text of a record file. A relative record.path starts at the folder of path.
 func parse(path string, raw []byte) (*Config, error) {
 	var f file
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
@@ -75,17 +78,17 @@
 	set(&c.PerSecond, f.Record.PerSecond)
 	var err error
 	if c.Key, err = hex.DecodeString(f.Record.Key); err != nil || len(c.Key) < leastKey {
-		return nil, fault("record.key", "want %d bytes at least as hexadecimal digits, the same at all nodes", leastKey)
+		return nil, fault("record.key", "want at least %d bytes as hexadecimal digits, the same at all nodes", leastKey)
 	}
 	switch {
 	case c.Path == "":
-		return nil, fault("record.path", "want a file")
+		return nil, fault("record.path", "want the path of a file")
 	case c.FileBytes < leastBytes || c.FileBytes > mostBytes:
 		return nil, fault("record.file_bytes", "want %d to %d, have %d", leastBytes, int64(mostBytes), c.FileBytes)
 	case c.Files < 1 || c.Files > mostFiles:
 		return nil, fault("record.files", "want 1 to %d, have %d", mostFiles, c.Files)
 	case !(c.Sample > 0 && c.Sample <= 1):
-		return nil, fault("record.sample", "want over 0 and 1 at most, have %v", c.Sample)
+		return nil, fault("record.sample", "want over 0 and at most 1, have %v", c.Sample)
 	case !(c.PerSecond >= 1 && c.PerSecond <= mostPerSecond):
 		return nil, fault("record.per_second", "want 1 to %d, have %v", mostPerSecond, c.PerSecond)
 	}
@@ -95,17 +98,18 @@
 	return c, nil
 }
 
+// setIfGiven overwrites a default with a value of the file, if the file has one.
 func set[T any](to *T, v *T) {
 	if v != nil {
 		*to = *v
 	}
 }
 
-// Try is what a front knows of a try once it is over. Tenant and Order are hashed before anything is kept of them.
+// Try is one finished request of a client, from which a trace.Record is made. Tenant and Order are recorded only as hashes.
 type Try struct {
 	Began         time.Time
 	Class         string
-	Tenant, Order string // Order ties an order's tries together: its idempotency key, or else the try's own id
+	Tenant, Order string // Order is the same for all tries of an order: the idempotency key, or else the id of the request
 	Size, Answer  int
 	Repeat        bool
 	Outcome       trace.Outcome
@@ -113,27 +117,27 @@
 	Patience      time.Duration
 }
 
-// Recorder takes tries and writes them. A nil *Recorder takes none.
+// Recorder queues tries and writes them to trace files. It is safe for concurrent use. A nil *Recorder records nothing.
 type Recorder struct {
 	config  *Config
 	log     *slog.Logger
 	began   time.Time
 	limit   *rate.Limiter
 	tries   chan trace.Record
-	lost    atomic.Int64
-	taken   atomic.Int64
+	lost    atomic.Int64 // tries that were not written
+	taken   atomic.Int64 // tries that were written
 	create  func(path string) (io.WriteCloser, error)
-	present io.WriteCloser
-	writer  *trace.Writer
+	present io.WriteCloser // the current trace; nil: none is open
+	writer  *trace.Writer  // nil: no trace is open
 }
 
-// New makes a recorder; Run writes what it takes.
+// New returns a recorder. Its tries are written only while Run runs.
 func New(c *Config, log *slog.Logger) *Recorder {
 	return &Recorder{config: c, log: log, began: time.Now(), limit: rate.NewLimiter(rate.Limit(c.PerSecond), int(math.Ceil(c.PerSecond))),
 		tries: make(chan trace.Record, queue), create: func(path string) (io.WriteCloser, error) { return os.Create(path) }}
 }
 
-// Take takes a try. It never blocks, and does nothing for those that are not sampled.
+// Record queues a try, if its order is sampled. It never blocks: over the rate limit, or with a full queue, the try is lost.
 func (r *Recorder) Take(t *Try) {
 	if r == nil {
 		return
@@ -158,7 +162,7 @@
 	}
 }
 
-// hash is keyed: without the key nobody can try names until one fits.
+// hash returns the keyed hash of a text. Without the key, nobody can find a name by hashing candidates.
 func (r *Recorder) hash(text string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -168,10 +172,11 @@
 	return d.Sum64()
 }
 
-// Counts gives the tries that have been written and those that were lost.
+// Counts returns the number of tries that have been written and of those that were lost.
 func (r *Recorder) Counts() (written, lost int64) { return r.taken.Load(), r.lost.Load() }
 
-// Run writes until ctx ends, and then what is left. It says in the log what was lost, at most once in retryAfter.
+// Run writes the queued tries until ctx ends, and then those that are left. After a failed write, tries are lost for
+// retryInterval before the next file is tried. Losses are logged at most once per retryInterval.
 func (r *Recorder) Run(ctx context.Context) {
 	tick := time.NewTicker(flushEvery)
 	defer tick.Stop()
@@ -248,7 +253,7 @@
 	}
 }
 
-// open begins a new trace and makes room for it among the old ones.
+// openFile renames the older traces, overwriting the oldest if there are too many, and starts a new one.
 func (r *Recorder) open() error {
 	for i := r.config.Files - 1; i >= 1; i-- {
 		from := r.config.Path
@@ -272,6 +277,7 @@
 	return nil
 }
 
+// closeFile closes the current trace, if there is one.
 func (r *Recorder) close() {
 	if r.present != nil {
 		if err := r.present.Close(); err != nil {
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -17,11 +17,12 @@
 	"starlingvalve/internal/trace"
 )
 
+// newConfig returns settings that record everything, in a temporary folder.
 func config(t *testing.T) *Config {
 	return &Config{Path: filepath.Join(t.TempDir(), "traffic"), FileBytes: 1 << 20, Files: 3, Sample: 1, PerSecond: 100_000, Key: []byte("0123456789abcdef")}
 }
 
-// record plays with a recorder that is running, and ends it.
+// runRecorder calls feed while the recorder runs, and returns once the recorder has written all and ended.
 func record(r *Recorder, play func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
@@ -31,10 +32,12 @@
 	work.Wait()
 }
 
+// newTry returns try number i. Each two in a row belong to one order; the second is marked as a repeat.
 func try(i int) *Try {
 	return &Try{Began: time.Now(), Class: "read", Tenant: "acme", Order: fmt.Sprint("order ", i/2), Repeat: i%2 == 1, Outcome: trace.Served, Took: time.Millisecond}
 }
 
+// readTrace returns the records of a trace file.
 func read(t *testing.T, path string) (records []trace.Record) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -48,7 +51,8 @@
 	return records
 }
 
-// What is taken is written, without a name in it; an order's tries have one hash, under another key another one.
+// Guards against lost tries, and against names of tenants in the file. The tries of an order have the same hash, which depends
+// on the key.
 func TestRecords(t *testing.T) {
 	c := config(t)
 	r := New(c, slog.New(slog.DiscardHandler))
@@ -59,26 +63,27 @@
 	})
 	records := read(t, c.Path)
 	if written, lost := r.Counts(); len(records) != 1000 || written != 1000 || lost != 0 {
-		t.Fatalf("%d read, %d written, %d lost", len(records), written, lost)
+		t.Fatalf("%d records read, %d counted as written, %d as lost; want 1000, 1000, 0", len(records), written, lost)
 	}
 	for i := 0; i < 1000; i += 2 {
 		if a, b := records[i], records[i+1]; a.Order != b.Order || a.Repeat || !b.Repeat || a.Tenant == 0 || a.Tenant != records[0].Tenant || i > 0 && a.Order == records[i-1].Order {
-			t.Fatalf("%+v, %+v", a, b)
+			t.Fatalf("wrong hashes or repeat marks for the two tries of an order: %+v, %+v", a, b)
 		}
 	}
 	raw, _ := os.ReadFile(c.Path)
 	if bytes.Contains(raw, []byte("acme")) {
-		t.Error("a tenant's name is in the file")
+		t.Error("the name of a tenant is in the file")
 	}
 	other := *c
 	other.Key = []byte("fedcba9876543210")
 	if New(&other, nil).hash("acme") == r.hash("acme") {
-		t.Error("the key does not count")
+		t.Error("the hash does not depend on the key")
 	}
 	(*Recorder)(nil).Take(try(0))
 }
 
-// A part of the orders is recorded with all its tries; more than the limit is lost and counted.
+// Guards against orders that are recorded with only some of their tries when sampled, and against more tries per second than
+// the limit, or lost ones that are not counted.
 func TestSampledByOrder(t *testing.T) {
 	c := config(t)
 	c.Sample = 0.25
@@ -94,7 +99,7 @@
 		tries[x.Order]++
 	}
 	if len(records) < 600 || len(records) > 900 || len(tries)*2 != len(records) {
-		t.Errorf("%d tries of %d orders, of 3000 and 1500", len(records), len(tries))
+		t.Errorf("recorded %d tries of %d orders, out of 3000 and 1500, with a sample of a quarter", len(records), len(tries))
 	}
 	c = config(t)
 	c.PerSecond = 10
@@ -103,16 +108,16 @@
 	record(r, func() {
 		for i := range 1000 {
 			x := try(i)
-			x.Began = began // however slow this machine is
+			x.Began = began // so that all fall into one moment, however slow the machine is
 			r.Take(x)
 		}
 	})
 	if written, lost := r.Counts(); written != 10 || lost != 990 {
-		t.Errorf("%d written, %d lost", written, lost)
+		t.Errorf("%d written, %d lost, want 10 and 990", written, lost)
 	}
 }
 
-// Old traces are kept up to the number, and each is whole.
+// Guards against a rotation that keeps too many files, or loses or damages records of the files that it keeps.
 func TestRotates(t *testing.T) {
 	c := config(t)
 	c.FileBytes = 4000
@@ -127,7 +132,7 @@
 	})
 	files, err := filepath.Glob(c.Path + "*")
 	if err != nil || len(files) != 3 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("got files %v, error %v; want 3 files", files, err)
 	}
 	for _, f := range files {
 		if len(read(t, f)) == 0 {
@@ -135,16 +140,18 @@
 		}
 	}
 	if written, lost := r.Counts(); written != 20_000 || lost != 0 {
-		t.Errorf("%d written, %d lost", written, lost)
+		t.Errorf("%d written, %d lost, want 20,000 and 0", written, lost)
 	}
 }
 
+// failingFile is a file on a disk that is full.
 type badDisk struct{ io.WriteCloser }
 
 func (badDisk) Write([]byte) (int, error) { return 0, errors.New("no space left on device") }
 func (badDisk) Close() error              { return nil }
 
-// A disk that is full costs records, which are counted, and holds up nobody; a file that can't be made too.
+// Guards against requests that are blocked by a full disk, by a file that can't be created or by a recorder that does not
+// run: the tries are lost, and counted.
 func TestFullDiskHoldsUpNobody(t *testing.T) {
 	for name, create := range map[string]func(string) (io.WriteCloser, error){
 		"no room": func(string) (io.WriteCloser, error) { return badDisk{}, nil },
@@ -158,32 +165,34 @@
 			}
 		})
 		if written, lost := r.Counts(); written != 0 || lost != 10_000 {
-			t.Errorf("%s: %d written, %d lost of 10,000", name, written, lost)
+			t.Errorf("%s: %d written, %d lost, want 0 and all 10,000", name, written, lost)
 		}
 	}
-	r := New(config(t), slog.New(slog.DiscardHandler)) // nobody writes at all
+	r := New(config(t), slog.New(slog.DiscardHandler)) // Run is not called
 	for i := range queue + 100 {
 		r.Take(try(i))
 	}
 	if _, lost := r.Counts(); lost != 100 {
-		t.Errorf("%d lost, want what the queue can't hold", lost)
+		t.Errorf("%d lost, want the 100 that the queue can't hold", lost)
 	}
 }
 
+// Guards against invalid values that are accepted, errors without their place, and a shipped example that is not valid.
 func TestConfig(t *testing.T) {
 	if c, err := Load("../../deploy/record.toml"); err != nil || c.Files != 4 || c.Path != filepath.Join("../../deploy", "traffic.trace") {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("the shipped example: got %+v, error %v", c, err)
 	}
 	const good = "[record]\npath = \"t\"\nkey = \"00112233445566778899aabbccddeeff\"\n"
 	for text, want := range map[string]string{"[record]\npath = \"t\"\nkey = \"0011\"": "f:3: record.key", "[record]\nkey = \"00112233445566778899aabbccddeeff\"": "record.path",
 		good + "sample = 1.5": "f:4: record.sample", good + "files = 0": "f:4: record.files", good + "file_bytes = 1": "f:4: record.file_bytes", good + "per_second = 0.5": "f:4: record.per_second",
 		good + "speed = 1": "f:4"} {
 		if _, err := parse("f", []byte(text)); err == nil || !strings.HasPrefix(err.Error(), want) && !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want %q in one line", text, err, want)
 		}
 	}
 }
 
+// BenchmarkTake measures Record while nothing writes: almost all calls find the queue full.
 func BenchmarkTake(b *testing.B) {
 	c := &Config{Path: filepath.Join(b.TempDir(), "t"), FileBytes: 1 << 30, Files: 1, Sample: 1, PerSecond: mostPerSecond, Key: []byte("0123456789abcdef")}
 	r := New(c, slog.New(slog.DiscardHandler))
--- a/internal/trace/synth.go
+++ b/internal/trace/synth.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Shape is how the rate of orders goes over a trace, as a multiple of its mean.
+// Shape is the course of the rate of orders over a trace. Every shape keeps the mean rate.
 type Shape string
 
 const (
-	// Steady: the same all the time.
+	// Steady: constant.
 	Steady Shape = "steady"
-	// Bursts: a second in ten at four times the rate of the others.
+	// Bursts: one second in ten has four times the rate of the others.
 	Bursts Shape = "bursts"
-	// Daily: one whole day's curve in the length of the trace, from a fifth of its highest point and back.
+	// Daily: the curve of one day over the length of the trace, which rises from a fifth of the peak rate and falls back.
 	Daily Shape = "daily"
-	// Flash: in the middle fifth five times the rate of the rest, reached within a second.
+	// Flash: five times the rate during the middle fifth, with a rise and a fall of one second each.
 	Flash Shape = "flash"
 )
 
-// Shapes are all there are.
+// Shapes lists all shapes.
 var Shapes = []Shape{Steady, Bursts, Daily, Flash}
 
-// at is the rate at a time, times the mean, and most its highest value.
+// rateAt returns the rate at time t of a trace of that length, as a multiple of the mean rate.
 func (s Shape) at(t, length time.Duration) float64 {
 	x := t.Seconds() / length.Seconds()
 	switch s {
@@ -42,32 +42,32 @@
 	return 1
 }
 
-const shapeMost = 4.0 // no shape exceeds it
+const shapeMost = 4.0 // upper bound of rateAt for all shapes
 
-// SynthClass is a class of the orders of a generated trace.
+// SynthClass is a class of requests in a generated trace.
 type SynthClass struct {
 	Name     string
-	Share    float64
-	Work     time.Duration // mean
-	WorkCV   float64       // coefficient of variation, log-normal
-	Patience time.Duration
+	Share    float64       // of the orders, relative to the other classes'
+	Work     time.Duration // mean time that a server works on one
+	WorkCV   float64       // coefficient of variation of the work, which is log-normal
+	Patience time.Duration // how long the client waits for an answer
 }
 
-// Synth says what a generated trace is like.
+// Synth describes a generated trace.
 type Synth struct {
 	Length  time.Duration
-	Rate    float64 // orders a second, in the mean
+	Rate    float64 // mean number of orders a second
 	Shape   Shape
 	Classes []SynthClass
-	// Sessions, if over 0, is the mean number of orders of a session: one tenant's, Think apart in the mean. The rate of orders is
-	// the same, in clusters.
+	// OrdersPerSession, if over 0, is the mean number of orders in a session. A session is a series of orders of one tenant,
+	// with a mean pause of ThinkTime between them. The mean rate of orders stays the same; they come in clusters.
 	Sessions float64
 	Think    time.Duration
 	Seed     uint64
 }
 
-// Generate hands on the records of a trace in the order of their times. All are first tries whose outcome is unknown: what becomes
-// of them is the model's to say.
+// Generate calls each with the records of a trace, ordered by time, until it returns an error. All records are first tries
+// with an unknown outcome: the model that replays the trace computes what becomes of them.
 func (s *Synth) Generate(each func(*Record) error) error {
 	share := 0.0
 	for _, c := range s.Classes {
@@ -75,12 +75,12 @@
 	}
 	switch {
 	case s.Length <= 0 || !(s.Rate > 0) || !(share > 0):
-		return fmt.Errorf("trace: want a length, a rate and classes, have %v, %v and %d", s.Length, s.Rate, len(s.Classes))
+		return fmt.Errorf("trace: want a length, a rate and classes over 0, have length %v, rate %v, %d classes", s.Length, s.Rate, len(s.Classes))
 	case s.Length.Seconds()*s.Rate > 1e8:
-		return fmt.Errorf("trace: %.0f orders, 100,000,000 at most", s.Length.Seconds()*s.Rate)
+		return fmt.Errorf("trace: %.0f orders, at most 100,000,000 are allowed", s.Length.Seconds()*s.Rate)
 	}
 	r := rand.New(rand.NewPCG(s.Seed, 0x73796e7468))
-	var waiting []Record // of sessions that have begun, a heap by time would do more than is needed: they are few
+	var waiting []Record // of sessions that have started; they are few, so a linear search is enough
 	emit := func(until time.Duration) error {
 		for {
 			first := -1
@@ -129,7 +129,7 @@
 		at := t
 		for {
 			waiting = append(waiting, order(at, tenant))
-			if r.Float64()*per >= per-1 { // a geometric number, per in the mean
+			if r.Float64()*per >= per-1 { // the number of orders is geometric, with mean perSession
 				break
 			}
 			if at += time.Duration(r.ExpFloat64() * float64(s.Think)); at >= s.Length {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,8 +1,10 @@
-// Package trace is the format of recorded traffic: what arrived at a node and what became of it, without any client's data.
+// Package trace reads, writes and generates recorded traffic: which requests arrived at a node and how they ended, without
+// the data of any client.
 //
-// A file is the eight bytes of magic, and then blocks: the length of the compressed data as a varint, its xxHash64 in eight
-// bytes, little endian, and the data, compressed with Zstandard. A block holds records, each a length as a varint and a
-// protobuf message (fields below). Blocks stand alone: one that is damaged costs itself and no other.
+// A file starts with the eight bytes of fileMagic; blocks follow. A block is the length in bytes of its compressed data as a
+// varint, the xxHash64 of that data in eight bytes, little endian, and the data, compressed with Zstandard. The data holds
+// records; each is its length as a varint and a protobuf message (fields below). Blocks are independent: if one is damaged,
+// the others can still be read.
 package trace
 
 import (
@@ -19,25 +21,25 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// Outcome is how a try ended for its client.
+// Outcome tells how a try ended for its client.
 type Outcome uint64
 
 const (
-	// Unknown: not told.
+	// Unknown: not recorded.
 	Unknown Outcome = iota
-	// Served: 200.
+	// Served: status 200.
 	Served
-	// Refused: 429 or 503.
+	// Refused: status 429 or 503.
 	Refused
-	// Failed: any other answer.
+	// Failed: any other status.
 	Failed
-	// Gone: the client left.
+	// ClientGone: the client disconnected before the answer.
 	Gone
 )
 
 var outcomes = [...]string{"unknown", "served", "refused", "failed", "gone"}
 
-// String is the outcome in lower case; one that this version does not know is given by its number.
+// String returns the outcome in lower case, or the number of an outcome that this version does not know.
 func (o Outcome) String() string {
 	if o < Outcome(len(outcomes)) {
 		return outcomes[o]
@@ -45,31 +47,32 @@
 	return fmt.Sprint("outcome ", uint64(o))
 }
 
-// Record is one try of a client's order.
+// Record is one try of an order. An order is one thing that a client wants done; it takes further tries (requests) if the
+// first ones are refused or fail. Durations are recorded in whole microseconds.
 type Record struct {
-	At       time.Duration `json:"at_ns"`       // since the trace's start
-	Class    string        `json:"class"`       // field 2
-	Tenant   uint64        `json:"tenant"`      // keyed hash; 0: none
-	Order    uint64        `json:"order"`       // keyed hash of what ties an order's tries together, such as its idempotency key
-	Size     int           `json:"size"`        // bytes of the body
-	Answer   int           `json:"answer"`      // bytes of the answer's body
-	Repeat   bool          `json:"repeat"`      // the client has tried before
-	Outcome  Outcome       `json:"outcome"`     //
-	Took     time.Duration `json:"took_ns"`     // until the final answer, at the node
-	Work     time.Duration `json:"work_ns"`     // of the attempt that served it, at the server and on the way; 0: none did
-	Patience time.Duration `json:"patience_ns"` // of this try
+	At       time.Duration `json:"at_ns"`       // arrival, since the start of the trace
+	Class    string        `json:"class"`       // name of the request class
+	Tenant   uint64        `json:"tenant"`      // keyed hash of the tenant; 0: none
+	Order    uint64        `json:"order"`       // keyed hash of what the tries of one order have in common, such as an idempotency key
+	Size     int           `json:"size"`        // bytes of the request body
+	Answer   int           `json:"answer"`      // bytes of the response body
+	Repeat   bool          `json:"repeat"`      // the client marks it as a further try
+	Outcome  Outcome       `json:"outcome"`     // how it ended
+	Took     time.Duration `json:"took_ns"`     // from arrival to the final answer, at the node
+	Work     time.Duration `json:"work_ns"`     // of the attempt that served it, at the server and on the network; 0: no attempt did
+	Patience time.Duration `json:"patience_ns"` // how long the client waits for this try
 }
 
 const (
 	magic     = "SLVTRC\x00\x01" // the last byte is the version
-	blockRaw  = 64 << 10         // bytes of records that make a block
-	blockMost = 1 << 20          // of a block's data, compressed or not: a file that says more is damaged
-	classMost = 256              // bytes of a class's name
-	longest   = 24 * time.Hour   // of any duration in a record but At
-	lastAt    = 366 * 24 * time.Hour
+	blockRaw  = 64 << 10         // bytes of records after which a block is written
+	blockMost = 1 << 20          // bytes of a block's data, compressed or not; a block with a larger length is damaged
+	classMost = 256              // bytes of a class name
+	longest   = 24 * time.Hour   // of any duration in a record except At
+	lastAt    = 366 * 24 * time.Hour // of At
 )
 
-// The protobuf fields of a record. Times are in microseconds.
+// Protobuf field numbers of a record. Durations are in microseconds.
 const (
 	fieldAt = iota + 1
 	fieldClass
@@ -84,6 +87,7 @@
 	fieldPatience
 )
 
+// appendTo appends the record as a protobuf message. Fields that are zero are left out, except the class.
 func (r *Record) append(to []byte) []byte {
 	number := func(field protowire.Number, v uint64) {
 		if v != 0 {
@@ -111,8 +115,9 @@
 	return to
 }
 
-var errRecord = errors.New("a record that makes no sense")
+var errRecord = errors.New("malformed record")
 
+// parse sets the record from a protobuf message. A value out of range is an error.
 func (r *Record) parse(raw []byte) error {
 	duration := func(v uint64, most time.Duration) (time.Duration, error) {
 		if v > uint64(most/time.Microsecond) {
@@ -168,7 +173,7 @@
 			r.Work, err = duration(v, longest)
 		case field == fieldPatience && kind == protowire.VarintType:
 			r.Patience, err = duration(v, longest)
-		} // what a later version adds is passed over
+		} // unknown fields, which a later version may add, are ignored
 		if err != nil {
 			return err
 		}
@@ -180,16 +185,16 @@
 type Writer struct {
 	to      io.Writer
 	zip     *zstd.Encoder
-	raw     []byte
-	one     []byte
-	data    []byte // of the last block
+	raw     []byte // records that wait to be written as a block
+	one     []byte // the last record, kept to reuse its memory
+	data    []byte // compressed data of the last block, kept to reuse its memory
 	begun   bool
-	Records int   // in blocks that have been written
-	Bytes   int64 // written
-	held    int
+	Records int   // number of records in the blocks that have been written
+	Bytes   int64 // number of bytes that have been written
+	held    int   // number of records that wait to be written
 }
 
-// NewWriter makes a writer of a new trace.
+// NewWriter returns a writer of a new trace.
 func NewWriter(to io.Writer) (*Writer, error) {
 	zip, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<17), zstd.WithEncoderLevel(zstd.SpeedFastest))
 	if err != nil {
@@ -198,8 +203,8 @@
 	return &Writer{to: to, zip: zip}, nil
 }
 
-// Write takes a record. Records are to come about in the order of their times. An error means that the block that was full is
-// lost; the next ones are tried again.
+// Write adds a record. Records should come roughly in the order of At. When a block is full, it is written; an error means
+// that this block is lost. The writer can still be used, and tries to write the next block.
 func (w *Writer) Write(r *Record) error {
 	w.one = r.append(w.one[:0])
 	w.raw = protowire.AppendBytes(w.raw, w.one)
@@ -210,7 +215,7 @@
 	return w.Flush()
 }
 
-// Flush writes what there is as a block.
+// Flush writes the pending records as a block. The first Flush writes the start of the file, even without records.
 func (w *Writer) Flush() error {
 	if w.held == 0 && w.begun {
 		return nil
@@ -238,15 +243,15 @@
 	return nil
 }
 
-// Damage tells what of a file could not be read.
+// Damage is the error of a file of which some blocks could not be read.
 type Damage struct {
-	Blocks int    // that were passed over
-	From   int64  // the byte where the first of them begins
+	Blocks int    // number of blocks that were skipped
+	From   int64  // offset in bytes of the first of them
 	Cut    bool   // the file ends within a block
-	What   string // is wrong with the first
+	What   string // the reason for the first of them
 }
 
-// Error says where the file is cut, or how many blocks are damaged and where the first begins.
+// Error tells where the file is truncated, or how many blocks are damaged and where the first one begins.
 func (d *Damage) Error() string {
 	if d.Cut {
 		return fmt.Sprintf("cut within the block at byte %d", d.From)
@@ -254,8 +259,8 @@
 	return fmt.Sprintf("%d damaged blocks, the first at byte %d: %s", d.Blocks, d.From, d.What)
 }
 
-// Read hands on the records of all blocks that are whole, until each returns an error. What it returns is that error, an
-// error of the reader, or a *Damage once all that could be read has been.
+// Read calls each with every record of all undamaged blocks, in order, until it returns an error. Read returns that error, an
+// error if the file is no trace or of another version, or, after all readable records, a *Damage if blocks were skipped.
 func Read(from io.Reader, each func(*Record) error) error {
 	in := bufio.NewReader(from)
 	var head [len(magic)]byte
@@ -263,7 +268,7 @@
 		return errors.New("this is no trace")
 	}
 	if head[len(magic)-1] != magic[len(magic)-1] {
-		return fmt.Errorf("a trace of version %d: this program reads version %d", head[len(magic)-1], magic[len(magic)-1])
+		return fmt.Errorf("the trace has version %d, but this program reads version %d", head[len(magic)-1], magic[len(magic)-1])
 	}
 	unzip, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(blockMost))
 	if err != nil {
@@ -288,15 +293,15 @@
 			_, err = io.ReadFull(in, sum[:])
 		}
 		if err != nil || size > blockMost {
-			// Where the next one begins can't be known any more.
-			if note(at, "its length makes no sense"); err != nil && damage.Blocks == 1 {
+			// Without a valid length the start of the next block is unknown.
+			if note(at, "its length is invalid or incomplete"); err != nil && damage.Blocks == 1 {
 				damage.Cut = true
 			}
 			break
 		}
 		data := make([]byte, size)
 		if _, err := io.ReadFull(in, data); err != nil {
-			if note(at, "it is cut"); damage.Blocks == 1 {
+			if note(at, "the file ends within it"); damage.Blocks == 1 {
 				damage.Cut = true
 			}
 			break
@@ -304,12 +309,12 @@
 		began := at
 		at += int64(len(binary.AppendUvarint(nil, size))) + 8 + int64(size)
 		if binary.LittleEndian.Uint64(sum[:]) != xxhash.Sum64(data) {
-			note(began, "its checksum differs")
+			note(began, "its checksum is wrong")
 			continue
 		}
 		raw, err := unzip.DecodeAll(data, nil)
 		if err != nil {
-			note(began, "it can't be unpacked")
+			note(began, "its data can't be decompressed")
 			continue
 		}
 		records, err := parseBlock(raw)
@@ -329,6 +334,7 @@
 	return nil
 }
 
+// parseBlock returns the records in the decompressed data of a block.
 func parseBlock(raw []byte) (records []Record, err error) {
 	for len(raw) > 0 {
 		one, n := protowire.ConsumeBytes(raw)
@@ -345,7 +351,7 @@
 	return records, nil
 }
 
-// ReadAll gives the records of a whole text.
+// ReadAll returns the records of a trace in memory, and the error of Read.
 func ReadAll(text []byte) (records []Record, err error) {
 	err = Read(bytes.NewReader(text), func(r *Record) error { records = append(records, *r); return nil })
 	return records, err
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 )
 
+// encode returns records as a trace.
 func written(t testing.TB, records []Record) []byte {
 	t.Helper()
 	var out bytes.Buffer
@@ -30,7 +31,7 @@
 	return out.Bytes()
 }
 
-// What is written is read, whatever it is.
+// Guards against values that change when they are written and read.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		us := func(name string) time.Duration {
@@ -44,11 +45,12 @@
 		}
 		got, err := ReadAll(written(t, want))
 		if err != nil || !reflect.DeepEqual(got, want) {
-			rt.Fatalf("%v, %v, want %v", got, err, want)
+			rt.Fatalf("read %v, error %v, want %v", got, err, want)
 		}
 	})
 }
 
+// makeRecords returns n records, one every millisecond.
 func many(n int) (records []Record) {
 	for i := range n {
 		records = append(records, Record{At: time.Duration(i) * time.Millisecond, Class: "read", Order: uint64(i) * 0x9e3779b97f4a7c15, Size: 200, Outcome: Served, Took: 40 * time.Millisecond})
@@ -56,7 +58,8 @@
 	return records
 }
 
-// A block that is damaged costs itself; a file that is cut, its last block. One line tells of either.
+// Guards against the loss of more than the damaged part: a damaged block costs only itself, a truncated file only its last
+// block, and the error is one line. Files that are no trace, or of another version, are rejected.
 func TestDamage(t *testing.T) {
 	records := many(20_000)
 	good := written(t, records)
@@ -68,20 +71,20 @@
 	got, err := ReadAll(bad)
 	var d *Damage
 	if !errors.As(err, &d) || d.Blocks != 1 || d.Cut || len(got) < len(records)*7/10 || len(got) == len(records) || strings.Contains(err.Error(), "\n") {
-		t.Errorf("one bit: %d of %d records, %v", len(got), len(records), err)
+		t.Errorf("one bit flipped: read %d of %d records, error %v", len(got), len(records), err)
 	}
 	got, err = ReadAll(good[:len(good)-10])
 	if !errors.As(err, &d) || !d.Cut || len(got) < len(records)*7/10 || len(got) == len(records) {
-		t.Errorf("cut: %d of %d records, %v", len(got), len(records), err)
+		t.Errorf("truncated: read %d of %d records, error %v", len(got), len(records), err)
 	}
 	for text, want := range map[string]string{"": "no trace", "PK\x03\x04 something": "no trace", "SLVTRC\x00\x02": "version 2"} {
 		if _, err := ReadAll([]byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want %q in it", text, err, want)
 		}
 	}
 }
 
-// fullDisk takes so many writes and then none for a while.
+// failingWriter fails all writes after the first failAfter, up to write number failUntil.
 type fullDisk struct {
 	bytes.Buffer
 	writes, from, to int
@@ -94,7 +97,7 @@
 	return d.Buffer.Write(p)
 }
 
-// A disk that is full for a while costs the blocks of that time.
+// Guards against a trace that is broken for good by a disk that is full for a while: only the blocks of that time are lost.
 func TestFullDisk(t *testing.T) {
 	d := &fullDisk{from: 2, to: 5}
 	w, err := NewWriter(d)
@@ -112,18 +115,18 @@
 	}
 	got, err := ReadAll(d.Bytes())
 	if err != nil || failed != 3 || len(got) != w.Records || len(got) == 40_000 {
-		t.Errorf("%d failed, %d read, %d written, %v", failed, len(got), w.Records, err)
+		t.Errorf("%d writes failed, %d records read, %d counted as written, error %v", failed, len(got), w.Records, err)
 	}
 }
 
-// A record takes few bytes.
+// Guards against a format that grows: a record takes at most 20 bytes in the file.
 func TestSize(t *testing.T) {
 	if per := float64(len(written(t, many(20_000)))) / 20_000; per > 20 {
-		t.Errorf("%.1f bytes a record", per)
+		t.Errorf("%.1f bytes per record, want at most 20", per)
 	}
 }
 
-// Any bytes are read in bounded memory, with an error or records, and never a panic.
+// Guards against a panic on arbitrary bytes, and records that are lost when they are written again.
 func FuzzRead(f *testing.F) {
 	f.Add(written(f, many(3)))
 	f.Add([]byte(magic + "\x05\x00\x00\x00"))
@@ -131,7 +134,7 @@
 		got, err := ReadAll(text)
 		if err == nil && len(got) > 0 {
 			if again, err := ReadAll(written(t, got)); err != nil || len(again) != len(got) {
-				t.Errorf("%d records, then %d, %v", len(got), len(again), err)
+				t.Errorf("read %d records, and %d after writing them again, error %v", len(got), len(again), err)
 			}
 		}
 	})
--- a/internal/wholefile/wholefile.go
+++ b/internal/wholefile/wholefile.go
@@ -1,4 +1,5 @@
-// Package wholefile writes small files that are there whole or not at all, and durably so once the call returns.
+// Package wholefile replaces small files atomically: a reader finds the old or the new contents, also after a crash. Once a
+// call has returned, the new contents are on disk.
 package wholefile
 
 import (
@@ -8,7 +9,7 @@
 	"path/filepath"
 )
 
-// WriteJSON puts a value in the place of a file, open to its owner only. One call at a time for each path.
+// WriteJSON replaces a file with a value as JSON; see Write.
 func WriteJSON(path string, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -17,7 +18,8 @@
 	return Write(path, raw)
 }
 
-// Write puts bytes in the place of a file, open to its owner only. One call at a time for each path.
+// Write replaces a file with bytes, readable by its owner only. It writes path.new first, so calls for the same path must not
+// run at the same time.
 func Write(path string, raw []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -38,7 +40,7 @@
 	return dir.Sync()
 }
 
-// ReadJSON reads what WriteJSON wrote. A file that is not there leaves the value as it is.
+// ReadJSON reads what WriteJSON wrote into a value. If the file does not exist, the value is left as it is, without an error.
 func ReadJSON(path string, into any) error {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -8,13 +8,13 @@
 	"starlingvalve/decide"
 )
 
-// Reply holds the actions of one instance.
+// Reply holds the actions of one instance (a simulated node) in answer to a batch.
 type Reply struct {
 	Node    int
 	Actions []decide.Action
 }
 
-// AppendReply writes the line that answers a batch, with its line end.
+// AppendReply appends the JSON line that answers a batch to b, with its newline. Instances without actions are left out.
 func AppendReply(b []byte, replies []Reply) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
@@ -40,6 +40,7 @@
 	return append(b, "]}\n"...)
 }
 
+// appendAction appends one action as a JSON object with one key, the action's name.
 func appendAction(b []byte, a decide.Action) []byte {
 	switch a := a.(type) {
 	case decide.Send:
@@ -83,11 +84,13 @@
 	return append(b, "}}"...)
 }
 
+// appendInt appends the literal text before, and then an integer.
 func appendInt(b []byte, before string, v int64) []byte {
 	return strconv.AppendInt(append(b, before...), v, 10)
 }
 
+// appendText appends the literal text before, and then a JSON string.
 func appendText(b []byte, before, text string) []byte {
-	quoted, _ := json.Marshal(text) // a string always marshals
+	quoted, _ := json.Marshal(text) // the error is always nil for a string
 	return append(append(b, before...), quoted...)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's JSON lines and the decision
-// module's types. It decides nothing.
+// Package wire translates between the simulator's JSON lines and the types of the decision module (package decide). It
+// contains no decisions. Times on the wire are in nanoseconds, from the start of the simulation where they are absolute.
 package wire
 
 import (
@@ -13,7 +13,7 @@
 	"starlingvalve/decide"
 )
 
-// The codes by which the wire names outcomes.
+// Outcome codes on the wire (the key disposition).
 const (
 	codeOK            = 0
 	codeCancelled     = 1
@@ -25,11 +25,11 @@
 	codeConnectFailed = 14
 )
 
-// The bits of a submit's flags.
+// Bits of the key flags of a submit event.
 const (
-	flagHint   = 1
-	flagRepeat = 2
-	flagWrite  = 4
+	flagHint   = 1 // cost_guess_ns is set
+	flagRepeat = 2 // the client has sent the request before
+	flagWrite  = 4 // the request changes data
 )
 
 var outcomes = map[int]decide.OutcomeCode{
@@ -38,32 +38,33 @@
 	codeConnectFailed: decide.ConnectFailed,
 }
 
-// Start is an `up`: an instance begins.
+// Start is the event `up`: an instance starts, with its settings and the seed of its random numbers.
 type Start struct {
 	Settings decide.Settings
 	Seed     int64
 }
 
-// Happening is one event for an instance: a start, an end, or one for the module.
+// InstanceEvent is one event for an instance. Exactly one of its fields is set: Start when the instance starts, Retire when
+// it ends, otherwise Event, for the decision module.
 type Happening struct {
 	Start  *Start
 	Retire bool
 	Event  decide.Event
 }
 
-// Group holds the events of one instance.
+// Group holds the events of one instance, in order. Node is its id.
 type Group struct {
 	Node   int
 	Events []Happening
 }
 
-// Batch is one line from the simulator.
+// Batch is one line from the simulator: the events of one moment.
 type Batch struct {
 	Now    decide.Time
 	Groups []Group
 }
 
-// DecodeBatch reads one line.
+// DecodeBatch decodes one line. An error names the node, the event and what is wrong with it.
 func DecodeBatch(line []byte) (Batch, error) {
 	var in struct {
 		Now    *int64 `json:"sim_time_ns"`
@@ -102,11 +103,13 @@
 	return b, nil
 }
 
+// missingField is the error for a mandatory field that is not in the JSON.
 type missing string
 
-// Error names the field that is missing.
+// Error returns the name of the field, and that it is missing.
 func (m missing) Error() string { return string(m) + " is missing" }
 
+// listEntry is one server in a roster_change event.
 type entry struct {
 	Backend *uint32 `json:"backend"`
 	Zone    string  `json:"zone"`
@@ -117,6 +120,7 @@
 	ReadyAt int64   `json:"ready_at_ns"`
 }
 
+// decodeEvent decodes the event with that name (the key of its JSON object).
 func decodeEvent(name string, raw json.RawMessage) (Happening, error) {
 	switch name {
 	case "submit":
@@ -188,6 +192,7 @@
 	return Happening{}, errors.New("unknown event")
 }
 
+// decodeOutcome decodes the events attempt_end, probe_result and streaming.
 func decodeOutcome(name string, raw json.RawMessage) (Happening, error) {
 	var e struct {
 		Req         *string                    `json:"req"`
@@ -233,7 +238,8 @@
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
-// decodeReport skips the keys it does not know; a report with no known key is none.
+// decodeReport decodes a server's load report. Unknown keys and values that are no numbers are skipped; without any known
+// key the result is nil.
 func decodeReport(values map[string]json.RawMessage) *decide.Report {
 	var r decide.Report
 	known := false
@@ -250,8 +256,8 @@
 	return &r
 }
 
-// SetReport puts one value of a load report in its place, by its name here or on sockets. It tells whether
-// it knows the name.
+// SetReport sets one value of a load report, by its name in the simulator (first of each pair) or in the servers' load header
+// (second). It reports whether the name is known.
 func SetReport(r *decide.Report, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
@@ -280,6 +286,7 @@
 	"ready": decide.Ready, "draining": decide.Draining, "gone": decide.Removed,
 }
 
+// decodeList decodes a roster_change event: a list of servers, or changes to it.
 func decodeList(raw json.RawMessage) (Happening, error) {
 	var e struct {
 		How     string  `json:"how"`
@@ -316,6 +323,8 @@
 	"none": decide.ReportNone, "probe": decide.ReportProbe, "answers": decide.ReportAnswers,
 }
 
+// decodeStart decodes an up event. A seed that is no unsigned 64-bit integer is taken as a float64, and its bits are the
+// seed.
 func decodeStart(raw json.RawMessage) (Happening, error) {
 	var e struct {
 		Seed    *json.Number    `json:"seed"`
@@ -345,7 +354,8 @@
 	return Happening{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
 }
 
-// DecodeSettings reads the settings object, which a real node finds in its configuration.
+// DecodeSettings decodes the settings of the decision module from the profile_data object of an up event. A real node has
+// the same object in its configuration.
 func DecodeSettings(raw json.RawMessage) (decide.Settings, error) {
 	var p *struct {
 		Accounts []struct {
