--- a/internal/cross/cross.go
+++ b/internal/cross/cross.go
@@ -1,12 +1,11 @@
-// Package cross decides whether a request that this site has refused may be handed off to another site, to which one, and
-// how many hand-offs may be in flight there. A circuit breaker per site stops hand-offs to a site whose hand-offs fail.
-// The package is pure: it has no I/O, no clock and no goroutine, and its callers pass in events and the time. How a request
-// is handled within a site is decided by package decide.
+// Package cross decides whether a request that this site has refused may be handed off to another site, to which one,
+// and how many hand-offs may be in flight there. A circuit breaker per site stops hand-offs to a site whose hand-offs
+// fail. The package is pure: it has no I/O, no clock and no goroutine, and its callers pass in events and the time.
+// How a request is handled within a site is decided by package decide.
 //
-// A keyed request is never handed off. The servers of a cell drop a repeated key that they have seen, but the servers of
-// another site have not seen it. And the client's next attempt may reach another node of this site, which does not know of
-// the hand-off, so that the request could take effect at both sites.
-// See docs/design/gateway.md.
+// A keyed request is never handed off. The servers of a cell drop a repeated key that they have seen, but the servers
+// of another site have not seen it. And the client's next attempt may reach another node of this site, which does not
+// know of the hand-off, so that the request could take effect at both sites. See docs/design/gateway.md.
 package cross
 
 import (
@@ -19,9 +18,9 @@
 const (
 	// CreditLifetime is how long the credit that a site has granted may be used.
 	CreditLife = 500 * time.Millisecond
-	// After breakerThreshold outcomes NotReceived or Uncertain in a row the circuit breaker of a site opens. The wait until
-	// a trial doubles from minBreakerWait to maxBreakerWait with each failed trial. The trial is one hand-off of a safe
-	// request, while the breaker is half-open.
+	// After breakerThreshold outcomes NotReceived or Uncertain in a row the circuit breaker of a site opens. The wait
+	// until a trial doubles from minBreakerWait to maxBreakerWait with each failed trial. The trial is one hand-off
+	// of a safe request, while the breaker is half-open.
 	doubtful   = 3
 	pauseFirst = 500 * time.Millisecond
 	pauseLast  = 16 * time.Second
@@ -73,15 +72,15 @@
 	trying   bool          // half-open: the trial is in flight
 }
 
-// Decider holds the state of all other sites. Its methods take a site as its index in the configuration, and now as the time
-// since any fixed point. It is not safe for concurrent use.
+// Decider holds the state of all other sites. Its methods take a site as its index in the configuration, and now as
+// the time since any fixed point. It is not safe for concurrent use.
 type Decider struct {
 	sites []*site
 	rng   *rand.Rand
 }
 
-// New returns a decider for sites in order of preference, with at most maxHandOffs hand-offs in flight at each. All sites
-// start disconnected and without credit.
+// New returns a decider for sites in order of preference, with at most maxHandOffs hand-offs in flight at each. All
+// sites start disconnected and without credit.
 func New(names []string, most int, seed uint64) *Decider {
 	d := &Decider{rng: rand.New(rand.NewPCG(seed, 0x6761746577617973))}
 	for _, n := range names {
@@ -90,8 +89,8 @@
 	return d
 }
 
-// ChooseSite returns the index of the first site to which a request may be handed off, or -1 if there is none. The hand-off
-// counts as in flight there until HandOffEnded.
+// ChooseSite returns the index of the first site to which a request may be handed off, or -1 if there is none. The
+// hand-off counts as in flight there until HandOffEnded.
 func (d *Decider) Offer(now time.Duration, r Request) int {
 	if r.Came || r.Effect == decide.Keyed || r.Ran && r.Effect != decide.Safe {
 		return -1
@@ -105,8 +104,8 @@
 	return -1
 }
 
-// accepts reports whether a request may be handed off to a site now. If it is the trial of a half-open breaker, it marks
-// the trial as in flight.
+// accepts reports whether a request may be handed off to a site now. If it is the trial of a half-open breaker, it
+// marks the trial as in flight.
 func (d *Decider) takes(now time.Duration, s *site, r Request) bool {
 	if !s.up || now-s.creditAt > CreditLife || s.out >= min(s.credit, s.most) {
 		return false
--- a/internal/cross/cross_test.go
+++ b/internal/cross/cross_test.go
@@ -21,8 +21,8 @@
 
 var safe = Request{Effect: decide.Safe, Left: time.Second}
 
-// Guards against hand-offs that could take effect twice: keyed requests, unsafe ones that may have run, those that came from
-// another site; and against those without time for a round trip.
+// Guards against hand-offs that could take effect twice: keyed requests, unsafe ones that may have run, those that
+// came from another site; and against those without time for a round trip.
 func TestWhatMayCross(t *testing.T) {
 	for name, c := range map[string]struct {
 		r    Request
@@ -70,8 +70,8 @@
 	}
 }
 
-// Guards against hand-offs to a site that keeps failing. Uncertain outcomes open its circuit breaker; trials with one safe
-// request each follow at growing intervals, and the first answer closes the breaker.
+// Guards against hand-offs to a site that keeps failing. Uncertain outcomes open its circuit breaker; trials with one
+// safe request each follow at growing intervals, and the first answer closes the breaker.
 func TestLeftAloneAndTried(t *testing.T) {
 	d := ready(9, 9)
 	now := time.Duration(0)
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against more hand-offs at a site than its latest credit and the configured bound allow, and against a wrong count
-// of those in flight, over random sequences of events.
+// Guards against more hand-offs at a site than its latest credit and the configured bound allow, and against a wrong
+// count of those in flight, over random sequences of events.
 func TestNeverMoreThanCredit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,5 +1,5 @@
-// Package gateway holds what a node needs to exchange requests with other sites: the gateway configuration file, and the
-// handler that passes a hand-off from another site to the node's own HTTP handler.
+// Package gateway holds what a node needs to exchange requests with other sites: the gateway configuration file, and
+// the handler that passes a hand-off from another site to the node's own HTTP handler.
 package gateway
 
 import (
@@ -63,8 +63,8 @@
 // HostName reports whether text is a DNS name in lower case.
 func HostName(text string) bool { return hostName.MatchString(text) }
 
-// Load reads and validates a gateway file, and the certificates that it names, which have to be valid at now. An error in
-// the file is reported as one line with file, line and key.
+// Load reads and validates a gateway file, and the certificates that it names, which have to be valid at now. An
+// error in the file is reported as one line with file, line and key.
 func Load(path string, now time.Time) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -30,8 +30,8 @@
 addresses = ["127.0.0.1:7444"]
 `
 
-// writeFiles writes the certificates, keys and roots that validFile names, and invalid ones, and returns the path of the
-// gateway file, which it does not write.
+// writeFiles writes the certificates, keys and roots that validFile names, and invalid ones, and returns the path of
+// the gateway file, which it does not write.
 func files(t testing.TB) string {
 	dir := t.TempDir()
 	a, err := standin.NewAuthority()
@@ -149,8 +149,8 @@
 	}
 }
 
-// Guards against a shipped example that the `check` command rejects once its certificates exist, or that shows other values
-// than the defaults.
+// Guards against a shipped example that the `check` command rejects once its certificates exist, or that shows other
+// values than the defaults.
 func TestShippedExample(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/gateway.toml")
 	if err != nil {
--- a/internal/gateway/handle.go
+++ b/internal/gateway/handle.go
@@ -13,10 +13,10 @@
 	"starlingvalve/internal/link"
 )
 
-// NewHandler returns a link.Handler that serves hand-offs with the node's own HTTP handler. It sets X-Time-Left to the time
-// left in seconds, and RemoteAddr to the name of the sending site. The status determines the ledger state: 503 and 429 are
-// Refused, as the handler gives them only where a repeat does no harm; other 5xx, 409, and any other status after ctx has
-// ended are Failed, as the request may have run; all others are Done.
+// NewHandler returns a link.Handler that serves hand-offs with the node's own HTTP handler. It sets X-Time-Left to
+// the time left in seconds, and RemoteAddr to the name of the sending site. The status determines the ledger state:
+// 503 and 429 are Refused, as the handler gives them only where a repeat does no harm; other 5xx, 409, and any other
+// status after ctx has ended are Failed, as the request may have run; all others are Done.
 func Handle(h http.Handler) link.Handle {
 	return func(ctx context.Context, site string, request []byte, left time.Duration) (ledger.State, []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(request)))
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,16 +1,16 @@
-// Package ledger is the receiver's record of hand-offs: which ones it accepted and how they ended. After a link has broken,
-// the sender queries it to learn whether a hand-off has run. A query about a hand-off that has not arrived fences it: if it
-// arrives later it is rejected, so the sender can rely on the reply that it has not run. The package is pure: it has no
-// I/O, no clock and no goroutine, and its callers pass in the time and hold a lock.
+// Package ledger is the receiver's record of hand-offs: which ones it accepted and how they ended. After a link has
+// broken, the sender queries it to learn whether a hand-off has run. A query about a hand-off that has not arrived
+// fences it: if it arrives later it is rejected, so the sender can rely on the reply that it has not run. The package
+// is pure: it has no I/O, no clock and no goroutine, and its callers pass in the time and hold a lock.
 //
-// A session stands for one sender process, and is named by its site and epoch. The sender numbers its hand-offs from 1 and
-// uses no number twice. States of a number:
+// A session stands for one sender process, and is named by its site and epoch. The sender numbers its hand-offs from
+// 1 and uses no number twice. States of a number:
 //
 //	(none) -- Accept --> Running -- Finish --> Done, Refused, Failed
 //	(none) -- Query ---> Fenced                      a later Accept is rejected
 //
-// An entry is removed when the sender acknowledges it, or when it expires. A number without an entry that may have had one
-// is Unknown, and the sender has to assume that the hand-off may have run.
+// An entry is removed when the sender acknowledges it, or when it expires. A number without an entry that may have
+// had one is Unknown, and the sender has to assume that the hand-off may have run.
 package ledger
 
 import (
@@ -103,10 +103,10 @@
 	return &Ledger{limits: l.withDefaults(), sessions: map[string]*Session{}}
 }
 
-// Attach returns the session of a sender process, named by its site and epoch, for one more connection. It returns nil if
-// there are too many sessions. Each Attach needs a Detach. next is the number of the sender's next hand-off. If this ledger
-// has no such session, it may have been removed, or another process here may have had it; what became of the lower numbers
-// is not known, so they are Unknown.
+// Attach returns the session of a sender process, named by its site and epoch, for one more connection. It returns
+// nil if there are too many sessions. Each Attach needs a Detach. next is the number of the sender's next hand-off.
+// If this ledger has no such session, it may have been removed, or another process here may have had it; what became
+// of the lower numbers is not known, so they are Unknown.
 func (l *Ledger) Attach(now time.Duration, name string, next uint64) *Session {
 	l.Expire(now)
 	s := l.sessions[name]
@@ -121,16 +121,16 @@
 	return s
 }
 
-// Detach ends a connection's use of a session. A session without connections is kept for Limits.Retention at least; by then
-// no delayed hand-off of a closed connection can arrive any more.
+// Detach ends a connection's use of a session. A session without connections is kept for Limits.Retention at least;
+// by then no delayed hand-off of a closed connection can arrive any more.
 func (s *Session) Detach(now time.Duration) {
 	s.attached--
 	s.idleAt = now
 }
 
-// Accept enters a hand-off that has arrived. deadline is the time after which its answer is useless. ok tells whether the
-// hand-off may be run. If not, state tells why: Refused if the ledger is full (nothing is entered then), otherwise the
-// state of that number.
+// Accept enters a hand-off that has arrived. deadline is the time after which its answer is useless. ok tells whether
+// the hand-off may be run. If not, state tells why: Refused if the ledger is full (nothing is entered then),
+// otherwise the state of that number.
 func (s *Session) Take(now time.Duration, number uint64, deadline time.Duration) (ok bool, state State) {
 	s.ledger.Expire(now)
 	if e := s.entries[number]; e != nil {
@@ -162,8 +162,8 @@
 	}
 }
 
-// Query returns the state of a hand-off, and its answer if answerKept is true. A hand-off that has not arrived is fenced,
-// for longer than it could still be in transit; if the ledger has no free entry for the fence, it is Unknown.
+// Query returns the state of a hand-off, and its answer if answerKept is true. A hand-off that has not arrived is
+// fenced, for longer than it could still be in transit; if the ledger has no free entry for the fence, it is Unknown.
 func (s *Session) Ask(now time.Duration, number uint64) (state State, answer []byte, kept bool) {
 	s.ledger.Expire(now)
 	if e := s.entries[number]; e != nil {
@@ -176,8 +176,8 @@
 	return Fenced, nil, false
 }
 
-// Ack removes the ended hand-offs with numbers lower than below, which the sender will not query any more. None of these
-// numbers is accepted again.
+// Ack removes the ended hand-offs with numbers lower than below, which the sender will not query any more. None of
+// these numbers is accepted again.
 func (s *Session) Ack(below uint64) {
 	if below <= s.acked {
 		return
@@ -199,8 +199,8 @@
 	s.acked = below
 }
 
-// Expire removes entries whose time is over and, if all sessions are in use, those that have been without connections and
-// entries for Limits.Retention.
+// Expire removes entries whose time is over and, if all sessions are in use, those that have been without connections
+// and entries for Limits.Retention.
 func (l *Ledger) Expire(now time.Duration) {
 	for len(l.due) > 0 && l.due[0].until <= now {
 		e := l.due[0]
@@ -219,8 +219,8 @@
 // Running returns the number of this session's hand-offs that have not ended.
 func (s *Session) Running() int { return s.running }
 
-// Unacknowledged returns the number of hand-offs that have ended and whose sender has not acknowledged the answer. Senders
-// without a connection are not counted.
+// Unacknowledged returns the number of hand-offs that have ended and whose sender has not acknowledged the answer.
+// Senders without a connection are not counted.
 func (l *Ledger) Owed() (n int) {
 	for _, s := range l.sessions {
 		if s.attached == 0 {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a hand-off that runs although the sender was assured that it never will (Fenced, Refused), runs twice, or
-// is reported in a wrong state. Random hand-offs, queries, acknowledgements and pauses on a ledger so small that its limits
-// are reached all the time; each reply is checked against what has run.
+// Guards against a hand-off that runs although the sender was assured that it never will (Fenced, Refused), runs
+// twice, or is reported in a wrong state. Random hand-offs, queries, acknowledgements and pauses on a ledger so small
+// that its limits are reached all the time; each reply is checked against what has run.
 func TestNeverSeenStaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Limits{Entries: 6, Bytes: 40, Sessions: 2, Keep: time.Second})
@@ -115,8 +115,8 @@
 	})
 }
 
-// Guards against a false assurance after a session was removed: its earlier numbers are Unknown, and not fenced, as they may
-// have run.
+// Guards against a false assurance after a session was removed: its earlier numbers are Unknown, and not fenced, as
+// they may have run.
 func TestForgottenSessionIsUnknown(t *testing.T) {
 	l := New(Limits{Sessions: 1, Keep: time.Second})
 	s := l.Attach(0, "a", 1)
--- a/internal/ledger/owed_test.go
+++ b/internal/ledger/owed_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Guards against a wrong count of unacknowledged hand-offs, by which a node decides at shutdown whether to wait: those that
-// have ended and whose sender is connected.
+// Guards against a wrong count of unacknowledged hand-offs, by which a node decides at shutdown whether to wait:
+// those that have ended and whose sender is connected.
 func TestOwed(t *testing.T) {
 	l := New(Limits{})
 	s := l.Attach(0, "near", 1)
@@ -17,10 +17,10 @@
 	}{
 		{"running", func() {}, 0},
 		{"the second has ended", func() { s.Finish(1, 2, Done, []byte("x")) }, 1},
-		{"the first is turned away", func() { s.Finish(1, 1, Refused, nil) }, 2},
+		{"the first is refused", func() { s.Finish(1, 1, Refused, nil) }, 2},
 		{"the first is acknowledged", func() { s.Ack(2) }, 1},
-		{"the near side has gone", func() { s.Detach(2) }, 0},
-		{"and is back", func() { l.Attach(3, "near", 3) }, 1},
+		{"the sender is disconnected", func() { s.Detach(2) }, 0},
+		{"the sender is back", func() { l.Attach(3, "near", 3) }, 1},
 		{"all is acknowledged", func() { s.Ack(4) }, 0},
 	}
 	for _, step := range steps {
--- a/internal/link/calls.go
+++ b/internal/link/calls.go
@@ -28,9 +28,8 @@
 type CallsOptions struct {
 	Keeper *Keeper
 	// Handle serves a call and returns its status and answer. The meaning of kind, status and the bytes is the
-	// application's. from is the node name in the caller's certificate. ctx ends when the caller cancels the call or its
-	// connection is lost.
-	// Without Handle (nil), Calls only makes calls and accepts no connections.
+	// application's. from is the node name in the caller's certificate. ctx ends when the caller cancels the call or
+	// its connection is lost. Without Handle (nil), Calls only makes calls and accepts no connections.
 	Handle func(ctx context.Context, from string, kind uint64, request []byte) (status uint64, answer []byte)
 	// OnPost receives each one-way message. It must not block: it holds up the later messages of the same sender.
 	Posted func(from string, kind uint64, message []byte)
@@ -82,7 +81,8 @@
 	return c, nil
 }
 
-// callConfig returns the QUIC settings of connections for calls: at most streams incoming streams each, and keep-alives.
+// callConfig returns the QUIC settings of connections for calls: at most streams incoming streams each, and
+// keep-alives.
 func callConfig(streams int64) *quic.Config {
 	q := quicConfig(streams)
 	q.KeepAlivePeriod = callAlive
@@ -182,8 +182,8 @@
 	return l
 }
 
-// connect returns the connection to a node at an address. If there is none, or it is lost, it dials. One caller at a time
-// dials an address; the others wait for it, until ctx ends.
+// connect returns the connection to a node at an address. If there is none, or it is lost, it dials. One caller at a
+// time dials an address; the others wait for it, until ctx ends.
 func (c *Calls) reach(ctx context.Context, name, addr string) (*quic.Conn, error) {
 	l := c.line(name, addr)
 	select {
@@ -231,8 +231,9 @@
 	return l.conn != nil && l.conn.Context().Err() == nil
 }
 
-// Call sends a request to a node and returns the status and answer that its handler gave. It returns when ctx ends; if
-// ctx has no deadline, the exchange takes exchangeTimeout at most. After an error the call may or may not have been handled.
+// Call sends a request to a node and returns the status and answer that its handler gave. It returns when ctx ends;
+// if ctx has no deadline, the exchange takes exchangeTimeout at most. After an error the call may or may not have
+// been handled.
 func (c *Calls) Call(ctx context.Context, name, addr string, kind uint64, request []byte) (status uint64, answer []byte, err error) {
 	conn, err := c.reach(ctx, name, addr)
 	if err != nil {
@@ -264,9 +265,9 @@
 
 var errPostLost = errors.New("message dropped: the queue is full")
 
-// Post queues a one-way message for a node; a goroutine that StartSender starts sends it. Post never blocks, and the message may
-// be lost. onSent, unless nil, is called once with the result: nil when the message was written to the stream, which is no
-// proof of its arrival; an error when the queue is full or the write fails.
+// Post queues a one-way message for a node; a goroutine that StartSender starts sends it. Post never blocks, and the
+// message may be lost. onSent, unless nil, is called once with the result: nil when the message was written to the
+// stream, which is no proof of its arrival; an error when the queue is full or the write fails.
 func (c *Calls) Post(name, addr string, kind uint64, message []byte, sent func(error)) {
 	select {
 	case c.line(name, addr).posts <- post{kind, message, sent}:
@@ -277,8 +278,8 @@
 	}
 }
 
-// StartSender starts a goroutine that sends the messages queued by Post to a node at an address, in order, until Close. All
-// messages share a stream; after a failed write the next message opens a new one.
+// StartSender starts a goroutine that sends the messages queued by Post to a node at an address, in order, until
+// Close. All messages share a stream; after a failed write the next message opens a new one.
 func (c *Calls) Keep(name, addr string) {
 	l := c.line(name, addr)
 	c.work.Go(func() {
--- a/internal/link/calls_test.go
+++ b/internal/link/calls_test.go
@@ -30,8 +30,8 @@
 	return strings.Join(n.got, " ")
 }
 
-// newCaller starts a node that has a certificate for name from the authority issuer, and trusts the roots of trusted. Its
-// handler answers with kind+1 and "sender:request"; for kind 9 it waits until the call ends.
+// newCaller starts a node that has a certificate for name from the authority issuer, and trusts the roots of trusted.
+// Its handler answers with kind+1 and "sender:request"; for kind 9 it waits until the call ends.
 func newCaller(t *testing.T, name string, by, believes *standin.Authority) *callNode {
 	t.Helper()
 	cert, _, _, err := by.Issue(name, time.Now().Add(time.Hour))
@@ -61,9 +61,9 @@
 	return n
 }
 
-// Guards against calls that reach the wrong node or come from a wrong one. A call, also one of 1 MiB, is answered by the
-// named node, which gets the caller's name from its certificate. Callers and callees whose certificate is by another
-// authority, or for a name outside the domain, get no answer.
+// Guards against calls that reach the wrong node or come from a wrong one. A call, also one of 1 MiB, is answered by
+// the named node, which gets the caller's name from its certificate. Callers and callees whose certificate is by
+// another authority, or for a name outside the domain, get no answer.
 func TestCalls(t *testing.T) {
 	a, err := standin.NewAuthority()
 	if err != nil {
@@ -85,13 +85,13 @@
 		from *callNode
 		to   string
 	}{
-		"another is there":    {n1, "n3." + callDomain},
-		"not of the domain":   {n1, "n2.elsewhere.example.org"},
-		"the domain itself":   {n1, callDomain},
-		"a stranger":          {newCaller(t, "n3."+callDomain, b, a), "n2." + callDomain},
-		"no member":           {newCaller(t, "n1.elsewhere.example.org", a, a), "n2." + callDomain},
-		"a member of another": {newCaller(t, "x.n1."+callDomain, a, a), "n2." + callDomain},
-		"one who trusts none": {newCaller(t, "n4."+callDomain, a, b), "n2." + callDomain},
+		"another node is at the address":           {n1, "n3." + callDomain},
+		"a callee outside the domain":              {n1, "n2.elsewhere.example.org"},
+		"a callee named as the domain":             {n1, callDomain},
+		"a caller of another authority":            {newCaller(t, "n3."+callDomain, b, a), "n2." + callDomain},
+		"a caller outside the domain":              {newCaller(t, "n1.elsewhere.example.org", a, a), "n2." + callDomain},
+		"a caller two labels below the domain":     {newCaller(t, "x.n1."+callDomain, a, a), "n2." + callDomain},
+		"a caller that trusts another authority":   {newCaller(t, "n4."+callDomain, a, b), "n2." + callDomain},
 	} {
 		short, cancel := context.WithTimeout(ctx, 3*time.Second)
 		if _, answer, err := c.from.Call(short, c.to, n2.addr, 4, nil); err == nil {
@@ -101,8 +101,9 @@
 	}
 }
 
-// Guards against calls that outlive their caller's deadline and against a sender that stays broken after an outage of the
-// path. Messages arrive in order, and arrive again after the path was cut; messages beyond the queue are reported as lost.
+// Guards against calls that outlive their caller's deadline and against a sender that stays broken after an outage of
+// the path. Messages arrive in order, and arrive again after the path was cut; messages beyond the queue are reported
+// as lost.
 func TestCallsCut(t *testing.T) {
 	a, err := standin.NewAuthority()
 	if err != nil {
@@ -157,8 +158,8 @@
 	}
 }
 
-// Guards against wrong traffic counters: both ends count the bytes of a call, only the calling side counts calls, by kind,
-// and the counters of a connection are kept after its end.
+// Guards against wrong traffic counters: both ends count the bytes of a call, only the calling side counts calls, by
+// kind, and the counters of a connection are kept after its end.
 func TestTraffic(t *testing.T) {
 	a, err := standin.NewAuthority()
 	if err != nil {
--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -26,7 +26,7 @@
 	silence      = time.Second            // a connection is closed when a beat has not been answered within this time
 	redialFirst  = 100 * time.Millisecond // before a path is dialed again; doubles up to maxRedialWait, with jitter
 	redialLast   = 2 * time.Second
-	answerMargin = 15 * time.Millisecond // taken off a request's time left, for the answer's way from this node to the client
+	answerMargin = 15 * time.Millisecond // taken off the time left, for the answer's way from here to the client
 	askWait      = 500 * time.Millisecond // longest time that the receiver holds a query about a running hand-off
 	askPause     = 20 * time.Millisecond  // before the next query, after one that failed or found the hand-off running
 )
@@ -87,8 +87,8 @@
 	closing bool          // the node at the other end drains, or its site has been removed here
 }
 
-// NewDialer starts to connect to all addresses of all peers. Sites that a later identity adds are not connected to; sites
-// that it removes get no new hand-offs. Close ends it.
+// NewDialer starts to connect to all addresses of all peers. Sites that a later identity adds are not connected to;
+// sites that it removes get no new hand-offs. Close ends it.
 func NewDialer(o DialerOptions) (*Dialer, error) {
 	if o.Most <= 0 {
 		o.Most = 256
@@ -257,7 +257,8 @@
 	}
 }
 
-// awaitInFlight gives the connection to a removed site no new hand-offs, and waits up to idleTimeout for those in flight.
+// awaitInFlight gives the connection to a removed site no new hand-offs, and waits up to idleTimeout for those in
+// flight.
 func (d *Dialer) letGo(s *session) error {
 	d.mu.Lock()
 	s.closing = true
@@ -316,9 +317,9 @@
 	sent   time.Time
 }
 
-// Offer chooses a site for a request that this site's servers refuse, as core.Remote says; ran means that an attempt here
-// may have run. It returns nil if no site takes the request. Otherwise the hand-off counts as in flight, and the caller
-// has to call Run.
+// Offer chooses a site for a request that this site's servers refuse, as core.Remote says; ran means that an attempt
+// here may have run. It returns nil if no site takes the request. Otherwise the hand-off counts as in flight, and the
+// caller has to call Run.
 func (d *Dialer) Offer(r *core.Request, effect decide.Effect, ran bool) core.HandOff {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -338,8 +339,8 @@
 	return h
 }
 
-// Run makes the hand-off and returns its answer, as core.HandOff says: answerMargin before the request's deadline at the
-// latest. If it is not known by then whether the request ran, the result is HandOffUncertain.
+// Run makes the hand-off and returns its answer, as core.HandOff says: answerMargin before the request's deadline at
+// the latest. If it is not known by then whether the request ran, the result is HandOffUncertain.
 func (h *handed) Run(ctx context.Context) (core.Answer, core.HandOffResult) {
 	h.sent = time.Now()
 	a, o := h.do(ctx)
@@ -443,8 +444,9 @@
 	return a, cross.Doubt
 }
 
-// resolve finds out what became of a hand-off whose stream broke. It queries the receiving process, over any path to it,
-// until the outcome is known or the deadline has passed. Another process has another ledger and knows nothing of it.
+// resolve finds out what became of a hand-off whose stream broke. It queries the receiving process, over any path to
+// it, until the outcome is known or the deadline has passed. Another process has another ledger and knows nothing of
+// it.
 func (h *handed) ask(ctx context.Context, deadline time.Time) (core.Answer, cross.Outcome) {
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		s, changed, hope := h.d.reach(h.site, h.epoch)
@@ -498,9 +500,9 @@
 	return state, a, err
 }
 
-// sessionTo returns a connection to the process of a site with that epoch. If there is none, changed is closed on the next
-// change of connections, and mayReturn tells whether to wait for it: it is false once every path of the site has reached
-// another process, as the process with that epoch has then ended and its ledger is lost.
+// sessionTo returns a connection to the process of a site with that epoch. If there is none, changed is closed on the
+// next change of connections, and mayReturn tells whether to wait for it: it is false once every path of the site has
+// reached another process, as the process with that epoch has then ended and its ledger is lost.
 func (d *Dialer) reach(site *farSite, epoch uint64) (s *session, changed chan struct{}, hope bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -1,7 +1,7 @@
-// Package link carries hand-offs between sites over QUIC with mutual TLS 1.3. A hand-off is a request that a node of one
-// site, the sender, passes to a node of another site, the receiver, to be served there. Each hand-off has a QUIC stream
-// of its own, so that none blocks another. After a broken connection the sender can't know whether the request arrived;
-// it queries the receiver's ledger (package ledger), the only record of what has run.
+// Package link carries hand-offs between sites over QUIC with mutual TLS 1.3. A hand-off is a request that a node of
+// one site, the sender, passes to a node of another site, the receiver, to be served there. Each hand-off has a QUIC
+// stream of its own, so that none blocks another. After a broken connection the sender can't know whether the request
+// arrived; it queries the receiver's ledger (package ledger), the only record of what has run.
 //
 // A frame is a type, a length and a payload. The type, the length and the integer fields at the start of a payload are
 // variable-length integers of RFC 9000, section 16. The length is that of the payload in bytes. The sender dials; the
@@ -10,9 +10,9 @@
 //	sender: HELLO version epoch next          receiver: WELCOME version epoch
 //	sender: BEAT seq ack                      receiver: CREDIT seq requests closing
 //
-// An epoch identifies a process. next is the number of the sender's next hand-off; ack says that the sender needs nothing
-// more about the hand-offs with lower numbers. requests is how many hand-offs the sender may have in flight at once;
-// closing is 1 once the receiver drains.
+// An epoch identifies a process. next is the number of the sender's next hand-off; ack says that the sender needs
+// nothing more about the hand-offs with lower numbers. requests is how many hand-offs the sender may have in flight
+// at once; closing is 1 once the receiver drains.
 //
 // Each further stream is opened by the sender for one exchange. left_us (time left for the answer) and wait_us (longest
 // wait for the end of a running hand-off) are in microseconds; state is a ledger.State:
@@ -73,9 +73,9 @@
 	return append(b, rest...)
 }
 
-// readFrame reads one frame. Its type must be one of types, and its payload at most limit bytes long. It returns the type,
-// the given number of integer fields from the start of the payload, and the rest of the payload. A frame that violates
-// the protocol gives an error that wraps errFrame.
+// readFrame reads one frame. Its type must be one of types, and its payload at most limit bytes long. It returns the
+// type, the given number of integer fields from the start of the payload, and the rest of the payload. A frame that
+// violates the protocol gives an error that wraps errFrame.
 func readFrame(r *bufio.Reader, limit int, fields int, types ...uint64) (typ uint64, values []uint64, rest []byte, err error) {
 	if typ, err = quicvarint.Read(r); err != nil {
 		return 0, nil, nil, err
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -43,8 +43,8 @@
 	serverDone chan error
 }
 
-// blockHandler has the receiving site handle one request. started is closed when it begins; it ends once the test closes
-// release.
+// blockHandler has the receiving site handle one request. started is closed when it begins; it ends once the test
+// closes release.
 func (s *sites) stall() (began, let chan struct{}) {
 	began, let = make(chan struct{}), make(chan struct{})
 	s.answer(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
@@ -122,8 +122,8 @@
 	<-s.serverDone
 }
 
-// schedulingMargin is how late a goroutine of a test may run on a busy machine. The strict check of clients' deadlines is
-// in rig gateway, by the clients' clocks.
+// schedulingMargin is how late a goroutine of a test may run on a busy machine. The strict check of clients'
+// deadlines is in rig gateway, by the clients' clocks.
 const noise = 500 * time.Millisecond
 
 // request returns a request that has to be answered within left.
@@ -151,8 +151,8 @@
 	return len(s.dialer.open) == 0 && s.dialer.settled == s.dialer.next
 }
 
-// Guards against hand-offs that change on the way: method, path, headers, body and time left arrive at the receiver, and
-// the answer with its header comes back.
+// Guards against hand-offs that change on the way: method, path, headers, body and time left arrive at the receiver,
+// and the answer with its header comes back.
 func TestHandoff(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -180,8 +180,8 @@
 	}
 }
 
-// Guards against a lost answer or a second run when the link is cut while the receiver handles a hand-off. Once the link
-// is back, the sender queries for the answer.
+// Guards against a lost answer or a second run when the link is cut while the receiver handles a hand-off. Once the
+// link is back, the sender queries for the answer.
 func TestAnswerAfterSilence(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -204,7 +204,8 @@
 }
 
 // Guards against answers lost at a shutdown. The last answers were written but dropped with the connection when their
-// datagrams had to be sent again, and the clients waited until their deadlines. Drain has to wait for the acknowledgement.
+// datagrams had to be sent again, and the clients waited until their deadlines. Drain has to wait for the
+// acknowledgement.
 func TestDrainDeliversAnswers(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -259,8 +260,8 @@
 	<-crossing
 }
 
-// Guards against a needless uncertain result: a hand-off that never arrived is fenced by the sender's query, so the result
-// is that it has not run.
+// Guards against a needless uncertain result: a hand-off that never arrived is fenced by the sender's query, so the
+// result is that it has not run.
 func TestNeverArrived(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -273,8 +274,8 @@
 	}
 }
 
-// Guards against a wrong or late result when the link is cut for good while the hand-off runs: the result is uncertain, by
-// the client's deadline, and is not reported as a refusal.
+// Guards against a wrong or late result when the link is cut for good while the hand-off runs: the result is
+// uncertain, by the client's deadline, and is not reported as a refusal.
 func TestCutForGood(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -292,8 +293,8 @@
 	<-began
 }
 
-// Guards against a wait until the deadline when the receiver crashes and restarts with an empty ledger. What became of the
-// hand-off can't be known any more, so the result is uncertain, as soon as the new process has been reached.
+// Guards against a wait until the deadline when the receiver crashes and restarts with an empty ledger. What became
+// of the hand-off can't be known any more, so the result is uncertain, as soon as the new process has been reached.
 func TestFarNodeRestarts(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -321,9 +322,9 @@
 	}
 }
 
-// Guards against hand-offs that run twice, run after the sender was assured that they never will, or end after the client's
-// deadline. The link is cut at each stage of a hand-off, whose request and answer take many datagrams, in one or both
-// directions, and is restored in time or not.
+// Guards against hand-offs that run twice, run after the sender was assured that they never will, or end after the
+// client's deadline. The link is cut at each stage of a hand-off, whose request and answer take many datagrams, in
+// one or both directions, and is restored in time or not.
 func TestCutAtEveryMoment(t *testing.T) {
 	t.Parallel()
 	answer := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 100<<10, strings.Repeat("x", 100<<10)))
@@ -439,7 +440,8 @@
 			t.Errorf("%s: got error %v, want a stream error", name, err)
 		}
 	}
-	// It queries a number that another sender has used. It learns nothing about that hand-off, and fences only its own number.
+	// It queries a number that another sender has used. It learns nothing about that hand-off, and fences only its
+	// own number.
 	st := send(c, appendFrame(nil, typeAsk, []uint64{1, 0}, nil))
 	_, f, text, err := readFrame(bufio.NewReader(st), answerLimit, 2, typeAnswer)
 	if err != nil || ledger.State(f[1]) != ledger.Fenced || len(text) > 0 {
@@ -477,8 +479,8 @@
 	}
 }
 
-// Guards against hand-offs lost when a site is removed from the configuration: the one in flight is answered, and no new
-// one is offered to the site.
+// Guards against hand-offs lost when a site is removed from the configuration: the one in flight is answered, and no
+// new one is offered to the site.
 func TestRemovedWithOneOut(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -546,9 +548,9 @@
 	}
 }
 
-// Guards against a certificate rotation that breaks running hand-offs or leaves old certificates accepted. Authority and
-// certificates are replaced during a hand-off: it is answered, and new connections need the new certificate. A site that
-// is removed afterwards is disconnected.
+// Guards against a certificate rotation that breaks running hand-offs or leaves old certificates accepted. Authority
+// and certificates are replaced during a hand-off: it is answered, and new connections need the new certificate. A
+// site that is removed afterwards is disconnected.
 func TestReplacedIdentity(t *testing.T) {
 	t.Parallel()
 	s := newSites(t)
@@ -594,7 +596,8 @@
 	}
 }
 
-// Guards against connections with a certificate that has expired, is for another name, or is by another site's authority.
+// Guards against connections with a certificate that has expired, is for another name, or is by another site's
+// authority.
 func TestCertificates(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(s *sites) (id Identity){
@@ -613,7 +616,7 @@
 			id.Certificate, _, _, _ = s.b.Issue("hall-a.example.org", time.Now().Add(time.Hour))
 			return id
 		},
-		"the far side by another authority": func(s *sites) Identity {
+		"the receiver by another authority": func(s *sites) Identity {
 			id := *s.near.Get()
 			id.Peers = []Peer{{Name: "hall-b.example.org", Roots: s.a.Roots(), Addresses: id.Peers[0].Addresses}}
 			return id
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -23,8 +23,8 @@
 	streamWait    = 2 * time.Second   // for the first frame of an exchange to arrive whole, and for writing its answer
 	beatEvery     = 100 * time.Millisecond
 	drainLook     = 10 * time.Millisecond
-	ackWait       = time.Second       // after the last hand-off of a drain, for senders to acknowledge the answers in BEATs
-	ackSlack      = beatEvery         // the same after the end of the drain time, as an answer may be written at its very end
+	ackWait       = time.Second       // after the last hand-off of a drain, for BEATs to acknowledge the answers
+	ackSlack      = beatEvery         // the same after the drain time is over: an answer may come at its end
 	askSlack      = 16                // streams per connection for queries, in addition to those for hand-offs
 	mostConns     = 64                // connections from nodes of other sites
 	streamWindow  = 256 << 10         // bytes in flight on one stream
@@ -38,13 +38,13 @@
 	epochBits     = uint64(1)<<62 - 1 // a variable-length integer has 62 bits
 )
 
-// Handler serves an accepted hand-off: an HTTP/1.1 request from the named site, to be answered within left. ctx ends after
-// left, when the client has disconnected, or on Close. It returns the final state for the ledger (Done, Refused or
-// Failed) and, if Done, the HTTP/1.1 response.
+// Handler serves an accepted hand-off: an HTTP/1.1 request from the named site, to be answered within left. ctx ends
+// after left, when the client has disconnected, or on Close. It returns the final state for the ledger (Done, Refused
+// or Failed) and, if Done, the HTTP/1.1 response.
 type Handle func(ctx context.Context, site string, request []byte, left time.Duration) (ledger.State, []byte)
 
-// ServerOptions configures a Server. Headroom returns how many more hand-offs this site's servers can take now, in total
-// over all senders; it has to be safe for concurrent use.
+// ServerOptions configures a Server. Headroom returns how many more hand-offs this site's servers can take now, in
+// total over all senders; it has to be safe for concurrent use.
 type ServerOptions struct {
 	Keeper   *Keeper
 	Ledger   ledger.Limits
@@ -165,8 +165,8 @@
 	s.tr.Conn.Close()
 }
 
-// Size returns the number of entries in the ledger, the bytes of kept answers, the number of sessions, and the number of
-// running hand-offs.
+// Size returns the number of entries in the ledger, the bytes of kept answers, the number of sessions, and the number
+// of running hand-offs.
 func (s *Server) Size() (entries, bytes, sessions, running int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,7 +267,7 @@
 	session.Ack(ack)
 	spare = min(spare, s.o.Handoffs-s.running)
 	callers := max(1, len(s.callers))
-	return session.Running() + (spare+callers-1)/callers // rounded up, so that a headroom below the number of senders still gives each of them one
+	return session.Running() + (spare+callers-1)/callers // rounded up: little headroom still gives each one
 }
 
 // serveStream serves one exchange: a hand-off or a query.
@@ -295,7 +295,8 @@
 	return time.Duration(min(v, uint64(longestLeft/time.Microsecond))) * time.Microsecond
 }
 
-// serveHandOff enters a hand-off into the ledger, runs it if the ledger accepts it, and writes the answer to the stream.
+// serveHandOff enters a hand-off into the ledger, runs it if the ledger accepts it, and writes the answer to the
+// stream.
 func (s *Server) handoff(site string, session *ledger.Session, st *quic.Stream, number, ack uint64, left time.Duration, request []byte) {
 	id, done := handoff{session, number}, make(chan struct{})
 	s.mu.Lock()
@@ -312,8 +313,8 @@
 		s.reply(st, number, state, nil)
 		return
 	}
-	// The hand-off continues if the connection breaks, as the sender will query for its outcome. It ends early only if the
-	// sender cancels the stream because its client has disconnected.
+	// The hand-off continues if the connection breaks, as the sender will query for its outcome. It ends early only
+	// if the sender cancels the stream because its client has disconnected.
 	ctx, cancel := context.WithTimeout(s.ctx, left)
 	defer cancel()
 	stop := context.AfterFunc(st.Context(), func() {
--- a/internal/link/tls.go
+++ b/internal/link/tls.go
@@ -20,8 +20,8 @@
 	Addresses []string       // of its nodes, as IP:port
 }
 
-// Identity is the certificate that this node presents, and the peers whose certificates it accepts. It is not changed once
-// it is in use; IdentityStore.Set replaces it as a whole.
+// Identity is the certificate that this node presents, and the peers whose certificates it accepts. It is not changed
+// once it is in use; IdentityStore.Set replaces it as a whole.
 type Identity struct {
 	Site        string
 	Certificate tls.Certificate
@@ -64,8 +64,8 @@
 	return ok && label != "" && label != "*" && domain == p.Name
 }
 
-// certificateName returns the name for which a certificate has to be valid if it is one of this peer: the peer's own name
-// or, in a domain, the first name in the certificate that is below the domain.
+// certificateName returns the name for which a certificate has to be valid if it is one of this peer: the peer's own
+// name or, in a domain, the first name in the certificate that is below the domain.
 func (p *Peer) name(leaf *x509.Certificate) string {
 	if p.Members {
 		for _, n := range leaf.DNSNames {
@@ -120,8 +120,9 @@
 		}}
 }
 
-// clientTLS returns the settings for connecting to a site or node. InsecureSkipVerify is set because the verification of
-// crypto/tls would use the roots of the time of this call; VerifyConnection verifies in full with the current roots.
+// clientTLS returns the settings for connecting to a site or node. InsecureSkipVerify is set because the verification
+// of crypto/tls would use the roots of the time of this call; VerifyConnection verifies in full with the current
+// roots.
 func (k *Keeper) clientTLS(site string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{protocol}, ServerName: site, InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.Get().Certificate, nil },
--- a/internal/link/traffic.go
+++ b/internal/link/traffic.go
@@ -8,8 +8,8 @@
 	"github.com/quic-go/quic-go"
 )
 
-// Traffic counts what the connections of a node to the other nodes of its fleet have carried since its start. Bytes are UDP
-// payloads, without IP and UDP headers.
+// Traffic counts what the connections of a node to the other nodes of its fleet have carried since its start. Bytes
+// are UDP payloads, without IP and UDP headers.
 type Traffic struct {
 	DatagramsOut uint64 `json:"datagrams_out"`
 	DatagramsIn  uint64 `json:"datagrams_in"`
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -1,6 +1,6 @@
-// Package recorder records the requests that arrive at a node, and how they end, in trace files (package trace). Writing is
-// asynchronous: no request waits for the disk or fails because of it. What does not fit in the queue, or can't be written,
-// is lost and counted.
+// Package recorder records the requests that arrive at a node, and how they end, in trace files (package trace).
+// Writing is asynchronous: no request waits for the disk or fails because of it. What does not fit in the queue, or
+// can't be written, is lost and counted.
 package recorder
 
 import (
@@ -28,7 +28,7 @@
 	Path      string  // of the current trace; the older ones have .1, .2, ... appended, .1 being the newest
 	FileBytes int64   // size at which a trace is closed and a new one begun
 	Files     int     // number of files that are kept, with the current one
-	Sample    float64 // share of the orders that is recorded, over 0 to 1; chosen by a hash, so that an order is recorded with all its tries or not at all
+	Sample    float64 // share of the orders that is recorded, by hash: with all tries or not at all
 	PerSecond float64 // limit of tries recorded per second; more are lost, and counted
 	Key       []byte  // key of the hashes; nodes with the same key write the same hashes for a tenant and an order
 }
@@ -52,7 +52,7 @@
 	leastKey              = 16
 	queue                 = 4096 // tries that wait to be written
 	flushEvery            = time.Second
-	retryAfter            = 5 * time.Second // after a failed write, until a new file is tried; and between log lines about losses
+	retryAfter            = 5 * time.Second // after a failed write; and between log lines about losses
 )
 
 // Load reads and validates a record file. An error in the file is reported as one line with file, line and key.
@@ -105,7 +105,8 @@
 	}
 }
 
-// Try is one finished request of a client, from which a trace.Record is made. Tenant and Order are recorded only as hashes.
+// Try is one finished request of a client, from which a trace.Record is made. Tenant and Order are recorded only as
+// hashes.
 type Try struct {
 	Began         time.Time
 	Class         string
@@ -137,7 +138,8 @@
 		tries: make(chan trace.Record, queue), create: func(path string) (io.WriteCloser, error) { return os.Create(path) }}
 }
 
-// Record queues a try, if its order is sampled. It never blocks: over the rate limit, or with a full queue, the try is lost.
+// Record queues a try, if its order is sampled. It never blocks: over the rate limit, or with a full queue, the try
+// is lost.
 func (r *Recorder) Take(t *Try) {
 	if r == nil {
 		return
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -51,8 +51,8 @@
 	return records
 }
 
-// Guards against lost tries, and against names of tenants in the file. The tries of an order have the same hash, which depends
-// on the key.
+// Guards against lost tries, and against names of tenants in the file. The tries of an order have the same hash,
+// which depends on the key.
 func TestRecords(t *testing.T) {
 	c := config(t)
 	r := New(c, slog.New(slog.DiscardHandler))
@@ -82,8 +82,8 @@
 	(*Recorder)(nil).Take(try(0))
 }
 
-// Guards against orders that are recorded with only some of their tries when sampled, and against more tries per second than
-// the limit, or lost ones that are not counted.
+// Guards against orders that are recorded with only some of their tries when sampled, and against more tries per
+// second than the limit, or lost ones that are not counted.
 func TestSampledByOrder(t *testing.T) {
 	c := config(t)
 	c.Sample = 0.25
@@ -150,11 +150,11 @@
 func (badDisk) Write([]byte) (int, error) { return 0, errors.New("no space left on device") }
 func (badDisk) Close() error              { return nil }
 
-// Guards against requests that are blocked by a full disk, by a file that can't be created or by a recorder that does not
-// run: the tries are lost, and counted.
+// Guards against requests that are blocked by a full disk, by a file that can't be created or by a recorder that does
+// not run: the tries are lost, and counted.
 func TestFullDiskHoldsUpNobody(t *testing.T) {
 	for name, create := range map[string]func(string) (io.WriteCloser, error){
-		"no room": func(string) (io.WriteCloser, error) { return badDisk{}, nil },
+		"full disk": func(string) (io.WriteCloser, error) { return badDisk{}, nil },
 		"no file": func(string) (io.WriteCloser, error) { return nil, errors.New("read-only file system") },
 	} {
 		r := New(config(t), slog.New(slog.DiscardHandler))
--- a/internal/trace/synth.go
+++ b/internal/trace/synth.go
@@ -15,7 +15,8 @@
 	Steady Shape = "steady"
 	// Bursts: one second in ten has four times the rate of the others.
 	Bursts Shape = "bursts"
-	// Daily: the curve of one day over the length of the trace, which rises from a fifth of the peak rate and falls back.
+	// Daily: the curve of one day over the length of the trace, which rises from a fifth of the peak rate and falls
+	// back.
 	Daily Shape = "daily"
 	// Flash: five times the rate during the middle fifth, with a rise and a fall of one second each.
 	Flash Shape = "flash"
@@ -59,15 +60,16 @@
 	Rate    float64 // mean number of orders a second
 	Shape   Shape
 	Classes []SynthClass
-	// OrdersPerSession, if over 0, is the mean number of orders in a session. A session is a series of orders of one tenant,
-	// with a mean pause of ThinkTime between them. The mean rate of orders stays the same; they come in clusters.
+	// OrdersPerSession, if over 0, is the mean number of orders in a session. A session is a series of orders of one
+	// tenant, with a mean pause of ThinkTime between them. The mean rate of orders stays the same; they come in
+	// clusters.
 	Sessions float64
 	Think    time.Duration
 	Seed     uint64
 }
 
-// Generate calls each with the records of a trace, ordered by time, until it returns an error. All records are first tries
-// with an unknown outcome: the model that replays the trace computes what becomes of them.
+// Generate calls each with the records of a trace, ordered by time, until it returns an error. All records are first
+// tries with an unknown outcome: the model that replays the trace computes what becomes of them.
 func (s *Synth) Generate(each func(*Record) error) error {
 	share := 0.0
 	for _, c := range s.Classes {
--- a/internal/trace/synth_test.go
+++ b/internal/trace/synth_test.go
@@ -16,8 +16,8 @@
 	return records
 }
 
-// Guards against generated traces that differ from their description: the rate, the order of times, the classes' shares and
-// work, the density in the middle for the shapes steady and flash, and the orders per session.
+// Guards against generated traces that differ from their description: the rate, the order of times, the classes'
+// shares and work, the density in the middle for the shapes steady and flash, and the orders per session.
 func TestShapes(t *testing.T) {
 	const length, rate = 100 * time.Second, 200.0
 	for _, shape := range Shapes {
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -1,10 +1,10 @@
-// Package trace reads, writes and generates recorded traffic: which requests arrived at a node and how they ended, without
-// the data of any client.
+// Package trace reads, writes and generates recorded traffic: which requests arrived at a node and how they ended,
+// without the data of any client.
 //
-// A file starts with the eight bytes of fileMagic; blocks follow. A block is the length in bytes of its compressed data as a
-// varint, the xxHash64 of that data in eight bytes, little endian, and the data, compressed with Zstandard. The data holds
-// records; each is its length as a varint and a protobuf message (fields below). Blocks are independent: if one is damaged,
-// the others can still be read.
+// A file starts with the eight bytes of fileMagic; blocks follow. A block is the length in bytes of its compressed
+// data as a varint, the xxHash64 of that data in eight bytes, little endian, and the data, compressed with Zstandard.
+// The data holds records; each is its length as a varint and a protobuf message (fields below). Blocks are
+// independent: if one is damaged, the others can still be read.
 package trace
 
 import (
@@ -47,19 +47,19 @@
 	return fmt.Sprint("outcome ", uint64(o))
 }
 
-// Record is one try of an order. An order is one thing that a client wants done; it takes further tries (requests) if the
-// first ones are refused or fail. Durations are recorded in whole microseconds.
+// Record is one try of an order. An order is one thing that a client wants done; it takes further tries (requests) if
+// the first ones are refused or fail. Durations are recorded in whole microseconds.
 type Record struct {
 	At       time.Duration `json:"at_ns"`       // arrival, since the start of the trace
 	Class    string        `json:"class"`       // name of the request class
 	Tenant   uint64        `json:"tenant"`      // keyed hash of the tenant; 0: none
-	Order    uint64        `json:"order"`       // keyed hash of what the tries of one order have in common, such as an idempotency key
+	Order    uint64        `json:"order"`       // keyed hash of what the tries of an order share, such as a key
 	Size     int           `json:"size"`        // bytes of the request body
 	Answer   int           `json:"answer"`      // bytes of the response body
 	Repeat   bool          `json:"repeat"`      // the client marks it as a further try
 	Outcome  Outcome       `json:"outcome"`     // how it ended
 	Took     time.Duration `json:"took_ns"`     // from arrival to the final answer, at the node
-	Work     time.Duration `json:"work_ns"`     // of the attempt that served it, at the server and on the network; 0: no attempt did
+	Work     time.Duration `json:"work_ns"`     // of the attempt that served it, with the network; 0: none did
 	Patience time.Duration `json:"patience_ns"` // how long the client waits for this try
 }
 
@@ -203,8 +203,8 @@
 	return &Writer{to: to, zip: zip}, nil
 }
 
-// Write adds a record. Records should come roughly in the order of At. When a block is full, it is written; an error means
-// that this block is lost. The writer can still be used, and tries to write the next block.
+// Write adds a record. Records should come roughly in the order of At. When a block is full, it is written; an error
+// means that this block is lost. The writer can still be used, and tries to write the next block.
 func (w *Writer) Write(r *Record) error {
 	w.one = r.append(w.one[:0])
 	w.raw = protowire.AppendBytes(w.raw, w.one)
@@ -259,8 +259,9 @@
 	return fmt.Sprintf("%d damaged blocks, the first at byte %d: %s", d.Blocks, d.From, d.What)
 }
 
-// Read calls each with every record of all undamaged blocks, in order, until it returns an error. Read returns that error, an
-// error if the file is no trace or of another version, or, after all readable records, a *Damage if blocks were skipped.
+// Read calls each with every record of all undamaged blocks, in order, until it returns an error. Read returns that
+// error, an error if the file is no trace or of another version, or, after all readable records, a *Damage if blocks
+// were skipped.
 func Read(from io.Reader, each func(*Record) error) error {
 	in := bufio.NewReader(from)
 	var head [len(magic)]byte
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -58,8 +58,8 @@
 	return records
 }
 
-// Guards against the loss of more than the damaged part: a damaged block costs only itself, a truncated file only its last
-// block, and the error is one line. Files that are no trace, or of another version, are rejected.
+// Guards against the loss of more than the damaged part: a damaged block costs only itself, a truncated file only its
+// last block, and the error is one line. Files that are no trace, or of another version, are rejected.
 func TestDamage(t *testing.T) {
 	records := many(20_000)
 	good := written(t, records)
@@ -97,7 +97,8 @@
 	return d.Buffer.Write(p)
 }
 
-// Guards against a trace that is broken for good by a disk that is full for a while: only the blocks of that time are lost.
+// Guards against a trace that is broken for good by a disk that is full for a while: only the blocks of that time are
+// lost.
 func TestFullDisk(t *testing.T) {
 	d := &fullDisk{from: 2, to: 5}
 	w, err := NewWriter(d)
--- a/internal/wholefile/lock.go
+++ b/internal/wholefile/lock.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// Lock takes an exclusive flock(2) lock on a file, which it creates if there is none. While another process has the lock, it
-// calls onWait and tries again after pollInterval, until ctx ends. The lock is held until the returned file is closed or the
-// process ends.
+// Lock takes an exclusive flock(2) lock on a file, which it creates if there is none. While another process has the
+// lock, it calls onWait and tries again after pollInterval, until ctx ends. The lock is held until the returned file
+// is closed or the process ends.
 func Lock(ctx context.Context, path string, every time.Duration, waits func()) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/wholefile/wholefile.go
+++ b/internal/wholefile/wholefile.go
@@ -1,5 +1,5 @@
-// Package wholefile replaces small files atomically: a reader finds the old or the new contents, also after a crash. Once a
-// call has returned, the new contents are on disk.
+// Package wholefile replaces small files atomically: a reader finds the old or the new contents, also after a crash.
+// Once a call has returned, the new contents are on disk.
 package wholefile
 
 import (
@@ -18,8 +18,8 @@
 	return Write(path, raw)
 }
 
-// Write replaces a file with bytes, readable by its owner only. It writes path.new first, so calls for the same path must not
-// run at the same time.
+// Write replaces a file with bytes, readable by its owner only. It writes path.new first, so calls for the same path
+// must not run at the same time.
 func Write(path string, raw []byte) error {
 	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -40,7 +40,8 @@
 	return dir.Sync()
 }
 
-// ReadJSON reads what WriteJSON wrote into a value. If the file does not exist, the value is left as it is, without an error.
+// ReadJSON reads what WriteJSON wrote into a value. If the file does not exist, the value is left as it is, without
+// an error.
 func ReadJSON(path string, into any) error {
 	raw, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -14,7 +14,8 @@
 	Actions []decide.Action
 }
 
-// AppendReply appends the JSON line that answers a batch to b, with its newline. Instances without actions are left out.
+// AppendReply appends the JSON line that answers a batch to b, with its newline. Instances without actions are left
+// out.
 func AppendReply(b []byte, replies []Reply) []byte {
 	b = append(b, `{"groups":[`...)
 	first := true
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire translates between the simulator's JSON lines and the types of the decision module (package decide). It
-// contains no decisions. Times on the wire are in nanoseconds, from the start of the simulation where they are absolute.
+// Package wire translates between the simulator's JSON lines and the types of the decision module (package decide).
+// It contains no decisions. Times on the wire are in nanoseconds, from the start of the simulation where they are
+// absolute.
 package wire
 
 import (
@@ -44,8 +45,8 @@
 	Seed     int64
 }
 
-// InstanceEvent is one event for an instance. Exactly one of its fields is set: Start when the instance starts, Retire when
-// it ends, otherwise Event, for the decision module.
+// InstanceEvent is one event for an instance. Exactly one of its fields is set: Start when the instance starts,
+// Retire when it ends, otherwise Event, for the decision module.
 type Happening struct {
 	Start  *Start
 	Retire bool
@@ -238,8 +239,8 @@
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
-// decodeReport decodes a server's load report. Unknown keys and values that are no numbers are skipped; without any known
-// key the result is nil.
+// decodeReport decodes a server's load report. Unknown keys and values that are no numbers are skipped; without any
+// known key the result is nil.
 func decodeReport(values map[string]json.RawMessage) *decide.Report {
 	var r decide.Report
 	known := false
@@ -256,8 +257,8 @@
 	return &r
 }
 
-// SetReport sets one value of a load report, by its name in the simulator (first of each pair) or in the servers' load header
-// (second). It reports whether the name is known.
+// SetReport sets one value of a load report, by its name in the simulator (first of each pair) or in the servers'
+// load header (second). It reports whether the name is known.
 func SetReport(r *decide.Report, name string, v float64) bool {
 	switch name {
 	case "active", "inflight":
@@ -323,8 +324,8 @@
 	"none": decide.ReportNone, "probe": decide.ReportProbe, "answers": decide.ReportAnswers,
 }
 
-// decodeStart decodes an up event. A seed that is no unsigned 64-bit integer is taken as a float64, and its bits are the
-// seed.
+// decodeStart decodes an up event. A seed that is no unsigned 64-bit integer is taken as a float64, and its bits are
+// the seed.
 func decodeStart(raw json.RawMessage) (Happening, error) {
 	var e struct {
 		Seed    *json.Number    `json:"seed"`
@@ -354,8 +355,8 @@
 	return Happening{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
 }
 
-// DecodeSettings decodes the settings of the decision module from the profile_data object of an up event. A real node has
-// the same object in its configuration.
+// DecodeSettings decodes the settings of the decision module from the profile_data object of an up event. A real node
+// has the same object in its configuration.
 func DecodeSettings(raw json.RawMessage) (decide.Settings, error) {
 	var p *struct {
 		Accounts []struct {
