--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -12,7 +12,8 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// CheckBudgets tells what is wrong with budgets: the index of the first bad one, its field and the reason.
+// CheckBudgets validates budgets. It returns the index and the field of the first invalid one and the reason, or -1, an empty
+// field and nil.
 func CheckBudgets(list []*fleetpb.Budget) (index int, field string, err error) {
 	if len(list) > mostBudgets {
 		return mostBudgets, "name", fmt.Errorf("%d budgets, %d at most", len(list), mostBudgets)
@@ -48,24 +49,24 @@
 	return done(m.next())
 }
 
-// member is a server or a node as budgets see it.
+// budgetMember is a server or a node that a budget counts.
 type member struct {
 	name   string
 	weight float64
-	out    string // why; empty: it is in
+	out    string // why it is out of service; empty if it is in service
 }
 
-// Group is one group of a budget, with what is out of it.
+// Group is one group of a budget, with its members that are out of service.
 type Group struct {
 	Budget  *fleetpb.Budget
 	Name    string // "fleet", or the zone, kind or cell
 	Members int
-	Out     []string // "s-1 (drained)", in the order of names
-	Weight  float64
-	Left    float64 // of the weight
+	Out     []string // members out of service with the reason, "s-1 (drained)", sorted by name
+	Weight  float64  // of all members
+	Left    float64  // weight of the members in service
 }
 
-// why a server is out, for whatever reason; empty: it is in.
+// serverOutReason returns why a server is out of service, be it drained or not; empty if it is in service.
 func (m *Machine) outWhy(id string) string {
 	s := m.s.Servers[id]
 	switch {
@@ -83,7 +84,7 @@
 	return ""
 }
 
-// nodeWhy a node is out; empty: it is in.
+// nodeOutReason returns why a node is out of service; empty if it is in service.
 func (m *Machine) nodeWhy(name string) string {
 	n := m.s.Nodes[name]
 	switch {
@@ -97,7 +98,7 @@
 	return ""
 }
 
-// heldBy is the hold that keeps a member in; nil: none.
+// holdOn returns the hold that keeps a server or a node in service, or nil.
 func (m *Machine) heldBy(on, name string) *fleetpb.Hold {
 	targets := []string{Everything, NodeTarget(name)}
 	if on == "servers" {
@@ -123,7 +124,8 @@
 	return "fleet"
 }
 
-// groups gives the members of each group of a budget. Those in also are counted as out, for the reason there.
+// groups returns the members of each group of a budget by the group's name. Members in assumedOut count as out of service,
+// with the reason given there.
 func (m *Machine) groups(b *fleetpb.Budget, also map[string]string) map[string][]member {
 	g := map[string][]member{}
 	add := func(group string, n member) {
@@ -168,7 +170,7 @@
 	return g
 }
 
-// Groups gives all groups of all budgets, in the order of budgets and names.
+// Groups returns the groups of all budgets, in the order of the budgets and then of the groups' names.
 func (m *Machine) Groups() (all []Group) {
 	for _, b := range m.s.Budgets {
 		g := m.groups(b, nil)
@@ -179,7 +181,7 @@
 	return all
 }
 
-// Over tells by which bound more is out of a group than may be; empty: none.
+// Exceeded describes the limit of the budget that the group exceeds; empty if it exceeds none.
 func (g Group) Over() string {
 	b, n := g.Budget, len(g.Out)
 	switch {
@@ -193,9 +195,9 @@
 	return ""
 }
 
-// mayGo tells why a target may not be taken out now, with the name of the hold or the budget and its figures; empty: it may. Targets that
-// others wait for count as out where they share a group with it, so that nobody who comes later goes before them. What is out anyway
-// costs nothing.
+// denialReason returns why a target may not be taken out of service now, with the name of the hold or the budget and its
+// numbers; empty if it may. The targets in ahead, for which earlier drains wait in the queue, count as out in the groups that
+// they share with the target, so that a later drain does not overtake them. Members that are out already use no budget.
 func (m *Machine) mayGo(target string, ahead []string) string {
 	on, names, err := m.members(target)
 	if err != nil {
@@ -239,12 +241,12 @@
 	return ""
 }
 
-// Explain tells, without doing it, what would become of a drain now.
+// Explain returns the result that a drain would have now, and does not change the state.
 func (m *Machine) Explain(d *fleetpb.Drain) *fleetpb.Result {
 	return m.try(func(trial *Machine) *fleetpb.Result { return trial.drain(proto.CloneOf(d), "") })
 }
 
-// try does something to a copy.
+// dryRun runs a function on a copy of the machine.
 func (m *Machine) try(do func(*Machine) *fleetpb.Result) *fleetpb.Result {
 	raw, err := m.Snapshot()
 	if err != nil {
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -10,7 +10,7 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// NeededLevel is the level of an entry's own rules: it may not be appended where some member understands less.
+// RequiredLevel returns the level that an entry needs: it must not be appended while a member understands only lower ones.
 func NeededLevel(e *fleetpb.Entry) uint32 {
 	switch e.GetWhat().(type) {
 	case *fleetpb.Entry_Configure, *fleetpb.Entry_RollBack:
@@ -19,15 +19,15 @@
 	return levelFirst
 }
 
-// Configuration gives the fleet's configuration, which is not to be changed.
+// Configuration returns the fleet's configuration. The caller must not modify it.
 func (m *Machine) Configuration() *configuration.Store { return m.configuration }
 
-// WasAnswered tells whether the answer to an ask of that number is known.
+// HasResult reports whether the result of the request with that ID is kept.
 func (m *Machine) WasAnswered(ask string) bool {
 	return ask != "" && slices.ContainsFunc(m.s.Answered, func(a *fleetpb.Answered) bool { return a.Ask == ask })
 }
 
-// Sessions gives the epochs of the live sessions, by node.
+// Sessions returns the epochs of the live sessions by node name.
 func (m *Machine) Sessions() map[string]uint64 {
 	sessions := make(map[string]uint64, len(m.s.Nodes))
 	for name, n := range m.s.Nodes {
@@ -38,12 +38,13 @@
 	return sessions
 }
 
-// Overview gives the state without the configuration, for operators.
+// Overview returns the encoded state without the configuration, for operators.
 func (m *Machine) Overview() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.s)
 }
 
-// configure changes the configuration by a transaction. Members of the levels before know of no such entry.
+// configure applies a transaction to the configuration. At a level below levelConfiguration it gives the result that a program
+// of that level gives, which does not know the entry.
 func (m *Machine) configure(tx *configpb.Transaction) *fleetpb.Result {
 	if m.s.Level < levelConfiguration {
 		return unknownEntry()
@@ -51,7 +52,7 @@
 	return ConfigurationResult(m.configuration.Commit(m.s.NowMs, tx))
 }
 
-// rollBack brings the configuration back to what it was.
+// rollBack restores an earlier revision of the configuration. Below levelConfiguration it does as configure does.
 func (m *Machine) rollBack(r *configpb.Rollback) *fleetpb.Result {
 	if m.s.Level < levelConfiguration {
 		return unknownEntry()
@@ -59,7 +60,7 @@
 	return ConfigurationResult(m.configuration.Rollback(m.s.NowMs, r))
 }
 
-// ConfigurationResult is what became of a change of the configuration, as the answer to whoever asked.
+// ConfigurationResult turns the outcome of a configuration change into the result for the client that requested it.
 func ConfigurationResult(o configuration.Outcome, err error) *fleetpb.Result {
 	r := &fleetpb.Result{Code: fleetpb.Result_DONE, Configuration: configuration.ResultOf(o, err)}
 	if err != nil {
@@ -71,7 +72,7 @@
 	return r
 }
 
-// withConfiguration is the whole state, for a snapshot of the log. It shares memory with the configuration.
+// fullState returns the state with the configuration, for a snapshot of the log. It shares memory with the configuration.
 func (m *Machine) withConfiguration() *fleetpb.State {
 	if m.configuration.Revision() == 0 {
 		return m.s
@@ -81,7 +82,7 @@
 	return whole
 }
 
-// takeConfiguration takes the configuration out of a state that was read, which has none from then on.
+// takeConfiguration removes the configuration from a decoded state and returns it. After an error the state still has it.
 func takeConfiguration(s *fleetpb.State) (*configuration.Store, error) {
 	c := configuration.New()
 	if s.Configuration == nil {
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -9,7 +9,7 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// drain grants a drain, has it wait, or refuses it.
+// drain grants a drain, queues it, or refuses it. ask is the ID of the request, which a queued drain keeps.
 func (m *Machine) drain(d *fleetpb.Drain, ask string) *fleetpb.Result {
 	if err := text(d.Target, d.By, d.Why); err != nil {
 		return invalid("drain: %v", err)
@@ -57,7 +57,7 @@
 	return slices.IndexFunc(m.s.Queue, func(w *fleetpb.Waiting) bool { return w.Drain.Target == target })
 }
 
-// giveBack ends a drain, or the wait for one.
+// returnTarget ends the drain of a target, which then is back in service. With an epoch it ends only the drain of that epoch.
 func (m *Machine) giveBack(r *fleetpb.Return) *fleetpb.Result {
 	o := m.s.Outs[r.Target]
 	if o == nil {
@@ -82,7 +82,7 @@
 	return done(m.s.Epoch)
 }
 
-// members gives what a target takes out: servers or nodes, by their names in order.
+// targetMembers returns what a target consists of: on is "servers" or "nodes", names their sorted names.
 func (m *Machine) members(target string) (on string, names []string, err error) {
 	kind, name, _ := strings.Cut(target, "/")
 	switch {
@@ -108,7 +108,7 @@
 	return "", nil, fmt.Errorf("want server/NAME, node/NAME or zone/NAME, have %.50q", target)
 }
 
-// ahead are the targets that the first n of the queue wait for: whoever comes later may not take their room.
+// queuedTargets returns the targets of the first n drains in the queue. Later drains must leave them their part of the budgets.
 func (m *Machine) ahead(n int) (targets []string) {
 	for _, w := range m.s.Queue[:n] {
 		targets = append(targets, w.Drain.Target)
@@ -116,7 +116,8 @@
 	return targets
 }
 
-// serveQueue grants what fits now, first come first, and lets go of what has waited for too long.
+// serveQueue grants the queued drains that fit now, in the order of their arrival, and drops those whose target does not exist
+// any more or that have waited for their whole wait time.
 func (m *Machine) serveQueue() {
 	for i := 0; i < len(m.s.Queue); {
 		w := m.s.Queue[i]
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,8 @@
-// Package fleet is what a fleet of nodes holds in common, as a state machine behind the log of internal/agree: which nodes
-// there are, what is out and why, what may be out at once, who waits for a drain, and which drains are proven. It is pure: no
-// I/O, clock, goroutine, randomness or map order is in an entry's effect. Time enters by entries alone, as their leader told it.
+// Package fleet is the replicated state machine of a fleet of nodes, driven by the Raft log of internal/agree. Its state has
+// the nodes and their sessions, the servers, which targets are out of service and why, the budgets that limit how many may be
+// out at once, the queue of waiting drains, how far each drain is confirmed, and the release that is in progress. The effect
+// of an entry depends on the state and the entry only: no I/O, clock, goroutine, randomness or map order has a part in it.
+// The time is the timestamp that the leader writes into each entry.
 package fleet
 
 import (
@@ -15,31 +17,32 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// Level is of this state machine. Entries that only a later one understands have a higher one. Each entry has the least level of all members
-// as it was appended; the state's own level rises with them, and decides by which rules entries take effect, so that members of two programs
-// come to the same state.
+// Level is the version of the rules that this program implements. The leader writes into each entry the lowest level of all
+// members at that time; an entry that needs newer rules has a higher one. The level of the state rises with that of the
+// entries and decides by which rules entries take effect, so that members that run two versions of the program compute the
+// same state. The texts of results and history events are part of that state.
 const Level = 3
 
-// Levels from which a rule holds.
+// The level from which on a set of rules applies.
 const (
 	levelFirst         = 1
-	levelWaves         = 2 // a wave is of one zone unless told, voters come last, and never a majority of them is out for a release
-	levelConfiguration = 3 // there are entries that change the configuration
+	levelWaves         = 2 // waves of one zone unless marked as mixed, voters last, never a majority of voters out for a release
+	levelConfiguration = 3 // entries that change the configuration
 )
 
-// Bounds of what is held.
+// Limits that bound the size of the state.
 const (
 	mostHistory  = 500
-	mostAnswered = 1000 // asks whose answer is known when they come again
+	mostAnswered = 1000 // results that are kept to answer a repeated request
 	mostQueue    = 100
 	mostServers  = 20_000
 	mostNodes    = 4_000
 	mostBudgets  = 100
-	mostText     = 200 // bytes of a name or a reason
-	goneKept     = 15 * 60 * 1000
+	mostText     = 200            // bytes of a name or a reason
+	goneKept     = 15 * 60 * 1000 // ms that a server stays in the state after its removal from the registry
 )
 
-// States of nodes, and of servers as the registry tells them.
+// States of a node's session (Live, Lapsed, Ended) and of a server in the registry (Ready, Draining, Removed).
 const (
 	Live     = "live"
 	Lapsed   = "lapsed"
@@ -49,30 +52,31 @@
 	Gone     = "gone"
 )
 
-// Everything is the target of a hold on all that there is.
+// FleetTarget is the target of a hold that keeps every server and node in service.
 const Everything = "fleet"
 
-// ServerTarget names a server as the target of a drain, NodeTarget a node, ZoneTarget all servers of a zone.
+// ServerTarget returns the name of a server as the target of a drain or a hold.
 func ServerTarget(id string) string { return "server/" + id }
 
-// NodeTarget names a node.
+// NodeTarget returns the target name of a node.
 func NodeTarget(name string) string { return "node/" + name }
 
-// ZoneTarget names all servers of a zone.
+// ZoneTarget returns the target name of all servers of a zone.
 func ZoneTarget(zone string) string { return "zone/" + zone }
 
-// Machine is the state machine. It is not safe for concurrent use.
+// Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
 	s             *fleetpb.State // without the configuration
 	configuration *configuration.Store
 }
 
-// New makes an empty one.
+// New returns a machine with an empty state.
 func New() *Machine {
 	return &Machine{s: fill(&fleetpb.State{Level: levelFirst}), configuration: configuration.New()}
 }
 
-// Found makes the machine that a log begins with: its voters, by the births of their disks.
+// NewWithVoters returns the machine that a new log begins with. voters has the disk ID (agree.Bolt.Birth) of each voter by
+// the voter's name.
 func Found(voters map[string]string) *Machine {
 	m := New()
 	m.s.Voters = maps.Clone(voters)
@@ -98,15 +102,15 @@
 	return s
 }
 
-// State gives the state without the configuration. It is not to be changed.
+// State returns the state without the configuration. The caller must not modify it.
 func (m *Machine) State() *fleetpb.State { return m.s }
 
-// Snapshot gives the whole state, the same bytes for the same state.
+// Snapshot returns the encoded state, including the configuration. Equal states have equal bytes.
 func (m *Machine) Snapshot() ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.withConfiguration())
 }
 
-// Restore takes a snapshot in place of the state.
+// Restore replaces the state by that of a snapshot. After an error the state is unchanged.
 func (m *Machine) Restore(raw []byte) error {
 	s := &fleetpb.State{}
 	if err := proto.Unmarshal(raw, s); err != nil {
@@ -123,7 +127,8 @@
 	return nil
 }
 
-// LeastLevel is what all members understand, voters without a session too: entries above it are not to be appended.
+// MinLevel returns the highest level that all members understand: nodes with a live session, and all voters, also those
+// without a session. Entries of a higher level must not be appended.
 func (m *Machine) LeastLevel() uint32 {
 	least := uint32(Level)
 	for _, n := range m.s.Nodes {
@@ -134,8 +139,8 @@
 	return least
 }
 
-// Apply takes one entry of the log, as bytes, and gives the answer to whoever asked. What it can't read changes nothing, at every
-// member alike.
+// Apply applies one encoded log entry and returns its result for the client that requested it. An entry that can't be decoded
+// changes nothing, on every member alike.
 func (m *Machine) Apply(raw []byte) *fleetpb.Result {
 	r, err := m.Follow(raw)
 	if err != nil {
@@ -144,8 +149,8 @@
 	return r
 }
 
-// Follow is Apply for a member of the log. An error is an entry by rules that this program does not know: the member may not go on, as it
-// would come to another state than the others.
+// ApplyChecked is Apply for a member of the log. It returns an error for an entry of a level that this program does not
+// implement. The member must stop then, since its state would differ from that of the others.
 func (m *Machine) Follow(raw []byte) (*fleetpb.Result, error) {
 	e := &fleetpb.Entry{}
 	if err := proto.Unmarshal(raw, e); err != nil {
@@ -233,7 +238,8 @@
 
 func unknownEntry() *fleetpb.Result { return invalid("an entry that asks for nothing") }
 
-// again answers an ask that was answered before. One that waited is told what became of it.
+// repeatedResult returns the result of a request that was applied before. For a drain that was queued at that time it is the
+// present outcome: still queued, granted, or not granted.
 func (m *Machine) again(a *fleetpb.Answered) *fleetpb.Result {
 	if a.Target == "" {
 		return a.Result
@@ -257,7 +263,7 @@
 	return &fleetpb.Result{Code: fleetpb.Result_INVALID, Reason: fmt.Sprintf(format, args...)}
 }
 
-// last gives the last n of a list, or all of it.
+// lastN returns the last n elements of a list, or all of it if it is shorter.
 func last[T any](list []T, n int) []T {
 	if len(list) <= n {
 		return list
@@ -265,7 +271,7 @@
 	return slices.Clone(list[len(list)-n:])
 }
 
-// log notes an event in the history.
+// addEvent appends an event to the history.
 func (m *Machine) log(by, format string, args ...any) {
 	m.s.History = last(append(m.s.History, &fleetpb.Event{AtMs: m.s.NowMs, Epoch: m.s.Epoch, By: by, What: fmt.Sprintf(format, args...)}), mostHistory)
 }
@@ -284,7 +290,7 @@
 	return nil
 }
 
-// open begins a node's session. What an earlier process of it had said holds no more.
+// openSession begins a session for a node's process. The drain confirmations of an earlier process of that node are dropped.
 func (m *Machine) open(o *fleetpb.OpenSession) *fleetpb.Result {
 	if err := text(o.Node, o.Zone, o.Process); err != nil || o.Node == "" {
 		return invalid("session: node %.50q: %v", o.Node, err)
@@ -305,7 +311,7 @@
 	return done(epoch)
 }
 
-// live gives a node whose session of that epoch goes on, or the answer to whoever takes it for one.
+// liveSession returns the node if its session has that epoch and is live. Else it returns the FENCED result for the caller.
 func (m *Machine) live(node string, epoch uint64) (*fleetpb.Node, *fleetpb.Result) {
 	n := m.s.Nodes[node]
 	if n == nil || n.Epoch != epoch || n.State != Live {
@@ -339,7 +345,8 @@
 	return done(e.Epoch)
 }
 
-// listed takes the registry's word on servers.
+// updateServers applies the registry's entries of servers. Entries with an unknown state or a text that is too long are
+// skipped, and so are new servers above the limit.
 func (m *Machine) listed(l *fleetpb.Listed) *fleetpb.Result {
 	for _, s := range l.Servers {
 		if text(s.Id, s.Zone, s.Kind, s.State) != nil || s.Id == "" || s.State != Ready && s.State != Draining && s.State != Gone {
@@ -356,7 +363,7 @@
 			if was.State == s.State {
 				now.SinceMs = was.SinceMs
 			}
-			if s.State == Gone { // its place is what it was
+			if s.State == Gone { // a removal carries no attributes: keep the last known ones
 				now.Zone, now.Kind, now.Cell, now.Weight = was.Zone, was.Kind, was.Cell, was.Weight
 			}
 		}
@@ -365,7 +372,7 @@
 	return done(m.s.Epoch)
 }
 
-// observed notes which servers the nodes find dead.
+// setDeadServers marks the servers that the nodes find dead, and clears the mark of all others.
 func (m *Machine) observed(o *fleetpb.Observed) *fleetpb.Result {
 	for _, id := range slices.Sorted(maps.Keys(m.s.Servers)) {
 		s := m.s.Servers[id]
@@ -381,7 +388,7 @@
 	return done(m.s.Epoch)
 }
 
-// hold keeps a target in, or lets it go again.
+// setHold places a hold, which keeps a target in service, or lifts it.
 func (m *Machine) hold(h *fleetpb.Hold) *fleetpb.Result {
 	if err := text(h.Target, h.By, h.Why); err != nil {
 		return invalid("hold: %v", err)
@@ -402,7 +409,7 @@
 	return done(m.next())
 }
 
-// renew notes that a voter's disk is another one from here on.
+// renewVoter replaces the disk ID of a voter whose disk was lost.
 func (m *Machine) renew(r *fleetpb.RenewVoter) *fleetpb.Result {
 	if err := text(r.Node, r.Birth, r.By, r.Why); err != nil || r.Birth == "" {
 		return invalid("renew: disk %.50q: %v", r.Birth, err)
@@ -419,7 +426,8 @@
 	return done(m.next())
 }
 
-// stopped notes what nodes say of drains. Words of an older session, or of an older drain, are nothing.
+// recordAcks records that nodes have stopped sending to drained targets. Acknowledgements of an older session or an older
+// drain are ignored.
 func (m *Machine) stopped(s *fleetpb.Stopped) *fleetpb.Result {
 	for _, a := range s.Acks {
 		o := m.s.Outs[a.Target]
@@ -457,7 +465,8 @@
 	return done(m.s.Epoch)
 }
 
-// settle does what follows from an entry: what is over goes, what has waited for it comes.
+// applyConsequences runs after each entry: it drops servers that were removed long ago, advances the release, grants queued
+// drains that now fit, samples the groups, and marks drains that are now proven.
 func (m *Machine) settle() {
 	for _, id := range slices.Sorted(maps.Keys(m.s.Servers)) {
 		s := m.s.Servers[id]
@@ -477,23 +486,24 @@
 	}
 }
 
-// Proof is how far a drain is proven.
+// Proof tells whether all nodes have confirmed that they no longer send to a drained target.
 type Proof struct {
-	Granted bool     // else there is nothing to prove
+	Granted bool     // the target is drained; if false, the other fields are empty
 	Epoch   uint64   // of the drain
-	Proven  bool     // nobody is unheard
-	Unheard []string // nodes with a live session that have not said that they stopped
-	Lapsed  []string // nodes whose session lapsed unheard: they may still send
+	Proven  bool     // no node is missing: Unconfirmed and Lapsed are empty
+	Unheard []string // nodes with a live session that have not confirmed yet
+	Lapsed  []string // nodes whose session lapsed before they confirmed: they may still send
 }
 
-// Proof tells which nodes have not said that a target gets nothing of theirs any more. It is proven only when there is none.
+// Proof returns which nodes have not confirmed that they stopped sending to a target. A node confirms in its present session;
+// the drain is proven once none is missing.
 func (m *Machine) Proof(target string) (p Proof) {
 	o := m.s.Outs[target]
 	if o == nil {
 		return p
 	}
 	p.Granted, p.Epoch = true, o.Epoch
-	node, alone := strings.CutPrefix(target, "node/") // of a node itself only its own word counts
+	node, alone := strings.CutPrefix(target, "node/") // the drain of a node needs only that node's own confirmation
 	for _, name := range slices.Sorted(maps.Keys(m.s.Nodes)) {
 		n := m.s.Nodes[name]
 		if o.Heard[name] == n.Epoch || alone && name != node {
@@ -510,7 +520,7 @@
 	return p
 }
 
-// Orders is what nodes have to follow.
+// Orders returns the drained targets and the turns of the release, which nodes and supervisors have to carry out.
 func (m *Machine) Orders() *fleetpb.Orders {
 	o := &fleetpb.Orders{Version: m.s.Orders}
 	for _, t := range slices.Sorted(maps.Keys(m.s.Outs)) {
@@ -524,5 +534,5 @@
 	return o
 }
 
-// From is a machine that goes on from a state, which belongs to it from then on.
+// FromState returns a machine that continues from a state. It takes ownership of the state.
 func From(s *fleetpb.State) *Machine { return &Machine{s: fill(s), configuration: configuration.New()} }
