--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -16,7 +16,7 @@
 	return &configpb.Transaction{Changes: []*configpb.Change{{What: &configpb.Change_Put{Put: put}}}, By: "eva"}
 }
 
-// configure hands in a transaction at a level.
+// configure applies a transaction as an entry of a level.
 func (w *world) configure(level uint32, ask string, tx *configpb.Transaction) *fleetpb.Result {
 	raw, err := proto.Marshal(&fleetpb.Entry{Level: level, AtMs: w.now, Ask: ask,
 		What: &fleetpb.Entry_Configure{Configure: tx}})
@@ -35,14 +35,14 @@
 	return raw
 }
 
-// A change of the configuration goes with the log's snapshots and not with what operators read of the rest; asked again
-// under its number it has no second effect; a rollback is a change like others.
+// Guards against configuration changes that are missing in a snapshot of the log, that appear in the overview for operators,
+// or that take effect twice when a request is repeated under its ID. A rollback counts as a change.
 func TestConfigurationInTheState(t *testing.T) {
 	w := &world{Machine: New(), now: 1000}
 	for _, timeout := range []uint32{1, 2} {
 		r := w.configure(Level, "a", putService("pay", timeout))
 		if r.Code != fleetpb.Result_DONE || r.Configuration.Revision != 1 || !w.WasAnswered("a") {
-			t.Errorf("asked with %d: %v", timeout, r)
+			t.Errorf("request with timeout %d: %v", timeout, r)
 		}
 	}
 	w.configure(Level, "b", putService("pay", 2))
@@ -54,12 +54,12 @@
 		t.Errorf("restored: %v", e)
 	}
 	if !bytes.Equal(bytesOf(t, other), bytesOf(t, w.Machine)) {
-		t.Error("restored, it has other bytes")
+		t.Error("the restored machine has a different snapshot")
 	}
 	raw, err := w.Overview()
 	state := &fleetpb.State{}
 	if err != nil || proto.Unmarshal(raw, state) != nil || state.Configuration != nil || state.Level != Level {
-		t.Errorf("the overview has %v, %v", state, err)
+		t.Errorf("the overview contains %v, %v", state, err)
 	}
 	back := &fleetpb.Entry_RollBack{RollBack: &configpb.Rollback{To: 1}}
 	raw, _ = proto.Marshal(&fleetpb.Entry{Level: Level, What: back})
@@ -71,7 +71,8 @@
 	}
 }
 
-// What is not taken is answered by what is wrong with it.
+// Guards against a refused change that has no reason, the wrong result code, or takes effect. The refused changes are one with
+// a stale condition and one with an invalid value.
 func TestConfigurationRefused(t *testing.T) {
 	w := &world{Machine: New(), now: 1000}
 	w.configure(Level, "", putService("pay", 1))
@@ -90,8 +91,9 @@
 	}
 }
 
-// While some member knows no such entries they need a level that may not be appended. One that is there nevertheless
-// changes nothing, and gives the same bytes as at a member that does not know it.
+// Guards against members of two program versions that compute different states. While a member does not know configuration
+// entries, they need a level above the minimum. One that is in the log nevertheless, at a lower level, must change nothing and
+// give the same snapshot as on a member that does not know it.
 func TestConfigurationNeedsLevel(t *testing.T) {
 	w := &world{Machine: New(), now: 1000}
 	w.say("", &fleetpb.OpenSession{Node: "old", Process: "p", Voter: true, Level: levelWaves})
@@ -101,20 +103,20 @@
 		t.Errorf("least level %d", least)
 	}
 	if NeededLevel(&fleetpb.Entry{What: &fleetpb.Entry_Clock{}}) != levelFirst {
-		t.Error("other entries need a level too")
+		t.Error("an entry of the first level needs a higher one")
 	}
 	young := &world{Machine: New(), now: 1000}
 	young.configure(levelWaves, "a", putService("pay", 1))
 	old := &world{Machine: New(), now: 1000}
-	// What it does not know is not there for it.
+	// An older program decodes the entry without the field that it does not know.
 	raw, _ := proto.Marshal(&fleetpb.Entry{Level: levelWaves, AtMs: 1000, Ask: "a"})
 	old.Apply(raw)
 	if !bytes.Equal(bytesOf(t, young.Machine), bytesOf(t, old.Machine)) {
-		t.Error("members of two programs differ")
+		t.Error("members of two program versions have different states")
 	}
 }
 
-// A snapshot whose configuration is damaged is refused, and the machine keeps what it has.
+// Guards against a snapshot with a damaged configuration (a revision that can't be) that is accepted or changes the state.
 func TestDamagedConfiguration(t *testing.T) {
 	w, other := &world{Machine: New(), now: 1000}, &world{Machine: New(), now: 1000}
 	w.configure(Level, "", putService("pay", 1))
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -363,7 +363,7 @@
 			if was.State == s.State {
 				now.SinceMs = was.SinceMs
 			}
-			if s.State == Gone { // a removal carries no attributes: keep the last known ones
+			if s.State == Gone { // it keeps the attributes that it had
 				now.Zone, now.Kind, now.Cell, now.Weight = was.Zone, was.Kind, was.Cell, was.Weight
 			}
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// world is a machine with short ways to say things to it.
+// harness is a machine with a clock and shortcuts to apply entries to it.
 type world struct {
 	*Machine
 	now int64
@@ -65,7 +65,8 @@
 	return w.say("", &fleetpb.OpenSession{Node: node, Zone: "a", Process: node + "-1", Level: Level}).Epoch
 }
 
-// eight servers s-0 to s-7, the even ones in zone a, the odd ones in b; weights 1 and, of s-0, 3.
+// newHarness has eight servers, s-0 to s-7, the even ones in zone a and the odd ones in zone b, two per cell. The weight of s-0
+// is 3, that of the others 1.
 func newWorld(budgets ...*fleetpb.Budget) *world {
 	w := &world{Machine: New(), now: 1000}
 	l := &fleetpb.Listed{}
@@ -121,12 +122,13 @@
 			t.Errorf("%s: %v, want %q", name, r, c.reason)
 		}
 		if dry.Code != r.Code || dry.Reason != r.Reason {
-			t.Errorf("%s: a dry run tells %v, then %v", name, dry, r)
+			t.Errorf("%s: the dry run returned %v, the drain %v", name, dry, r)
 		}
 	}
 }
 
-// Nodes that leave, lapse and come back count in their budget.
+// Guards against nodes that are leaving or whose session lapsed and that their budget does not count as out, and against an old
+// session that still has an effect after the node came back.
 func TestNodesOut(t *testing.T) {
 	w := newWorld(&fleetpb.Budget{Name: "nodes", On: "nodes", By: "zone", Bounded: true, MostOut: 1})
 	epochs := map[string]uint64{}
@@ -144,14 +146,15 @@
 	}
 	w.say("", &fleetpb.OpenSession{Node: "n2", Zone: "a", Process: "n2-2", Level: Level})
 	if r := w.say("", &fleetpb.EndSession{Node: "n2", Epoch: epochs["n2"]}); r.Code != fleetpb.Result_FENCED || over() != "" {
-		t.Errorf("an old session's word: %v, %q", r, over())
+		t.Errorf("entry of an old session: %v, %q", r, over())
 	}
 	if r := w.say("", &fleetpb.Forget{Target: "node/n3"}); r.Code != fleetpb.Result_REFUSED {
-		t.Errorf("a live node is forgotten: %v", r)
+		t.Errorf("a node with a live session was forgotten: %v", r)
 	}
 }
 
-// A zone goes out whole or not at all; a node by its own word alone; what is held stays in; what nodes find dead is out.
+// Guards against a zone that is drained in part, a node's drain that another node's confirmation proves, a drain past a hold
+// without force, and servers found dead that the budgets do not count as out.
 func TestOtherTargets(t *testing.T) {
 	w := newWorld(&fleetpb.Budget{Name: "half", On: "servers", By: "fleet", MostShare: 0.5}, &fleetpb.Budget{Name: "nodes", On: "nodes", By: "fleet", Bounded: true, MostOut: 1})
 	want := func(what string, r *fleetpb.Result, code fleetpb.Result_Code, reason string) {
@@ -164,7 +167,7 @@
 	w.say("", &fleetpb.Observed{Dead: []string{"s-1", "s-9"}})
 	want("a zone beside a dead server", drain("zone/a"), fleetpb.Result_REFUSED, "budget half, fleet: 5 of 8 out, 4 at most (0.5 of them): s-0 (asked for), s-1 (found dead by the nodes)")
 	if n := len(w.State().Outs); n != 0 {
-		t.Errorf("%d outs of a zone that was refused", n)
+		t.Errorf("the refused drain of a zone left %d targets out of service", n)
 	}
 	w.say("", &fleetpb.Observed{})
 	want("a zone", drain("zone/a"), fleetpb.Result_DONE, "")
@@ -189,7 +192,7 @@
 	want("another", drain("node/n2"), fleetpb.Result_REFUSED, "budget nodes, fleet: 2 of 2 out, 1 at most: n1 (drained), n2 (asked for)")
 	w.say("", &fleetpb.Ack{Node: "n2", Session: n2, Target: "node/n1", Epoch: out.Epoch})
 	if p := w.Proof("node/n1"); p.Proven || strings.Join(p.Unheard, " ") != "n1" {
-		t.Errorf("another node's word counts: %+v", p)
+		t.Errorf("another node's confirmation counts: %+v", p)
 	}
 	w.say("", &fleetpb.Ack{Node: "n1", Session: n1, Target: "node/n1", Epoch: out.Epoch})
 	if p := w.Proof("node/n1"); !p.Proven {
@@ -197,7 +200,8 @@
 	}
 }
 
-// A drain is proven once every node has said so in its present session, and not while one that lapsed has not.
+// Guards against a drain that counts as proven too early: while a node has not confirmed it in its present session, while one
+// lapsed unconfirmed, or by confirmations of an older session or an older drain.
 func TestProof(t *testing.T) {
 	w := newWorld(zoneBudget(2))
 	e1, e2, e3 := w.open("n1"), w.open("n2"), w.open("n3")
@@ -222,7 +226,7 @@
 	w.say("", &fleetpb.EndSession{Node: "n3", Epoch: e3, Lapsed: true})
 	check("n3 lapsed", false, "", "n3")
 	if w.State().Outs[target].ProvenMs != 0 {
-		t.Error("noted as proven")
+		t.Error("the drain was recorded as proven")
 	}
 	e3 = w.say("", &fleetpb.OpenSession{Node: "n3", Zone: "a", Process: "n3-2", Level: Level}).Epoch
 	check("n3 is back", false, "n3", "")
@@ -237,7 +241,7 @@
 	check("drained once more", false, "n1 n2 n3", "")
 	ack("n1", e1, drain)
 	if r := w.say("", &fleetpb.Return{Target: target, Epoch: drain}); r.Code != fleetpb.Result_FENCED {
-		t.Errorf("who held the first drain ends the second one: %v", r)
+		t.Errorf("a return with the first drain's epoch ended the second drain: %v", r)
 	}
 	if again.Epoch <= drain {
 		t.Errorf("epoch %d after %d", again.Epoch, drain)
@@ -245,7 +249,8 @@
 	check("a word of the first drain comes late", false, "n1 n2 n3", "")
 }
 
-// Who waits is served in order, told its place, and given up in time; who comes later takes nobody's room.
+// Guards against queued drains that are granted out of order, have no place number, or stay in the queue after their wait time,
+// and against a later drain that uses the part of a budget for which an earlier one waits.
 func TestQueue(t *testing.T) {
 	w := newWorld(zoneBudget(1), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", Bounded: true, MostOut: 2})
 	w.drain("s-0", 0)
@@ -256,11 +261,11 @@
 		t.Fatal(r)
 	}
 	if r := w.drain("s-1", 0); r.Code != fleetpb.Result_REFUSED || !strings.Contains(r.Reason, "s-2 (waits before it)") {
-		t.Errorf("somebody who came later took the room of the fleet's budget: %v", r)
+		t.Errorf("a later drain overtook the queue in the fleet's budget: %v", r)
 	}
 	w.say("", &fleetpb.Return{Target: ServerTarget("s-0")})
 	if w.State().Outs[ServerTarget("s-2")] == nil || len(w.State().Queue) != 1 {
-		t.Error("the first in the queue was not served")
+		t.Error("the first drain in the queue was not granted")
 	}
 	if r := w.say("", &fleetpb.Withdraw{Target: ServerTarget("s-4")}); r.Code != fleetpb.Result_DONE || len(w.State().Queue) != 0 {
 		t.Error("not withdrawn", r)
@@ -269,14 +274,15 @@
 	w.now += 1000
 	w.say("", &fleetpb.Clock{})
 	if r.Code != fleetpb.Result_QUEUED || len(w.State().Queue) != 0 {
-		t.Error("it waits on", r)
+		t.Error("the drain still waits after its wait time", r)
 	}
 	if r := w.say("late", &fleetpb.Drain{Target: ServerTarget("s-6"), WaitMs: 1000}); r.Code != fleetpb.Result_REFUSED {
-		t.Errorf("asked again after it gave up: %v", r)
+		t.Errorf("repeated request after the wait time: %v", r)
 	}
 }
 
-// An ask that comes again, as its answer was lost, has no second effect and the same answer.
+// Guards against a request that takes effect twice. A client whose answer was lost repeats its request under the same ID; it
+// must get the first result again. The number of kept results and events stays bounded.
 func TestAskedAgain(t *testing.T) {
 	w := newWorld(zoneBudget(1))
 	first := w.say("x", &fleetpb.Drain{Target: ServerTarget("s-0")})
@@ -285,17 +291,18 @@
 	}
 	w.say("y", &fleetpb.Return{Target: ServerTarget("s-0")})
 	if r := w.say("x", &fleetpb.Drain{Target: ServerTarget("s-0")}); r.Epoch != first.Epoch || len(w.State().Outs) != 0 {
-		t.Errorf("a late copy drained it again: %v", r)
+		t.Errorf("a late repetition drained the server again: %v", r)
 	}
 	for i := range mostAnswered + 5 {
 		w.say(fmt.Sprint(i), &fleetpb.Withdraw{Target: "server/none"})
 	}
 	if len(w.State().Answered) != mostAnswered || len(w.State().History) > mostHistory {
-		t.Errorf("%d answers, %d events kept", len(w.State().Answered), len(w.State().History))
+		t.Errorf("%d results and %d events are kept", len(w.State().Answered), len(w.State().History))
 	}
 }
 
-// What is not understood changes nothing, and a later level's snapshot is not taken.
+// Guards against entries that change the state although the program does not understand them (a later level, an unknown kind,
+// damaged bytes), and against a snapshot of a later level that is accepted.
 func TestNotUnderstood(t *testing.T) {
 	w := newWorld(zoneBudget(1))
 	was, _ := w.Snapshot()
@@ -307,26 +314,27 @@
 		}
 	}
 	if now, _ := w.Snapshot(); !bytes.Equal(was, now) {
-		t.Error("the state has changed")
+		t.Error("the state changed")
 	}
 	raw, _ := proto.Marshal(&fleetpb.State{Level: Level + 1})
 	if err := New().Restore(raw); err == nil {
-		t.Error("a later level's snapshot is taken")
+		t.Error("a snapshot of a later level was accepted")
 	}
 	w.say("", &fleetpb.OpenSession{Node: "old", Process: "p", Level: 0})
 	if w.LeastLevel() != 0 {
-		t.Error("an older member does not count")
+		t.Error("the minimum level ignores an older member")
 	}
 	if _, err := w.Follow(later); err == nil {
-		t.Error("a member would go on with rules that it does not know")
+		t.Error("a member continued past an entry of a level that it does not implement")
 	}
 	if _, err := w.Follow(empty); err != nil {
 		t.Error(err)
 	}
 }
 
-// Whatever comes, two machines that are fed the same have the same state, also through a snapshot; no grant leaves more out than a
-// budget allows, but for what goes by itself or is forced; epochs only rise.
+// Guards against members that differ after the same entries. Random entries are applied to two machines, of which one is
+// restored from its snapshot after each entry: their snapshots stay equal, no granted drain exceeds a budget (servers that
+// leave by themselves and forced drains may), and epochs never decrease.
 func TestMachineHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(zoneBudget(2), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", MostShare: 0.4, LeastLeft: 0.5})
@@ -362,21 +370,21 @@
 			over := overs(w.Machine)
 			ask := rapid.SampledFrom([]string{"", "", "", "a1", "a2"}).Draw(t, "ask")
 			if a, b := w.say(ask, what), twin.say(ask, what); !proto.Equal(a, b) {
-				t.Fatalf("%v beside %v", a, b)
+				t.Fatalf("the machines returned %v and %v", a, b)
 			}
 			for group, n := range overs(w.Machine) {
 				if !unplanned && n > over[group] {
-					t.Fatalf("%v: %s has %d more out than may be, %d before", what, group, n, over[group])
+					t.Fatalf("%v: %s exceeds its limit by %d members, by %d before", what, group, n, over[group])
 				}
 			}
 			if w.State().Epoch < epoch {
-				t.Fatal("an epoch went back")
+				t.Fatal("the epoch decreased")
 			}
 			epoch = w.State().Epoch
 			one, _ := w.Snapshot()
 			two, _ := twin.Snapshot()
 			if !bytes.Equal(one, two) {
-				t.Fatal("two machines differ")
+				t.Fatal("the two machines have different snapshots")
 			}
 			twin.Machine = New()
 			if err := twin.Restore(two); err != nil {
@@ -386,7 +394,7 @@
 	})
 }
 
-// overs is by how many servers each group is over its bounds, counted apart from the machine's own reckoning.
+// excessOut returns by how many servers each group exceeds its limit. It counts without the machine's own code.
 func overs(m *Machine) map[string]int {
 	s, out := m.State(), map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(s.Servers)) {
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -14,25 +14,25 @@
 const (
 	Running     = "running"
 	Paused      = "paused"
-	Halted      = "halted"       // nothing new; what is out comes back as it was
-	TurningBack = "turning back" // to the version before, in waves, under the same budgets
+	Halted      = "halted"       // starts no more nodes; those that are out return with the version before
+	TurningBack = "turning back" // rolls back to the version before, in waves, under the same budgets
 	Done        = "done"
 	TurnedBack  = "turned back"
-	Failed      = "failed" // the way back broke as well: a hand is needed
+	Failed      = "failed" // the rollback failed as well: an operator must act
 )
 
-// States of a node as its supervisor tells them.
+// States of a node's process as its supervisor reports them.
 const (
 	UnitStarting = "starting"
 	UnitReady    = "ready"
 	UnitCrashed  = "crashed"
 )
 
-// What is known of a wave's health.
+// Health of a wave, as the leader judges it.
 const (
 	HealthWell    = "well"
 	HealthWorse   = "worse"
-	HealthUnknown = "unknown" // and time runs out
+	HealthUnknown = "unknown" // not known, and half of the limit for judging is over
 )
 
 const (
@@ -40,7 +40,7 @@
 	mostBad   = 100
 )
 
-// CheckPlan tells what is wrong with a plan: the field and the reason; nil: nothing.
+// CheckPlan validates a plan. It returns the first invalid field and the reason, or an empty field and nil.
 func CheckPlan(p *fleetpb.Plan) (field string, err error) {
 	if err := text(p.Name, p.Version, p.Before, p.By, p.Why); err != nil || p.Name == "" {
 		return "name", fmt.Errorf("want a name: %v", err)
@@ -72,21 +72,22 @@
 	return "", nil
 }
 
-// over tells whether a release goes on no more.
+// isFinished reports whether a release in that state has ended.
 func over(state string) bool { return state == Done || state == TurnedBack || state == Failed }
 
-// ExplainPlan tells, without doing it, what would become of a plan now.
+// ExplainPlan returns the result that a plan would have now, and does not change the state.
 func (m *Machine) ExplainPlan(p *fleetpb.Plan) *fleetpb.Result {
 	return m.try(func(trial *Machine) *fleetpb.Result { return trial.plan(proto.CloneOf(p)) })
 }
 
-// Releasing tells whether a release goes on, for which time has to pass.
+// ReleaseActive reports whether a release is running or rolling back, or has nodes out of service. The leader must append
+// clock entries then, since the release has time limits.
 func (m *Machine) Releasing() bool {
 	r := m.s.Release
 	return r != nil && (r.State == Running || r.State == TurningBack || len(r.Turns) > 0)
 }
 
-// plan begins a release.
+// startRelease begins the release of a plan. It is refused while another release is not finished.
 func (m *Machine) plan(p *fleetpb.Plan) *fleetpb.Result {
 	if field, err := CheckPlan(p); err != nil {
 		return invalid("plan: %s: %v", field, err)
@@ -117,7 +118,7 @@
 	return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf(format, args...)}
 }
 
-// steer is a hand on the release that goes on.
+// steer applies an operator's command to the release: pause, resume, halt or back (roll back).
 func (m *Machine) steer(s *fleetpb.Steer) *fleetpb.Result {
 	r := m.s.Release
 	if r == nil || r.Plan.Name != s.Release {
@@ -134,7 +135,7 @@
 	}
 	if to == Running {
 		r.WaveMs, r.Crashes = m.s.NowMs, 0
-		if m.s.Level >= levelWaves && m.unknownTooLong(r) { // its health is asked anew
+		if m.s.Level >= levelWaves && m.unknownTooLong(r) { // soak and judge the wave again
 			r.SoakMs, r.Health = 0, ""
 		}
 	}
@@ -142,12 +143,13 @@
 	return done(m.next())
 }
 
-// unknownTooLong tells whether a wave's health should have been known by now.
+// healthOverdue reports whether the time to judge a wave is over, which is the limit of a wave after its soak, and the wave was
+// not found well.
 func (m *Machine) unknownTooLong(r *fleetpb.Release) bool {
 	return r.Health != HealthWell && m.s.NowMs-r.SoakMs > r.Plan.SoakMs+r.Plan.LimitMs
 }
 
-// become changes the state of the release, with its cause.
+// setReleaseState changes the state of the release and records who caused it and why.
 func (m *Machine) become(state, by, cause string) {
 	r := m.s.Release
 	if state == TurningBack {
@@ -163,7 +165,7 @@
 	}
 }
 
-// supervised takes a supervisor's word.
+// updateUnit applies a supervisor's report on its node. A report of an earlier turn is fenced.
 func (m *Machine) supervised(s *fleetpb.Supervised) *fleetpb.Result {
 	if err := text(s.Node, s.Version, s.State, s.Why); err != nil || s.Node == "" {
 		return invalid("supervised: %v", err)
@@ -173,7 +175,7 @@
 		return invalid("supervised: %d nodes are known already", len(m.s.Units))
 	}
 	turn := s.Turn
-	if was != nil && turn == 0 { // a supervisor that has just started has heard of none yet
+	if was != nil && turn == 0 { // a supervisor that has just started has received no turn yet
 		turn = was.Turn
 	}
 	if was != nil && turn < was.Turn {
@@ -193,7 +195,7 @@
 	return done(m.s.Epoch)
 }
 
-// judged takes the leader's finding, if it is on the wave that soaks now.
+// setWaveHealth records the leader's verdict if it is about the present soak of the present wave.
 func (m *Machine) judged(j *fleetpb.Judged) *fleetpb.Result {
 	r := m.s.Release
 	if r == nil || r.State != Running || r.Plan.Name != j.Release || r.Wave != j.Wave || r.SoakMs != j.SoakMs || r.SoakMs == 0 {
@@ -206,7 +208,7 @@
 	return done(m.s.Epoch)
 }
 
-// aim is the version that a release brings nodes to now.
+// targetVersion returns the version that the release brings nodes to in its present state.
 func (m *Machine) aim(r *fleetpb.Release) string {
 	if r.State == TurningBack || r.State == Halted {
 		return r.Plan.Before
@@ -216,7 +218,7 @@
 
 func (m *Machine) releaseName(r *fleetpb.Release) string { return "release " + r.Plan.Name }
 
-// advance does what the release wants next. It is called after each entry.
+// advanceRelease takes the next steps of the release. It runs after each entry.
 func (m *Machine) advance() {
 	r := m.s.Release
 	if r == nil || over(r.State) && len(r.Turns) == 0 {
@@ -237,11 +239,11 @@
 	}
 }
 
-// finishTurns takes back in what is ready at the version that it was to have.
+// finishTurns returns to service the nodes that are ready with the version of their turn.
 func (m *Machine) finishTurns(r *fleetpb.Release) {
 	for _, n := range slices.Sorted(maps.Keys(r.Turns)) {
 		t, u := r.Turns[n], m.s.Units[n]
-		// A supervisor that has not heard of this turn yet may still be making an earlier one.
+		// A supervisor that has not received this turn yet may still be executing an earlier one.
 		if u == nil || u.State != UnitReady || u.Version != t.Version || u.Turn < t.Epoch {
 			continue
 		}
@@ -254,10 +256,11 @@
 	}
 }
 
-// turn takes a node out, if it may go, and has it brought to a version.
+// startTurn drains a node, if the budgets and the majority of voters allow it now, and orders it to a version. A node that has
+// a turn to another version is ordered to the new one.
 func (m *Machine) turn(r *fleetpb.Release, n, version string) {
 	if t := r.Turns[n]; t != nil {
-		if t.Version != version { // what is out turns round at once
+		if t.Version != version { // the node is out already: no budget is needed
 			t.Version, t.Epoch = version, m.next()
 			m.s.Orders++
 		}
@@ -265,10 +268,10 @@
 	}
 	target := NodeTarget(n)
 	if m.s.Nodes[n] == nil || m.s.Outs[target] == nil && m.mayGo(target, m.ahead(len(m.s.Queue))) != "" {
-		return // later
+		return // tried again after a later entry
 	}
 	if m.s.Level >= levelWaves && m.s.Voters[n] != "" && m.nodeWhy(n) == "" && !m.voterMayGo() {
-		return // later
+		return // tried again after a later entry
 	}
 	if m.s.Outs[target] == nil {
 		m.grant(&fleetpb.Drain{Target: target, By: m.releaseName(r), Why: "to version " + version})
@@ -278,7 +281,8 @@
 	m.log(m.releaseName(r), "%s goes to version %s, epoch %d", n, version, r.Turns[n].Epoch)
 }
 
-// forward goes on with the present wave, or halts.
+// advanceWaves starts turns of the present wave, goes on to the next wave once this one has soaked and is found well, or halts
+// the release on too many crashes, an exceeded budget of nodes, a timeout or worse health.
 func (m *Machine) forward(r *fleetpb.Release) {
 	p := r.Plan
 	halt := func(format string, args ...any) {
@@ -329,14 +333,15 @@
 	}
 }
 
-// giveUpTurns brings what is out back as it was.
+// revertTurns orders all nodes that have a turn to the version before.
 func (m *Machine) giveUpTurns(r *fleetpb.Release) {
 	for _, n := range slices.Sorted(maps.Keys(r.Turns)) {
 		m.turn(r, n, r.Plan.Before)
 	}
 }
 
-// backward brings all that has the version, or is on its way to it, to the one before. A node that can't serve costs no budget.
+// advanceRollback brings the nodes that have the new version, or have a turn to it, to the version before. A node that is out
+// of service already uses no budget.
 func (m *Machine) backward(r *fleetpb.Release) {
 	p := r.Plan
 	if r.Crashes > p.MostCrashes {
@@ -350,7 +355,7 @@
 			if u := m.s.Units[n]; u == nil || u.Version == p.Before && u.State == UnitReady {
 				continue
 			} else if u.Version == p.Before && r.Turns[n] == nil {
-				continue // not the release's doing
+				continue // has the version before and no turn: that it is not ready is not caused by the release
 			}
 			all = false
 			m.turn(r, n, p.Before)
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -12,23 +12,24 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// yard is a fleet of supervised nodes in virtual time: each takes its time to be drained, replaced and ready.
+// simFleet is a fleet of supervised nodes in virtual time. A node with a new turn ends its session, and after a random time its
+// new process is ready or fails.
 type yard struct {
 	t       *testing.T
 	m       *Machine
 	r       *rand.Rand
 	now     int64
-	level   uint32 // of entries
+	level   uint32 // level of the entries
 	nodes   []string
 	version map[string]string
 	zone    map[string]string
-	turned  map[string]uint64 // epoch of the turn that a node works on
-	at      map[string]int64  // when it has the next thing to say
-	down    map[string]bool   // it serves nobody
+	turned  map[string]uint64 // by node, the epoch of the last turn that it began
+	at      map[string]int64  // by node, when it reports its next state
+	down    map[string]bool   // nodes that serve no requests
 	bad     func(node, version string) string
-	most    int // down at once, by the budget
-	worst   int // that was
-	touched map[string]bool
+	most    int // limit of nodes down at once, by the budget
+	worst   int // largest number of nodes that were down at once
+	touched map[string]bool // nodes that were ever ordered to the new version
 }
 
 const yardOld, yardNew = "v-old", "v-new"
@@ -83,7 +84,7 @@
 	y.now += 100
 	y.say(&fleetpb.Entry{What: &fleetpb.Entry_Clock{Clock: &fleetpb.Clock{}}})
 	for _, t := range y.m.Orders().Turns {
-		if n := t.Node; y.turned[n] != t.Epoch { // a new turn: it goes down, and comes up as the version wants
+		if n := t.Node; y.turned[n] != t.Epoch { // a new turn: the node goes down, and comes up as failureOf says for the version
 			y.turned[n], y.version[n], y.down[n] = t.Epoch, t.Version, true
 			y.touched[n] = y.touched[n] || t.Version == yardNew
 			e := y.m.State().Nodes[n].Epoch
@@ -104,7 +105,7 @@
 		case "crashes":
 			y.told(n, UnitCrashed)
 			y.at[n] = y.now + 1000
-		case "crashes later": // it is ready for a moment
+		case "crashes later": // after it was ready for a moment
 			y.open(n)
 			y.told(n, UnitReady)
 			y.told(n, UnitCrashed)
@@ -148,13 +149,13 @@
 	return n
 }
 
-// A good release ends done, within its budget; a bad one halts in its first wave and turns back whole; a version that was turned back is
-// not tried again without a hand. Twenty plays of each.
+// Guards against releases that exceed their budget, that reach more nodes than they must before they halt, that are not rolled
+// back completely, or that start again with a version that was rolled back. Runs each kind of fault with twenty seeds.
 func TestReleases(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad   func(node, version string) string
 		state string
-		most  int    // nodes that met the version
+		most  int    // limit of nodes that were ever ordered to the new version
 		cause string // in the history
 	}{
 		"good": {func(string, string) string { return "" }, Done, 24, "all waves are ready"},
@@ -181,38 +182,39 @@
 			}
 			y.until(c.state)
 			if len(y.touched) > c.most || y.worst > y.most {
-				t.Errorf("%s, seed %d: %d nodes met the version, %d at most; %d down at once, %d at most\n%s", name, seed, len(y.touched), c.most, y.worst, y.most, y.history())
+				t.Errorf("%s, seed %d: %d nodes were ordered to the version, %d at most; %d were down at once, %d at most\n%s", name, seed, len(y.touched), c.most, y.worst, y.most, y.history())
 			}
 			if !strings.Contains(y.history(), c.cause) {
-				t.Errorf("%s, seed %d: the history does not tell %q:\n%s", name, seed, c.cause, y.history())
+				t.Errorf("%s, seed %d: the history does not contain %q:\n%s", name, seed, c.cause, y.history())
 			}
 			want := map[string]int{Done: 0, TurnedBack: 24, Failed: 23}[c.state]
 			if n := y.has(yardOld); n != want {
-				t.Errorf("%s, seed %d: %d nodes have the version before, want %d\n%s", name, seed, n, want, y.history())
+				t.Errorf("%s, seed %d: %d nodes serve with the version before, want %d\n%s", name, seed, n, want, y.history())
 			}
 			if c.state != Failed && (len(y.m.State().Outs) > 0 || len(y.m.Orders().Turns) > 0) {
-				t.Errorf("%s: what is over leaves %v out", name, y.m.State().Outs)
+				t.Errorf("%s: the finished release leaves %v out of service", name, y.m.State().Outs)
 			}
-			for range 100 { // nothing flaps
+			for range 100 { // the final state must not change
 				y.step()
 			}
 			if y.m.State().Release.State != c.state {
-				t.Errorf("%s: %s after it was %s", name, y.m.State().Release.State, c.state)
+				t.Errorf("%s: state %s after %s", name, y.m.State().Release.State, c.state)
 			}
 			if r := y.plan(func(p *fleetpb.Plan) { p.Name = "r2" }); c.state == TurnedBack && (r.Code != fleetpb.Result_REFUSED || !strings.Contains(r.Reason, "turned back before")) {
-				t.Errorf("%s: tried again: %v", name, r)
+				t.Errorf("%s: the same version was released again: %v", name, r)
 			}
 		}
 	}
 }
 
-// A hand pauses, resumes, halts and turns back; an unplanned out over the budget halts by itself; the soak is kept.
+// Guards against operator commands (pause, resume, roll back) that don't take effect, a soak that is cut short, and a release
+// that goes on although nodes lapsed and the budget of nodes is exceeded.
 func TestReleaseByHand(t *testing.T) {
 	fine := func(string, string) string { return "" }
 	y := newYard(t, 1, 8, 1, fine)
 	y.plan(func(p *fleetpb.Plan) { p.TurnBack = false })
 	if r := y.plan(func(p *fleetpb.Plan) { p.Name = "r2" }); r.Code != fleetpb.Result_REFUSED || !strings.Contains(r.Reason, "one at a time") {
-		t.Errorf("two at once: %v", r)
+		t.Errorf("two releases at once: %v", r)
 	}
 	for y.m.State().Release.Wave == 0 {
 		y.step()
@@ -221,7 +223,7 @@
 		t.Errorf("the first wave soaked for %d ms", took)
 	}
 	y.steer("pause")
-	for range 30 { // what was out finishes
+	for range 30 { // nodes that are out finish their turns
 		y.step()
 	}
 	n := len(y.touched)
@@ -229,7 +231,7 @@
 		y.step()
 	}
 	if len(y.touched) != n || y.m.State().Release.State != Paused || len(y.m.State().Outs) != 0 {
-		t.Errorf("a release that pauses goes on: %d nodes, then %d", n, len(y.touched))
+		t.Errorf("the paused release went on: %d nodes, then %d", n, len(y.touched))
 	}
 	if r := y.steer("resume"); r.Code != fleetpb.Result_DONE {
 		t.Error(r)
@@ -246,7 +248,7 @@
 		y.step()
 	}
 	if len(y.m.State().Outs) != 0 || y.has(yardNew)+y.has(yardOld) != 8 {
-		t.Errorf("what was out did not come back: %v", y.m.State().Outs)
+		t.Errorf("nodes did not return to service: %v", y.m.State().Outs)
 	}
 	for _, name := range y.nodes[6:] {
 		y.open(name)
@@ -256,17 +258,18 @@
 	}
 	y.until(TurnedBack)
 	if y.has(yardOld) != 8 || y.worst > 1 {
-		t.Errorf("%d nodes have the version before, %d were down at once", y.has(yardOld), y.worst)
+		t.Errorf("%d nodes serve with the version before, %d were down at once", y.has(yardOld), y.worst)
 	}
 	for _, verb := range []string{"pause", "resume", "halt", "back", "dance"} {
 		if r := y.steer(verb); r.Code != fleetpb.Result_REFUSED {
-			t.Errorf("%s of a release that is over: %v", verb, r)
+			t.Errorf("%s of a finished release: %v", verb, r)
 		}
 	}
 }
 
-// A turn that turns round is over only once its supervisor has heard of that: until then it may still be making the earlier one, and its word
-// of being ready as it was is of before. Late words are fenced.
+// Guards against a reversed turn that ends too early. When a release is rolled back while a node has a turn, the node's
+// supervisor may not have received the new turn and may still execute the first one; a report "ready with the old version" is
+// then from before the first turn. Only a report with the new turn's epoch may end it, and late reports are fenced.
 func TestTurnRound(t *testing.T) {
 	y := newYard(t, 3, 4, 1, func(string, string) string { return "" })
 	y.plan(nil)
@@ -274,16 +277,16 @@
 	if first.Node != "n00" || first.Version != yardNew {
 		t.Fatal(first)
 	}
-	y.steer("back") // its supervisor has not begun, and still calls the node ready
+	y.steer("back") // the supervisor has not begun the turn, and still reports the node as ready
 	y.told("n00", UnitReady)
 	turns := y.m.Orders().Turns
 	if len(turns) != 1 || turns[0].Version != yardOld || turns[0].Epoch <= first.Epoch || y.m.State().Release.State != TurningBack {
-		t.Fatalf("over before its supervisor has heard of it: %v, %v", turns, y.m.State().Release)
+		t.Fatalf("the turn ended before the supervisor received it: %v, %v", turns, y.m.State().Release)
 	}
-	y.turned["n00"], y.version["n00"] = first.Epoch, yardNew // it hears of the first one late
+	y.turned["n00"], y.version["n00"] = first.Epoch, yardNew // the supervisor receives the first turn late
 	y.told("n00", UnitReady)
 	if y.m.State().Release.State != TurningBack {
-		t.Fatal("turned back, while a node has the version")
+		t.Fatal("rolled back while a node has the new version")
 	}
 	y.turned["n00"], y.version["n00"] = turns[0].Epoch, yardOld
 	y.told("n00", UnitReady)
@@ -292,11 +295,12 @@
 	}
 	y.turned["n00"] = first.Epoch
 	if r := y.say(&fleetpb.Entry{What: &fleetpb.Entry_Supervised{Supervised: &fleetpb.Supervised{Node: "n00", Version: yardNew, State: UnitReady, Turn: first.Epoch}}}); r.Code != fleetpb.Result_FENCED {
-		t.Errorf("a word of an earlier turn: %v", r)
+		t.Errorf("report of an earlier turn: %v", r)
 	}
 }
 
-// A wave that does worse halts, one whose health is not known waits and then halts, one that is well goes on; findings on another soak are nothing.
+// Guards against a release that goes on although a wave does worse or its health stays unknown, against one that halts although
+// the wave is well, and against verdicts on another soak that take effect.
 func TestReleaseHealth(t *testing.T) {
 	for health, state := range map[string]string{HealthWell: Done, HealthWorse: TurnedBack, "": TurnedBack} {
 		y := newYard(t, 2, 4, 1, func(string, string) string { return "" })
@@ -312,7 +316,7 @@
 			}
 			if r.State == Running && r.SoakMs > 0 && r.Health == "" && health != "" {
 				if late := judge(r.SoakMs - 1); late.Code != fleetpb.Result_FENCED {
-					t.Errorf("a finding on another soak: %v", late)
+					t.Errorf("verdict on another soak: %v", late)
 				}
 				judge(r.SoakMs)
 			}
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -11,18 +11,18 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// Wave is a wave as a plan's file has it: nodes by their names, or as many as bring the release to a part of the fleet.
+// Wave is a wave of a plan file. It has exactly one of Nodes, Count, Share and Voters.
 type Wave struct {
 	Name   string   `toml:"name"`
-	Nodes  []string `toml:"nodes"`
-	Count  int      `toml:"count"`  // so many more nodes
-	Share  float64  `toml:"share"`  // until this part of all nodes has the version, over 0 to 1
-	Zone   string   `toml:"zone"`   // of this zone only; a share is of its nodes
-	Voters bool     `toml:"voters"` // those that vote: no other wave takes them but by name
-	Mixed  bool     `toml:"mixed"`  // of several zones in one wave; else it becomes a wave a zone
+	Nodes  []string `toml:"nodes"`  // by name
+	Count  int      `toml:"count"`  // that many nodes
+	Share  float64  `toml:"share"`  // as many nodes as bring this share of all nodes to the version; above 0, up to 1
+	Zone   string   `toml:"zone"`   // only nodes of this zone; Share then is of the zone's nodes
+	Voters bool     `toml:"voters"` // all voters; other waves have voters only by name
+	Mixed  bool     `toml:"mixed"`  // may have nodes of several zones; if false, it is split into one wave per zone
 }
 
-// Check tells what is wrong with a wave by itself.
+// Check validates the fields of a wave.
 func (w Wave) Check() error {
 	ways := 0
 	for _, said := range []bool{len(w.Nodes) > 0, w.Count != 0, w.Share != 0, w.Voters} {
@@ -36,8 +36,9 @@
 	return nil
 }
 
-// Waves makes a plan's waves, of the nodes that supervisors have told of. A wave that would take nodes of several zones becomes one a zone, unless it
-// says mixed. A part of the fleet is taken of all zones alike; none comes twice.
+// BuildWaves turns the waves of a plan file into waves of named nodes. The nodes to choose from are those that supervisors have
+// reported. A wave whose chosen nodes are of several zones becomes one wave per zone, unless it is mixed. Count and Share take
+// nodes evenly from all zones. No chosen node is in two waves.
 func (m *Machine) Waves(list []Wave) (waves []*fleetpb.Wave, err error) {
 	taken := map[string]bool{}
 	for _, w := range list {
@@ -45,7 +46,7 @@
 			taken[n] = true
 		}
 	}
-	done := map[string]int{} // nodes of a zone that have the version by then; "": of all
+	done := map[string]int{} // number of nodes in the waves so far, by zone; "": in all zones
 	for i, w := range list {
 		if err := w.Check(); err != nil {
 			return nil, fmt.Errorf("wave[%d]: %w", i, err)
@@ -75,10 +76,10 @@
 	return waves, nil
 }
 
-// pick gives the nodes of a wave that does not name them, and takes them.
+// pickNodes chooses the nodes of a wave that does not name them, and adds them to taken.
 func (m *Machine) pick(w Wave, taken map[string]bool, done map[string]int) (nodes []string) {
 	of, free := 0, []string{}
-	rank, seen := map[string]int{}, map[string]int{} // of a node among the free ones of its zone
+	rank, seen := map[string]int{}, map[string]int{} // rank: by node, how many nodes of its zone come before it; seen: by zone
 	for _, n := range slices.Sorted(maps.Keys(m.s.Units)) {
 		zone := m.zoneOf(n)
 		if w.Zone != "" && zone != w.Zone {
@@ -90,7 +91,7 @@
 			seen[zone]++
 		}
 	}
-	// The zones by turns, those first of which fewer have the version: what breaks in one zone only shows early.
+	// Zones alternate, those with fewer updated nodes first, so that a fault which only one zone has shows early.
 	slices.SortStableFunc(free, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rank[a], rank[b]), cmp.Compare(m.zoneOf(a), m.zoneOf(b)))
 	})
@@ -112,7 +113,7 @@
 	return ""
 }
 
-// wrongWaves tells what is wrong with waves, by what is known of the nodes; empty: nothing.
+// wavesProblem returns what is wrong with waves, given the zones and voters of the state; empty if nothing is.
 func (m *Machine) wrongWaves(waves []*fleetpb.Wave) string {
 	voter := ""
 	for i, w := range waves {
@@ -134,7 +135,8 @@
 	return ""
 }
 
-// voterMayGo tells whether one more voter may go for a release: those that are left have a majority. Of one or two there is none to keep.
+// canTakeVoterOut reports whether a release may take one more voter out of service, which leaves a majority of the voters. With
+// one or two voters no majority can be kept, so one may always go.
 func (m *Machine) voterMayGo() bool {
 	out := 0
 	for v := range m.s.Voters {
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -8,7 +8,7 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// hall makes a yard of nodes in three zones by turns, of which the first so many vote.
+// newZonedFleet returns a simulated fleet of n nodes that alternate between zones a, b and c. The first ones are voters.
 func hall(t *testing.T, n, most, voters int) *yard {
 	y := newYard(t, 1, n, most, func(string, string) string { return "" })
 	y.m.s.Voters, y.zone = map[string]string{}, map[string]string{}
@@ -22,9 +22,10 @@
 	return y
 }
 
-// Waves by count, share, zone and voters are filled in the order of zones and names, one zone a wave unless mixed, and none comes twice.
+// Guards against waves that are filled in another order than that of zones and names, that have nodes of several zones without
+// being mixed, or that have a node twice. Waves are given by count, share, zone, voters and names.
 func TestWaves(t *testing.T) {
-	y := hall(t, 12, 2, 3) // n00 to n02 vote; zone a: n00 n03 n06 n09
+	y := hall(t, 12, 2, 3) // voters: n00 to n02; zone a: n00 n03 n06 n09
 	for name, c := range map[string]struct {
 		list []Wave
 		want string
@@ -50,7 +51,8 @@
 	}
 }
 
-// A plan that mixes zones without a word, or has others behind voters, is refused; below the level of these rules it is not, at any member.
+// Guards against a plan that is accepted although a wave has nodes of several zones and is not marked as mixed, or although
+// other nodes come after voters. Below the level of these rules all members must accept such plans.
 func TestPlansOfZones(t *testing.T) {
 	for name, c := range map[string]struct {
 		waves []*fleetpb.Wave
@@ -72,19 +74,20 @@
 	}
 }
 
-// Voters turn so that a majority of them stays, whatever the budgets allow.
+// Guards against a release that takes the majority of the voters out of service when the budgets would allow it.
 func TestVotersTurn(t *testing.T) {
 	for voters, most := range map[int]int{1: 1, 3: 1, 5: 2, 7: 3} {
 		y := hall(t, voters, voters, voters)
 		y.plan(func(p *fleetpb.Plan) { p.Waves = []*fleetpb.Wave{{Nodes: y.nodes, Mixed: true}} })
 		y.until(Done)
 		if y.worst != most {
-			t.Errorf("%d of %d voters were out at once, want %d at most: %s", y.worst, voters, most, fmt.Sprint(y.history()))
+			t.Errorf("%d of %d voters were out at once, want %d: %s", y.worst, voters, most, fmt.Sprint(y.history()))
 		}
 	}
 }
 
-// The samples of a release are what was out of each group at each change, from its begin to its last node's return; the next release has its own.
+// Guards against samples that differ from what was out of service, and against sampling that ends before the last node of the
+// release or of its rollback is back, or goes on afterwards.
 func TestSamples(t *testing.T) {
 	y := hall(t, 6, 2, 0)
 	y.say(&fleetpb.Entry{What: &fleetpb.Entry_Budgets{Budgets: &fleetpb.SetBudgets{Budgets: []*fleetpb.Budget{{Name: "all", On: "nodes", By: "fleet", Bounded: true, MostOut: 2}, {Name: "a-hall", On: "nodes", By: "zone", MostShare: 0.5}}}}})
@@ -110,7 +113,7 @@
 		y.step()
 		worst = max(worst, said())
 		if out() != said() {
-			t.Fatalf("%d are out, the samples say %d", out(), said())
+			t.Fatalf("%d nodes are out, the samples have %d", out(), said())
 		}
 	}
 	groups := map[string]int32{}
@@ -123,17 +126,17 @@
 	n := len(y.m.s.Samples)
 	y.say(&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: y.nodes[0], Epoch: y.m.State().Nodes[y.nodes[0]].Epoch}}})
 	if len(y.m.s.Samples) != n {
-		t.Error("what comes after a release is sampled")
+		t.Error("a change after the release was sampled")
 	}
 	y.steer("back")
 	y.until(TurnedBack)
 	if said() != 0 || len(y.m.s.Samples) == n {
-		t.Errorf("the way back is not sampled: %d out", said())
+		t.Errorf("the rollback was not sampled: %d out", said())
 	}
 }
 
-// A release that was halted as its health was not known asks for it anew when it is resumed, for as long again; one that was halted for
-// another cause keeps what is known.
+// Guards against a resumed release that halts at once. One that halted because its health was unknown soaks and is judged again
+// after a resume, with the full time limit; one that was halted for another reason keeps its soak.
 func TestResumeAsksAnew(t *testing.T) {
 	y := newYard(t, 1, 2, 1, func(string, string) string { return "" })
 	y.plan(func(p *fleetpb.Plan) { p.Health, p.TurnBack = true, false })
@@ -147,14 +150,14 @@
 	}
 	r := y.m.State().Release
 	if r.State != Running || y.now-r.SoakMs > 5000 {
-		t.Errorf("resumed, and %s: %s", r.State, r.Cause)
+		t.Errorf("after the resume: %s: %s", r.State, r.Cause)
 	}
 	at := r.SoakMs
 	y.steer("halt")
 	y.steer("resume")
 	y.step()
 	if r.SoakMs != at {
-		t.Error("what was known of the health is lost")
+		t.Error("the release lost its soak")
 	}
 	y.say(&fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: &fleetpb.Judged{Release: "r1", SoakMs: at, Health: HealthUnknown, Why: "c: 3 of 5"}}})
 	y.until(Halted)
