--- a/internal/agree/bolt.go
+++ b/internal/agree/bolt.go
@@ -29,21 +29,23 @@
 	keySnapshot = []byte("snapshot")
 	keyBirth    = []byte("birth")
 	keyFounding = []byte("founding")
-	// Sums of what the other buckets hold, by bucket and key, and the file's transaction that they are of: a program that knows none may have
-	// written since, as one that a release was turned back to; then they are made anew.
+	// Checksums of the records in the other buckets, by bucket and key, and the ID of the bbolt transaction that wrote them. An
+	// older program, to which a release was rolled back, writes no checksums. If the file has a newer transaction than the
+	// checksums, they are computed anew.
 	bucketSums = []byte("sums")
 	keySumsOf  = []byte("of")
 )
 
-// Bolt is a voter's disk: one file, of which one process at a time has hold.
+// Bolt is the Disk of a voter: one bbolt file, which one process at a time has open.
 type Bolt struct{ db *bbolt.DB }
 
-// ErrDamaged is a disk that does not hold what was written to it.
+// ErrDamaged is returned for a file whose content differs from what was written to it.
 var ErrDamaged = errors.New("the file is damaged; put it away, start the node without it, and have the voter taken in anew (fleet renew)")
 
-// OpenBolt opens a file, or makes it. All of it is read and held against its sums: what a damaged one would still give must not be voted by.
+// OpenBolt opens a file, or creates it. It reads all records and compares them with their checksums, since a voter must not vote
+// by what is left of a damaged log.
 func OpenBolt(path string) (b *Bolt, err error) {
-	// A file that is too short is mapped all the same: reading behind its end is a fault of memory.
+	// bbolt maps also a file that is too short into memory; a read behind its end is a memory fault, which becomes a panic here.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -54,7 +56,7 @@
 	switch {
 	case errors.Is(err, berrors.ErrTimeout):
 		return nil, fmt.Errorf("%s: another process has it: a node has one process, or two while it is replaced; end the other one", path)
-	case errors.As(err, new(*fs.PathError)): // the system's: no such folder, not allowed
+	case errors.As(err, new(*fs.PathError)): // an error of the operating system, such as a missing folder or permission
 		return nil, err
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
@@ -106,7 +108,7 @@
 
 func sumKey(bucket, key []byte) []byte { return append(append(slices.Clone(bucket), '/'), key...) }
 
-// sumsHold tells whether the sums are of what a transaction has left.
+// sumsCurrent reports whether the checksums were written by the transaction with that ID.
 func sumsHold(tx *bbolt.Tx, of uint64) bool {
 	sums := tx.Bucket(bucketSums)
 	if sums == nil {
@@ -116,8 +118,8 @@
 	return len(raw) == 8 && binary.BigEndian.Uint64(raw) == of
 }
 
-// verify reads all records of a file. bbolt's own check reads in a goroutine of its own, where a fault of memory ends the process; so the list of free pages
-// is not looked at.
+// verify reads all records of a file and compares them with their checksums if those are current. bbolt's own check is not used,
+// since it reads in a goroutine of its own, where a memory fault ends the process; so the list of free pages is not checked.
 func verify(tx *bbolt.Tx) error {
 	holds, count := sumsHold(tx, uint64(tx.ID())), 0
 	for _, name := range [][]byte{bucketLog, bucketMeta} {
@@ -128,7 +130,7 @@
 		err := b.ForEach(func(key, raw []byte) error {
 			count++
 			if want := sumOf(key, raw); holds && !bytes.Equal(tx.Bucket(bucketSums).Get(sumKey(name, key)), want) {
-				return fmt.Errorf("%s %x does not have its sum", name, key)
+				return fmt.Errorf("%s %x does not match its checksum", name, key)
 			}
 			return nil
 		})
@@ -140,13 +142,13 @@
 		sums := 0
 		tx.Bucket(bucketSums).ForEach(func(_, _ []byte) error { sums++; return nil })
 		if sums != count+1 {
-			return fmt.Errorf("%d records, and sums of %d", count, sums-1)
+			return fmt.Errorf("%d records, but checksums of %d", count, sums-1)
 		}
 	}
 	return nil
 }
 
-// update is a transaction, with the sums of what it writes.
+// update runs a write transaction and marks the checksums as written by it.
 func (b *Bolt) update(do func(*bbolt.Tx) error) error {
 	return b.db.Update(func(tx *bbolt.Tx) error {
 		if err := do(tx); err != nil {
@@ -175,10 +177,10 @@
 	return sums.Put(sumKey(bucket, key), sumOf(key, raw))
 }
 
-// Close lets go of the file.
+// Close closes the file, which another process may open then.
 func (b *Bolt) Close() error { return b.db.Close() }
 
-// Birth is drawn when the file is made.
+// Birth returns the ID of this disk: 16 random hex digits, drawn when the file was created.
 func (b *Bolt) Birth() (birth string) {
 	b.db.View(func(tx *bbolt.Tx) error {
 		birth = string(tx.Bucket(bucketMeta).Get(keyBirth))
@@ -187,14 +189,14 @@
 	return birth
 }
 
-// Founding is which log a voter is part of.
+// Founding records which log the voter takes part in.
 type Founding struct {
-	Log    string            // its name; empty: none yet
-	Voters map[string]string // by name, the births of their disks, as this one took part
-	Joined bool              // the log had begun without this disk
+	Log    string            // name of the log; empty if the voter takes part in none yet
+	Voters map[string]string // disk IDs (Birth) by voter name, as they were when this disk joined
+	Joined bool              // the log existed before this disk, which got it from the other voters
 }
 
-// Founding tells it.
+// Founding returns the stored record, or the zero value if there is none.
 func (b *Bolt) Founding() (f Founding, err error) {
 	err = b.db.View(func(tx *bbolt.Tx) error {
 		if raw := tx.Bucket(bucketMeta).Get(keyFounding); raw != nil {
@@ -205,7 +207,7 @@
 	return f, err
 }
 
-// Found notes it for good.
+// SaveFounding stores which log the voter takes part in.
 func (b *Bolt) Found(f Founding) error {
 	raw, err := json.Marshal(f)
 	if err != nil {
@@ -214,7 +216,7 @@
 	return b.update(func(tx *bbolt.Tx) error { return put(tx, bucketMeta, keyFounding, raw) })
 }
 
-// Load is Disk's.
+// Load implements Disk.
 func (b *Bolt) Load() (k Kept, err error) {
 	err = b.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
@@ -234,11 +236,11 @@
 		return tx.Bucket(bucketLog).ForEach(func(key, raw []byte) error {
 			index := binary.BigEndian.Uint64(key)
 			if index < next {
-				return nil // behind the snapshot already
+				return nil // the snapshot contains it
 			}
 			e := &raftpb.Entry{}
 			if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() != index || index != next {
-				return fmt.Errorf("entry %d: want entry %d whole: %w", index, next, errors.Join(err))
+				return fmt.Errorf("entry %d: want a complete entry %d: %w", index, next, errors.Join(err))
 			}
 			k.Entries = append(k.Entries, e)
 			next++
@@ -248,7 +250,7 @@
 	return k, err
 }
 
-// Save is Disk's, as one transaction.
+// Save implements Disk, as one transaction.
 func (b *Bolt) Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error {
 	if err := faultpoint.At(faultpoint.Save); err != nil {
 		return err
@@ -296,7 +298,7 @@
 	return faultpoint.At(faultpoint.Saved)
 }
 
-// drop takes entries out of the log.
+// deleteEntries deletes the log entries whose index matches, with their checksums.
 func drop(tx *bbolt.Tx, which func(index uint64) bool) error {
 	log, sums := tx.Bucket(bucketLog), tx.Bucket(bucketSums)
 	var keys [][]byte
--- a/internal/agree/core.go
+++ b/internal/agree/core.go
@@ -1,6 +1,7 @@
-// Package agree is a log that some nodes, the voters, hold in common, by the raft algorithm of go.etcd.io/raft: what is appended is
-// at a majority's disks, in one order, for good. It knows nothing of what the entries say; a Machine does. Core is driven as the
-// decision module is, by ticks and messages that its caller brings, so that it plays in virtual time; Member drives it in a process.
+// Package agree is a replicated log, kept by some of the nodes (the voters) with the Raft implementation of go.etcd.io/raft.
+// Appended entries are on the disks of a majority of the voters, in the same order everywhere. The content of the entries is
+// opaque to the package; a Machine applies them. Core is driven by ticks and messages from its caller, as the decision module
+// is, so that tests run it in virtual time. Member runs a Core in a process, by the clock.
 package agree
 
 import (
@@ -17,56 +18,59 @@
 )
 
 var (
-	// ErrNotLeader answers what only the leader takes. Nothing was appended.
+	// ErrNotLeader is returned for a call that only the leader accepts. Nothing was appended.
 	ErrNotLeader = errors.New("this voter does not lead")
-	// ErrUnknown answers a proposal whose leader lost its office before it knew: it may take effect yet. Ask again, with the same number.
-	ErrUnknown = errors.New("leadership was lost meanwhile: what became of it is not known yet")
+	// ErrOutcomeUnknown is returned for a proposal whose outcome this voter did not learn, since it lost the leadership or stopped.
+	// The entry may still take effect. The caller should repeat the request under the same ID.
+	ErrUnknown = errors.New("leadership was lost meanwhile: the outcome is not known yet")
 )
 
-// Machine is what the log's entries act upon. It is called by one goroutine at a time.
+// Machine is the state machine that the entries are applied to. It is called by one goroutine at a time. An Apply result that is
+// an error stops the voter.
 type Machine interface {
 	Apply(entry []byte) (result any)
 	Snapshot() ([]byte, error)
 	Restore([]byte) error
 }
 
-// Disk keeps a voter's log, vote and snapshot. What a call has been given is durable once it returns without an error.
+// Disk stores a voter's log, vote and snapshot. The data of a call are durable once it returns without an error.
 type Disk interface {
 	Load() (Kept, error)
-	// Save adds entries, in place of those of their indices and above. A snapshot that is given replaces all that is at or
-	// below its index. Either of hs and snap may be nil.
+	// Save appends entries, which replace the stored entries with the same or a higher index. A snapshot replaces all entries up to
+	// its index. hs and snap may be nil.
 	Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error
 }
 
-// Kept is what a disk holds.
+// DiskState is the content of a disk.
 type Kept struct {
-	Hard     *raftpb.HardState // nil: none
-	Snapshot *raftpb.Snapshot  // nil: none
-	Entries  []*raftpb.Entry   // behind the snapshot
+	Hard     *raftpb.HardState // nil if there is none
+	Snapshot *raftpb.Snapshot  // nil if there is none
+	Entries  []*raftpb.Entry   // those after the snapshot
 }
 
-// Options are what a Core is made of.
+// Options configure a Core.
 type Options struct {
 	ID      uint64   // of this voter; not 0
-	Voters  []uint64 // as the log begins; a disk that holds a log goes before it
-	Join    bool     // the log has begun without this voter, which has it from the others
+	Voters  []uint64 // of a new log; ignored if the disk has a log
+	Join    bool     // the log exists already, and this voter gets it from the others
 	Disk    Disk
 	Machine Machine
-	// A leader is given up after so many ticks of silence, drawn from one to two times; it is heard so often. Default 10 and 1.
+	// A voter starts an election after ElectionTicks without a message from the leader, times a random factor of 1 to 2. The leader
+	// sends heartbeats every HeartbeatTicks. Default 10 and 1.
 	ElectionTicks, HeartbeatTicks int
-	CompactEvery                  uint64 // entries; default 2,000
+	CompactEvery                  uint64 // entries between snapshots; default 2,000
 	Log                           *slog.Logger
 }
 
 const (
 	mostMessage = 256 << 10 // bytes of entries in one message
-	mostUnsure  = 4 << 20   // of entries that are not committed yet
-	inflight    = 64        // messages of entries to one voter
-	envelope    = 16        // bytes before each entry: who proposed it, and its number there
-	compactKeep = 200       // entries that stay behind a snapshot, for voters that lag a little
+	mostUnsure  = 4 << 20   // bytes of entries that are not committed yet
+	inflight    = 64        // unacknowledged messages with entries to one voter
+	envelope    = 16        // bytes before each entry: ID of the proposing Core and number of the proposal there, 8 bytes each
+	compactKeep = 200       // entries kept from before a snapshot, so that voters that lag a little need no snapshot
 )
 
-// Core is a voter without clock, network or goroutine. It is not safe for concurrent use.
+// Core is a voter without a clock, network or goroutines of its own. It is not safe for concurrent use.
 type Core struct {
 	o       Options
 	node    *raft.RawNode
@@ -74,23 +78,24 @@
 	conf    *raftpb.ConfState
 	applied uint64
 	snapped uint64 // index of the last snapshot
-	origin  uint64 // of this run's proposals
-	number  uint64 // of the last one
-	waiting map[uint64]func(any, error)
-	reads   []read        // in flight, by their number
-	asked   []func(error) // for the next one
-	renewed bool          // the voters have changed since the last snapshot: one that is new takes only a snapshot in which it is
+	origin  uint64 // random ID of this Core, which marks its proposals
+	number  uint64 // of the last proposal or read
+	waiting map[uint64]func(any, error) // callbacks of the proposals without a result yet, by number
+	reads   []read        // reads that were sent to raft, by number
+	asked   []func(error) // callbacks of reads that wait to be sent
+	renewed bool          // the voters changed since the last snapshot; a new voter accepts only a snapshot that includes it
 	lead    bool
-	led     uint64 // leader, 0: not known
+	led     uint64 // ID of the leader; 0 if not known
 }
 
 type read struct {
 	number uint64
-	index  uint64 // 0: not told yet
+	index  uint64 // commit index of the read; 0 if raft has not returned it yet
 	done   []func(error)
 }
 
-// NewCore takes up what the disk holds. An empty disk begins a log of the voters named: the caller has made sure that it may.
+// NewCore creates a Core that continues from the disk. With an empty disk and without Join it starts a new log with the given
+// voters. The caller must be sure that these voters have no log yet.
 func NewCore(o Options) (*Core, error) {
 	if o.ElectionTicks <= 0 {
 		o.ElectionTicks, o.HeartbeatTicks = 10, 1
@@ -141,19 +146,19 @@
 	return c, err
 }
 
-// Tick tells that a unit of time has passed.
+// Tick advances the clock by one unit.
 func (c *Core) Tick() { c.node.Tick() }
 
-// Step takes a message of another voter. One that makes no sense is an error and changes nothing.
+// Step handles a message from another voter. An invalid message returns an error and changes nothing.
 func (c *Core) Step(m *raftpb.Message) error {
 	if raft.IsLocalMsg(m.GetType()) {
-		return fmt.Errorf("message of type %v from voter %x: that is no word between voters", m.GetType(), m.GetFrom())
+		return fmt.Errorf("message of type %v from voter %x: this type is not sent between voters", m.GetType(), m.GetFrom())
 	}
 	return c.node.Step(m)
 }
 
-// Propose appends an entry, if this voter leads. done is called once, by Work or Propose: with the machine's result once the entry has
-// taken effect, or with an error.
+// Propose appends an entry if this voter is the leader. done is called once, by Process, Propose or Close: with the machine's
+// result once the entry has been applied, or with an error.
 func (c *Core) Propose(entry []byte, done func(any, error)) {
 	if !c.lead {
 		done(nil, ErrNotLeader)
@@ -163,14 +168,15 @@
 	data := binary.BigEndian.AppendUint64(make([]byte, 0, envelope+len(entry)), c.origin)
 	data = append(binary.BigEndian.AppendUint64(data, c.number), entry...)
 	if err := c.node.Propose(data); err != nil {
-		done(nil, fmt.Errorf("%w (%w)", ErrNotLeader, err)) // dropped: nothing was appended
+		done(nil, fmt.Errorf("%w (%w)", ErrNotLeader, err)) // raft dropped it: nothing was appended
 		return
 	}
 	c.waiting[c.number] = done
 }
 
-// Read calls done once, by Work: with nil at a moment when this voter was the leader after Read was called, and its machine has all
-// that was agreed before.
+// ReadIndex makes the next reads of the machine linearizable. done is called once, by Process, ReadIndex or Close: with nil after
+// a majority confirmed that this voter was still the leader after the call, and the machine has applied all entries that were
+// committed before; or with ErrNotLeader.
 func (c *Core) Read(done func(error)) {
 	if !c.lead {
 		done(ErrNotLeader)
@@ -179,11 +185,12 @@
 	c.asked = append(c.asked, done)
 }
 
-// Transfer hands the leadership to another voter, if this one leads.
+// Transfer hands the leadership to another voter if this one is the leader.
 func (c *Core) Transfer(to uint64) { c.node.TransferLeader(to) }
 
-// Reconfigure has the log held by these voters, if this one leads and no other change is under way: by joint consensus, so that at no moment
-// a majority of the old ones or of the new ones alone decides. It tells nothing: the status has the voters once they are agreed.
+// Reconfigure changes the voters of the log to these if this voter is the leader and no other change is in progress. The change
+// uses joint consensus: until it is complete, decisions need a majority of the old voters and one of the new voters. There is no
+// result; Status has the new voters once the change is committed.
 func (c *Core) Reconfigure(voters []uint64) {
 	if !c.lead || len(c.conf.GetVotersOutgoing()) > 0 {
 		return
@@ -207,10 +214,10 @@
 	}
 }
 
-// Unreachable tells that messages to a voter do not get through.
+// Unreachable reports that a message to a voter could not be delivered.
 func (c *Core) Unreachable(id uint64) { c.node.ReportUnreachable(id) }
 
-// SnapshotSent tells how the sending of a snapshot ended.
+// SnapshotSent reports whether a snapshot was delivered to a voter.
 func (c *Core) SnapshotSent(id uint64, ok bool) {
 	s := raft.SnapshotFinish
 	if !ok {
@@ -219,23 +226,24 @@
 	c.node.ReportSnapshot(id, s)
 }
 
-// Status is where a voter stands.
+// Status is the state of a voter.
 type Status struct {
 	Leads          bool
-	Leader         uint64 // 0: not known
+	Leader         uint64 // ID; 0 if not known
 	Term           uint64
-	Applied, First uint64   // indices of the log: applied here; the first that is kept
-	Voters         []uint64 // of the log
+	Applied, First uint64   // indices of the log: last applied entry; first entry that is not compacted
+	Voters         []uint64 // IDs of the log's present voters
 }
 
-// Status tells where this voter stands.
+// Status returns the state of this voter.
 func (c *Core) Status() Status {
 	first, _ := c.storage.FirstIndex()
 	return Status{Leads: c.lead, Leader: c.led, Term: c.node.BasicStatus().GetTerm(), Applied: c.applied, First: first, Voters: c.conf.GetVoters()}
 }
 
-// Work does all that follows from what was brought since the last call: it saves, applies and answers, and gives the messages
-// to be sent. An error is the disk's, or a log that this program can't read: the voter is not to be used any more.
+// Process handles everything that the calls since the last Process caused: it saves entries to the disk, applies committed ones,
+// calls the callbacks, and returns the messages to send. An error means that the disk failed or that this program can't apply
+// the log. The Core must not be used afterwards.
 func (c *Core) Work() (messages []*raftpb.Message, err error) {
 	for {
 		if len(c.asked) > 0 && len(c.reads) == 0 && c.lead {
@@ -269,7 +277,7 @@
 		if err := c.storage.Append(rd.Entries); err != nil {
 			return nil, err
 		}
-		for _, m := range rd.Messages { // they share memory with the log
+		for _, m := range rd.Messages { // copied, since they share memory with the log
 			messages = append(messages, proto.CloneOf(m))
 		}
 		if rd.SoftState != nil {
@@ -304,7 +312,7 @@
 	}
 }
 
-// lost answers those who wait for a leader that is none any more.
+// failPending calls all pending callbacks with an error, after the leadership was lost.
 func (c *Core) lost() {
 	waiting, reads, asked := c.waiting, c.reads, c.asked
 	c.waiting, c.reads, c.asked = map[uint64]func(any, error){}, nil, nil
@@ -319,7 +327,7 @@
 	}
 }
 
-// Close answers all who wait.
+// Close calls all pending callbacks with an error.
 func (c *Core) Close() {
 	c.lead = false
 	c.lost()
@@ -341,7 +349,7 @@
 		}
 		c.conf, c.renewed = c.node.ApplyConfChange(cc), true
 	default:
-		if len(e.Data) < envelope { // the leader's own, at the start of its term
+		if len(e.Data) < envelope { // the empty entry that a leader appends at the start of its term
 			return nil
 		}
 		result := c.o.Machine.Apply(e.Data[envelope:])
@@ -359,7 +367,8 @@
 	return nil
 }
 
-// compact takes a snapshot once enough has been applied since the last one, and lets go of the log before it.
+// compact saves a snapshot once CompactEvery entries were applied since the last one or the voters changed, and then drops the
+// entries before it from memory, but for the last keptEntries.
 func (c *Core) compact() error {
 	if c.applied-c.snapped < c.o.CompactEvery && !c.renewed {
 		return nil
@@ -386,7 +395,7 @@
 	return nil
 }
 
-// raftLog leads raft's own words to the log.
+// raftLog passes the log messages of the raft library to a slog.Logger.
 type raftLog struct{ log *slog.Logger }
 
 // Debug drops the message.
@@ -413,7 +422,7 @@
 // Errorf logs at error level.
 func (l raftLog) Errorf(f string, v ...any) { l.log.Error(fmt.Sprintf(f, v...)) }
 
-// Fatal panics: raft's state can't be relied on.
+// Fatal panics, since raft's state is not reliable then.
 func (l raftLog) Fatal(v ...any) { panic(fmt.Sprint(v...)) }
 
 // Fatalf panics, as Fatal does.
--- a/internal/agree/member.go
+++ b/internal/agree/member.go
@@ -10,31 +10,32 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// ErrStopped answers a voter that has ended.
+// ErrStopped is the error of a member whose context ended.
 var ErrStopped = errors.New("this voter has stopped")
 
-// Member drives a Core by the clock, in one goroutine that owns it.
+// Member drives a Core by the clock, in the goroutine that calls Run. Its methods are safe for concurrent use.
 type Member struct {
 	core *Core
 	tick time.Duration
 	send func(*raftpb.Message) // must not block
-	news func()                // after something was applied, or the leader changed; called by the goroutine of Run
+	news func()                // called by the goroutine of Run after entries were applied or the leader, term or voters changed
 	work chan func()
 	done chan struct{}
 
 	mu     sync.Mutex
 	status Status
-	err    error // once it has ended
+	err    error // why Run has returned
 }
 
-const mostWork = 4096 // words that wait for the goroutine; more are turned away
+const mostWork = 4096 // calls that wait for the goroutine of Run; more are rejected
 
-// NewMember makes a member; Run sets it going.
+// NewMember creates a member, which works once Run is called. send must not block; it is called for each message to another
+// voter.
 func NewMember(core *Core, tick time.Duration, send func(*raftpb.Message), news func()) *Member {
 	return &Member{core: core, tick: tick, send: send, news: news, work: make(chan func(), mostWork), done: make(chan struct{}), status: core.Status()}
 }
 
-// Run goes on until ctx ends, or the disk fails.
+// Run drives the Core until ctx ends or Core.Process fails. It returns ErrStopped or the error of Core.Process.
 func (m *Member) Run(ctx context.Context) error {
 	ticker := time.NewTicker(m.tick)
 	defer ticker.Stop()
@@ -55,7 +56,7 @@
 			m.core.Tick()
 		case f := <-m.work:
 			f()
-			for range len(m.work) { // all of one moment share a write to the disk
+			for range len(m.work) { // all waiting calls share one write to the disk
 				(<-m.work)()
 			}
 		}
@@ -76,7 +77,7 @@
 	}
 }
 
-// do has f run by the goroutine of Run, if there is room.
+// enqueue queues f for the goroutine of Run. It reports false if Run has returned or the queue is full.
 func (m *Member) do(f func()) bool {
 	select {
 	case <-m.done:
@@ -91,36 +92,37 @@
 	}
 }
 
-// Step takes a message of another voter; it is lost where there is no room.
+// Step handles a message from another voter. It is dropped if the queue is full.
 func (m *Member) Step(message *raftpb.Message) { m.do(func() { m.core.Step(message) }) }
 
-// Unreachable tells that messages to a voter do not get through.
+// Unreachable reports that a message to a voter could not be delivered.
 func (m *Member) Unreachable(id uint64) { m.do(func() { m.core.Unreachable(id) }) }
 
-// SnapshotSent tells how the sending of a snapshot ended.
+// SnapshotSent reports whether a snapshot was delivered to a voter.
 func (m *Member) SnapshotSent(id uint64, ok bool) { m.do(func() { m.core.SnapshotSent(id, ok) }) }
 
 // Transfer hands the leadership to another voter.
 func (m *Member) Transfer(to uint64) { m.do(func() { m.core.Transfer(to) }) }
 
-// Reconfigure has the log held by these voters.
+// Reconfigure changes the voters of the log, as Core.Reconfigure does.
 func (m *Member) Reconfigure(voters []uint64) { m.do(func() { m.core.Reconfigure(voters) }) }
 
-// Status tells where the voter stands; Err why it has ended, or nil.
+// Status returns the state of the voter; the zero value once Run has returned.
 func (m *Member) Status() Status {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.status
 }
 
-// Err tells why the voter has ended; nil: it has not.
+// Err returns the error that ended Run, or nil while Run has not returned.
 func (m *Member) Err() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.err
 }
 
-// wait hands f to the goroutine and waits for its word.
+// call runs f in the goroutine of Run and waits until f's callback gets a result. It returns ErrNotLeader if f was not run, and
+// ErrOutcomeUnknown if Run or ctx ended before the result.
 func wait[T any](ctx context.Context, m *Member, f func(answer func(T, error))) (t T, err error) {
 	type answer struct {
 		t   T
@@ -145,18 +147,19 @@
 	}
 }
 
-// Propose appends an entry and gives the machine's result.
+// Propose appends an entry and returns the machine's result once it has been applied.
 func (m *Member) Propose(ctx context.Context, entry []byte) (any, error) {
 	return wait(ctx, m, func(answer func(any, error)) { m.core.Propose(entry, answer) })
 }
 
-// Lead waits until it is known that this voter led after the call, and has all that was agreed before.
+// ConfirmLeadership waits until a majority has confirmed that this voter was the leader after the call, and the machine has
+// applied all entries that were committed before.
 func (m *Member) Lead(ctx context.Context) error {
 	_, err := wait(ctx, m, func(answer func(struct{}, error)) { m.core.Read(func(err error) { answer(struct{}{}, err) }) })
 	return err
 }
 
-// View gives what f finds, run by the goroutine that owns the machine.
+// View runs f in the goroutine that owns the machine, which f may read, and returns f's result.
 func View[T any](ctx context.Context, m *Member, f func() (T, error)) (T, error) {
 	return wait(ctx, m, func(answer func(T, error)) { answer(f()) })
 }
