--- a/internal/agree/core_test.go
+++ b/internal/agree/core_test.go
@@ -19,7 +19,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// words is a machine that keeps all it is told.
+// recordingMachine is a machine that records the entries that it applies.
 type words struct{ list []string }
 
 func (w *words) Apply(entry []byte) any {
@@ -34,11 +34,11 @@
 	return nil
 }
 
-// memory is a disk that outlives the core that writes to it, and can fail.
+// memoryDisk is a disk in memory, which stays when its Core is replaced, and can fail.
 type memory struct {
 	Kept
-	fails  bool
-	breaks bool // after the next write: the process dies between append and all that follows
+	fails  bool // every write fails and stores nothing
+	breaks bool // the next write stores its data and then fails, as if the process died before it could go on
 }
 
 var errDisk = errors.New("no space left")
@@ -71,17 +71,18 @@
 	return nil
 }
 
-// tier is some voters in virtual time: a network that loses, delays, doubles and is cut, and disks.
+// testCluster is a group of voters in virtual time, with memory disks and a network that loses, delays, reorders and duplicates
+// messages and can be partitioned.
 type tier struct {
 	t       interface{ Fatalf(string, ...any) }
 	r       *rand.Rand
-	cores   []*Core // nil: dead
+	cores   []*Core // nil for a voter that is killed
 	disks   []*memory
 	states  []*words
 	flying  []*raftpb.Message
-	cut     [][2]uint64     // from, to
-	said    map[string]bool // proposals that were answered
-	commits []string        // the longest list that any machine had
+	cut     [][2]uint64     // partitioned directions: from, to
+	said    map[string]bool // proposals that returned without an error
+	commits []string        // the longest list of entries that any machine had
 	compact uint64
 }
 
@@ -124,7 +125,8 @@
 	return false
 }
 
-// step is one tick of all, and the arrival of some of what flies.
+// step ticks all voters once and delivers messages in transit for up to three hops. loss is the chance to lose a message; half
+// of it is the chance to deliver one twice.
 func (s *tier) step(loss float64) {
 	for i, c := range s.cores {
 		if c == nil {
@@ -146,7 +148,7 @@
 				continue
 			}
 			if s.r.Float64() < loss/2 {
-				s.flying = append(s.flying, m) // it comes once more
+				s.flying = append(s.flying, m) // a duplicate
 			}
 			s.cores[to].Step(proto.CloneOf(m))
 			s.work(to)
@@ -170,7 +172,7 @@
 	list := s.states[i].list
 	for j := range min(len(list), len(s.commits)) {
 		if list[j] != s.commits[j] {
-			s.t.Fatalf("voter %d has %q at %d, another one %q", i+1, list[j], j, s.commits[j])
+			s.t.Fatalf("voter %d has %q at %d, another voter %q", i+1, list[j], j, s.commits[j])
 		}
 	}
 	if len(list) > len(s.commits) {
@@ -206,7 +208,9 @@
 	s.t.Fatalf("%s: not within 2,000 ticks", what)
 }
 
-// Whatever is cut, lost, killed and restarted: the machines agree, what was answered stays, and all goes on afterwards.
+// Guards against voters that apply different entries, against a confirmed entry that is lost, and against a log that stays stuck
+// once all faults are over. The faults are lost and duplicated messages, partitions, killed and restarted voters, and disks
+// that fail before or after a write, in random order for each seed.
 func TestAgreement(t *testing.T) {
 	seeds := uint64(300)
 	if testing.Short() {
@@ -244,7 +248,7 @@
 				s.start(i)
 			}
 		}
-		s.until(fmt.Sprintf("seed %d: an answer after all troubles", seed), func() bool {
+		s.until(fmt.Sprintf("seed %d: a confirmed entry after all faults", seed), func() bool {
 			if x := s.leader(); x >= 0 {
 				s.propose(x, "last")
 			}
@@ -256,13 +260,14 @@
 		}
 		for w := range s.said {
 			if !has[w] {
-				t.Fatalf("seed %d: %s was answered and is not there", seed, w)
+				t.Fatalf("seed %d: %s was confirmed and is not in the log", seed, w)
 			}
 		}
 	}
 }
 
-// A leader that is cut off stops answering within two elections: neither entries nor reads.
+// Guards against a leader without a majority that still answers. Within two election timeouts after a partition it must fail
+// pending entries and reads, another voter must lead, and its entry must not take effect afterwards.
 func TestCutLeader(t *testing.T) {
 	s := newTier(t, 3, 1)
 	s.until("a leader", func() bool { return s.leader() >= 0 })
@@ -280,16 +285,16 @@
 		t.Errorf("entry: %v, read: %v", wrote, read)
 	}
 	if s.cores[old].Status().Leads || s.leader() < 0 {
-		t.Error("the office was not passed on")
+		t.Error("no other voter took over the leadership")
 	}
 	s.cut = nil
 	s.until("all agree", func() bool { return s.cores[old].Status().Leader == uint64(s.leader()+1) })
 	if s.said["x"] || strings.Contains(strings.Join(s.commits, " "), "x") {
-		t.Error("an entry that no majority had took effect")
+		t.Error("an entry took effect that no majority had stored")
 	}
 }
 
-// A voter that was away for longer than the log is kept gets a snapshot.
+// Guards against a voter that never catches up because the entries it misses were compacted: it must get a snapshot.
 func TestSnapshotForLaggard(t *testing.T) {
 	s := newTier(t, 3, 2)
 	s.until("a leader", func() bool { return s.leader() >= 0 })
@@ -301,13 +306,13 @@
 		s.step(0)
 	}
 	if first := s.cores[s.leader()].Status().First; first < 50 {
-		t.Fatalf("the log is kept from %d on: nothing was compacted", first)
+		t.Fatalf("the first entry is %d: the log was not compacted", first)
 	}
 	s.start(away)
 	s.until("it has all", func() bool { return len(s.states[away].list) == len(s.commits) && len(s.commits) >= compactKeep+100 })
 }
 
-// A transfer hands the leadership over at once, not after an election's silence.
+// Guards against a transfer of the leadership that takes an election timeout: it must be done within three ticks.
 func TestTransfer(t *testing.T) {
 	s := newTier(t, 5, 3)
 	s.until("a leader", func() bool { return s.leader() >= 0 })
@@ -317,11 +322,12 @@
 		s.step(0)
 	}
 	if !s.cores[to].Status().Leads {
-		t.Error("not handed over within three ticks")
+		t.Error("the leadership was not transferred within three ticks")
 	}
 }
 
-// A voter whose disk was lost is taken in with a new one, under another number: the log is held by the others and it, and has all.
+// Guards against a voter that can't come back after it lost its disk. It joins with an empty disk and a new ID, which replaces its
+// old one. It must get all entries, and must count for the majority: afterwards it decides with one of the other two.
 func TestReconfigure(t *testing.T) {
 	s := newTier(t, 3, 4)
 	s.until("a leader", func() bool { return s.leader() >= 0 })
@@ -357,7 +363,7 @@
 	s.propose(s.leader(), "after")
 	s.until("the new one has all", func() bool { return len(s.states[3].list) == 51 })
 	second := s.leader()
-	s.kill(second) // the new one counts for the majority now
+	s.kill(second) // the majority is now the new voter and the one that is left
 	s.until("it decides with the one that is left", func() bool {
 		if x := s.leader(); x >= 0 {
 			s.propose(x, "last")
@@ -366,20 +372,21 @@
 	})
 }
 
-// The file keeps what a core needs, and only one process has it.
-// stubborn is a machine that can't take an entry.
+// failingMachine is a machine that can't apply an entry.
 type stubborn struct{ words }
 
 func (*stubborn) Apply([]byte) any { return errDisk }
 
-// An entry that the machine can't take stops the member.
+// Guards against a voter that goes on after its machine could not apply an entry.
 func TestMachineStops(t *testing.T) {
 	c := &Core{o: Options{Machine: &stubborn{}}}
 	if err := c.apply(&raftpb.Entry{Data: make([]byte, envelope+1)}); !errors.Is(err, errDisk) {
-		t.Errorf("it goes on: %v", err)
+		t.Errorf("the voter goes on: %v", err)
 	}
 }
 
+// Guards against a file that two processes have open at once, and against a log, hard state, snapshot, founding record or disk ID
+// that is lost or changed when the file is opened again.
 func TestBolt(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log.db")
 	b, err := OpenBolt(path)
@@ -387,7 +394,7 @@
 		t.Fatal(err)
 	}
 	if _, err := OpenBolt(path); err == nil {
-		t.Error("a second process has it too")
+		t.Error("the file was opened twice")
 	}
 	entry := func(index uint64, word string) *raftpb.Entry {
 		return &raftpb.Entry{Index: &index, Term: new(uint64(1)), Data: []byte(word)}
@@ -418,7 +425,7 @@
 	}
 }
 
-// saved makes a file with a snapshot and some entries, and gives its content.
+// writeDisk creates a file with a snapshot and 38 entries, and returns the file's bytes.
 func saved(t *testing.T, path string) []byte {
 	t.Helper()
 	b, err := OpenBolt(path)
@@ -441,8 +448,8 @@
 	return raw
 }
 
-// A file that is torn off at any byte, or holds a sector that is not what was written, is refused with what to do, or gives all that it held; never less, and
-// the process goes on.
+// Guards against a voter that uses a part of a damaged log, and against a damaged file that crashes the process. A file that is
+// truncated at a random byte, or has a sector of zeros or random bytes, must be refused as damaged or give all that was written.
 func TestTornDisk(t *testing.T) {
 	dir := t.TempDir()
 	raw := saved(t, filepath.Join(dir, "whole.db"))
@@ -451,7 +458,7 @@
 		bad, what := slices.Clone(raw), ""
 		if i%2 == 0 {
 			n := r.IntN(len(bad))
-			bad, what = bad[:n], fmt.Sprintf("torn off at %d of %d", n, len(raw))
+			bad, what = bad[:n], fmt.Sprintf("truncated at %d of %d", n, len(raw))
 		} else {
 			from := 512 * r.IntN(len(bad)/512)
 			for j := range 512 {
@@ -473,7 +480,7 @@
 			continue
 		}
 		if k, err := b.Load(); len(bad) > 0 && (err != nil || len(k.Entries) != 38 || k.Hard.GetTerm() != 3 || len(k.Snapshot.GetData()) != 9000) {
-			t.Errorf("%s: taken, with %d entries, %v", what, len(k.Entries), err)
+			t.Errorf("%s: accepted, with %d entries, %v", what, len(k.Entries), err)
 		}
 		b.Close()
 	}
@@ -482,7 +489,8 @@
 	}
 }
 
-// A program that knows no sums may write in between: they are made anew.
+// Guards against a file that counts as damaged after an older program wrote to it, which writes no checksums. The checksums must be
+// computed anew when the file is opened.
 func TestSumsMadeAnew(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log.db")
 	saved(t, path)
--- a/internal/faultpoint/faultpoint.go
+++ b/internal/faultpoint/faultpoint.go
@@ -1,22 +1,23 @@
-// Package faultpoint names moments at which the rigs have a process end, or its disk fail. A product build has nobody behind them.
+// Package faultpoint has the points at which the end-to-end tests of cmd/rig kill the process or make its disk fail. Their builds
+// add a file that sets Hit or WallStep. A product build sets neither, so the points do nothing.
 package faultpoint
 
 import "time"
 
-// Hit is called at each point, unless it is nil; its error becomes the point's. A rig's build sets it before anything runs.
+// Hit is called at each point with the point's name, unless it is nil. Reached returns its error. It is set before anything runs.
 var Hit func(point string) error
 
-// WallStep is by how much the wall clock was stepped before the process began. A rig's build may set it.
+// WallStep is added to the wall clock at the start of the process, as if the clock had been stepped before.
 var WallStep time.Duration
 
-// Points.
+// Names of the points.
 const (
-	Save    = "save"    // a voter is about to write its log
-	Saved   = "saved"   // it has written; nothing of it is applied, sent or answered yet
-	Granted = "granted" // an entry is in the log and applied; whoever asked has no answer yet
+	Save    = "save"    // a voter is about to write to its log
+	Saved   = "saved"   // it has written, and nothing of that is applied, sent or answered yet
+	Granted = "granted" // an entry is committed and applied, and the client has no answer yet
 )
 
-// At tells that a point is reached.
+// Reached calls Hit for a point. It returns nil if Hit is nil.
 func At(point string) error {
 	if Hit == nil {
 		return nil
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,6 +1,7 @@
-// Package health tells whether nodes of a new version do worse than those of the old one, from counts of requests by their end. It is
-// pure. The tests are sequential (Wald 1945, the probability ratio test): they may be looked at as often as one likes, and their error
-// rates hold at the moment when they decide. Too little traffic decides nothing.
+// Package health judges whether nodes with a new version do worse than those with the old one, from counts of completed requests
+// by outcome and latency, and from memory use. Its functions are pure. The tests are sequential probability ratio tests (Wald
+// 1945): they may be evaluated as often as the caller likes while the counts grow, and their error rates hold for the first
+// verdict that is not Unknown. With too little traffic the verdict is Unknown.
 package health
 
 import (
@@ -10,44 +11,46 @@
 	"slices"
 )
 
-// Error rates of each test: that a version which does no worse is called worse, and that one which does so is called well.
+// Error rates of each test.
 const (
-	FalseAlarm = 0.001
-	Missed     = 0.01
+	FalseAlarm = 0.001 // probability that a version which does no worse is judged Worse
+	Missed     = 0.01  // probability that a version which does worse is judged Well
 )
 
-// What is told apart: a rate of bad ends that is fine whatever others have, one that is not, and how many times the others' rate is worse.
+// Hypotheses that the tests decide between.
 const (
-	fine    = 0.002
-	notFine = 0.02
-	worse   = 2.0
-	// A class with less than this part of all requests, and so few of its own, says nothing.
+	fine    = 0.002 // share of bad outcomes that is good, whatever the share of the old version
+	notFine = 0.02  // share of bad outcomes that is bad by itself
+	worse   = 2.0   // times the old version's share that counts as worse
+	// A class is ignored if it has less than this share of the new version's requests, and fewer requests than this count at each
+	// of the versions.
 	leastPart  = 0.01
 	leastCount = 50
 )
 
-// Ends are the requests of one class that are over. Took counts those served by how long they took, by Bounds; nil: not known.
+// ClassCounts are the completed requests of one class. Latencies counts the served ones by latency, one count for each bucket of
+// LatencyBounds; nil if the latencies are not known.
 type Ends struct {
 	Served, Refused, Failed uint64
 	Took                    []uint64
 }
 
-// Verdict is what is known.
+// Verdict is the result of a test.
 type Verdict int
 
 const (
-	// Unknown: it wants more requests.
+	// Unknown means that more requests are needed.
 	Unknown Verdict = iota
-	// Well: the new version does no worse.
+	// Well means that the new version does no worse.
 	Well
-	// Worse: it does.
+	// Worse means that the new version does worse.
 	Worse
 )
 
-// String is the verdict in lower case, as reports print it.
+// String returns the verdict in lower case, as reports print it.
 func (v Verdict) String() string { return [...]string{"unknown", "well", "worse"}[v] }
 
-// bounds are where a log likelihood ratio decides.
+// Thresholds of the log likelihood ratio (worse to well): at least worseThreshold is Worse, at most wellThreshold is Well.
 var (
 	rejects = math.Log((1 - Missed) / FalseAlarm)
 	accepts = math.Log(Missed / (1 - FalseAlarm))
@@ -63,13 +66,14 @@
 	return Unknown
 }
 
-// Rate tests bad ends by themselves: at a rate of 0.002 at most, or of 0.02 at least.
+// JudgeRate tests the share of bad outcomes by itself: at most 0.002 (Well) against at least 0.02 (Worse).
 func Rate(bad, all uint64) Verdict {
 	return decide(float64(bad)*math.Log(notFine/fine) + float64(all-bad)*math.Log((1-notFine)/(1-fine)))
 }
 
-// Against tests the new version's bad ends against the old one's, on condition of how many there were in all: where both are alike each of
-// them is the new one's with a chance that goes by its part of the requests.
+// CompareRates tests whether the new version's share of bad outcomes equals the old version's (Well) or is twice as large (Worse).
+// It takes the total number of bad outcomes as given: with equal shares, each of them is of the new version with a probability
+// that equals the new version's share of the requests.
 func Against(newBad, newAll, oldBad, oldAll uint64) Verdict {
 	if newAll == 0 || oldAll == 0 {
 		return Unknown
@@ -79,7 +83,8 @@
 	return decide(float64(newBad)*math.Log(other/alike) + float64(oldBad)*math.Log((1-other)/(1-alike)))
 }
 
-// one judges one kind of end of one class.
+// judgeKind judges one kind of bad outcome of one class. It is Well if either test says so, and Worse only if the share is bad by
+// itself and, where the old version has requests, worse than that of the old version.
 func one(newBad, newAll, oldBad, oldAll uint64) Verdict {
 	alone, beside := Rate(newBad, newAll), Against(newBad, newAll, oldBad, oldAll)
 	switch {
@@ -91,7 +96,9 @@
 	return Unknown
 }
 
-// Judge compares by class: by what failed, what was refused and what was served later than its aim; then by how long answers take. why names the class that is worse, or the one that is not known yet.
+// Judge compares the new version's counts (fresh) with the old version's by class: the shares of failed, refused and late requests,
+// and then the latencies. A request is late if it was served after its class's aim. why describes the class that is worse, or one
+// that is not known yet.
 func Judge(fresh, old map[string]Ends) (v Verdict, why string) {
 	total := uint64(0)
 	all := func(e Ends) uint64 { return e.Served + e.Refused + e.Failed }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -8,7 +8,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// play draws requests of both versions until a verdict, looked at after each batch.
+// simulate draws batches of 50 requests, of which part goes to the new version, with the given shares of failed ones, until Judge
+// returns a verdict. It returns the verdict and the number of the new version's requests.
 func play(seed uint64, newBad, oldBad float64, part float64) (Verdict, uint64) {
 	src := rand.NewPCG(seed, 3)
 	var n, o Ends
@@ -28,7 +29,8 @@
 	return Unknown, n.Served + n.Failed
 }
 
-// The stated error rates hold over a thousand plays each, for rates and parts of the traffic of several kinds, and a verdict comes in time.
+// Guards against verdicts that are wrong more often than the stated error rates, and against verdicts that need too many requests.
+// Each case of failure rates and traffic shares runs a thousand times.
 func TestErrorRates(t *testing.T) {
 	for name, c := range map[string]struct {
 		newBad, oldBad, part float64
@@ -63,20 +65,20 @@
 			bound = FalseAlarm
 		}
 		stated := bound * plays
-		if most := stated + 3.5*math.Sqrt(stated) + 1; float64(wrong) > most || open > plays/100 { // three deviations and a half
-			t.Errorf("%s: %d wrong and %d open of %d, stated %.0f", name, wrong, open, plays, stated)
+		if most := stated + 3.5*math.Sqrt(stated) + 1; float64(wrong) > most || open > plays/100 { // 3.5 standard deviations
+			t.Errorf("%s: %d wrong and %d undecided of %d, want about %.0f wrong", name, wrong, open, plays, stated)
 		}
 		middle := counts[0]
 		for _, n := range counts {
 			middle = (middle*9 + n) / 10
 		}
 		if middle > 2*c.most {
-			t.Errorf("%s: a verdict after some %d requests, want %d", name, middle, c.most)
+			t.Errorf("%s: a verdict after about %d requests, want %d", name, middle, c.most)
 		}
 	}
 }
 
-// Too little traffic is not known; a class that hardly comes says nothing; the worse class is named.
+// Guards against a verdict on too little traffic, a verdict that a rare class decides, and a reason that does not name the class.
 func TestJudge(t *testing.T) {
 	good := map[string]Ends{"a": {Served: 5000}, "b": {Served: 5000}}
 	for name, c := range map[string]struct {
--- a/internal/health/times.go
+++ b/internal/health/times.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// How times are counted: in steps of a twelfth or so, from far below a class's aim to twice the aim.
+// Latency buckets: each bound is about a twelfth (2^(1/8)) above the one before, from 1/128 of a class's aim to twice the aim.
 const (
 	perOctave = 8
 	below     = 7
 	above     = 1
-	aimAt     = perOctave * below // number of the bound that is the aim itself
-	// Buckets is the number of counts: up to each bound, and beyond the last.
+	aimAt     = perOctave * below // index of the bound that equals the aim
+	// Buckets is the number of counts: one up to each bound, and one above the last.
 	Buckets = perOctave*(below+above) + 2
 )
 
-// Bounds are those of the times of a class, by its aim.
+// LatencyBounds returns the upper bounds of all latency buckets of a class but the last, for the class's aim.
 func Bounds(aim time.Duration) []time.Duration {
 	bounds := make([]time.Duration, Buckets-1)
 	for i := range bounds {
@@ -27,7 +27,7 @@
 	return bounds
 }
 
-// late is the number of answers that came beyond the aim.
+// countLate returns the number of answers with a latency above the aim.
 func late(took []uint64) (n uint64) {
 	if len(took) > aimAt+1 {
 		for _, k := range took[aimAt+1:] {
@@ -45,16 +45,17 @@
 }
 
 const (
-	fineStep    = 0.25 // of a step more, 2% or so, is as good as none
-	leastShare  = 0.02 // of answers on either side of a bound, where all times are alike
-	enough      = 2000 // answers, weighed by those of the version before: where they rather tell that it is no slower, that is well
-	leastBefore = 300  // answers of the version before, to know its times by
+	fineStep    = 0.25 // part of a bucket's width by which latencies may grow and still count as equal: about 2%
+	leastShare  = 0.02 // least share of answers assumed on each side of a bound, also where all latencies are alike
+	enough      = 2000 // answers (n*o/(n+o) of n new and o old ones, summed over classes) after which an undecided ratio of at most 0 is Well
+	leastBefore = 300  // answers of the version before that are needed to know its latencies
 )
 
-// slower gives the log likelihood ratio of two hypotheses on the new version's times: that they are as the old one's, or a quarter of a step longer, and
-// that each is a step longer, a twelfth or so. It looks at one bound, the one that tells them apart best by the old times, and at which of the new answers take longer: by Bernoulli's
-// trials. Three fifths of a step more are about as likely by either: times that are all alike may cross a bound by next to nothing. ok is false where too
-// little is known of the old ones, or nothing would tell.
+// latencyRatio returns the log likelihood ratio of two hypotheses on the new version's latencies: that each is one bucket (about
+// a twelfth) above the old version's, against that they equal the old ones or are a quarter of a bucket above. It uses a single
+// bound, the one that separates the hypotheses best given the old latencies, and counts the new answers above it as Bernoulli
+// trials. An increase of three fifths of a bucket is about equally likely under both: where all latencies are alike, a tiny
+// increase may move them across a bound. ok is false if the old version has too few answers or no bound separates the hypotheses.
 func slower(fresh, old []uint64) (llr float64, ok bool) {
 	all, new := total(old), total(fresh)
 	if all < leastBefore {
@@ -63,7 +64,7 @@
 	part := func(n uint64) float64 { return min(max((float64(n)+1)/(float64(all)+2), leastShare), 1-leastShare) }
 	at, p0, p1, best := 0, 0.0, 0.0, 0.0
 	over := all
-	for i := 0; i < len(old)-1; i++ { // over is of those behind bound i-1
+	for i := 0; i < len(old)-1; i++ { // remaining counts the answers above bound i-1
 		longer, behind := part(over), part(over-old[i])
 		behind += fineStep * (longer - behind)
 		over -= old[i]
@@ -78,13 +79,15 @@
 	if at < len(fresh) {
 		longer = total(fresh[at:])
 	}
-	// The old share is a sample too. The difference of two shares varies as that of one sample of new*all/(new+all) from a known share does.
+	// The old share is a sample as well. The difference of the two shares has the variance of a sample of new*all/(new+all) answers
+	// against a known share, so the ratio is weighted by all/(new+all).
 	weight := float64(all) / float64(all+new)
 	return weight * (float64(longer)*math.Log(p1/p0) + float64(new-longer)*math.Log((1-p1)/(1-p0))), true
 }
 
-// Slower tells whether answers of the new version take longer than those of the old one: of any class by itself, or of all
-// together, where a class may be too rare to know by itself. It is well when all together take no longer. why names what is slower, or not known.
+// JudgeLatency judges whether the new version's latencies are above the old version's. It is Worse if one class by itself or all
+// classes together are slower (a class may have too few requests to be judged by itself), and Well if all classes together are
+// not slower. why describes what is slower, or that more answers are needed.
 func Slower(fresh, old map[string]Ends) (v Verdict, why string) {
 	sum, answers, compared := 0.0, 0.0, false
 	for _, class := range slices.Sorted(maps.Keys(fresh)) {
@@ -101,16 +104,16 @@
 	}
 	switch v := decide(sum); {
 	case !compared:
-		return Well, "" // nobody to compare with
+		return Well, "" // there are no answers of the old version to compare with
 	case v == Worse:
 		return Worse, "all classes together take longer than at the version before"
-	case v == Unknown && (answers < enough || sum > 0): // between the two hypotheses a test may go on for long
+	case v == Unknown && (answers < enough || sum > 0): // with enough answers it ends, since a latency between the hypotheses may leave it undecided for long
 		return Unknown, "whether answers take longer: more are wanted"
 	}
 	return Well, ""
 }
 
-// medianRatio is the new median by the old one, by the buckets that they lie in.
+// medianRatio returns the new median latency divided by the old one, interpolated within the buckets.
 func medianRatio(fresh, old []uint64) float64 {
 	at := func(took []uint64) float64 {
 		half := float64(total(took)) / 2
@@ -125,8 +128,9 @@
 	return math.Exp2((at(fresh) - at(old)) / perOctave)
 }
 
-// Fat tells whether a new version's processes hold much more memory than the others do: bytes of the largest ones. It is a bound, and no
-// test: memory is no matter of chance. old is 0 where there is none to compare with.
+// UsesMoreMemory reports whether the largest process of the new version uses much more memory than the largest of the old one, in
+// bytes: more than 1.5 times as much plus 16 MB. It is a fixed limit and no statistical test, since memory use varies little by
+// chance. The old size is 0 if there is none to compare with.
 func Fat(fresh, old uint64) (bool, string) {
 	if old > 0 && float64(fresh) > fatTimes*float64(old)+fatMore {
 		return true, fmt.Sprintf("a process holds %d MB of memory, %d MB the largest of the version before", fresh>>20, old>>20)
@@ -134,7 +138,8 @@
 	return false, ""
 }
 
+// Limits of UsesMoreMemory.
 const (
 	fatTimes = 1.5
-	fatMore  = 16 << 20
+	fatMore  = 16 << 20 // bytes
 )
--- a/internal/health/times_test.go
+++ b/internal/health/times_test.go
@@ -11,7 +11,9 @@
 
 const playAim = 600 * time.Millisecond
 
-// playTimes draws answers of both versions, with times around 20 ms, until a verdict, looked at after each batch.
+// simulateLatencies draws batches of 50 answers, of which part is the new version's, until JudgeLatency returns a verdict. The
+// latencies are log-normal around 20 ms, with the given spread, and the new version's are multiplied by times. It returns the
+// verdict and the number of the new version's answers.
 func playTimes(seed uint64, times, spread, part float64) (Verdict, uint64) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	bounds := Bounds(playAim)
@@ -32,7 +34,8 @@
 	return Unknown, total(n)
 }
 
-// What is 10% slower is found, and what is not is let pass, at the stated rates, for times that are all alike and for some that spread.
+// Guards against a version that is 10% slower and passes, one that is not slower and is rejected (both beyond the stated error
+// rates), and verdicts that need too many answers. The latencies are nearly alike in some cases and spread widely in others.
 func TestSlower(t *testing.T) {
 	for name, c := range map[string]struct {
 		times, spread, part float64
@@ -69,7 +72,7 @@
 			stated = FalseAlarm * plays
 		}
 		if most := stated + 3.5*math.Sqrt(stated) + 1; float64(wrong) > most || open > 0 {
-			t.Errorf("%s: %d wrong and %d open of %d, stated %.1f", name, wrong, open, plays, stated)
+			t.Errorf("%s: %d wrong and %d undecided of %d, want about %.1f wrong", name, wrong, open, plays, stated)
 		}
 		slices.Sort(counts)
 		if middle := counts[plays/2]; middle > c.most {
@@ -78,7 +81,7 @@
 	}
 }
 
-// What lies between the hypotheses comes to an end too.
+// Guards against a test that never ends when the new version's latency lies between the two hypotheses.
 func TestInBetween(t *testing.T) {
 	well := 0
 	var counts []uint64
@@ -90,12 +93,12 @@
 	}
 	slices.Sort(counts)
 	if worst := counts[len(counts)-1]; worst > 12_000 || counts[100] > 5000 || well < 100 {
-		t.Errorf("well in %d of 200 plays, after %d answers at the median and %d at worst", well, counts[100], worst)
+		t.Errorf("well in %d of 200 runs, after %d answers at the median and %d at worst", well, counts[100], worst)
 	}
 }
 
-// Rare classes are judged together; one that is much slower is named; with nobody to compare there is nothing to say. What comes beyond its
-// aim counts as late.
+// Guards against rare classes that are never judged (they are judged together), a slower class that is not named, and a verdict of
+// Worse where no answers of the old version exist. Also checks that answers above the aim count as late, and the memory limit.
 func TestSlowerOfMany(t *testing.T) {
 	at := func(bucket int, n uint64) []uint64 {
 		took := make([]uint64, Buckets)
@@ -123,12 +126,12 @@
 		t.Errorf("late answers: %v, %q", v, why)
 	}
 	if n := late(at(aimAt-4, 10)); n != 0 {
-		t.Errorf("%d answers within their aim are late", n)
+		t.Errorf("%d answers below their aim count as late", n)
 	}
 	if fat, _ := Fat(60<<20, 20<<20); !fat {
-		t.Error("thrice the memory is let pass")
+		t.Error("three times the memory is accepted")
 	}
 	if fat, _ := Fat(40<<20, 20<<20); fat {
-		t.Error("20 MB more are an alarm")
+		t.Error("20 MB more are rejected")
 	}
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,5 +1,6 @@
-// Package timeline makes a page of one release: what was out of each group of each budget over time, against what may be, with the steps of the release.
-// It is hand-made SVG, since it is part of the node's program: a plotting library's fonts and tables would be in each node's memory.
+// Package timeline writes an HTML page of one release: how many members of each group of each budget were out of service over
+// time, the limit of the budget, and the steps of the release. It writes SVG itself, since the package is part of the node's
+// program, and the fonts and tables of a plotting library would be in the memory of each node.
 package timeline
 
 import (
@@ -18,27 +19,27 @@
 
 func clock(ms int64) string { return time.UnixMilli(ms).UTC().Format("15:04:05.000") }
 
-// Of a picture, in its own units.
+// Dimensions of the drawing, in SVG units: left and right edge of the graphs, height of a graph and gap between them.
 const (
 	left, right, height, gap = 220.0, 960.0, 46.0, 14.0
 )
 
-// row is one group of a budget.
+// row is the graph of one group of a budget. page.html uses its fields by name, as it does those of mark.
 type row struct {
 	Label, Path     string
-	Top, Base, Line float64 // Line: of what may be out; below 0: none
-	Worst           uint32
-	Most            int32
-	Over            bool
+	Top, Base, Line float64 // y coordinates: top and base of the graph, and the limit's line, negative if there is no limit
+	Worst           uint32  // most members that were out at once
+	Most            int32   // limit of members that may be out; -1 if there is none
+	Over            bool    // the limit was exceeded
 }
 
-// mark is a step of the release.
+// mark is a step of the release, drawn as a vertical line.
 type mark struct {
 	X     float64
 	Title string
 }
 
-// Write makes the page of the release that a state holds.
+// Write writes the page of the release in a state. It fails if the state has no release.
 func Write(to io.Writer, s *fleetpb.State) error {
 	r := s.Release
 	if r == nil {
@@ -88,14 +89,15 @@
 		data.Marks = append(data.Marks, mark{at(e.AtMs), clock(e.AtMs) + " " + e.What})
 	}
 	data.Depth = top
-	t, err := template.New("release").Funcs(template.FuncMap{"clock": clock}).Parse(page) // here: a node makes no pages
+	t, err := template.New("release").Funcs(template.FuncMap{"clock": clock}).Parse(page) // parsed here and not at start, since nodes write no pages
 	if err != nil {
 		return err
 	}
 	return t.Execute(to, data)
 }
 
-// draw makes a group's steps as one filled path.
+// drawGroup draws the samples of a group as one filled step path. top is the y coordinate of the graph, at maps a time to an x
+// coordinate, and until is the end of the time axis in ms.
 func draw(key string, list []*fleetpb.Sample, top float64, at func(int64) float64, until int64) *row {
 	w := &row{Label: key, Top: top, Base: top + height, Most: list[len(list)-1].Most, Line: -1}
 	scale := float64(max(1, w.Most+1))
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -1,4 +1,5 @@
-// Package vitals is what a leader knows of how nodes do, and what it finds of the wave of a release that soaks: pure, time comes by arguments.
+// Package vitals collects the nodes' reports of completed requests and memory use on the leader, and judges by them the wave of a
+// release that is soaking. It has no clock and no I/O; the time is in its arguments.
 package vitals
 
 import (
@@ -10,22 +11,24 @@
 	"starlingvalve/internal/health"
 )
 
-// WarmUp is how long a wave soaks, and a process runs, before its requests count: one that has just started refuses more than it will.
+// WarmUp is the time from the start of a wave's soak, or of a process, until its requests count. A process that has just started
+// refuses more requests than later on.
 const WarmUp = 3 * time.Second
 
-// Vitals is what the leader knows of how nodes do, for the wave of a release that soaks. Nodes count from the soak's beginning themselves, so that a new
-// leader knows all of it with their next words. The zero value knows nothing.
+// Vitals has the last report of each node. The nodes themselves count from the start of the soak, so that a new leader has the
+// counts of the whole soak with their next reports. The zero value has no reports.
 type Vitals struct{ nodes map[string]*pulse }
 
-// pulse is a node's last word.
+// nodeReport is the last report of a node.
 type pulse struct {
-	session  uint64
-	soak     int64 // that its counts are of
+	session  uint64 // epoch of the node's session that reported
+	soak     int64  // soak whose start the counts begin at
 	ends     map[string]health.Ends
-	resident uint64 // bytes of memory
+	resident uint64 // resident memory in bytes
 }
 
-// Soak gives the soak that nodes are to count from; 0: none is on, or not for long enough. tell: their counts are wanted.
+// ActiveSoak returns the soak that nodes have to count from, as the ms of its start; 0 if no wave has soaked for WarmUp. tell
+// reports whether nodes have to report their counts, which is while a release with health checks is running.
 func Soak(s *fleetpb.State) (soak int64, tell bool) {
 	r := s.Release
 	if r == nil || r.State != fleet.Running || !r.Plan.Health {
@@ -37,7 +40,7 @@
 	return 0, true
 }
 
-// Tell takes a node's word.
+// SetReport stores the report that a node's session renewal carries. One without counts removes the node's report.
 func (v *Vitals) Tell(node string, session uint64, o *fleetpb.OpenSession) {
 	if len(o.Ends) == 0 {
 		delete(v.nodes, node)
@@ -53,10 +56,10 @@
 	v.nodes[node] = p
 }
 
-// Forget lets go of what a node said.
+// Remove drops the report of a node.
 func (v *Vitals) Forget(node string) { delete(v.nodes, node) }
 
-// Since gives counts less those of a time before. Both are of one process, whose counts only rise.
+// Subtract returns the counts of now minus those of an earlier time. Both must be of the same process, whose counts only rise.
 func Since(now, before map[string]health.Ends) map[string]health.Ends {
 	since := map[string]health.Ends{}
 	for class, e := range now {
@@ -70,7 +73,7 @@
 	return since
 }
 
-// Trim has a word name counts of times from the first to the last that is not 0.
+// SetTrimmedLatencies sets the latency counts of a message, without the zeros before the first and after the last other count.
 func Trim(e *fleetpb.Ends, took []uint64) {
 	from, to := 0, len(took)
 	for from < to && took[from] == 0 {
@@ -82,7 +85,8 @@
 	e.Took, e.TookFrom = took[from:to], uint32(from)
 }
 
-// spread gives the counts of times that a word has; nil: it makes no sense.
+// expandLatencies is the reverse of SetTrimmedLatencies: it returns the counts of all buckets; nil if the message has none or
+// has buckets that do not exist.
 func spread(e *fleetpb.Ends) []uint64 {
 	if len(e.Took) == 0 || uint64(e.TookFrom)+uint64(len(e.Took)) > health.Buckets {
 		return nil
@@ -92,7 +96,7 @@
 	return took
 }
 
-// add adds a node's counts.
+// addTo adds the counts of a report to sum, by class.
 func (p *pulse) add(sum map[string]health.Ends) {
 	for class, e := range p.ends {
 		s := sum[class]
@@ -109,10 +113,10 @@
 	}
 }
 
-// Judge compares the nodes of the wave that soaks with those that have the version before, in the same zones where there are some; in the last wave,
-// where there are none left, with those of earlier waves. Memory is compared over all nodes of either version. What was found well is
-// looked at on until the soak is over: the chance of a false alarm is bounded over the whole of it. nil: there is
-// nothing to say, or nothing is known yet.
+// Judge compares the nodes of the wave that is soaking with the nodes that have the version before: those in the same zones, or
+// else in all zones, or else, as in the last wave, the nodes of earlier waves. Memory is compared over all nodes of both versions.
+// A wave that was found well is judged further until its soak ends; the probability of a false alarm is bounded over the whole
+// soak. It returns nil if there is no new verdict, and HealthUnknown once half of the time for judging is over.
 func (v *Vitals) Judge(s *fleetpb.State) *fleetpb.Judged {
 	r := s.Release
 	soak, _ := Soak(s)
@@ -121,7 +125,7 @@
 	}
 	fresh, near, all, done := map[string]health.Ends{}, map[string]health.Ends{}, map[string]health.Ends{}, map[string]health.Ends{}
 	zones := map[string]bool{}
-	// known gives a node's word in its present session.
+	// currentReport returns a node's report if it is of the node's present session, else nil.
 	known := func(name string) *pulse {
 		if p, n := v.nodes[name], s.Nodes[name]; p != nil && n != nil && n.Epoch == p.session {
 			return p
@@ -134,7 +138,7 @@
 			zones[s.Nodes[n].Zone] = true
 		}
 	}
-	most := map[string]uint64{} // memory, by version
+	most := map[string]uint64{} // largest resident memory of a node, by version
 	for name, u := range s.Units {
 		p := known(name)
 		if p == nil || u.State != fleet.UnitReady {
@@ -144,7 +148,7 @@
 		switch {
 		case p.soak != soak || slices.Contains(r.Plan.Waves[r.Wave].Nodes, name):
 		case u.Version == r.Plan.Version:
-			p.add(done) // of an earlier wave, and so found well
+			p.add(done) // a node of an earlier wave, which was found well
 		case u.Version == r.Plan.Before:
 			p.add(all)
 			if zones[s.Nodes[name].Zone] {
@@ -169,7 +173,7 @@
 	case verdict == health.Well && r.Health != fleet.HealthWell:
 		j.Health = fleet.HealthWell
 	case verdict == health.Unknown && r.Health == "" && s.NowMs-r.SoakMs > r.Plan.SoakMs+r.Plan.LimitMs/2:
-		j.Health, j.Why = fleet.HealthUnknown, why // whoever looks is told, before the limit halts it
+		j.Health, j.Why = fleet.HealthUnknown, why // shown to operators before the time limit halts the release
 	default:
 		return nil
 	}
--- a/internal/vitals/vitals_test.go
+++ b/internal/vitals/vitals_test.go
@@ -9,7 +9,7 @@
 	"starlingvalve/internal/health"
 )
 
-// soaking is a fleet of two zones whose first wave, a1, soaks since 1000.
+// newSoakingState returns a fleet of two zones, nodes a1, a2 and b1, whose first wave, a1, has been soaking since 1000 ms.
 func soaking() *fleetpb.State {
 	s := &fleetpb.State{NowMs: 5000, Nodes: map[string]*fleetpb.Node{}, Units: map[string]*fleetpb.Unit{},
 		Release: &fleetpb.Release{State: fleet.Running, SoakMs: 1000, Plan: &fleetpb.Plan{Name: "r", Version: "new", Before: "old", Health: true, LimitMs: 60_000, Waves: []*fleetpb.Wave{{Nodes: []string{"a1"}}}}}}
@@ -35,13 +35,13 @@
 	return o
 }
 
-// A leader that has just begun judges by the nodes' first words, which are of the whole soak; words of another soak or session, and nodes of other
-// zones, don't count.
+// Guards against a new leader that can't judge by the nodes' first reports, and against verdicts that use reports of another soak
+// or session, or nodes of other zones where the wave's own zone has nodes to compare with.
 func TestJudge(t *testing.T) {
 	plain := func(*fleetpb.State) {}
 	for name, c := range map[string]struct {
 		a1, a2, b1 *fleetpb.OpenSession
-		session    uint64 // of a1's word
+		session    uint64 // of a1's report
 		edit       func(*fleetpb.State)
 		want, why  string
 	}{
@@ -70,12 +70,12 @@
 			t.Errorf("%s: %v; want %q, %q", name, j, c.want, c.why)
 		}
 		if v.Forget("a1"); j != nil && c.want != fleet.HealthUnknown && v.Judge(s) != nil {
-			t.Errorf("%s: a node that is forgotten is judged", name)
+			t.Errorf("%s: a removed node is judged", name)
 		}
 	}
 }
 
-// Counts since a time are what came behind it; times go through a word whole, and one that makes no sense is passed over.
+// Guards against wrong differences of counts, latency counts that a message changes, and a message with buckets that don't exist.
 func TestWords(t *testing.T) {
 	took := make([]uint64, health.Buckets)
 	took[3], took[7] = 5, 6
@@ -88,7 +88,7 @@
 		t.Errorf("%v", got)
 	}
 	if e.TookFrom = health.Buckets - 4; spread(e) != nil {
-		t.Error("more counts than there are")
+		t.Error("a message with too many buckets was accepted")
 	}
 	now := map[string]health.Ends{"c": {Served: 9, Failed: 2, Took: took}, "d": {Refused: 4}}
 	d := Since(now, map[string]health.Ends{"c": {Served: 4, Failed: 1, Took: append([]uint64{0, 0, 0, 2}, make([]uint64, health.Buckets-4)...)}})
