--- a/internal/supervise/config.go
+++ b/internal/supervise/config.go
@@ -9,17 +9,17 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// Config is a supervisor's file, checked. Paths in it are relative to its folder.
+// Config is a validated supervisor file. Paths in the file are relative to its folder.
 type Config struct {
-	Path   string
-	Fleet  *control.Config
-	Folder string        // of programs
-	Args   []string      // of the node
-	End    time.Duration // of a process that was told to end, until it is killed
-	Ready  time.Duration // a node that is not ready by then counts as crashed
+	Path   string          // of the supervisor file
+	Fleet  *control.Config // the fleet file that it names
+	Folder string          // of the programs; absolute
+	Args   []string        // command line arguments of the node
+	End    time.Duration   // from SIGTERM to SIGKILL
+	Ready  time.Duration   // a node that is not ready this long after its start counts as crashed
 }
 
-// Load reads a file and checks all of it, the fleet file that it names included.
+// Load reads and validates a supervisor file and the fleet file that it names.
 func Load(path string, now time.Time) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 			return nil, fault(l.key, "want %d to %d, have %d", l.least, l.most, l.have)
 		}
 	}
-	for key, name := range map[string]*string{"supervise.folder": &s.Folder, "supervise.fleet": &s.Fleet} { // the node may be started elsewhere
+	for key, name := range map[string]*string{"supervise.folder": &s.Folder, "supervise.fleet": &s.Fleet} { // absolute, since the node's working directory may be another one
 		if *name, err = filepath.Abs(beside(*name)); err != nil {
 			return nil, fault(key, "%v", err)
 		}
--- a/internal/supervise/programs.go
+++ b/internal/supervise/programs.go
@@ -1,5 +1,6 @@
-// Package supervise keeps one node's process running, holds the programs that it may run by the hash of their content, and brings
-// the node to the version that the fleet's release gives it a turn for. It never needs the agreement to keep the node running.
+// Package supervise is the process supervisor of one node. It restarts the node's process when it ends, stores the programs that
+// the node may run under the hash of their content, and replaces the process by one of another version when the fleet's release
+// orders it. It keeps the node running also while the fleet's voters can't be reached.
 package supervise
 
 import (
@@ -20,23 +21,23 @@
 	"starlingvalve/internal/wholefile"
 )
 
-// Programs is a folder of programs by the hash of their content, and which one runs.
+// Programs is a folder of programs, named by the hash of their content, with files that record which one runs.
 type Programs struct{ folder string }
 
-// Chosen is which program runs.
+// Chosen records which program the node runs.
 type Chosen struct {
 	Version string `json:"version"`
-	Well    string `json:"well"` // the last one that was ready
+	Well    string `json:"well"` // the last version whose process was ready
 }
 
 var versionName = regexp.MustCompile(`^[0-9a-f]{32}$`)
 
-// OpenPrograms opens a folder, or makes it.
+// OpenPrograms opens a folder of programs, or creates it.
 func OpenPrograms(folder string) (*Programs, error) {
 	return &Programs{folder}, os.MkdirAll(folder, 0o700)
 }
 
-// Add takes a program in and gives its version: 32 hex digits of the SHA-256 of its content.
+// Add copies a program into the folder and returns its version: the first 32 hex digits of the SHA-256 of its content.
 func (p *Programs) Add(path string) (version string, err error) {
 	from, err := os.Open(path)
 	if err != nil {
@@ -47,7 +48,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer os.Remove(to.Name()) // unless it has its name by then
+	defer os.Remove(to.Name()) // does nothing once the file is renamed
 	sum := sha256.New()
 	_, err = io.Copy(io.MultiWriter(to, sum), from)
 	if err = errors.Join(err, to.Chmod(0o700), to.Sync(), to.Close()); err != nil {
@@ -57,7 +58,7 @@
 	return version, os.Rename(to.Name(), filepath.Join(p.folder, version))
 }
 
-// Path gives the program of a version, whose content is what it was.
+// Path returns the path of a version's program, after a check that its content still has the hash.
 func (p *Programs) Path(version string) (string, error) {
 	if !versionName.MatchString(version) {
 		return "", fmt.Errorf("%.50q is no version: want 32 hex digits", version)
@@ -73,56 +74,58 @@
 		return "", err
 	}
 	if got := hex.EncodeToString(sum.Sum(nil)[:16]); got != version {
-		return "", fmt.Errorf("%s: its content has the hash %s: it is damaged, add it again", path, got)
+		return "", fmt.Errorf("%s: the file is damaged, its content has the hash %s: add the program again", path, got)
 	}
 	return path, nil
 }
 
 func (p *Programs) chosenFile() string { return filepath.Join(p.folder, "chosen.json") }
 
-// Chosen tells which program runs; the zero value: none was chosen yet.
+// Chosen returns which program the node runs; the zero value if none was chosen yet.
 func (p *Programs) Chosen() (c Chosen, err error) {
 	err = wholefile.ReadJSON(p.chosenFile(), &c)
 	return c, err
 }
 
-// Choose notes it, whole or not at all.
+// SetChosen stores atomically which program the node runs.
 func (p *Programs) Choose(c Chosen) error { return wholefile.WriteJSON(p.chosenFile(), c) }
 
-// started is a process that a supervisor has started, by its number and when it began: a number alone may be another one's by now.
+// startedProcess identifies a process that a supervisor has started. The start time is part of it, since the kernel may have given
+// the process ID to another process meanwhile.
 type started struct {
 	Pid   int    `json:"pid"`
-	Began string `json:"began"` // in ticks of the kernel's clock
+	Began string `json:"began"` // start time in the kernel's clock ticks since boot
 }
 
 func (p *Programs) startedFile() string { return filepath.Join(p.folder, "started.json") }
 
-// beganOf reads when a process began (proc(5), field 22 of stat); empty: there is none, or it has ended and waits for its parent.
+// startTicks returns the start time of a process (proc(5), field 22 of stat); empty if there is no such process or it is a zombie.
 func beganOf(pid int) string {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return ""
 	}
-	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:])) // from the third field on
+	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:])) // fields 3 and later
 	if len(fields) < 20 || fields[0] == "Z" {
 		return ""
 	}
 	return fields[19]
 }
 
-// Left gives the processes that supervisors of this node have started and that still run.
+// Running returns the processes that supervisors of this node have started and that still run.
 func (p *Programs) Left() (left []started, err error) {
 	err = wholefile.ReadJSON(p.startedFile(), &left)
 	return slices.DeleteFunc(left, func(x started) bool { return x.Began == "" || beganOf(x.Pid) != x.Began }), err
 }
 
-// Note remembers a process that was started.
+// RecordStarted adds a process to the stored list of started processes.
 func (p *Programs) Note(pid int) error {
 	left, err := p.Left()
 	return errors.Join(err, wholefile.WriteJSON(p.startedFile(), append(left, started{pid, beganOf(pid)})))
 }
 
-// Lock waits until no other supervisor keeps this node. It is held until the file is closed, or the process ends. waits is told if it has to.
+// Lock waits until no other supervisor runs for this node, and takes the lock. The lock lasts until the returned file is closed or
+// this process ends. onWait is called once if Lock has to wait.
 func (p *Programs) Lock(ctx context.Context, waits func()) (*os.File, error) {
 	return wholefile.Lock(ctx, filepath.Join(p.folder, "lock"), lookEvery, sync.OnceFunc(waits))
 }
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	lookEvery  = 50 * time.Millisecond // at the node
-	doorWait   = time.Second
-	againFirst = 200 * time.Millisecond // before a node that crashed is started again; doubles
+	lookEvery  = 50 * time.Millisecond
+	doorWait   = time.Second            // for an answer of the node on its control socket
+	againFirst = 200 * time.Millisecond // before a crashed node is started again; doubles with each crash in a row
 	againLast  = 5 * time.Second
-	tellAgain  = 3 * time.Second // what the agreement may have lost
-	tellWait   = 2 * time.Second
+	tellAgain  = 3 * time.Second // until a report is sent again, since the voters may have lost it
+	tellWait   = 2 * time.Second // for the result of a report
 )
 
-// Supervisor keeps one node.
+// Supervisor keeps the process of one node running in the version that the fleet orders.
 type Supervisor struct {
 	c        *Config
 	programs *Programs
@@ -36,15 +36,16 @@
 
 	mu     sync.Mutex
 	chosen Chosen
-	turn   *fleetpb.Turn // that is to be made; nil: none
+	turn   *fleetpb.Turn // order to change the version that is not begun yet; nil if there is none
 	made   uint64        // epoch of the last turn that was begun
-	word   *fleetpb.Supervised
-	said   bool          // the agreement has that word
-	reach  time.Time     // when the agreement answered last
-	news   chan struct{} // holds one: there is a turn, or a word
+	word   *fleetpb.Supervised // newest report on the node
+	said   bool          // the voters have accepted that report
+	reach  time.Time     // when the voters last answered
+	news   chan struct{} // has capacity 1; signals a new turn
 }
 
-// Run supervises until ctx ends; then the node is told to end too. If the supervisor itself is killed the node runs on, and the next supervisor takes it up.
+// Run supervises the node until ctx ends, and then ends the node. If the supervisor itself is killed, the node keeps running and
+// the next supervisor adopts it.
 func Run(ctx context.Context, c *Config, log *slog.Logger) error {
 	programs, err := OpenPrograms(c.Folder)
 	if err != nil {
@@ -62,7 +63,7 @@
 	if s.chosen, err = programs.Chosen(); err != nil {
 		return fmt.Errorf("%s: %w", c.Folder, err)
 	}
-	if s.chosen.Version == "" { // the first start: this very program
+	if s.chosen.Version == "" { // first start: the node runs the program of this process
 		self, err := os.Executable()
 		if err != nil {
 			return err
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// follow hears of turns.
+// followOrders receives the fleet's orders and stores new turns of this node.
 func (s *Supervisor) follow(ctx context.Context) {
 	version, log := uint64(0), ""
 	for ctx.Err() == nil {
@@ -116,7 +117,7 @@
 	}
 }
 
-// wake is called under the lock.
+// notifyChanged signals a new turn. The caller holds the lock.
 func (s *Supervisor) wake() {
 	select {
 	case s.news <- struct{}{}:
@@ -124,7 +125,7 @@
 	}
 }
 
-// tell notes the newest word of the node.
+// setReport sets and logs the newest report on the node, which sendReports sends.
 func (s *Supervisor) tell(version, state, why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,8 @@
 	s.log.Info("supervise: node", "version", version, "state", state, "turn", s.made, "why", why)
 }
 
-// speak tells the agreement the newest word, until it is heard, and now and then again. A crash is told once.
+// sendReports sends the newest report to the voters until they accept it, and then again every reportInterval. A crash is counted
+// by the release, so its report is not sent again once accepted.
 func (s *Supervisor) speak(ctx context.Context) {
 	var at time.Time
 	for ctx.Err() == nil {
@@ -148,7 +150,7 @@
 				at, s.reach = time.Now(), time.Now()
 				s.said = s.said || s.word == word
 				if r.Code != fleetpb.Result_DONE {
-					s.log.Warn("supervise: a word was not taken", "word", word, "result", r)
+					s.log.Warn("supervise: a report was not accepted", "word", word, "result", r)
 				}
 			}
 			s.mu.Unlock()
@@ -160,7 +162,7 @@
 	}
 }
 
-// next gives the turn that is to be made, once.
+// takeTurn returns the turn that is to be begun and marks it as begun; nil if there is none.
 func (s *Supervisor) next() *fleetpb.Turn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,21 +173,21 @@
 	return t
 }
 
-// unreached tells whether the agreement has not answered for longer than a session lives.
+// unreachable reports whether the voters have not answered for twice the lifetime of a session.
 func (s *Supervisor) unreached() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return time.Since(s.reach) > 2*s.c.Fleet.Life
 }
 
-// process is the node's: started here, or by a supervisor before this one.
+// process is a process of the node, which this or an earlier supervisor started.
 type process struct {
 	*os.Process
-	ended chan struct{}
-	err   error // once it has ended
+	ended chan struct{} // closed once it has ended
+	err   error         // how it ended
 }
 
-// keep has the node run, in the version that is wanted, until ctx ends.
+// runNode keeps the node running in the ordered version until ctx ends, and then ends it.
 func (s *Supervisor) keep(ctx context.Context) {
 	p := s.takeUp(ctx)
 	wait := againFirst
@@ -217,7 +219,8 @@
 	}
 }
 
-// watch stays with a process until another version is wanted, or it has failed.
+// watchProcess waits until another version is ordered or the process has failed. It returns the version or a description of the
+// failure; both are empty if ctx ended.
 func (s *Supervisor) watch(ctx context.Context, p *process) (want, failed string) {
 	began, ready := time.Now(), false
 	for ctx.Err() == nil {
@@ -245,9 +248,10 @@
 	return "", ""
 }
 
-// replace brings the node to a version: a process of it is started beside the one that serves, takes over its sockets (internal/handover), and the old
-// one ends by itself. One that ends before, or is not ready in time, changes nothing for clients; it is tried again until another
-// version is wanted. It gives the process that is the node's then.
+// replace brings the node to another version. It starts a process of that version beside the one that serves; the new process
+// takes over the sockets (internal/handover), and the old one then ends by itself. If the new process ends early or is not ready
+// in time, the old one keeps serving clients, and the start is tried again after a delay until another version is ordered. It
+// returns the process that is the node's afterwards; nil if there is none.
 func (s *Supervisor) replace(ctx context.Context, old *process, want string) *process {
 	s.log.Info("supervise: turn", "from", s.chosen.Version, "to", want)
 	for wait := againFirst; ; wait = min(2*wait, againLast) {
@@ -274,9 +278,9 @@
 			case err != nil:
 			case h.Pid == old.Pid && h.Succeeded && !told:
 				told = true
-				old.Signal(syscall.SIGTERM) // it answers what it has
+				old.Signal(syscall.SIGTERM) // it answers the requests that it has before it ends
 			case h.Pid != old.Pid && h.Pid != p.Pid && h.Node == s.c.Fleet.Name:
-				// A supervisor before this one had begun the turn, and what it started has taken over.
+				// An earlier supervisor had begun the turn, and the process that it started has taken over.
 				if other := s.adopt(ctx); other != nil {
 					s.end(p)
 					s.end(old)
@@ -287,7 +291,7 @@
 				}
 			}
 			if s.isReady(ctx, p) {
-				s.end(old) // it has ended
+				s.end(old) // normally it has ended already
 				s.choose(want)
 				s.well()
 				s.tell(want, fleet.UnitReady, "")
@@ -305,7 +309,7 @@
 		}
 		gone := false
 		select {
-		case <-old.ended: // it may have handed over already
+		case <-old.ended: // possible if it had handed over already
 			gone = true
 		default:
 		}
@@ -326,7 +330,7 @@
 			}
 			timer.Stop()
 			if changed == "" && s.unreached() {
-				s.log.Warn("supervise: the agreement is out of reach; back to the version that was well", "version", s.chosen.Well)
+				s.log.Warn("supervise: the voters can't be reached; returns to the last version that was ready", "version", s.chosen.Well)
 				changed = s.chosen.Well
 			}
 		}
@@ -339,7 +343,7 @@
 		case ctx.Err() != nil:
 			return old
 		case changed == s.chosen.Version:
-			s.log.Info("supervise: stays as it was", "version", changed)
+			s.log.Info("supervise: the node keeps its version", "version", changed)
 			return old
 		case changed != "":
 			want = changed
@@ -347,8 +351,8 @@
 	}
 }
 
-// back waits before the next start, or for a turn, and gives the next wait. Out of reach of the agreement, a version that was never ready
-// gives way to the last one that was.
+// awaitRestart waits before a restart, or until a turn arrives, and returns the next delay. If the voters can't be reached, a version
+// that was never ready is replaced by the last one that was.
 func (s *Supervisor) back(ctx context.Context, wait time.Duration) time.Duration {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -363,19 +367,19 @@
 		return againFirst
 	}
 	if s.unreached() && s.chosen.Version != s.chosen.Well {
-		s.log.Warn("supervise: the agreement is out of reach; back to the version that was well", "version", s.chosen.Well)
+		s.log.Warn("supervise: the voters can't be reached; returns to the last version that was ready", "version", s.chosen.Well)
 		s.choose(s.chosen.Well)
 	}
 	return min(2*wait, againLast)
 }
 
-// choose has a version run from the next start on.
+// setVersion sets the version that the next start runs.
 func (s *Supervisor) choose(version string) {
 	s.chosen.Version = version
 	s.note()
 }
 
-// well notes that the version that runs was ready.
+// markReady records that the version that runs has been ready.
 func (s *Supervisor) well() {
 	s.chosen.Well = s.chosen.Version
 	s.note()
@@ -383,7 +387,7 @@
 
 func (s *Supervisor) note() {
 	if err := s.programs.Choose(s.chosen); err != nil {
-		s.log.Error("supervise: what runs can't be noted", "err", err)
+		s.log.Error("supervise: the chosen version can't be stored", "err", err)
 	}
 }
 
@@ -393,13 +397,14 @@
 	return s.door.Here(ctx)
 }
 
-// isReady: the node can serve, and has its session.
+// isReady reports whether the process is the node's, can serve requests, and has a session with the fleet. No session is needed
+// while the voters can't be reached.
 func (s *Supervisor) isReady(ctx context.Context, p *process) bool {
 	h, err := s.here(ctx)
 	return err == nil && h.Pid == p.Pid && h.Able && (h.Session > 0 || s.unreached())
 }
 
-// start starts the node's process. It does not end with this one.
+// start starts a process of the node, in its own process group, so that it does not end with the supervisor.
 func (s *Supervisor) start(version string) (*process, error) {
 	path, err := s.programs.Path(version)
 	if err != nil {
@@ -407,7 +412,7 @@
 	}
 	cmd := exec.Command(path, s.c.Args...)
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
-	if os.Getenv("TMPDIR") == "" { // where processes of the node meet
+	if os.Getenv("TMPDIR") == "" { // the node's processes find each other there for a handover
 		cmd.Env = append(os.Environ(), "TMPDIR="+s.c.Folder)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -415,7 +420,7 @@
 		return nil, err
 	}
 	if err := s.programs.Note(cmd.Process.Pid); err != nil {
-		s.log.Error("supervise: a process can't be noted; a later supervisor may not know of it", "pid", cmd.Process.Pid, "err", err)
+		s.log.Error("supervise: a started process can't be recorded; a later supervisor may not find it", "pid", cmd.Process.Pid, "err", err)
 	}
 	p := &process{Process: cmd.Process, ended: make(chan struct{})}
 	go func() {
@@ -425,7 +430,7 @@
 	return p, nil
 }
 
-// another is a process that this supervisor has not started.
+// foreignProcess wraps a process that this supervisor has not started, and polls whether it has ended.
 func another(found *os.Process) *process {
 	p := &process{Process: found, ended: make(chan struct{}), err: errors.New("it was not started by this supervisor: how it ended is not known")}
 	go func() {
@@ -437,8 +442,9 @@
 	return p
 }
 
-// takeUp takes up the node that a supervisor before this one has left running; nil: there is none. What else that one had started is ended: a supervisor
-// that is killed in the middle of a turn leaves two processes. One that has handed its sockets over is not taken up, but its successor.
+// adoptOrEnd adopts the node that an earlier supervisor left running, and returns nil if there is none. It ends all other processes
+// that earlier supervisors started: a supervisor that is killed during a replacement leaves two. If one process has handed its
+// sockets over, its successor is adopted.
 func (s *Supervisor) takeUp(ctx context.Context) (p *process) {
 	for end := time.Now().Add(s.c.Ready); ctx.Err() == nil; {
 		h, err := s.here(ctx)
@@ -448,7 +454,7 @@
 		}
 		left, err := s.programs.Left()
 		if err != nil {
-			s.log.Error("supervise: what a supervisor before this one has started is not known", "err", err)
+			s.log.Error("supervise: the list of processes that earlier supervisors started can't be read", "err", err)
 		}
 		if len(left) == 0 || time.Now().After(end) {
 			break
@@ -468,13 +474,14 @@
 	return p
 }
 
-// adopt takes up a node that a supervisor before this one has left running; nil: there is none. The version that runs is the one chosen then.
+// adopt adopts the node that an earlier supervisor left running, sets its version as the chosen one, and returns its process. It
+// returns nil if no node of this name answers on the control socket. A node whose program is not in the folder is ended.
 func (s *Supervisor) adopt(ctx context.Context) *process {
 	h, err := s.here(ctx)
 	if err != nil || h.Node != s.c.Fleet.Name {
 		return nil
 	}
-	found, err := os.FindProcess(h.Pid) // a handle of that process, whatever becomes of its number
+	found, err := os.FindProcess(h.Pid) // a handle, which stays valid if the process ID is reused
 	if err != nil {
 		return nil
 	}
@@ -486,12 +493,12 @@
 		s.choose(version)
 		return p
 	}
-	s.log.Warn("supervise: the node that runs is of no version that is held here; it is ended", "pid", h.Pid, "program", exe)
+	s.log.Warn("supervise: ends the node that runs, since its program is not in the folder", "pid", h.Pid, "program", exe)
 	s.end(p)
 	return nil
 }
 
-// end ends the node's process: politely, then not.
+// endProcess ends a process with SIGTERM, and with SIGKILL if it has not ended after EndTimeout.
 func (s *Supervisor) end(p *process) {
 	select {
 	case <-p.ended:
