--- a/internal/agree/bolt.go
+++ b/internal/agree/bolt.go
@@ -29,9 +29,9 @@
 	keySnapshot = []byte("snapshot")
 	keyBirth    = []byte("birth")
 	keyFounding = []byte("founding")
-	// Checksums of the records in the other buckets, by bucket and key, and the ID of the bbolt transaction that wrote them. An
-	// older program, to which a release was rolled back, writes no checksums. If the file has a newer transaction than the
-	// checksums, they are computed anew.
+	// Checksums of the records in the other buckets, by bucket and key, and the ID of the bbolt transaction that
+	// wrote them. An older program, to which a release was rolled back, writes no checksums. If the file has a newer
+	// transaction than the checksums, they are computed anew.
 	bucketSums = []byte("sums")
 	keySumsOf  = []byte("of")
 )
@@ -40,12 +40,13 @@
 type Bolt struct{ db *bbolt.DB }
 
 // ErrDamaged is returned for a file whose content differs from what was written to it.
-var ErrDamaged = errors.New("the file is damaged; put it away, start the node without it, and have the voter taken in anew (fleet renew)")
+var ErrDamaged = errors.New("the file is damaged; move it away, start the node without it, and have the voter admitted again (fleet renew)")
 
-// OpenBolt opens a file, or creates it. It reads all records and compares them with their checksums, since a voter must not vote
-// by what is left of a damaged log.
+// OpenBolt opens a file, or creates it. It reads all records and compares them with their checksums, since a voter
+// must not vote by what is left of a damaged log.
 func OpenBolt(path string) (b *Bolt, err error) {
-	// bbolt maps also a file that is too short into memory; a read behind its end is a memory fault, which becomes a panic here.
+	// bbolt maps also a file that is too short into memory; a read behind its end is a memory fault, which becomes a
+	// panic here.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -118,8 +119,9 @@
 	return len(raw) == 8 && binary.BigEndian.Uint64(raw) == of
 }
 
-// verify reads all records of a file and compares them with their checksums if those are current. bbolt's own check is not used,
-// since it reads in a goroutine of its own, where a memory fault ends the process; so the list of free pages is not checked.
+// verify reads all records of a file and compares them with their checksums if those are current. bbolt's own check
+// is not used, since it reads in a goroutine of its own, where a memory fault ends the process; so the list of free
+// pages is not checked.
 func verify(tx *bbolt.Tx) error {
 	holds, count := sumsHold(tx, uint64(tx.ID())), 0
 	for _, name := range [][]byte{bucketLog, bucketMeta} {
--- a/internal/agree/core.go
+++ b/internal/agree/core.go
@@ -1,7 +1,8 @@
-// Package agree is a replicated log, kept by some of the nodes (the voters) with the Raft implementation of go.etcd.io/raft.
-// Appended entries are on the disks of a majority of the voters, in the same order everywhere. The content of the entries is
-// opaque to the package; a Machine applies them. Core is driven by ticks and messages from its caller, as the decision module
-// is, so that tests run it in virtual time. Member runs a Core in a process, by the clock.
+// Package agree is a replicated log, kept by some of the nodes (the voters) with the Raft implementation of
+// go.etcd.io/raft. Appended entries are on the disks of a majority of the voters, in the same order everywhere. The
+// content of the entries is opaque to the package; a Machine applies them. Core is driven by ticks and messages from
+// its caller, as the decision module is, so that tests run it in virtual time. Member runs a Core in a process, by
+// the clock.
 package agree
 
 import (
@@ -20,13 +21,13 @@
 var (
 	// ErrNotLeader is returned for a call that only the leader accepts. Nothing was appended.
 	ErrNotLeader = errors.New("this voter does not lead")
-	// ErrOutcomeUnknown is returned for a proposal whose outcome this voter did not learn, since it lost the leadership or stopped.
-	// The entry may still take effect. The caller should repeat the request under the same ID.
+	// ErrOutcomeUnknown is returned for a proposal whose outcome this voter did not learn, since it lost the
+	// leadership or stopped. The entry may still take effect. The caller should repeat the request under the same ID.
 	ErrUnknown = errors.New("leadership was lost meanwhile: the outcome is not known yet")
 )
 
-// Machine is the state machine that the entries are applied to. It is called by one goroutine at a time. An Apply result that is
-// an error stops the voter.
+// Machine is the state machine that the entries are applied to. It is called by one goroutine at a time. An Apply
+// result that is an error stops the voter.
 type Machine interface {
 	Apply(entry []byte) (result any)
 	Snapshot() ([]byte, error)
@@ -36,8 +37,8 @@
 // Disk stores a voter's log, vote and snapshot. The data of a call are durable once it returns without an error.
 type Disk interface {
 	Load() (Kept, error)
-	// Save appends entries, which replace the stored entries with the same or a higher index. A snapshot replaces all entries up to
-	// its index. hs and snap may be nil.
+	// Save appends entries, which replace the stored entries with the same or a higher index. A snapshot replaces all
+	// entries up to its index. hs and snap may be nil.
 	Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error
 }
 
@@ -55,8 +56,8 @@
 	Join    bool     // the log exists already, and this voter gets it from the others
 	Disk    Disk
 	Machine Machine
-	// A voter starts an election after ElectionTicks without a message from the leader, times a random factor of 1 to 2. The leader
-	// sends heartbeats every HeartbeatTicks. Default 10 and 1.
+	// A voter starts an election after ElectionTicks without a message from the leader, times a random factor of 1 to
+	// 2. The leader sends heartbeats every HeartbeatTicks. Default 10 and 1.
 	ElectionTicks, HeartbeatTicks int
 	CompactEvery                  uint64 // entries between snapshots; default 2,000
 	Log                           *slog.Logger
@@ -94,8 +95,8 @@
 	done   []func(error)
 }
 
-// NewCore creates a Core that continues from the disk. With an empty disk and without Join it starts a new log with the given
-// voters. The caller must be sure that these voters have no log yet.
+// NewCore creates a Core that continues from the disk. With an empty disk and without Join it starts a new log with
+// the given voters. The caller must be sure that these voters have no log yet.
 func NewCore(o Options) (*Core, error) {
 	if o.ElectionTicks <= 0 {
 		o.ElectionTicks, o.HeartbeatTicks = 10, 1
@@ -157,8 +158,8 @@
 	return c.node.Step(m)
 }
 
-// Propose appends an entry if this voter is the leader. done is called once, by Process, Propose or Close: with the machine's
-// result once the entry has been applied, or with an error.
+// Propose appends an entry if this voter is the leader. done is called once, by Process, Propose or Close: with the
+// machine's result once the entry has been applied, or with an error.
 func (c *Core) Propose(entry []byte, done func(any, error)) {
 	if !c.lead {
 		done(nil, ErrNotLeader)
@@ -174,9 +175,9 @@
 	c.waiting[c.number] = done
 }
 
-// ReadIndex makes the next reads of the machine linearizable. done is called once, by Process, ReadIndex or Close: with nil after
-// a majority confirmed that this voter was still the leader after the call, and the machine has applied all entries that were
-// committed before; or with ErrNotLeader.
+// ReadIndex makes the next reads of the machine linearizable. done is called once, by Process, ReadIndex or Close:
+// with nil after a majority confirmed that this voter was still the leader after the call, and the machine has
+// applied all entries that were committed before; or with ErrNotLeader.
 func (c *Core) Read(done func(error)) {
 	if !c.lead {
 		done(ErrNotLeader)
@@ -188,9 +189,9 @@
 // Transfer hands the leadership to another voter if this one is the leader.
 func (c *Core) Transfer(to uint64) { c.node.TransferLeader(to) }
 
-// Reconfigure changes the voters of the log to these if this voter is the leader and no other change is in progress. The change
-// uses joint consensus: until it is complete, decisions need a majority of the old voters and one of the new voters. There is no
-// result; Status has the new voters once the change is committed.
+// Reconfigure changes the voters of the log to these if this voter is the leader and no other change is in progress.
+// The change uses joint consensus: until it is complete, decisions need a majority of the old voters and one of the
+// new voters. There is no result; Status has the new voters once the change is committed.
 func (c *Core) Reconfigure(voters []uint64) {
 	if !c.lead || len(c.conf.GetVotersOutgoing()) > 0 {
 		return
@@ -241,9 +242,9 @@
 	return Status{Leads: c.lead, Leader: c.led, Term: c.node.BasicStatus().GetTerm(), Applied: c.applied, First: first, Voters: c.conf.GetVoters()}
 }
 
-// Process handles everything that the calls since the last Process caused: it saves entries to the disk, applies committed ones,
-// calls the callbacks, and returns the messages to send. An error means that the disk failed or that this program can't apply
-// the log. The Core must not be used afterwards.
+// Process handles everything that the calls since the last Process caused: it saves entries to the disk, applies
+// committed ones, calls the callbacks, and returns the messages to send. An error means that the disk failed or that
+// this program can't apply the log. The Core must not be used afterwards.
 func (c *Core) Work() (messages []*raftpb.Message, err error) {
 	for {
 		if len(c.asked) > 0 && len(c.reads) == 0 && c.lead {
@@ -367,8 +368,8 @@
 	return nil
 }
 
-// compact saves a snapshot once CompactEvery entries were applied since the last one or the voters changed, and then drops the
-// entries before it from memory, but for the last keptEntries.
+// compact saves a snapshot once CompactEvery entries were applied since the last one or the voters changed, and then
+// drops the entries before it from memory, but for the last keptEntries.
 func (c *Core) compact() error {
 	if c.applied-c.snapped < c.o.CompactEvery && !c.renewed {
 		return nil
--- a/internal/agree/core_test.go
+++ b/internal/agree/core_test.go
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// testCluster is a group of voters in virtual time, with memory disks and a network that loses, delays, reorders and duplicates
-// messages and can be partitioned.
+// testCluster is a group of voters in virtual time, with memory disks and a network that loses, delays, reorders and
+// duplicates messages and can be partitioned.
 type tier struct {
 	t       interface{ Fatalf(string, ...any) }
 	r       *rand.Rand
@@ -125,8 +125,8 @@
 	return false
 }
 
-// step ticks all voters once and delivers messages in transit for up to three hops. loss is the chance to lose a message; half
-// of it is the chance to deliver one twice.
+// step ticks all voters once and delivers messages in transit for up to three hops. loss is the chance to lose a
+// message; half of it is the chance to deliver one twice.
 func (s *tier) step(loss float64) {
 	for i, c := range s.cores {
 		if c == nil {
@@ -208,9 +208,9 @@
 	s.t.Fatalf("%s: not within 2,000 ticks", what)
 }
 
-// Guards against voters that apply different entries, against a confirmed entry that is lost, and against a log that stays stuck
-// once all faults are over. The faults are lost and duplicated messages, partitions, killed and restarted voters, and disks
-// that fail before or after a write, in random order for each seed.
+// Guards against voters that apply different entries, against a confirmed entry that is lost, and against a log that
+// stays stuck once all faults are over. The faults are lost and duplicated messages, partitions, killed and restarted
+// voters, and disks that fail before or after a write, in random order for each seed.
 func TestAgreement(t *testing.T) {
 	seeds := uint64(300)
 	if testing.Short() {
@@ -266,8 +266,8 @@
 	}
 }
 
-// Guards against a leader without a majority that still answers. Within two election timeouts after a partition it must fail
-// pending entries and reads, another voter must lead, and its entry must not take effect afterwards.
+// Guards against a leader without a majority that still answers. Within two election timeouts after a partition it
+// must fail pending entries and reads, another voter must lead, and its entry must not take effect afterwards.
 func TestCutLeader(t *testing.T) {
 	s := newTier(t, 3, 1)
 	s.until("a leader", func() bool { return s.leader() >= 0 })
@@ -288,7 +288,7 @@
 		t.Error("no other voter took over the leadership")
 	}
 	s.cut = nil
-	s.until("all agree", func() bool { return s.cores[old].Status().Leader == uint64(s.leader()+1) })
+	s.until("the old leader follows the new one", func() bool { return s.cores[old].Status().Leader == uint64(s.leader()+1) })
 	if s.said["x"] || strings.Contains(strings.Join(s.commits, " "), "x") {
 		t.Error("an entry took effect that no majority had stored")
 	}
@@ -309,7 +309,7 @@
 		t.Fatalf("the first entry is %d: the log was not compacted", first)
 	}
 	s.start(away)
-	s.until("it has all", func() bool { return len(s.states[away].list) == len(s.commits) && len(s.commits) >= compactKeep+100 })
+	s.until("the restarted voter has all entries", func() bool { return len(s.states[away].list) == len(s.commits) && len(s.commits) >= compactKeep+100 })
 }
 
 // Guards against a transfer of the leadership that takes an election timeout: it must be done within three ticks.
@@ -326,8 +326,9 @@
 	}
 }
 
-// Guards against a voter that can't come back after it lost its disk. It joins with an empty disk and a new ID, which replaces its
-// old one. It must get all entries, and must count for the majority: afterwards it decides with one of the other two.
+// Guards against a voter that can't come back after it lost its disk. It joins with an empty disk and a new ID, which
+// replaces its old one. It must get all entries, and must count for the majority: afterwards it decides with one of
+// the other two.
 func TestReconfigure(t *testing.T) {
 	s := newTier(t, 3, 4)
 	s.until("a leader", func() bool { return s.leader() >= 0 })
@@ -351,7 +352,7 @@
 		}
 	}
 	slices.Sort(want)
-	s.until("the voters are agreed", func() bool {
+	s.until("the voters have changed", func() bool {
 		if x := s.leader(); x >= 0 {
 			s.cores[x].Reconfigure(want)
 			s.work(x)
@@ -361,10 +362,10 @@
 		return slices.Equal(got, want)
 	})
 	s.propose(s.leader(), "after")
-	s.until("the new one has all", func() bool { return len(s.states[3].list) == 51 })
+	s.until("the new voter has all entries", func() bool { return len(s.states[3].list) == 51 })
 	second := s.leader()
 	s.kill(second) // the majority is now the new voter and the one that is left
-	s.until("it decides with the one that is left", func() bool {
+	s.until("the new voter decides with the one that is left", func() bool {
 		if x := s.leader(); x >= 0 {
 			s.propose(x, "last")
 		}
@@ -385,8 +386,8 @@
 	}
 }
 
-// Guards against a file that two processes have open at once, and against a log, hard state, snapshot, founding record or disk ID
-// that is lost or changed when the file is opened again.
+// Guards against a file that two processes have open at once, and against a log, hard state, snapshot, founding
+// record or disk ID that is lost or changed when the file is opened again.
 func TestBolt(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log.db")
 	b, err := OpenBolt(path)
@@ -448,8 +449,9 @@
 	return raw
 }
 
-// Guards against a voter that uses a part of a damaged log, and against a damaged file that crashes the process. A file that is
-// truncated at a random byte, or has a sector of zeros or random bytes, must be refused as damaged or give all that was written.
+// Guards against a voter that uses a part of a damaged log, and against a damaged file that crashes the process. A
+// file that is truncated at a random byte, or has a sector of zeros or random bytes, must be refused as damaged or
+// give all that was written.
 func TestTornDisk(t *testing.T) {
 	dir := t.TempDir()
 	raw := saved(t, filepath.Join(dir, "whole.db"))
@@ -489,8 +491,8 @@
 	}
 }
 
-// Guards against a file that counts as damaged after an older program wrote to it, which writes no checksums. The checksums must be
-// computed anew when the file is opened.
+// Guards against a file that counts as damaged after an older program wrote to it, which writes no checksums. The
+// checksums must be computed anew when the file is opened.
 func TestSumsMadeAnew(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log.db")
 	saved(t, path)
--- a/internal/agree/member.go
+++ b/internal/agree/member.go
@@ -29,8 +29,8 @@
 
 const mostWork = 4096 // calls that wait for the goroutine of Run; more are rejected
 
-// NewMember creates a member, which works once Run is called. send must not block; it is called for each message to another
-// voter.
+// NewMember creates a member, which works once Run is called. send must not block; it is called for each message to
+// another voter.
 func NewMember(core *Core, tick time.Duration, send func(*raftpb.Message), news func()) *Member {
 	return &Member{core: core, tick: tick, send: send, news: news, work: make(chan func(), mostWork), done: make(chan struct{}), status: core.Status()}
 }
@@ -121,8 +121,8 @@
 	return m.err
 }
 
-// call runs f in the goroutine of Run and waits until f's callback gets a result. It returns ErrNotLeader if f was not run, and
-// ErrOutcomeUnknown if Run or ctx ended before the result.
+// call runs f in the goroutine of Run and waits until f's callback gets a result. It returns ErrNotLeader if f was
+// not run, and ErrOutcomeUnknown if Run or ctx ended before the result.
 func wait[T any](ctx context.Context, m *Member, f func(answer func(T, error))) (t T, err error) {
 	type answer struct {
 		t   T
@@ -152,8 +152,8 @@
 	return wait(ctx, m, func(answer func(any, error)) { m.core.Propose(entry, answer) })
 }
 
-// ConfirmLeadership waits until a majority has confirmed that this voter was the leader after the call, and the machine has
-// applied all entries that were committed before.
+// ConfirmLeadership waits until a majority has confirmed that this voter was the leader after the call, and the
+// machine has applied all entries that were committed before.
 func (m *Member) Lead(ctx context.Context) error {
 	_, err := wait(ctx, m, func(answer func(struct{}, error)) { m.core.Read(func(err error) { answer(struct{}{}, err) }) })
 	return err
--- a/internal/faultpoint/faultpoint.go
+++ b/internal/faultpoint/faultpoint.go
@@ -1,10 +1,11 @@
-// Package faultpoint has the points at which the end-to-end tests of cmd/rig kill the process or make its disk fail. Their builds
-// add a file that sets Hit or WallStep. A product build sets neither, so the points do nothing.
+// Package faultpoint has the points at which the end-to-end tests of cmd/rig kill the process or make its disk fail.
+// Their builds add a file that sets Hit or WallStep. A product build sets neither, so the points do nothing.
 package faultpoint
 
 import "time"
 
-// Hit is called at each point with the point's name, unless it is nil. Reached returns its error. It is set before anything runs.
+// Hit is called at each point with the point's name, unless it is nil. Reached returns its error. It is set before
+// anything runs.
 var Hit func(point string) error
 
 // WallStep is added to the wall clock at the start of the process, as if the clock had been stepped before.
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -12,8 +12,8 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// CheckBudgets validates budgets. It returns the index and the field of the first invalid one and the reason, or -1, an empty
-// field and nil.
+// CheckBudgets validates budgets. It returns the index and the field of the first invalid one and the reason, or -1,
+// an empty field and nil.
 func CheckBudgets(list []*fleetpb.Budget) (index int, field string, err error) {
 	if len(list) > mostBudgets {
 		return mostBudgets, "name", fmt.Errorf("%d budgets, %d at most", len(list), mostBudgets)
@@ -124,8 +124,8 @@
 	return "fleet"
 }
 
-// groups returns the members of each group of a budget by the group's name. Members in assumedOut count as out of service,
-// with the reason given there.
+// groups returns the members of each group of a budget by the group's name. Members in assumedOut count as out of
+// service, with the reason given there.
 func (m *Machine) groups(b *fleetpb.Budget, also map[string]string) map[string][]member {
 	g := map[string][]member{}
 	add := func(group string, n member) {
@@ -195,9 +195,10 @@
 	return ""
 }
 
-// denialReason returns why a target may not be taken out of service now, with the name of the hold or the budget and its
-// numbers; empty if it may. The targets in ahead, for which earlier drains wait in the queue, count as out in the groups that
-// they share with the target, so that a later drain does not overtake them. Members that are out already use no budget.
+// denialReason returns why a target may not be taken out of service now, with the name of the hold or the budget and
+// its numbers; empty if it may. The targets in ahead, for which earlier drains wait in the queue, count as out in the
+// groups that they share with the target, so that a later drain does not overtake them. Members that are out already
+// use no budget.
 func (m *Machine) mayGo(target string, ahead []string) string {
 	on, names, err := m.members(target)
 	if err != nil {
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -10,7 +10,8 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// RequiredLevel returns the level that an entry needs: it must not be appended while a member understands only lower ones.
+// RequiredLevel returns the level that an entry needs: it must not be appended while a member understands only lower
+// ones.
 func NeededLevel(e *fleetpb.Entry) uint32 {
 	switch e.GetWhat().(type) {
 	case *fleetpb.Entry_Configure, *fleetpb.Entry_RollBack:
@@ -43,8 +44,8 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m.s)
 }
 
-// configure applies a transaction to the configuration. At a level below levelConfiguration it gives the result that a program
-// of that level gives, which does not know the entry.
+// configure applies a transaction to the configuration. At a level below levelConfiguration it gives the result that
+// a program of that level gives, which does not know the entry.
 func (m *Machine) configure(tx *configpb.Transaction) *fleetpb.Result {
 	if m.s.Level < levelConfiguration {
 		return unknownEntry()
@@ -72,7 +73,8 @@
 	return r
 }
 
-// fullState returns the state with the configuration, for a snapshot of the log. It shares memory with the configuration.
+// fullState returns the state with the configuration, for a snapshot of the log. It shares memory with the
+// configuration.
 func (m *Machine) withConfiguration() *fleetpb.State {
 	if m.configuration.Revision() == 0 {
 		return m.s
@@ -82,7 +84,8 @@
 	return whole
 }
 
-// takeConfiguration removes the configuration from a decoded state and returns it. After an error the state still has it.
+// takeConfiguration removes the configuration from a decoded state and returns it. After an error the state still has
+// it.
 func takeConfiguration(s *fleetpb.State) (*configuration.Store, error) {
 	c := configuration.New()
 	if s.Configuration == nil {
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -35,8 +35,8 @@
 	return raw
 }
 
-// Guards against configuration changes that are missing in a snapshot of the log, that appear in the overview for operators,
-// or that take effect twice when a request is repeated under its ID. A rollback counts as a change.
+// Guards against configuration changes that are missing in a snapshot of the log, that appear in the overview for
+// operators, or that take effect twice when a request is repeated under its ID. A rollback counts as a change.
 func TestConfigurationInTheState(t *testing.T) {
 	w := &world{Machine: New(), now: 1000}
 	for _, timeout := range []uint32{1, 2} {
@@ -71,8 +71,8 @@
 	}
 }
 
-// Guards against a refused change that has no reason, the wrong result code, or takes effect. The refused changes are one with
-// a stale condition and one with an invalid value.
+// Guards against a refused change that has no reason, the wrong result code, or takes effect. The refused changes are
+// one with a stale condition and one with an invalid value.
 func TestConfigurationRefused(t *testing.T) {
 	w := &world{Machine: New(), now: 1000}
 	w.configure(Level, "", putService("pay", 1))
@@ -91,9 +91,9 @@
 	}
 }
 
-// Guards against members of two program versions that compute different states. While a member does not know configuration
-// entries, they need a level above the minimum. One that is in the log nevertheless, at a lower level, must change nothing and
-// give the same snapshot as on a member that does not know it.
+// Guards against members of two program versions that compute different states. While a member does not know
+// configuration entries, they need a level above the minimum. One that is in the log nevertheless, at a lower level,
+// must change nothing and give the same snapshot as on a member that does not know it.
 func TestConfigurationNeedsLevel(t *testing.T) {
 	w := &world{Machine: New(), now: 1000}
 	w.say("", &fleetpb.OpenSession{Node: "old", Process: "p", Voter: true, Level: levelWaves})
@@ -116,7 +116,8 @@
 	}
 }
 
-// Guards against a snapshot with a damaged configuration (a revision that can't be) that is accepted or changes the state.
+// Guards against a snapshot with a damaged configuration (a revision that can't be) that is accepted or changes the
+// state.
 func TestDamagedConfiguration(t *testing.T) {
 	w, other := &world{Machine: New(), now: 1000}, &world{Machine: New(), now: 1000}
 	w.configure(Level, "", putService("pay", 1))
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -57,7 +57,8 @@
 	return slices.IndexFunc(m.s.Queue, func(w *fleetpb.Waiting) bool { return w.Drain.Target == target })
 }
 
-// returnTarget ends the drain of a target, which then is back in service. With an epoch it ends only the drain of that epoch.
+// returnTarget ends the drain of a target, which then is back in service. With an epoch it ends only the drain of
+// that epoch.
 func (m *Machine) giveBack(r *fleetpb.Return) *fleetpb.Result {
 	o := m.s.Outs[r.Target]
 	if o == nil {
@@ -108,7 +109,8 @@
 	return "", nil, fmt.Errorf("want server/NAME, node/NAME or zone/NAME, have %.50q", target)
 }
 
-// queuedTargets returns the targets of the first n drains in the queue. Later drains must leave them their part of the budgets.
+// queuedTargets returns the targets of the first n drains in the queue. Later drains must leave them their part of
+// the budgets.
 func (m *Machine) ahead(n int) (targets []string) {
 	for _, w := range m.s.Queue[:n] {
 		targets = append(targets, w.Drain.Target)
@@ -116,8 +118,8 @@
 	return targets
 }
 
-// serveQueue grants the queued drains that fit now, in the order of their arrival, and drops those whose target does not exist
-// any more or that have waited for their whole wait time.
+// serveQueue grants the queued drains that fit now, in the order of their arrival, and drops those whose target does
+// not exist any more or that have waited for their whole wait time.
 func (m *Machine) serveQueue() {
 	for i := 0; i < len(m.s.Queue); {
 		w := m.s.Queue[i]
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet is the replicated state machine of a fleet of nodes, driven by the Raft log of internal/agree. Its state has
-// the nodes and their sessions, the servers, which targets are out of service and why, the budgets that limit how many may be
-// out at once, the queue of waiting drains, how far each drain is confirmed, and the release that is in progress. The effect
-// of an entry depends on the state and the entry only: no I/O, clock, goroutine, randomness or map order has a part in it.
-// The time is the timestamp that the leader writes into each entry.
+// Package fleet is the replicated state machine of a fleet of nodes, driven by the Raft log of internal/agree. Its
+// state has the nodes and their sessions, the servers, which targets are out of service and why, the budgets that
+// limit how many may be out at once, the queue of waiting drains, how far each drain is confirmed, and the release
+// that is in progress. The effect of an entry depends on the state and the entry only: no I/O, clock, goroutine,
+// randomness or map order has a part in it. The time is the timestamp that the leader writes into each entry.
 package fleet
 
 import (
@@ -17,10 +17,10 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// Level is the version of the rules that this program implements. The leader writes into each entry the lowest level of all
-// members at that time; an entry that needs newer rules has a higher one. The level of the state rises with that of the
-// entries and decides by which rules entries take effect, so that members that run two versions of the program compute the
-// same state. The texts of results and history events are part of that state.
+// Level is the version of the rules that this program implements. The leader writes into each entry the lowest level
+// of all members at that time; an entry that needs newer rules has a higher one. The level of the state rises with
+// that of the entries and decides by which rules entries take effect, so that members that run two versions of the
+// program compute the same state. The texts of results and history events are part of that state.
 const Level = 3
 
 // The level from which on a set of rules applies.
@@ -75,8 +75,8 @@
 	return &Machine{s: fill(&fleetpb.State{Level: levelFirst}), configuration: configuration.New()}
 }
 
-// NewWithVoters returns the machine that a new log begins with. voters has the disk ID (agree.Bolt.Birth) of each voter by
-// the voter's name.
+// NewWithVoters returns the machine that a new log begins with. voters has the disk ID (agree.Bolt.Birth) of each
+// voter by the voter's name.
 func Found(voters map[string]string) *Machine {
 	m := New()
 	m.s.Voters = maps.Clone(voters)
@@ -139,8 +139,8 @@
 	return least
 }
 
-// Apply applies one encoded log entry and returns its result for the client that requested it. An entry that can't be decoded
-// changes nothing, on every member alike.
+// Apply applies one encoded log entry and returns its result for the client that requested it. An entry that can't be
+// decoded changes nothing, on every member alike.
 func (m *Machine) Apply(raw []byte) *fleetpb.Result {
 	r, err := m.Follow(raw)
 	if err != nil {
@@ -238,8 +238,8 @@
 
 func unknownEntry() *fleetpb.Result { return invalid("an entry that asks for nothing") }
 
-// repeatedResult returns the result of a request that was applied before. For a drain that was queued at that time it is the
-// present outcome: still queued, granted, or not granted.
+// repeatedResult returns the result of a request that was applied before. For a drain that was queued at that time it
+// is the present outcome: still queued, granted, or not granted.
 func (m *Machine) again(a *fleetpb.Answered) *fleetpb.Result {
 	if a.Target == "" {
 		return a.Result
@@ -290,7 +290,8 @@
 	return nil
 }
 
-// openSession begins a session for a node's process. The drain confirmations of an earlier process of that node are dropped.
+// openSession begins a session for a node's process. The drain confirmations of an earlier process of that node are
+// dropped.
 func (m *Machine) open(o *fleetpb.OpenSession) *fleetpb.Result {
 	if err := text(o.Node, o.Zone, o.Process); err != nil || o.Node == "" {
 		return invalid("session: node %.50q: %v", o.Node, err)
@@ -311,7 +312,8 @@
 	return done(epoch)
 }
 
-// liveSession returns the node if its session has that epoch and is live. Else it returns the FENCED result for the caller.
+// liveSession returns the node if its session has that epoch and is live. Else it returns the FENCED result for the
+// caller.
 func (m *Machine) live(node string, epoch uint64) (*fleetpb.Node, *fleetpb.Result) {
 	n := m.s.Nodes[node]
 	if n == nil || n.Epoch != epoch || n.State != Live {
@@ -426,8 +428,8 @@
 	return done(m.next())
 }
 
-// recordAcks records that nodes have stopped sending to drained targets. Acknowledgements of an older session or an older
-// drain are ignored.
+// recordAcks records that nodes have stopped sending to drained targets. Acknowledgements of an older session or an
+// older drain are ignored.
 func (m *Machine) stopped(s *fleetpb.Stopped) *fleetpb.Result {
 	for _, a := range s.Acks {
 		o := m.s.Outs[a.Target]
@@ -465,8 +467,8 @@
 	return done(m.s.Epoch)
 }
 
-// applyConsequences runs after each entry: it drops servers that were removed long ago, advances the release, grants queued
-// drains that now fit, samples the groups, and marks drains that are now proven.
+// applyConsequences runs after each entry: it drops servers that were removed long ago, advances the release, grants
+// queued drains that now fit, samples the groups, and marks drains that are now proven.
 func (m *Machine) settle() {
 	for _, id := range slices.Sorted(maps.Keys(m.s.Servers)) {
 		s := m.s.Servers[id]
@@ -495,8 +497,8 @@
 	Lapsed  []string // nodes whose session lapsed before they confirmed: they may still send
 }
 
-// Proof returns which nodes have not confirmed that they stopped sending to a target. A node confirms in its present session;
-// the drain is proven once none is missing.
+// Proof returns which nodes have not confirmed that they stopped sending to a target. A node confirms in its present
+// session; the drain is proven once none is missing.
 func (m *Machine) Proof(target string) (p Proof) {
 	o := m.s.Outs[target]
 	if o == nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -65,8 +65,8 @@
 	return w.say("", &fleetpb.OpenSession{Node: node, Zone: "a", Process: node + "-1", Level: Level}).Epoch
 }
 
-// newHarness has eight servers, s-0 to s-7, the even ones in zone a and the odd ones in zone b, two per cell. The weight of s-0
-// is 3, that of the others 1.
+// newHarness has eight servers, s-0 to s-7, the even ones in zone a and the odd ones in zone b, two per cell. The
+// weight of s-0 is 3, that of the others 1.
 func newWorld(budgets ...*fleetpb.Budget) *world {
 	w := &world{Machine: New(), now: 1000}
 	l := &fleetpb.Listed{}
@@ -127,8 +127,8 @@
 	}
 }
 
-// Guards against nodes that are leaving or whose session lapsed and that their budget does not count as out, and against an old
-// session that still has an effect after the node came back.
+// Guards against nodes that are leaving or whose session lapsed and that their budget does not count as out, and
+// against an old session that still has an effect after the node came back.
 func TestNodesOut(t *testing.T) {
 	w := newWorld(&fleetpb.Budget{Name: "nodes", On: "nodes", By: "zone", Bounded: true, MostOut: 1})
 	epochs := map[string]uint64{}
@@ -153,8 +153,8 @@
 	}
 }
 
-// Guards against a zone that is drained in part, a node's drain that another node's confirmation proves, a drain past a hold
-// without force, and servers found dead that the budgets do not count as out.
+// Guards against a zone that is drained in part, a node's drain that another node's confirmation proves, a drain past
+// a hold without force, and servers found dead that the budgets do not count as out.
 func TestOtherTargets(t *testing.T) {
 	w := newWorld(&fleetpb.Budget{Name: "half", On: "servers", By: "fleet", MostShare: 0.5}, &fleetpb.Budget{Name: "nodes", On: "nodes", By: "fleet", Bounded: true, MostOut: 1})
 	want := func(what string, r *fleetpb.Result, code fleetpb.Result_Code, reason string) {
@@ -200,8 +200,8 @@
 	}
 }
 
-// Guards against a drain that counts as proven too early: while a node has not confirmed it in its present session, while one
-// lapsed unconfirmed, or by confirmations of an older session or an older drain.
+// Guards against a drain that counts as proven too early: while a node has not confirmed it in its present session,
+// while one lapsed unconfirmed, or by confirmations of an older session or an older drain.
 func TestProof(t *testing.T) {
 	w := newWorld(zoneBudget(2))
 	e1, e2, e3 := w.open("n1"), w.open("n2"), w.open("n3")
@@ -221,7 +221,7 @@
 	ack("n1", e1, drain)
 	ack("n2", e1, drain)
 	ack("n2", e2, drain-1)
-	check("n2 spoke of another drain, and in another's session", false, "n2 n3", "")
+	check("n2 acknowledged another drain, and in n1's session", false, "n2 n3", "")
 	ack("n2", e2, drain)
 	w.say("", &fleetpb.EndSession{Node: "n3", Epoch: e3, Lapsed: true})
 	check("n3 lapsed", false, "", "n3")
@@ -246,11 +246,11 @@
 	if again.Epoch <= drain {
 		t.Errorf("epoch %d after %d", again.Epoch, drain)
 	}
-	check("a word of the first drain comes late", false, "n1 n2 n3", "")
+	check("a late acknowledgement of the first drain", false, "n1 n2 n3", "")
 }
 
-// Guards against queued drains that are granted out of order, have no place number, or stay in the queue after their wait time,
-// and against a later drain that uses the part of a budget for which an earlier one waits.
+// Guards against queued drains that are granted out of order, have no place number, or stay in the queue after their
+// wait time, and against a later drain that uses the part of a budget for which an earlier one waits.
 func TestQueue(t *testing.T) {
 	w := newWorld(zoneBudget(1), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", Bounded: true, MostOut: 2})
 	w.drain("s-0", 0)
@@ -281,8 +281,8 @@
 	}
 }
 
-// Guards against a request that takes effect twice. A client whose answer was lost repeats its request under the same ID; it
-// must get the first result again. The number of kept results and events stays bounded.
+// Guards against a request that takes effect twice. A client whose answer was lost repeats its request under the same
+// ID; it must get the first result again. The number of kept results and events stays bounded.
 func TestAskedAgain(t *testing.T) {
 	w := newWorld(zoneBudget(1))
 	first := w.say("x", &fleetpb.Drain{Target: ServerTarget("s-0")})
@@ -301,8 +301,8 @@
 	}
 }
 
-// Guards against entries that change the state although the program does not understand them (a later level, an unknown kind,
-// damaged bytes), and against a snapshot of a later level that is accepted.
+// Guards against entries that change the state although the program does not understand them (a later level, an
+// unknown kind, damaged bytes), and against a snapshot of a later level that is accepted.
 func TestNotUnderstood(t *testing.T) {
 	w := newWorld(zoneBudget(1))
 	was, _ := w.Snapshot()
@@ -332,9 +332,9 @@
 	}
 }
 
-// Guards against members that differ after the same entries. Random entries are applied to two machines, of which one is
-// restored from its snapshot after each entry: their snapshots stay equal, no granted drain exceeds a budget (servers that
-// leave by themselves and forced drains may), and epochs never decrease.
+// Guards against members that differ after the same entries. Random entries are applied to two machines, of which one
+// is restored from its snapshot after each entry: their snapshots stay equal, no granted drain exceeds a budget
+// (servers that leave by themselves and forced drains may), and epochs never decrease.
 func TestMachineHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(zoneBudget(2), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", MostShare: 0.4, LeastLeft: 0.5})
--- a/internal/fleet/release.go
+++ b/internal/fleet/release.go
@@ -80,8 +80,8 @@
 	return m.try(func(trial *Machine) *fleetpb.Result { return trial.plan(proto.CloneOf(p)) })
 }
 
-// ReleaseActive reports whether a release is running or rolling back, or has nodes out of service. The leader must append
-// clock entries then, since the release has time limits.
+// ReleaseActive reports whether a release is running or rolling back, or has nodes out of service. The leader must
+// append clock entries then, since the release has time limits.
 func (m *Machine) Releasing() bool {
 	r := m.s.Release
 	return r != nil && (r.State == Running || r.State == TurningBack || len(r.Turns) > 0)
@@ -143,8 +143,8 @@
 	return done(m.next())
 }
 
-// healthOverdue reports whether the time to judge a wave is over, which is the limit of a wave after its soak, and the wave was
-// not found well.
+// healthOverdue reports whether the time to judge a wave is over, which is the limit of a wave after its soak, and
+// the wave was not found well.
 func (m *Machine) unknownTooLong(r *fleetpb.Release) bool {
 	return r.Health != HealthWell && m.s.NowMs-r.SoakMs > r.Plan.SoakMs+r.Plan.LimitMs
 }
@@ -256,8 +256,8 @@
 	}
 }
 
-// startTurn drains a node, if the budgets and the majority of voters allow it now, and orders it to a version. A node that has
-// a turn to another version is ordered to the new one.
+// startTurn drains a node, if the budgets and the majority of voters allow it now, and orders it to a version. A node
+// that has a turn to another version is ordered to the new one.
 func (m *Machine) turn(r *fleetpb.Release, n, version string) {
 	if t := r.Turns[n]; t != nil {
 		if t.Version != version { // the node is out already: no budget is needed
@@ -281,8 +281,8 @@
 	m.log(m.releaseName(r), "%s goes to version %s, epoch %d", n, version, r.Turns[n].Epoch)
 }
 
-// advanceWaves starts turns of the present wave, goes on to the next wave once this one has soaked and is found well, or halts
-// the release on too many crashes, an exceeded budget of nodes, a timeout or worse health.
+// advanceWaves starts turns of the present wave, goes on to the next wave once this one has soaked and is found well,
+// or halts the release on too many crashes, an exceeded budget of nodes, a timeout or worse health.
 func (m *Machine) forward(r *fleetpb.Release) {
 	p := r.Plan
 	halt := func(format string, args ...any) {
@@ -340,8 +340,8 @@
 	}
 }
 
-// advanceRollback brings the nodes that have the new version, or have a turn to it, to the version before. A node that is out
-// of service already uses no budget.
+// advanceRollback brings the nodes that have the new version, or have a turn to it, to the version before. A node
+// that is out of service already uses no budget.
 func (m *Machine) backward(r *fleetpb.Release) {
 	p := r.Plan
 	if r.Crashes > p.MostCrashes {
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -12,8 +12,8 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// simFleet is a fleet of supervised nodes in virtual time. A node with a new turn ends its session, and after a random time its
-// new process is ready or fails.
+// simFleet is a fleet of supervised nodes in virtual time. A node with a new turn ends its session, and after a
+// random time its new process is ready or fails.
 type yard struct {
 	t       *testing.T
 	m       *Machine
@@ -149,8 +149,9 @@
 	return n
 }
 
-// Guards against releases that exceed their budget, that reach more nodes than they must before they halt, that are not rolled
-// back completely, or that start again with a version that was rolled back. Runs each kind of fault with twenty seeds.
+// Guards against releases that exceed their budget, that reach more nodes than they must before they halt, that are
+// not rolled back completely, or that start again with a version that was rolled back. Runs each kind of fault with
+// twenty seeds.
 func TestReleases(t *testing.T) {
 	for name, c := range map[string]struct {
 		bad   func(node, version string) string
@@ -207,8 +208,8 @@
 	}
 }
 
-// Guards against operator commands (pause, resume, roll back) that don't take effect, a soak that is cut short, and a release
-// that goes on although nodes lapsed and the budget of nodes is exceeded.
+// Guards against operator commands (pause, resume, roll back) that don't take effect, a soak that is cut short, and a
+// release that goes on although nodes lapsed and the budget of nodes is exceeded.
 func TestReleaseByHand(t *testing.T) {
 	fine := func(string, string) string { return "" }
 	y := newYard(t, 1, 8, 1, fine)
@@ -267,9 +268,10 @@
 	}
 }
 
-// Guards against a reversed turn that ends too early. When a release is rolled back while a node has a turn, the node's
-// supervisor may not have received the new turn and may still execute the first one; a report "ready with the old version" is
-// then from before the first turn. Only a report with the new turn's epoch may end it, and late reports are fenced.
+// Guards against a reversed turn that ends too early. When a release is rolled back while a node has a turn, the
+// node's supervisor may not have received the new turn and may still execute the first one; a report "ready with the
+// old version" is then from before the first turn. Only a report with the new turn's epoch may end it, and late
+// reports are fenced.
 func TestTurnRound(t *testing.T) {
 	y := newYard(t, 3, 4, 1, func(string, string) string { return "" })
 	y.plan(nil)
@@ -299,8 +301,8 @@
 	}
 }
 
-// Guards against a release that goes on although a wave does worse or its health stays unknown, against one that halts although
-// the wave is well, and against verdicts on another soak that take effect.
+// Guards against a release that goes on although a wave does worse or its health stays unknown, against one that
+// halts although the wave is well, and against verdicts on another soak that take effect.
 func TestReleaseHealth(t *testing.T) {
 	for health, state := range map[string]string{HealthWell: Done, HealthWorse: TurnedBack, "": TurnedBack} {
 		y := newYard(t, 2, 4, 1, func(string, string) string { return "" })
--- a/internal/fleet/timeline.go
+++ b/internal/fleet/timeline.go
@@ -4,8 +4,8 @@
 
 const mostSamples = 4000
 
-// sample records how many members of each group of each budget are out of service, for groups where that has changed. It does
-// so from the start of a release until the release is finished and no node has a turn any more.
+// sample records how many members of each group of each budget are out of service, for groups where that has changed.
+// It does so from the start of a release until the release is finished and no node has a turn any more.
 func (m *Machine) sample() {
 	r := m.s.Release
 	if m.s.Level < levelWaves || r == nil || over(r.State) && len(r.Turns) == 0 && m.sampledEnd(r) {
@@ -25,8 +25,8 @@
 	m.s.Samples = last(m.s.Samples, mostSamples)
 }
 
-// endSampled reports whether the final state of the release has been sampled. The first call sets the end time and returns
-// false, since the last turn may have ended with this very entry.
+// endSampled reports whether the final state of the release has been sampled. The first call sets the end time and
+// returns false, since the last turn may have ended with this very entry.
 func (m *Machine) sampledEnd(r *fleetpb.Release) bool {
 	if r.EndMs == 0 {
 		r.EndMs = m.s.NowMs
@@ -35,8 +35,8 @@
 	return true
 }
 
-// MaxOut returns how many members of the group may be out of service by most_out and most_share of its budget; -1 if the budget
-// has neither.
+// MaxOut returns how many members of the group may be out of service by most_out and most_share of its budget; -1 if
+// the budget has neither.
 func (g Group) Most() int {
 	b, most := g.Budget, -1
 	if b.Bounded {
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -36,9 +36,9 @@
 	return nil
 }
 
-// BuildWaves turns the waves of a plan file into waves of named nodes. The nodes to choose from are those that supervisors have
-// reported. A wave whose chosen nodes are of several zones becomes one wave per zone, unless it is mixed. Count and Share take
-// nodes evenly from all zones. No chosen node is in two waves.
+// BuildWaves turns the waves of a plan file into waves of named nodes. The nodes to choose from are those that
+// supervisors have reported. A wave whose chosen nodes are of several zones becomes one wave per zone, unless it is
+// mixed. Count and Share take nodes evenly from all zones. No chosen node is in two waves.
 func (m *Machine) Waves(list []Wave) (waves []*fleetpb.Wave, err error) {
 	taken := map[string]bool{}
 	for _, w := range list {
@@ -135,8 +135,8 @@
 	return ""
 }
 
-// canTakeVoterOut reports whether a release may take one more voter out of service, which leaves a majority of the voters. With
-// one or two voters no majority can be kept, so one may always go.
+// canTakeVoterOut reports whether a release may take one more voter out of service, which leaves a majority of the
+// voters. With one or two voters no majority can be kept, so one may always go.
 func (m *Machine) voterMayGo() bool {
 	out := 0
 	for v := range m.s.Voters {
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -8,7 +8,8 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// newZonedFleet returns a simulated fleet of n nodes that alternate between zones a, b and c. The first ones are voters.
+// newZonedFleet returns a simulated fleet of n nodes that alternate between zones a, b and c. The first ones are
+// voters.
 func hall(t *testing.T, n, most, voters int) *yard {
 	y := newYard(t, 1, n, most, func(string, string) string { return "" })
 	y.m.s.Voters, y.zone = map[string]string{}, map[string]string{}
@@ -22,8 +23,8 @@
 	return y
 }
 
-// Guards against waves that are filled in another order than that of zones and names, that have nodes of several zones without
-// being mixed, or that have a node twice. Waves are given by count, share, zone, voters and names.
+// Guards against waves that are filled in another order than that of zones and names, that have nodes of several
+// zones without being mixed, or that have a node twice. Waves are given by count, share, zone, voters and names.
 func TestWaves(t *testing.T) {
 	y := hall(t, 12, 2, 3) // voters: n00 to n02; zone a: n00 n03 n06 n09
 	for name, c := range map[string]struct {
@@ -51,8 +52,8 @@
 	}
 }
 
-// Guards against a plan that is accepted although a wave has nodes of several zones and is not marked as mixed, or although
-// other nodes come after voters. Below the level of these rules all members must accept such plans.
+// Guards against a plan that is accepted although a wave has nodes of several zones and is not marked as mixed, or
+// although other nodes come after voters. Below the level of these rules all members must accept such plans.
 func TestPlansOfZones(t *testing.T) {
 	for name, c := range map[string]struct {
 		waves []*fleetpb.Wave
@@ -86,8 +87,8 @@
 	}
 }
 
-// Guards against samples that differ from what was out of service, and against sampling that ends before the last node of the
-// release or of its rollback is back, or goes on afterwards.
+// Guards against samples that differ from what was out of service, and against sampling that ends before the last
+// node of the release or of its rollback is back, or goes on afterwards.
 func TestSamples(t *testing.T) {
 	y := hall(t, 6, 2, 0)
 	y.say(&fleetpb.Entry{What: &fleetpb.Entry_Budgets{Budgets: &fleetpb.SetBudgets{Budgets: []*fleetpb.Budget{{Name: "all", On: "nodes", By: "fleet", Bounded: true, MostOut: 2}, {Name: "a-hall", On: "nodes", By: "zone", MostShare: 0.5}}}}})
@@ -135,8 +136,8 @@
 	}
 }
 
-// Guards against a resumed release that halts at once. One that halted because its health was unknown soaks and is judged again
-// after a resume, with the full time limit; one that was halted for another reason keeps its soak.
+// Guards against a resumed release that halts at once. One that halted because its health was unknown soaks and is
+// judged again after a resume, with the full time limit; one that was halted for another reason keeps its soak.
 func TestResumeAsksAnew(t *testing.T) {
 	y := newYard(t, 1, 2, 1, func(string, string) string { return "" })
 	y.plan(func(p *fleetpb.Plan) { p.Health, p.TurnBack = true, false })
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,7 +1,7 @@
-// Package health judges whether nodes with a new version do worse than those with the old one, from counts of completed requests
-// by outcome and latency, and from memory use. Its functions are pure. The tests are sequential probability ratio tests (Wald
-// 1945): they may be evaluated as often as the caller likes while the counts grow, and their error rates hold for the first
-// verdict that is not Unknown. With too little traffic the verdict is Unknown.
+// Package health judges whether nodes with a new version do worse than those with the old one, from counts of
+// completed requests by outcome and latency, and from memory use. Its functions are pure. The tests are sequential
+// probability ratio tests (Wald 1945): they may be evaluated as often as the caller likes while the counts grow, and
+// their error rates hold for the first verdict that is not Unknown. With too little traffic the verdict is Unknown.
 package health
 
 import (
@@ -22,14 +22,14 @@
 	fine    = 0.002 // share of bad outcomes that is good, whatever the share of the old version
 	notFine = 0.02  // share of bad outcomes that is bad by itself
 	worse   = 2.0   // times the old version's share that counts as worse
-	// A class is ignored if it has less than this share of the new version's requests, and fewer requests than this count at each
-	// of the versions.
+	// A class is ignored if it has less than this share of the new version's requests, and fewer requests than this
+	// count at each of the versions.
 	leastPart  = 0.01
 	leastCount = 50
 )
 
-// ClassCounts are the completed requests of one class. Latencies counts the served ones by latency, one count for each bucket of
-// LatencyBounds; nil if the latencies are not known.
+// ClassCounts are the completed requests of one class. Latencies counts the served ones by latency, one count for
+// each bucket of LatencyBounds; nil if the latencies are not known.
 type Ends struct {
 	Served, Refused, Failed uint64
 	Took                    []uint64
@@ -50,7 +50,8 @@
 // String returns the verdict in lower case, as reports print it.
 func (v Verdict) String() string { return [...]string{"unknown", "well", "worse"}[v] }
 
-// Thresholds of the log likelihood ratio (worse to well): at least worseThreshold is Worse, at most wellThreshold is Well.
+// Thresholds of the log likelihood ratio (worse to well): at least worseThreshold is Worse, at most wellThreshold is
+// Well.
 var (
 	rejects = math.Log((1 - Missed) / FalseAlarm)
 	accepts = math.Log(Missed / (1 - FalseAlarm))
@@ -71,9 +72,9 @@
 	return decide(float64(bad)*math.Log(notFine/fine) + float64(all-bad)*math.Log((1-notFine)/(1-fine)))
 }
 
-// CompareRates tests whether the new version's share of bad outcomes equals the old version's (Well) or is twice as large (Worse).
-// It takes the total number of bad outcomes as given: with equal shares, each of them is of the new version with a probability
-// that equals the new version's share of the requests.
+// CompareRates tests whether the new version's share of bad outcomes equals the old version's (Well) or is twice as
+// large (Worse). It takes the total number of bad outcomes as given: with equal shares, each of them is of the new
+// version with a probability that equals the new version's share of the requests.
 func Against(newBad, newAll, oldBad, oldAll uint64) Verdict {
 	if newAll == 0 || oldAll == 0 {
 		return Unknown
@@ -83,8 +84,8 @@
 	return decide(float64(newBad)*math.Log(other/alike) + float64(oldBad)*math.Log((1-other)/(1-alike)))
 }
 
-// judgeKind judges one kind of bad outcome of one class. It is Well if either test says so, and Worse only if the share is bad by
-// itself and, where the old version has requests, worse than that of the old version.
+// judgeKind judges one kind of bad outcome of one class. It is Well if either test says so, and Worse only if the
+// share is bad by itself and, where the old version has requests, worse than that of the old version.
 func one(newBad, newAll, oldBad, oldAll uint64) Verdict {
 	alone, beside := Rate(newBad, newAll), Against(newBad, newAll, oldBad, oldAll)
 	switch {
@@ -96,9 +97,9 @@
 	return Unknown
 }
 
-// Judge compares the new version's counts (fresh) with the old version's by class: the shares of failed, refused and late requests,
-// and then the latencies. A request is late if it was served after its class's aim. why describes the class that is worse, or one
-// that is not known yet.
+// Judge compares the new version's counts (fresh) with the old version's by class: the shares of failed, refused and
+// late requests, and then the latencies. A request is late if it was served after its class's aim. why describes the
+// class that is worse, or one that is not known yet.
 func Judge(fresh, old map[string]Ends) (v Verdict, why string) {
 	total := uint64(0)
 	all := func(e Ends) uint64 { return e.Served + e.Refused + e.Failed }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -8,8 +8,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// simulate draws batches of 50 requests, of which part goes to the new version, with the given shares of failed ones, until Judge
-// returns a verdict. It returns the verdict and the number of the new version's requests.
+// simulate draws batches of 50 requests, of which part goes to the new version, with the given shares of failed ones,
+// until Judge returns a verdict. It returns the verdict and the number of the new version's requests.
 func play(seed uint64, newBad, oldBad float64, part float64) (Verdict, uint64) {
 	src := rand.NewPCG(seed, 3)
 	var n, o Ends
@@ -29,8 +29,8 @@
 	return Unknown, n.Served + n.Failed
 }
 
-// Guards against verdicts that are wrong more often than the stated error rates, and against verdicts that need too many requests.
-// Each case of failure rates and traffic shares runs a thousand times.
+// Guards against verdicts that are wrong more often than the stated error rates, and against verdicts that need too
+// many requests. Each case of failure rates and traffic shares runs a thousand times.
 func TestErrorRates(t *testing.T) {
 	for name, c := range map[string]struct {
 		newBad, oldBad, part float64
@@ -78,7 +78,8 @@
 	}
 }
 
-// Guards against a verdict on too little traffic, a verdict that a rare class decides, and a reason that does not name the class.
+// Guards against a verdict on too little traffic, a verdict that a rare class decides, and a reason that does not
+// name the class.
 func TestJudge(t *testing.T) {
 	good := map[string]Ends{"a": {Served: 5000}, "b": {Served: 5000}}
 	for name, c := range map[string]struct {
--- a/internal/health/times.go
+++ b/internal/health/times.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Latency buckets: each bound is about a twelfth (2^(1/8)) above the one before, from 1/128 of a class's aim to twice the aim.
+// Latency buckets: each bound is about a twelfth (2^(1/8)) above the one before, from 1/128 of a class's aim to twice
+// the aim.
 const (
 	perOctave = 8
 	below     = 7
@@ -51,11 +52,12 @@
 	leastBefore = 300  // answers of the version before that are needed to know its latencies
 )
 
-// latencyRatio returns the log likelihood ratio of two hypotheses on the new version's latencies: that each is one bucket (about
-// a twelfth) above the old version's, against that they equal the old ones or are a quarter of a bucket above. It uses a single
-// bound, the one that separates the hypotheses best given the old latencies, and counts the new answers above it as Bernoulli
-// trials. An increase of three fifths of a bucket is about equally likely under both: where all latencies are alike, a tiny
-// increase may move them across a bound. ok is false if the old version has too few answers or no bound separates the hypotheses.
+// latencyRatio returns the log likelihood ratio of two hypotheses on the new version's latencies: that each is one
+// bucket (about a twelfth) above the old version's, against that they equal the old ones or are a quarter of a bucket
+// above. It uses a single bound, the one that separates the hypotheses best given the old latencies, and counts the
+// new answers above it as Bernoulli trials. An increase of three fifths of a bucket is about equally likely under
+// both: where all latencies are alike, a tiny increase may move them across a bound. ok is false if the old version
+// has too few answers or no bound separates the hypotheses.
 func slower(fresh, old []uint64) (llr float64, ok bool) {
 	all, new := total(old), total(fresh)
 	if all < leastBefore {
@@ -79,15 +81,15 @@
 	if at < len(fresh) {
 		longer = total(fresh[at:])
 	}
-	// The old share is a sample as well. The difference of the two shares has the variance of a sample of new*all/(new+all) answers
-	// against a known share, so the ratio is weighted by all/(new+all).
+	// The old share is a sample as well. The difference of the two shares has the variance of a sample of
+	// new*all/(new+all) answers against a known share, so the ratio is weighted by all/(new+all).
 	weight := float64(all) / float64(all+new)
 	return weight * (float64(longer)*math.Log(p1/p0) + float64(new-longer)*math.Log((1-p1)/(1-p0))), true
 }
 
-// JudgeLatency judges whether the new version's latencies are above the old version's. It is Worse if one class by itself or all
-// classes together are slower (a class may have too few requests to be judged by itself), and Well if all classes together are
-// not slower. why describes what is slower, or that more answers are needed.
+// JudgeLatency judges whether the new version's latencies are above the old version's. It is Worse if one class by
+// itself or all classes together are slower (a class may have too few requests to be judged by itself), and Well if
+// all classes together are not slower. why describes what is slower, or that more answers are needed.
 func Slower(fresh, old map[string]Ends) (v Verdict, why string) {
 	sum, answers, compared := 0.0, 0.0, false
 	for _, class := range slices.Sorted(maps.Keys(fresh)) {
@@ -128,9 +130,9 @@
 	return math.Exp2((at(fresh) - at(old)) / perOctave)
 }
 
-// UsesMoreMemory reports whether the largest process of the new version uses much more memory than the largest of the old one, in
-// bytes: more than 1.5 times as much plus 16 MB. It is a fixed limit and no statistical test, since memory use varies little by
-// chance. The old size is 0 if there is none to compare with.
+// UsesMoreMemory reports whether the largest process of the new version uses much more memory than the largest of the
+// old one, in bytes: more than 1.5 times as much plus 16 MB. It is a fixed limit and no statistical test, since
+// memory use varies little by chance. The old size is 0 if there is none to compare with.
 func Fat(fresh, old uint64) (bool, string) {
 	if old > 0 && float64(fresh) > fatTimes*float64(old)+fatMore {
 		return true, fmt.Sprintf("a process holds %d MB of memory, %d MB the largest of the version before", fresh>>20, old>>20)
--- a/internal/health/times_test.go
+++ b/internal/health/times_test.go
@@ -11,9 +11,9 @@
 
 const playAim = 600 * time.Millisecond
 
-// simulateLatencies draws batches of 50 answers, of which part is the new version's, until JudgeLatency returns a verdict. The
-// latencies are log-normal around 20 ms, with the given spread, and the new version's are multiplied by times. It returns the
-// verdict and the number of the new version's answers.
+// simulateLatencies draws batches of 50 answers, of which part is the new version's, until JudgeLatency returns a
+// verdict. The latencies are log-normal around 20 ms, with the given spread, and the new version's are multiplied by
+// times. It returns the verdict and the number of the new version's answers.
 func playTimes(seed uint64, times, spread, part float64) (Verdict, uint64) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	bounds := Bounds(playAim)
@@ -34,8 +34,9 @@
 	return Unknown, total(n)
 }
 
-// Guards against a version that is 10% slower and passes, one that is not slower and is rejected (both beyond the stated error
-// rates), and verdicts that need too many answers. The latencies are nearly alike in some cases and spread widely in others.
+// Guards against a version that is 10% slower and passes, one that is not slower and is rejected (both beyond the
+// stated error rates), and verdicts that need too many answers. The latencies are nearly alike in some cases and
+// spread widely in others.
 func TestSlower(t *testing.T) {
 	for name, c := range map[string]struct {
 		times, spread, part float64
@@ -97,8 +98,9 @@
 	}
 }
 
-// Guards against rare classes that are never judged (they are judged together), a slower class that is not named, and a verdict of
-// Worse where no answers of the old version exist. Also checks that answers above the aim count as late, and the memory limit.
+// Guards against rare classes that are never judged (they are judged together), a slower class that is not named, and
+// a verdict of Worse where no answers of the old version exist. Also checks that answers above the aim count as late,
+// and the memory limit.
 func TestSlowerOfMany(t *testing.T) {
 	at := func(bucket int, n uint64) []uint64 {
 		took := make([]uint64, Buckets)
--- a/internal/supervise/programs.go
+++ b/internal/supervise/programs.go
@@ -1,6 +1,6 @@
-// Package supervise is the process supervisor of one node. It restarts the node's process when it ends, stores the programs that
-// the node may run under the hash of their content, and replaces the process by one of another version when the fleet's release
-// orders it. It keeps the node running also while the fleet's voters can't be reached.
+// Package supervise is the process supervisor of one node. It restarts the node's process when it ends, stores the
+// programs that the node may run under the hash of their content, and replaces the process by one of another version
+// when the fleet's release orders it. It keeps the node running also while the fleet's voters can't be reached.
 package supervise
 
 import (
@@ -90,8 +90,8 @@
 // SetChosen stores atomically which program the node runs.
 func (p *Programs) Choose(c Chosen) error { return wholefile.WriteJSON(p.chosenFile(), c) }
 
-// startedProcess identifies a process that a supervisor has started. The start time is part of it, since the kernel may have given
-// the process ID to another process meanwhile.
+// startedProcess identifies a process that a supervisor has started. The start time is part of it, since the kernel
+// may have given the process ID to another process meanwhile.
 type started struct {
 	Pid   int    `json:"pid"`
 	Began string `json:"began"` // start time in the kernel's clock ticks since boot
@@ -99,7 +99,8 @@
 
 func (p *Programs) startedFile() string { return filepath.Join(p.folder, "started.json") }
 
-// startTicks returns the start time of a process (proc(5), field 22 of stat); empty if there is no such process or it is a zombie.
+// startTicks returns the start time of a process (proc(5), field 22 of stat); empty if there is no such process or it
+// is a zombie.
 func beganOf(pid int) string {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -124,8 +125,8 @@
 	return errors.Join(err, wholefile.WriteJSON(p.startedFile(), append(left, started{pid, beganOf(pid)})))
 }
 
-// Lock waits until no other supervisor runs for this node, and takes the lock. The lock lasts until the returned file is closed or
-// this process ends. onWait is called once if Lock has to wait.
+// Lock waits until no other supervisor runs for this node, and takes the lock. The lock lasts until the returned file
+// is closed or this process ends. onWait is called once if Lock has to wait.
 func (p *Programs) Lock(ctx context.Context, waits func()) (*os.File, error) {
 	return wholefile.Lock(ctx, filepath.Join(p.folder, "lock"), lookEvery, sync.OnceFunc(waits))
 }
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -44,8 +44,8 @@
 	news   chan struct{} // has capacity 1; signals a new turn
 }
 
-// Run supervises the node until ctx ends, and then ends the node. If the supervisor itself is killed, the node keeps running and
-// the next supervisor adopts it.
+// Run supervises the node until ctx ends, and then ends the node. If the supervisor itself is killed, the node keeps
+// running and the next supervisor adopts it.
 func Run(ctx context.Context, c *Config, log *slog.Logger) error {
 	programs, err := OpenPrograms(c.Folder)
 	if err != nil {
@@ -133,8 +133,8 @@
 	s.log.Info("supervise: node", "version", version, "state", state, "turn", s.made, "why", why)
 }
 
-// sendReports sends the newest report to the voters until they accept it, and then again every reportInterval. A crash is counted
-// by the release, so its report is not sent again once accepted.
+// sendReports sends the newest report to the voters until they accept it, and then again every reportInterval. A
+// crash is counted by the release, so its report is not sent again once accepted.
 func (s *Supervisor) speak(ctx context.Context) {
 	var at time.Time
 	for ctx.Err() == nil {
@@ -219,8 +219,8 @@
 	}
 }
 
-// watchProcess waits until another version is ordered or the process has failed. It returns the version or a description of the
-// failure; both are empty if ctx ended.
+// watchProcess waits until another version is ordered or the process has failed. It returns the version or a
+// description of the failure; both are empty if ctx ended.
 func (s *Supervisor) watch(ctx context.Context, p *process) (want, failed string) {
 	began, ready := time.Now(), false
 	for ctx.Err() == nil {
@@ -248,10 +248,10 @@
 	return "", ""
 }
 
-// replace brings the node to another version. It starts a process of that version beside the one that serves; the new process
-// takes over the sockets (internal/handover), and the old one then ends by itself. If the new process ends early or is not ready
-// in time, the old one keeps serving clients, and the start is tried again after a delay until another version is ordered. It
-// returns the process that is the node's afterwards; nil if there is none.
+// replace brings the node to another version. It starts a process of that version beside the one that serves; the new
+// process takes over the sockets (internal/handover), and the old one then ends by itself. If the new process ends
+// early or is not ready in time, the old one keeps serving clients, and the start is tried again after a delay until
+// another version is ordered. It returns the process that is the node's afterwards; nil if there is none.
 func (s *Supervisor) replace(ctx context.Context, old *process, want string) *process {
 	s.log.Info("supervise: turn", "from", s.chosen.Version, "to", want)
 	for wait := againFirst; ; wait = min(2*wait, againLast) {
@@ -351,8 +351,8 @@
 	}
 }
 
-// awaitRestart waits before a restart, or until a turn arrives, and returns the next delay. If the voters can't be reached, a version
-// that was never ready is replaced by the last one that was.
+// awaitRestart waits before a restart, or until a turn arrives, and returns the next delay. If the voters can't be
+// reached, a version that was never ready is replaced by the last one that was.
 func (s *Supervisor) back(ctx context.Context, wait time.Duration) time.Duration {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -397,8 +397,8 @@
 	return s.door.Here(ctx)
 }
 
-// isReady reports whether the process is the node's, can serve requests, and has a session with the fleet. No session is needed
-// while the voters can't be reached.
+// isReady reports whether the process is the node's, can serve requests, and has a session with the fleet. No session
+// is needed while the voters can't be reached.
 func (s *Supervisor) isReady(ctx context.Context, p *process) bool {
 	h, err := s.here(ctx)
 	return err == nil && h.Pid == p.Pid && h.Able && (h.Session > 0 || s.unreached())
@@ -442,9 +442,9 @@
 	return p
 }
 
-// adoptOrEnd adopts the node that an earlier supervisor left running, and returns nil if there is none. It ends all other processes
-// that earlier supervisors started: a supervisor that is killed during a replacement leaves two. If one process has handed its
-// sockets over, its successor is adopted.
+// adoptOrEnd adopts the node that an earlier supervisor left running, and returns nil if there is none. It ends all
+// other processes that earlier supervisors started: a supervisor that is killed during a replacement leaves two. If
+// one process has handed its sockets over, its successor is adopted.
 func (s *Supervisor) takeUp(ctx context.Context) (p *process) {
 	for end := time.Now().Add(s.c.Ready); ctx.Err() == nil; {
 		h, err := s.here(ctx)
@@ -474,8 +474,9 @@
 	return p
 }
 
-// adopt adopts the node that an earlier supervisor left running, sets its version as the chosen one, and returns its process. It
-// returns nil if no node of this name answers on the control socket. A node whose program is not in the folder is ended.
+// adopt adopts the node that an earlier supervisor left running, sets its version as the chosen one, and returns its
+// process. It returns nil if no node of this name answers on the control socket. A node whose program is not in the
+// folder is ended.
 func (s *Supervisor) adopt(ctx context.Context) *process {
 	h, err := s.here(ctx)
 	if err != nil || h.Node != s.c.Fleet.Name {
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,6 +1,6 @@
-// Package timeline writes an HTML page of one release: how many members of each group of each budget were out of service over
-// time, the limit of the budget, and the steps of the release. It writes SVG itself, since the package is part of the node's
-// program, and the fonts and tables of a plotting library would be in the memory of each node.
+// Package timeline writes an HTML page of one release: how many members of each group of each budget were out of
+// service over time, the limit of the budget, and the steps of the release. It writes SVG itself, since the package
+// is part of the node's program, and the fonts and tables of a plotting library would be in the memory of each node.
 package timeline
 
 import (
@@ -96,8 +96,8 @@
 	return t.Execute(to, data)
 }
 
-// drawGroup draws the samples of a group as one filled step path. top is the y coordinate of the graph, xOf maps a time in
-// ms to an x coordinate, and until is the end of the time axis in ms.
+// drawGroup draws the samples of a group as one filled step path. top is the y coordinate of the graph, xOf maps a
+// time in ms to an x coordinate, and until is the end of the time axis in ms.
 func draw(key string, list []*fleetpb.Sample, top float64, at func(int64) float64, until int64) *row {
 	w := &row{Label: key, Top: top, Base: top + height, Most: list[len(list)-1].Most, Line: -1}
 	scale := float64(max(1, w.Most+1))
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -11,8 +11,8 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// Guards against a page that is not well formed, that lists events of other operations, that does not mark a group which exceeded
-// its budget, or that does not escape names. The release's name has characters that need escaping.
+// Guards against a page that is not well formed, that lists events of other operations, that does not mark a group
+// which exceeded its budget, or that does not escape names. The release's name has characters that need escaping.
 func TestPage(t *testing.T) {
 	s := &fleetpb.State{NowMs: 9000, Release: &fleetpb.Release{Plan: &fleetpb.Plan{Name: "r<1>", Version: "v2", Before: "v1", Waves: []*fleetpb.Wave{{}, {}}}, State: "done", Cause: "all waves are ready", EndMs: 6000},
 		History: []*fleetpb.Event{{AtMs: 1000, By: "eva", What: "release r<1> of v2 begins"}, {AtMs: 1500, By: "eva", What: "drain of server/s-1 granted"}, {AtMs: 6000, By: "agreement", What: "release r<1>, wave 2: done"}},
@@ -38,7 +38,8 @@
 			t.Errorf("%q %d times, want %d\n%s", want, got, n, page)
 		}
 	}
-	// Two members are out from 2 s to 5 s, and the axis is from 1 s to 6 s: the step is from one to four fifths of the width.
+	// Two members are out from 2 s to 5 s, and the axis is from 1 s to 6 s: the step is from one to four fifths of
+	// the width.
 	if !strings.Contains(page, "H368.0V29.3H812.0V60.0H960.0") {
 		t.Errorf("the step is not where it should be: %s", page)
 	}
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -1,5 +1,5 @@
-// Package vitals collects the nodes' reports of completed requests and memory use on the leader, and judges by them the wave of a
-// release that is soaking. It has no clock and no I/O; the time is in its arguments.
+// Package vitals collects the nodes' reports of completed requests and memory use on the leader, and judges by them
+// the wave of a release that is soaking. It has no clock and no I/O; the time is in its arguments.
 package vitals
 
 import (
@@ -11,12 +11,12 @@
 	"starlingvalve/internal/health"
 )
 
-// WarmUp is the time from the start of a wave's soak, or of a process, until its requests count. A process that has just started
-// refuses more requests than later on.
+// WarmUp is the time from the start of a wave's soak, or of a process, until its requests count. A process that has
+// just started refuses more requests than later on.
 const WarmUp = 3 * time.Second
 
-// Vitals has the last report of each node. The nodes themselves count from the start of the soak, so that a new leader has the
-// counts of the whole soak with their next reports. The zero value has no reports.
+// Vitals has the last report of each node. The nodes themselves count from the start of the soak, so that a new
+// leader has the counts of the whole soak with their next reports. The zero value has no reports.
 type Vitals struct{ nodes map[string]*pulse }
 
 // nodeReport is the last report of a node.
@@ -27,8 +27,9 @@
 	resident uint64 // resident memory in bytes
 }
 
-// ActiveSoak returns the soak that nodes have to count from, as the ms of its start; 0 if no wave has soaked for WarmUp. tell
-// reports whether nodes have to report their counts, which is while a release with health checks is running.
+// ActiveSoak returns the soak that nodes have to count from, as the ms of its start; 0 if no wave has soaked for
+// WarmUp. wanted reports whether nodes have to report their counts, which is while a release with health checks is
+// running.
 func Soak(s *fleetpb.State) (soak int64, tell bool) {
 	r := s.Release
 	if r == nil || r.State != fleet.Running || !r.Plan.Health {
@@ -59,7 +60,8 @@
 // Remove drops the report of a node.
 func (v *Vitals) Forget(node string) { delete(v.nodes, node) }
 
-// Subtract returns the counts of now minus those of an earlier time. Both must be of the same process, whose counts only rise.
+// Subtract returns the counts of now minus those of an earlier time. Both must be of the same process, whose counts
+// only rise.
 func Since(now, before map[string]health.Ends) map[string]health.Ends {
 	since := map[string]health.Ends{}
 	for class, e := range now {
@@ -73,7 +75,8 @@
 	return since
 }
 
-// SetTrimmedLatencies sets the latency counts of a message, without the zeros before the first and after the last other count.
+// SetTrimmedLatencies sets the latency counts of a message, without the zeros before the first and after the last
+// other count.
 func Trim(e *fleetpb.Ends, took []uint64) {
 	from, to := 0, len(took)
 	for from < to && took[from] == 0 {
@@ -85,8 +88,8 @@
 	e.Took, e.TookFrom = took[from:to], uint32(from)
 }
 
-// expandLatencies is the reverse of SetTrimmedLatencies: it returns the counts of all buckets; nil if the message has none or
-// has buckets that do not exist.
+// expandLatencies is the reverse of SetTrimmedLatencies: it returns the counts of all buckets; nil if the message has
+// none or has buckets that do not exist.
 func spread(e *fleetpb.Ends) []uint64 {
 	if len(e.Took) == 0 || uint64(e.TookFrom)+uint64(len(e.Took)) > health.Buckets {
 		return nil
@@ -113,10 +116,11 @@
 	}
 }
 
-// Judge compares the nodes of the wave that is soaking with the nodes that have the version before: those in the same zones, or
-// else in all zones, or else, as in the last wave, the nodes of earlier waves. Memory is compared over all nodes of both versions.
-// A wave that was found well is judged further until its soak ends; the probability of a false alarm is bounded over the whole
-// soak. It returns nil if there is no new verdict, and HealthUnknown once half of the time for judging is over.
+// Judge compares the nodes of the wave that is soaking with the nodes that have the version before: those in the same
+// zones, or else in all zones, or else, as in the last wave, the nodes of earlier waves. Memory is compared over all
+// nodes of both versions. A wave that was found well is judged further until its soak ends; the probability of a
+// false alarm is bounded over the whole soak. It returns nil if there is no new verdict, and HealthUnknown once half
+// of the time for judging is over.
 func (v *Vitals) Judge(s *fleetpb.State) *fleetpb.Judged {
 	r := s.Release
 	soak, _ := Soak(s)
--- a/internal/vitals/vitals_test.go
+++ b/internal/vitals/vitals_test.go
@@ -9,7 +9,8 @@
 	"starlingvalve/internal/health"
 )
 
-// newSoakingState returns a fleet of two zones, nodes a1, a2 and b1, whose first wave, a1, has been soaking since 1000 ms.
+// newSoakingState returns a fleet of two zones, nodes a1, a2 and b1, whose first wave, a1, has been soaking since
+// 1000 ms.
 func soaking() *fleetpb.State {
 	s := &fleetpb.State{NowMs: 5000, Nodes: map[string]*fleetpb.Node{}, Units: map[string]*fleetpb.Unit{},
 		Release: &fleetpb.Release{State: fleet.Running, SoakMs: 1000, Plan: &fleetpb.Plan{Name: "r", Version: "new", Before: "old", Health: true, LimitMs: 60_000, Waves: []*fleetpb.Wave{{Nodes: []string{"a1"}}}}}}
@@ -35,8 +36,8 @@
 	return o
 }
 
-// Guards against a new leader that can't judge by the nodes' first reports, and against verdicts that use reports of another soak
-// or session, or nodes of other zones where the wave's own zone has nodes to compare with.
+// Guards against a new leader that can't judge by the nodes' first reports, and against verdicts that use reports of
+// another soak or session, or nodes of other zones where the wave's own zone has nodes to compare with.
 func TestJudge(t *testing.T) {
 	plain := func(*fleetpb.State) {}
 	for name, c := range map[string]struct {
@@ -75,7 +76,8 @@
 	}
 }
 
-// Guards against wrong differences of counts, latency counts that a message changes, and a message with buckets that don't exist.
+// Guards against wrong differences of counts, latency counts that a message changes, and a message with buckets that
+// don't exist.
 func TestWords(t *testing.T) {
 	took := make([]uint64, health.Buckets)
 	took[3], took[7] = 5, 6
