--- a/internal/configuration/cache/cache.go
+++ b/internal/configuration/cache/cache.go
@@ -23,7 +23,7 @@
 	maxFile = configuration.MaxBytes * 2 // bytes; entries are MaxBytes at most
 )
 
-// setAside is added to the name of a file that was refused.
+// refusedSuffix is added to the name of a file that was refused.
 const setAside = ".refused"
 
 // RefusedError tells why a file is not used. It has been renamed, so that nothing of it is lost.
--- a/internal/configuration/configfile/configfile.go
+++ b/internal/configuration/configfile/configfile.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// file is the form of a file. Each table puts one entry, or deletes it. if_revision makes the whole file conditional on
+// fileFormat is the form of a file. Each table puts one entry, or deletes it. if_revision makes the whole file conditional on
 // the revision of the entry's last change; 0: there is no such entry.
 type file struct {
 	Service []service `toml:"service,omitempty"`
@@ -116,7 +116,7 @@
 	f.tables[key] = table // of two with one key the later one, which is one too many
 }
 
-// Fault is a refusal as one line with file, line, key and reason.
+// RefusalError is a refusal as one line with file, line, key and reason.
 func (f *File) Fault(r *configpb.Refusal) error {
 	table := f.tables[r.GetEntry()]
 	reason := strings.Join(strings.Fields(r.GetReason()), " ")
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -317,7 +317,7 @@
 	}
 }
 
-// draw makes a transaction of a small world, often one that is refused.
+// drawTransaction makes a transaction of a small world, often one that is refused.
 func draw(t *rapid.T) *configpb.Transaction {
 	name := rapid.SampledFrom([]string{"a", "b", "c"})
 	number := rapid.IntRange(0, 3)
@@ -479,7 +479,7 @@
 	return next
 }
 
-// follow brings a replica some way to where the store is.
+// followStore brings a replica some way to where the store is.
 func follow(t *rapid.T, s *Store, replica *Replica, states []model) {
 	d, err := s.Delta(replica.Revision(), rapid.IntRange(1, 500).Draw(t, "bytes"))
 	if errors.Is(err, ErrCompacted) {
--- a/internal/configuration/design_size_test.go
+++ b/internal/configuration/design_size_test.go
@@ -18,7 +18,7 @@
 	designTenants  = 18_000
 )
 
-// designSize is a store of the design size.
+// newDesignSizeStore is a store of the design size.
 func designSize(b *testing.B) *Store {
 	b.Helper()
 	s := New()
--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// refusedBy is the error of a replica's owner as a cause.
+// causeOf is the error of a replica's owner as a cause.
 func refusedBy(err error) *InvalidError {
 	if err == nil {
 		return nil
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -176,7 +176,7 @@
 	return tx, nil
 }
 
-// undo gives what the entries that changed since a revision were then; nil: there was none.
+// valuesAt gives what the entries that changed since a revision were then; nil: there was none.
 func (s *Store) undo(to uint64) (map[string]*configpb.Entry, error) {
 	if err := s.reaches(to); err != nil {
 		return nil, err
@@ -202,7 +202,7 @@
 	return c.GetDelete()
 }
 
-// reaches tells whether the history has all revisions behind one.
+// checkReachable tells whether the history has all revisions behind one.
 func (s *Store) reaches(revision uint64) error {
 	switch {
 	case revision < s.compacted:
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -60,7 +60,7 @@
 
 func goodName(name string) bool { return len(name) <= maxName && namePattern.MatchString(name) }
 
-// shorten bounds a key that is quoted in an error.
+// truncateKey bounds a key that is quoted in an error.
 func shorten(key string) string {
 	const most = maxName + len(KindService) + 1
 	if len(key) <= most {
--- a/internal/configuration/watch/acknowledgements.go
+++ b/internal/configuration/watch/acknowledgements.go
@@ -20,7 +20,7 @@
 	next    time.Time // when it may have the next chunk of a snapshot
 }
 
-// arrive notes what a node says with its question.
+// beginRequest notes what a node says with its question.
 func (s *Server) arrive(now time.Time, q *configpb.WatchRequest) (*watcher, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,7 @@
 	return w, nil
 }
 
-// leave notes that a question is over; gone: its node did not wait for the answer.
+// endRequest notes that a question is over; gone: its node did not wait for the answer.
 func (s *Server) leave(now time.Time, q *configpb.WatchRequest, w *watcher, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,7 +112,7 @@
 	return revision, !first && (heardOnce(sessions, reports) || heardSomewhere(sessions, reports))
 }
 
-// heardOnce tells, by counts alone, whether each live session is heard by just one machine.
+// countedOnce tells, by counts alone, whether each live session is heard by just one machine.
 func heardOnce(sessions map[string]uint64, reports []*configpb.Report) bool {
 	var nodes, digest, want uint64
 	for _, epoch := range sessions {
@@ -125,7 +125,7 @@
 	return nodes == uint64(len(sessions)) && digest == want
 }
 
-// heardSomewhere tells whether the reports name every live session.
+// allNamed tells whether the reports name every live session.
 func heardSomewhere(sessions map[string]uint64, reports []*configpb.Report) bool {
 	named := map[uint64]bool{}
 	for _, r := range reports {
--- a/internal/configuration/watch/client.go
+++ b/internal/configuration/watch/client.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// ask puts one question to a machine and takes the answer.
+// poll puts one question to a machine and takes the answer.
 func (c *Client) ask(ctx context.Context, machine string) {
 	began := time.Now()
 	answer, err := c.call(ctx, machine)
@@ -175,7 +175,7 @@
 	return answer, proto.Unmarshal(raw, answer)
 }
 
-// take takes an answer, and tells whether it brought the node on.
+// applyAnswer takes an answer, and tells whether it brought the node on.
 func (c *Client) take(answer *configpb.WatchAnswer) bool {
 	known := c.Status().Log
 	if answer.Log == "" || known != "" && answer.Log != known {
@@ -208,14 +208,14 @@
 	return false
 }
 
-// change changes the replica.
+// changeReplica changes the replica.
 func (c *Client) change(f func() error) error {
 	c.replicaLock.Lock()
 	defer c.replicaLock.Unlock()
 	return f()
 }
 
-// took notes what became of revisions up to the newest that came.
+// recordResult notes what became of revisions up to the newest that came.
 func (c *Client) took(log string, newest uint64, err error) bool {
 	refused := (*configuration.RefusedError)(nil)
 	isNew := false
@@ -243,7 +243,7 @@
 	return grown || isNew
 }
 
-// cacheBehind tells that the cache is to be written.
+// markCacheStale tells that the cache is to be written.
 func (c *Client) cacheBehind() {
 	select {
 	case c.behind <- struct{}{}:
@@ -251,7 +251,7 @@
 	}
 }
 
-// keepCache writes the cache once it is behind, at most every cacheEvery, and a last time at the end.
+// runCacheWriter writes the cache once it is behind, at most every cacheEvery, and a last time at the end.
 func (c *Client) keepCache(ctx context.Context) {
 	for {
 		select {
@@ -288,7 +288,7 @@
 	}
 }
 
-// say logs trouble that may last, now and then.
+// warn logs trouble that may last, now and then.
 func (c *Client) say(what string, args ...any) {
 	if now := time.Now(); c.said.IsZero() || now.Sub(c.said) >= saidEvery {
 		c.said = now
--- a/internal/configuration/watch/server.go
+++ b/internal/configuration/watch/server.go
@@ -153,14 +153,14 @@
 	}
 }
 
-// nothing is the answer where nothing is new.
+// emptyAnswer is the answer where nothing is new.
 func (s *Server) nothing() *configpb.WatchAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &configpb.WatchAnswer{Log: s.log, Revision: s.revision}
 }
 
-// found is what there is for a node: an answer, a part of a snapshot after a wait, or nothing until changed is closed.
+// pendingNews is what there is for a node: an answer, a part of a snapshot after a wait, or nothing until changed is closed.
 type found struct {
 	answer  *configpb.WatchAnswer
 	chunk   bool
@@ -168,7 +168,7 @@
 	changed <-chan struct{}
 }
 
-// look finds what there is for a node now.
+// findNews finds what there is for a node now.
 func (s *Server) look(now time.Time, q *configpb.WatchRequest, w *watcher) found {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +204,7 @@
 	return &configpb.WatchAnswer{Log: s.log, Revision: s.revision, News: &configpb.WatchAnswer_Delta{Delta: d}}
 }
 
-// turn reserves the sending of a part of a snapshot and tells how long that has to wait. Nothing is reserved beyond
+// reserveChunk reserves the sending of a part of a snapshot and tells how long that has to wait. Nothing is reserved beyond
 // Limits.Hold.
 func (s *Server) turn(now time.Time, w *watcher) (wait time.Duration, reserved bool) {
 	at := now
@@ -223,7 +223,7 @@
 	return at.Sub(now), true
 }
 
-// chunkAfter waits for the turn, then gives a part of a snapshot.
+// delayedChunk waits for the turn, then gives a part of a snapshot.
 func (s *Server) chunkAfter(ctx context.Context, q *configpb.WatchRequest, wait time.Duration) (
 	*configpb.WatchAnswer, error) {
 	if wait > 0 {
--- a/internal/configuration/watch/snapshot.go
+++ b/internal/configuration/watch/snapshot.go
@@ -20,7 +20,7 @@
 	zstdWindow       = 1 << 20                    // bytes; a node's decoder holds about as much
 )
 
-// encoded is a snapshot as it goes to nodes.
+// encodedSnapshot is a snapshot as it goes to nodes.
 type encoded struct {
 	revision uint64
 	checksum [sha256.Size]byte
@@ -59,7 +59,7 @@
 	return s, proto.Unmarshal(raw, s)
 }
 
-// snapshots is the snapshot that nodes read now. It goes once nobody has read it for a while.
+// snapshotCache is the snapshot that nodes read now. It goes once nobody has read it for a while.
 type snapshots struct {
 	now    *encoded
 	read   time.Time
@@ -68,7 +68,7 @@
 
 func (s *snapshots) drop() { s.now = nil }
 
-// forget lets go of a snapshot that nobody has read for so long.
+// dropUnread lets go of a snapshot that nobody has read for so long.
 func (s *snapshots) forget(now time.Time, kept time.Duration) {
 	if s.now != nil && now.Sub(s.read) > kept {
 		s.now = nil
@@ -96,7 +96,7 @@
 	return &configpb.WatchAnswer{Log: log, Revision: revision, News: &configpb.WatchAnswer_Chunk{Chunk: c}}, nil
 }
 
-// current gives the snapshot that nodes read, made anew where the revisions kept do not reach back to it. It is made
+// currentSnapshot gives the snapshot that nodes read, made anew where the revisions kept do not reach back to it. It is made
 // once for all that wait.
 func (s *Server) current(ctx context.Context) (e *encoded, log string, revision uint64, err error) {
 	for {
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -15,10 +15,12 @@
 	"starlingvalve/internal/vitals"
 )
 
-// errNoLeader tells that no voter that leads was reached.
-var errNoLeader = errors.New("the agreement is out of reach: no voter that leads answers")
+// errNoLeader means that no voter answered as the leader. Operators and tests match "out of reach".
+var errNoLeader = errors.New("the agreement is out of reach: no voter answers as the leader")
 
-// call asks the leader, wherever it is, until ctx ends. An entry may be asked again only if it bears its number, or does no harm twice.
+// callLeader sends a request to the leader and returns its answer. It tries the voters in turn, or the one that an answer names
+// as the leader, until one succeeds or rejects the request, or ctx ends. So the request may be applied more than once: an
+// entry needs a request ID (Entry.Ask), or must do no harm if it is applied twice.
 func (n *Control) call(ctx context.Context, kind uint64, request []byte) ([]byte, error) {
 	var last error
 	for try := 0; ; try++ {
@@ -36,7 +38,7 @@
 		next := (at + 1) % len(n.c.Voters)
 		switch {
 		case err != nil:
-			last = fmt.Errorf("%w; the last one asked: %w", errNoLeader, err)
+			last = fmt.Errorf("%w; the last one called: %w", errNoLeader, err)
 		case status == statusOK:
 			return answer, nil
 		case status == statusBad:
@@ -66,7 +68,7 @@
 	}
 }
 
-// one asks one voter; this node's own without the network.
+// callVoter sends a request to one voter. It calls this node's own voter directly.
 func (n *Control) one(ctx context.Context, v Voter, kind uint64, request []byte) (uint64, []byte, error) {
 	if n.voter != nil && v.Name == n.c.Name {
 		status, answer := n.voter.handle(ctx, n.c.full(n.c.Name), kind, request)
@@ -75,7 +77,7 @@
 	return n.calls.Call(ctx, n.c.full(v.Name), v.Address, kind, request)
 }
 
-// Ask hands an entry to the leader and gives its result.
+// Propose proposes an entry to the leader and returns its result.
 func (n *Control) Ask(ctx context.Context, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	raw, err := proto.Marshal(e)
 	if err != nil {
@@ -89,7 +91,7 @@
 	return r, proto.Unmarshal(answer, r)
 }
 
-// State gives what is agreed, as the leader has it.
+// State returns the fleet's state from the leader, without the configuration.
 func (n *Control) State(ctx context.Context) (*fleetpb.State, error) {
 	raw, err := n.call(ctx, kindState, nil)
 	if err != nil {
@@ -99,21 +101,24 @@
 	return s, proto.Unmarshal(raw, s)
 }
 
-// counting is which of this node's ends are told.
+// reportedCounts determines which of this node's completed requests it reports to the leader, which compares the nodes that run
+// a new version with the others.
 type counting struct {
-	tell bool  // at all
-	soak int64 // from when this one was heard of
-	base map[string]health.Ends
+	tell bool                   // the leader wants counts at all
+	soak int64                  // observation period that the counts are for, as the leader numbers them
+	base map[string]health.Ends // counts at its begin, which are subtracted
 }
 
-// heard takes what the leader wants told. A process that is young refuses more than it will: it counts from later.
+// update takes over from an answer of the leader what it wants to be reported. The counts start again with each observation
+// period, and while age, the time since the process started, is below vitals.WarmUp: a new process refuses more requests
+// than it does later.
 func (c *counting) heard(r *fleetpb.Result, ends func() map[string]health.Ends, age time.Duration) {
 	if c.tell = r.Tell; r.Soak != c.soak || age < vitals.WarmUp {
 		c.soak, c.base = r.Soak, ends()
 	}
 }
 
-// ends are the requests that are over since then, in a word's form.
+// delta returns the requests completed since the baseline, in the form of a report.
 func (c *counting) ends(now map[string]health.Ends) (list []*fleetpb.Ends) {
 	for class, e := range vitals.Since(now, c.base) {
 		p := &fleetpb.Ends{Class: class, Served: e.Served, Refused: e.Refused, Failed: e.Failed}
@@ -123,7 +128,7 @@
 	return list
 }
 
-// session keeps this node's session alive.
+// keepSession opens this node's session and keeps it alive, until the node's end.
 func (n *Control) session() {
 	told, began := counting{}, time.Now()
 	for n.ctx.Err() == nil {
@@ -156,7 +161,7 @@
 			if now > 0 {
 				n.log.Info("fleet: session", "epoch", now)
 			} else {
-				n.log.Warn("fleet: no session; this node serves on by its own decisions and follows what it knows", "err", err)
+				n.log.Warn("fleet: no session; this node continues to serve and follows the orders that it has", "err", err)
 			}
 		}
 		n.pause(pause)
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -1,6 +1,7 @@
-// Package control is a node's part in what its fleet agrees on: it keeps a session, has its loop follow what is drained, says when it
-// has stopped sending there, and lets operators ask. Where the node is a voter it also holds the log (internal/agree) of the fleet's
-// state (internal/fleet). The path of a request never waits for any of it, and a node that can't reach the others serves on.
+// Package control is a node's part in what its fleet agrees on. It keeps the node's session alive, applies the fleet's drain
+// orders to the node's event loop, acknowledges a drain once the node has stopped sending to the target, and serves an API
+// for operators on a Unix socket. On a voter it also replicates the log (internal/agree) of the fleet's state
+// (internal/fleet). No request waits for any of this, and a node that can't reach the voters continues to serve.
 package control
 
 import (
@@ -19,28 +20,29 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// Config is a fleet file, checked. Paths in it are relative to its folder.
+// Config is the content of a valid fleet file. Paths in the file are relative to its folder; here they are resolved.
 type Config struct {
 	Path    string
 	Name    string // of this node
-	Domain  string // NAME.DOMAIN is in its certificate
+	Domain  string // the node's certificate is for NAME.DOMAIN
 	Zone    string
-	Listen  netip.AddrPort // UDP; invalid where the node is no voter
-	Folder  string         // what has to last
-	Socket  string         // where operators ask
-	Life    time.Duration  // of a session that nobody hears
-	Tick    time.Duration  // of the voters' clocks
-	Voters  []Voter        // in the order of the file
+	Listen  netip.AddrPort // UDP address of a voter; the zero value if the node is no voter
+	Folder  string         // for the files that have to survive a restart
+	Socket  string         // path of the Unix socket of the operators' API
+	Life    time.Duration  // a session without a keep-alive ends after this time
+	Tick    time.Duration  // between two ticks of the voters' raft clocks
+	Voters  []Voter        // in the file's order
 	Budgets []*fleetpb.Budget
 	Keeper  *link.Keeper
 }
 
-// Voter is one of those that hold the log.
+// Voter is a node that replicates the log.
 type Voter struct {
 	Name    string
-	Address string // IP:port, UDP
+	Address string // UDP address, IP:port
 }
 
+// file is the TOML form of a fleet file.
 type file struct {
 	Node struct {
 		Name        string `toml:"name"`
@@ -72,17 +74,17 @@
 	} `toml:"budget"`
 }
 
-// Bounds of the figures in a file.
+// Bounds of the values in a file, in milliseconds and ticks.
 const (
 	leastSession, mostSession = 1000, 60_000
 	leastTick, mostTick       = 10, 1000
-	sessionTicks              = 20 // of a session, at least: a new leader is found within these
+	sessionTicks              = 20 // least session timeout, in ticks: an election ends within this time
 )
 
 var nodeName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,60}[a-z0-9])?$`)
 
-// Load reads a file and checks all of it, certificates included, against the time now. An error is one line with file,
-// line and key.
+// Load reads a file and checks all of it, including that the certificates are valid at the time now. An error is one line
+// with the file, the line and the key.
 func Load(path string, now time.Time) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -122,7 +124,7 @@
 		}
 	}
 	if f.Timing.SessionMs < sessionTicks*f.Timing.TickMs {
-		return nil, fault("timing.session_ms", "want %d ticks at least, so that a new leader is found within a session", sessionTicks)
+		return nil, fault("timing.session_ms", "want %d ticks at least, so that a new leader is elected within a session", sessionTicks)
 	}
 	if len(f.Voter) != 3 && len(f.Voter) != 5 {
 		return nil, fault("voter", "want 3 or 5, have %d", len(f.Voter))
@@ -149,7 +151,7 @@
 		case err != nil:
 			return nil, fault("node.listen", "want IP:port, have %q", n.Listen)
 		case !c.Votes():
-			return nil, fault("node.listen", "%s is no voter: nobody calls it", c.Name)
+			return nil, fault("node.listen", "%s is not a voter, so it must not listen", c.Name)
 		}
 		c.Listen = at
 	}
@@ -180,10 +182,11 @@
 	return c, nil
 }
 
-// Votes tells whether this node is a voter.
+// IsVoter reports whether this node is a voter.
 func (c *Config) Votes() bool { return c.Listen.IsValid() }
 
-// full is the name in a node's certificate, short the node's of such a name.
+// fullName returns the name in the certificate of a node.
 func (c *Config) full(node string) string { return node + "." + c.Domain }
 
+// shortName returns the node's name from the name in its certificate.
 func (c *Config) short(name string) string { return strings.TrimSuffix(name, "."+c.Domain) }
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -11,7 +11,8 @@
 	"starlingvalve/internal/standin"
 )
 
-// folder has the certificate of n1 and its root beside a file of that text.
+// writeFolder writes a fleet file with that text, the certificate of n1 and its root into a new folder, and returns the file's
+// path.
 func folder(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,7 +32,7 @@
 	return filepath.Join(dir, "fleet.toml")
 }
 
-// The example is good, and what is wrong with a file is told with line and key.
+// Checks that the example of a fleet file is valid, and that the error for an invalid file is one line with line and key.
 func TestConfig(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/fleet.toml")
 	if err != nil {
@@ -72,7 +73,7 @@
 	}
 }
 
-// A node says of itself only what it is; what only leaders say is nobody else's word.
+// Guards against a node that submits entries in another node's name, or entries that only the leader may write.
 func TestMayAsk(t *testing.T) {
 	for name, c := range map[string]struct {
 		entry *fleetpb.Entry
@@ -95,7 +96,8 @@
 	}
 }
 
-// Half of the nodes with a session find a server dead, and it is; it is so until a quarter does.
+// A server counts as dead once half of the nodes with a session report it, and until fewer than a quarter do. Nodes without
+// a session don't count.
 func TestEvidence(t *testing.T) {
 	s := &fleetpb.State{Servers: map[string]*fleetpb.Server{"s-1": {}, "s-2": {}}, Nodes: map[string]*fleetpb.Node{}}
 	for _, n := range []string{"n1", "n2", "n3", "n4", "n5"} {
@@ -117,16 +119,16 @@
 	} {
 		s.Servers["s-1"].Dead = c.was
 		if told, dead := evidence(s, c.by); told != c.told || strings.Join(dead, " ") != c.dead {
-			t.Errorf("%v, dead before %v: told %v, %v", c.by, c.was, told, dead)
+			t.Errorf("%v, dead before %v: unchanged %v, dead %v", c.by, c.was, told, dead)
 		}
 	}
 }
 
-// What the registry says otherwise than the state, and nothing where it says nothing.
+// Checks that all differences between the registry's list and the state are found, and none while the list is not known.
 func TestDifference(t *testing.T) {
 	known := map[string]*fleetpb.Server{"a": {Id: "a", State: "ready", Weight: 1}, "b": {Id: "b", State: "ready"}, "c": {Id: "c", State: "gone"}}
 	if d := difference(known, nil); d != nil {
-		t.Errorf("a list that is not known says %v", d)
+		t.Errorf("changes by a list that is not known: %v", d)
 	}
 	var got []string
 	for _, s := range difference(known, []*fleetpb.Server{{Id: "a", State: "ready", Weight: 2}, {Id: "d", State: "draining"}}) {
@@ -136,6 +138,6 @@
 		t.Error(got)
 	}
 	if d := difference(known, []*fleetpb.Server{known["a"], known["b"]}); len(d) != 0 {
-		t.Errorf("no news: %v", d)
+		t.Errorf("changes by an unchanged list: %v", d)
 	}
 }
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	configurationCache = "configuration.cache" // in the node's folder
+	configurationCache = "configuration.cache" // file in the node's folder
 	reportWait         = 700 * time.Millisecond
 )
 
-// newWatch makes the node's side of the configuration's watch, with what its cache holds.
+// newWatchClient returns the client that follows the configuration. It starts with the content of the node's cache file.
 func (n *Control) newWatch() (*watch.Client, error) {
 	o := watch.ClientOptions{
 		Node:    n.c.Name,
@@ -39,14 +39,14 @@
 	return watch.NewClient(o)
 }
 
-// sessionEpoch is of this node's session; 0: there is none.
+// sessionEpoch returns the epoch of this node's session, or 0 if it has none.
 func (n *Control) sessionEpoch() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.epoch
 }
 
-// watchCall carries a question of the watch to a voter.
+// callWatch sends a request of the watch client to a voter and returns the answer.
 func (n *Control) watchCall(ctx context.Context, voter string, request []byte) ([]byte, error) {
 	at := slices.IndexFunc(n.c.Voters, func(v Voter) bool { return v.Name == voter })
 	status, answer, err := n.one(ctx, n.c.Voters[at], kindWatch, request)
@@ -57,12 +57,12 @@
 	case statusOK:
 		return answer, nil
 	case statusNotLeader:
-		return nil, fmt.Errorf("%s hears no leader", voter)
+		return nil, fmt.Errorf("%s knows of no leader", voter)
 	}
 	return nil, fmt.Errorf("%s: %s", voter, answer)
 }
 
-// Query asks the leader about the configuration.
+// Query sends a query about the configuration to the leader and returns its answer.
 func (n *Control) Query(ctx context.Context, q *configpb.Query) (*configpb.Answer, error) {
 	raw, err := proto.Marshal(q)
 	if err != nil {
@@ -75,7 +75,7 @@
 	return a, proto.Unmarshal(raw, a)
 }
 
-// newWatchServer makes a voter's side of the watch.
+// newWatchServer returns the server that serves the configuration, as this voter has it, to nodes.
 func (v *voter) newWatchServer() *watch.Server {
 	snapshot := func(ctx context.Context) (*configpb.Snapshot, error) {
 		m := v.current()
@@ -89,7 +89,8 @@
 	return watch.NewServer(watch.ServerOptions{Limits: watch.DefaultLimits(), Snapshot: snapshot})
 }
 
-// watchFor answers a node that watches this voter. A voter that hears no leader sends its nodes to others.
+// handleWatch answers a node's watch request. A voter that knows of no leader may be behind, so it answers statusNotLeader
+// and the node tries another voter.
 func (v *voter) watchFor(ctx context.Context, m *agree.Member, node string, raw []byte) (uint64, []byte) {
 	if m.Status().Leader == 0 {
 		return statusNotLeader, nil
@@ -101,7 +102,7 @@
 	return statusOK, answer
 }
 
-// reportFor tells the leader of the nodes that watch this voter.
+// handleReport answers the leader with a report on the nodes that watch this voter.
 func (v *voter) reportFor(raw []byte) (uint64, []byte) {
 	q := &configpb.ReportRequest{}
 	if err := proto.Unmarshal(raw, q); err != nil {
@@ -110,8 +111,9 @@
 	return v.answer(v.watch.Report(q.Names), nil)
 }
 
-// refuseEarly checks a change of the configuration before it is proposed: what is refused now costs no entry of the
-// log. nil: it is to be proposed. One that has been answered before is not checked again.
+// precheckChange checks a change of the configuration before it is proposed, so that a change that is refused needs no entry
+// of the log. It returns the refusal, or nil if the change is to be proposed. A request that already has a result is not
+// checked again: its repetition has to get the first result.
 func (v *voter) refuseEarly(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	tx := e.GetConfigure()
 	if tx == nil {
@@ -132,7 +134,7 @@
 	})
 }
 
-// query answers an operator's question, as the leader.
+// handleQuery answers an operator's query. Only the leader answers it, from a state confirmed to be current.
 func (v *voter) query(ctx context.Context, m *agree.Member, raw []byte) (uint64, []byte) {
 	q := &configpb.Query{}
 	if err := proto.Unmarshal(raw, q); err != nil {
@@ -155,10 +157,10 @@
 	case *configpb.Query_Status:
 		return v.answer(v.configurationStatus(ctx, m))
 	}
-	return statusBad, []byte("unknown question about the configuration")
+	return statusBad, []byte("unknown query about the configuration")
 }
 
-// historyOf gives the revisions asked for, as far as the history reaches back.
+// revisionsAfter returns the newest revisions after the query's revision, up to its limit, as far as the history reaches back.
 func historyOf(store *configuration.Store, q *configpb.HistoryQuery) ([]*configpb.Revision, error) {
 	after := min(max(q.GetAfter(), store.Compacted()), store.Revision())
 	list, err := store.History(after, int(store.Revision()))
@@ -168,7 +170,7 @@
 	return list, err
 }
 
-// configurationStatus adds up what the voters know of the nodes that watch them.
+// configurationStatus combines the reports of all voters into the status of the configuration's rollout to the nodes.
 func (v *voter) configurationStatus(ctx context.Context, m *agree.Member) (*configpb.Answer, error) {
 	type known struct {
 		revision, compacted uint64
@@ -196,7 +198,8 @@
 	return &configpb.Answer{Status: s}, nil
 }
 
-// reports asks all voters for theirs, at the same time.
+// collectReports requests the reports of all voters in parallel. A voter that does not answer within reportTimeout has the reason
+// in place of a report.
 func (v *voter) reports(ctx context.Context) []*configpb.MachineStatus {
 	ctx, cancel := context.WithTimeout(ctx, reportWait)
 	defer cancel()
@@ -217,7 +220,7 @@
 	return list
 }
 
-// reportOf asks a voter for its report; this one without the network.
+// requestReport requests the report of a voter. It takes the report of this voter directly.
 func (v *voter) reportOf(ctx context.Context, o Voter) (*configpb.Report, error) {
 	if o.Name == v.c.Name {
 		return v.watch.Report(true), nil
--- a/internal/control/configuration_test.go
+++ b/internal/control/configuration_test.go
@@ -24,7 +24,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// members are the nodes of a fleet in this process, over real sockets. The first three are voters.
+// testFleet is a fleet whose nodes run in this process and use real sockets. The first three are voters.
 type members struct {
 	t       *testing.T
 	configs []*Config
@@ -32,7 +32,8 @@
 	ended   []chan struct{}
 }
 
-// startMembers starts so many nodes, waits until all have a session, and ends them with the test.
+// startFleet starts count nodes and waits until all have a session. They end with the test, which then checks that no
+// goroutine is left.
 func startMembers(t *testing.T, count int) *members {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
@@ -59,7 +60,7 @@
 	return m
 }
 
-// freeAddresses gives UDP addresses whose ports the kernel does not give out by itself.
+// freeAddresses returns free UDP addresses with ports below the kernel's ephemeral ports.
 func freeAddresses(t *testing.T, count int) (list []string) {
 	t.Helper()
 	for len(list) < count {
@@ -73,6 +74,7 @@
 	return list
 }
 
+// writeNode writes a node's files to dir and loads its fleet file. voter is whether the node has to be one.
 func writeMember(t *testing.T, dir string, a *standin.Authority, name string, addresses []string, voter bool) *Config {
 	t.Helper()
 	_, cert, key, err := a.Issue(name+".f.example.org", time.Now().Add(time.Hour))
@@ -116,7 +118,7 @@
 	m.running[i], m.ended[i] = n, ended
 }
 
-// stop ends a node without a word, and waits for its end.
+// stop ends a node without the final calls, and waits for its end.
 func (m *members) stop(i int) {
 	if m.running[i] == nil {
 		return
@@ -126,7 +128,7 @@
 	m.running[i] = nil
 }
 
-// put hands in a transaction through a node until the answer is known.
+// put proposes a transaction through a node, and repeats that until there is a result. ask is the request ID.
 func (m *members) put(i int, ask string, tx *configpb.Transaction) *configpb.Result {
 	ctx, cancel := context.WithTimeout(m.t.Context(), 3*testkit.Patient)
 	defer cancel()
@@ -166,7 +168,7 @@
 	return &configpb.Change{What: &configpb.Change_Put{Put: put}}
 }
 
-// access is one put or read of an entry.
+// access is one write or read of an entry: the input of an operation in porcupine's history.
 type access struct {
 	key       string
 	write     bool
@@ -174,14 +176,14 @@
 	condition *uint64
 }
 
-// seen is what came of it.
+// accessResult is the result of an access.
 type seen struct {
 	code      configpb.Result_Code
 	timeoutMs uint32
 	revision  uint64 // of the entry
 }
 
-// register is an entry as a single copy would be.
+// registerState is the state of an entry in porcupine's model, which has a single copy.
 type register struct {
 	timeoutMs uint32
 	revision  uint64
@@ -219,7 +221,8 @@
 	},
 }
 
-// A change that is asked for again under its number gets the first answer, though its condition does not hold any more.
+// Guards against a lost answer that makes a change fail: a client that repeats the request under the same request ID has
+// to get the first result, though the change's condition does not hold any more.
 func TestConfigurationAskedAgain(t *testing.T) {
 	m := startMembers(t, 3)
 	tx := &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}}
@@ -230,17 +233,18 @@
 		}
 	}
 	if r := m.put(1, "b", tx); r.GetCode() != configpb.Result_CONFLICT {
-		t.Errorf("under another number: %v", r)
+		t.Errorf("under another request ID: %v", r)
 	}
 }
 
-// Only the leader answers what has to be up to date; any voter answers a watch, for the node that asks alone.
+// Guards against stale answers to queries, which only the leader may answer. A watch request is answered by any voter, but
+// only in the caller's own name.
 func TestOnlyTheLeaderAnswers(t *testing.T) {
 	m := startMembers(t, 3)
 	m.put(0, "a", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}})
 	query, _ := proto.Marshal(&configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
 	ask, _ := proto.Marshal(&configpb.WatchRequest{Node: "n9"})
-	testkit.Until(t, "all have it, and one leads", func() bool {
+	testkit.Until(t, "all nodes have the revision, and one leads", func() bool {
 		for _, n := range m.running {
 			if n.Here().Configuration != 1 || n.Here().Voter == "waits" {
 				return false
@@ -270,8 +274,8 @@
 	}
 }
 
-// A node that was away while more was changed than voters keep for watches, and has lost its folder, takes a snapshot;
-// one that kept its folder has what the others have, too.
+// Guards against nodes that can't catch up after more changes than the voters keep for watches: both a node that lost its
+// folder and one that still has it get to the last revision, by a snapshot.
 func TestSnapshotOverTheNetwork(t *testing.T) {
 	m := startMembers(t, 5)
 	if r := m.put(4, "first", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}}); r == nil {
@@ -313,8 +317,9 @@
 	}
 }
 
-// Puts with and without conditions, and reads, through all nodes at once, while leaders stop and start again: all of it
-// is as if there were one copy (porcupine). No revision is given twice.
+// Guards against lost updates, stale reads and revisions that are assigned twice when leaders fail: clients write, with and
+// without conditions, and read through all nodes at once, while leaders stop and start again. The history has to be
+// linearizable (checked by porcupine).
 func TestConfigurationIsLinearizable(t *testing.T) {
 	m := startMembers(t, 5)
 	const workers = 4
@@ -346,7 +351,7 @@
 				}
 				in := access{key: fmt.Sprint("s", r.IntN(3)), write: r.IntN(2) == 0, timeoutMs: uint32(1 + r.IntN(3))}
 				from, through := time.Since(began), 3+r.IntN(2)
-				if !in.write || r.IntN(2) == 0 { // a put on a condition has read it before
+				if !in.write || r.IntN(2) == 0 { // a conditional put reads the entry's revision first
 					s, err := m.get(through)
 					if err != nil {
 						continue
@@ -373,7 +378,7 @@
 				note(worker, in, from, seen{code: result.Code, revision: result.Revision})
 				mu.Lock()
 				if other := given[result.Revision]; result.Code == configpb.Result_APPLIED && other != "" {
-					t.Errorf("revision %d given to %s and %s", result.Revision, other, ask)
+					t.Errorf("revision %d assigned to both %s and %s", result.Revision, other, ask)
 				} else if result.Code == configpb.Result_APPLIED {
 					given[result.Revision] = ask
 				}
@@ -385,7 +390,7 @@
 	close(enough)
 	work.Wait()
 	if !porcupine.CheckOperations(registers, history) {
-		t.Error("not as if there were one copy")
+		t.Error("the history is not linearizable")
 	}
 	last, err := m.get(4)
 	if err != nil {
@@ -401,7 +406,7 @@
 	})
 }
 
-// stopLeaders stops the leader and starts it again, three times, each after some more operations.
+// stopLeaders stops the leader and starts it again, three times, with some operations before and after each.
 func stopLeaders(t *testing.T, m *members, operations func() int) {
 	t.Helper()
 	const between = 40
@@ -417,6 +422,7 @@
 	testkit.Until(t, "operations go on", func() bool { return operations() >= before+between })
 }
 
+// entryOf returns the entry of a service in a snapshot, or nil.
 func entryOf(s *configpb.Snapshot, service string) *configpb.Entry {
 	for _, e := range s.GetEntries() {
 		if configuration.Key(e) == configuration.ServiceKey(service) {
@@ -426,7 +432,8 @@
 	return nil
 }
 
-// The checker finds a read of what is no more, a put that overlooked a condition, and a revision that goes back.
+// Checks the checker: a history with a stale read, an ignored or wrongly failed condition, a revision that goes back or a
+// lost update must not pass as linearizable.
 func TestLinearizableFindsFaults(t *testing.T) {
 	one := uint64(1)
 	type operations = []porcupine.Operation
--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	doorLimit = 1 << 20 // bytes of an ask
-	doorWait  = 10 * time.Second
+	doorLimit = 1 << 20          // bytes
+	doorWait  = 10 * time.Second // to read a request, and to answer it
 )
 
-// door serves operators on this machine, at a Unix socket that only the node's user can open.
+// serveAPI serves the operators' API on a Unix socket that only the node's user can open.
 func (n *Control) door() {
 	l, err := listenDoor(n.c.Socket, n.c.Folder)
 	if err != nil {
-		n.log.Error("fleet: operators can't ask this node", "socket", n.c.Socket, "err", err)
+		n.log.Error("fleet: can't listen on the socket of the operators' API", "socket", n.c.Socket, "err", err)
 		return
 	}
 	mux := http.NewServeMux()
@@ -66,7 +66,7 @@
 	srv.Serve(&accept.Listener{Listener: l})
 }
 
-// answerQuery answers a question about the configuration.
+// handleQuery serves a query about the configuration.
 func (n *Control) answerQuery(w http.ResponseWriter, r *http.Request) {
 	q := &configpb.Query{}
 	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, doorLimit))
@@ -83,7 +83,8 @@
 	reply(w, answer, err)
 }
 
-// listenDoor makes the socket where nobody else can come, and moves it to its place once it is closed to others.
+// listenAPI listens on a Unix socket at path. It creates the socket in folder, which only the node's user can enter, and
+// moves it to path once its mode keeps other users out.
 func listenDoor(path, folder string) (net.Listener, error) {
 	hidden := filepath.Join(folder, "door")
 	os.Remove(hidden)
@@ -103,6 +104,7 @@
 	return l, nil
 }
 
+// writeReply writes a message as JSON, or an error.
 func reply(w http.ResponseWriter, m proto.Message, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -116,30 +118,31 @@
 	w.Write(raw)
 }
 
-// Here is this node's own view of the agreement, which needs nobody else.
+// NodeStatus is this node's own view of the fleet's agreement. It is answered without any other node.
 type Here struct {
 	Node    string            `json:"node"`
-	Session uint64            `json:"session"` // epoch; 0: none
-	Version uint64            `json:"version"` // of what it follows
-	Out     map[string]uint64 `json:"out"`
-	Voter   string            `json:"voter,omitempty"` // leads, follows, waits, stopped; empty: it is none
+	Session uint64            `json:"session"` // epoch of the node's session; 0: none
+	Version uint64            `json:"version"` // of the orders that it follows
+	Out     map[string]uint64 `json:"out"`     // drained targets by these orders, with the epochs of their drains
+	Voter   string            `json:"voter,omitempty"` // leads, follows, waits (for the other voters), stopped; empty: the node is no voter
 	Term    uint64            `json:"term,omitempty"`
 	Leader  string            `json:"leader,omitempty"`
-	Why     string            `json:"why,omitempty"`     // of a voter that has stopped
-	Applied uint64            `json:"applied,omitempty"` // entries of the log
+	Why     string            `json:"why,omitempty"`     // error of a voter that has stopped
+	Applied uint64            `json:"applied,omitempty"` // index of the last log entry that was applied
 	Pid     int               `json:"pid"`
-	Able    bool              `json:"able"` // it can serve, drained or not
-	Open    int               `json:"open"` // requests
-	// Succeeded: a process that replaces this one serves, and this one may be told to end.
+	Able    bool              `json:"able"` // the node can serve requests, apart from being drained
+	Open    int               `json:"open"` // number of open requests
+	// Succeeded is set once a successor process serves, so that this process may be ended.
 	Succeeded bool `json:"succeeded"`
-	// Configuration is the revision of the configuration that is in force here, Refused the newest one that is not accepted.
+	// Configuration is the revision of the configuration that is in force here; 0: none.
 	Configuration uint64 `json:"configuration,omitempty"`
-	Refused       uint64 `json:"refused,omitempty"`
-	// Traffic is what its connections to other nodes have carried.
+	// Refused is the newest revision of the configuration that this node did not accept; 0: none.
+	Refused uint64 `json:"refused,omitempty"`
+	// Traffic counts what the node's connections to other nodes have carried.
 	Traffic link.Traffic `json:"traffic"`
 }
 
-// Here tells it.
+// Status returns the node's own view of the agreement.
 func (n *Control) Here() Here {
 	n.mu.Lock()
 	h := Here{Node: n.c.Name, Session: n.epoch, Version: n.held.Version, Out: n.held.Out, Succeeded: n.succeeded}
@@ -177,10 +180,10 @@
 	return h
 }
 
-// Door is the operators' side of a node's socket.
+// APIClient is a client of a node's API for operators.
 type Door struct{ client *http.Client }
 
-// Knock makes the way to a socket. Nothing is opened yet.
+// NewAPIClient returns a client of the API at a socket. It does not connect yet.
 func Knock(socket string) *Door {
 	return &Door{&http.Client{Timeout: doorWait + time.Second, Transport: &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -188,9 +191,11 @@
 		}}}}
 }
 
-// ErrDoor tells that the node did not answer, or could not reach the agreement. An ask may have taken effect: ask again with its number.
+// ErrAPIUnavailable means that the node did not answer, or could not reach the leader. A proposed entry may have been applied: it is
+// safe to propose it again with the same request ID (Entry.Ask).
 var ErrDoor = errors.New("no answer from the agreement")
 
+// call sends a request to the node and returns the body of a successful response.
 func (d *Door) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://node"+path, bytes.NewReader(body))
 	if err != nil {
@@ -213,7 +218,8 @@
 	return raw, nil
 }
 
-// Ask hands in an entry. It asks again where that is safe: where the entry has a number.
+// Propose proposes an entry and returns its result. After ErrAPIUnavailable it repeats the request until ctx ends, but only
+// for an entry with a request ID (Entry.Ask), which is applied once at most.
 func (d *Door) Ask(ctx context.Context, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	body, err := protojson.Marshal(e)
 	if err != nil {
@@ -236,7 +242,7 @@
 	}
 }
 
-// Query asks about the configuration.
+// Query sends a query about the configuration to the leader.
 func (d *Door) Query(ctx context.Context, q *configpb.Query) (*configpb.Answer, error) {
 	body, err := protojson.Marshal(q)
 	if err != nil {
@@ -250,7 +256,7 @@
 	return a, protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(raw, a)
 }
 
-// State gives what is agreed.
+// State returns the fleet's state from the leader, without the configuration.
 func (d *Door) State(ctx context.Context) (*fleetpb.State, error) {
 	raw, err := d.call(ctx, http.MethodGet, "/state", nil)
 	if err != nil {
@@ -260,7 +266,7 @@
 	return s, protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(raw, s)
 }
 
-// Here gives the node's own view.
+// Status returns the node's own view of the agreement.
 func (d *Door) Here(ctx context.Context) (h Here, err error) {
 	raw, err := d.call(ctx, http.MethodGet, "/here", nil)
 	if err == nil {
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -12,7 +12,8 @@
 	"starlingvalve/internal/vitals"
 )
 
-// duties are the leader's: it lets sessions lapse, tells the log what the registry says, and has time pass for those who wait.
+// leaderDuties does the leader's periodic work while this voter leads: it ends sessions that timed out, writes changes of the
+// registry's server list to the log, and writes clock entries for what waits for time to pass.
 func (v *voter) duties(ctx context.Context, m *agree.Member) {
 	tick := time.NewTicker(v.c.Tick)
 	defer tick.Stop()
@@ -28,7 +29,7 @@
 			term = 0
 			continue
 		}
-		if s.Term != term { // whoever led before may have heard them just now
+		if s.Term != term { // a former leader may have received keep-alives just now, so the timeouts start again
 			if m.Lead(ctx) != nil {
 				continue
 			}
@@ -61,20 +62,21 @@
 			r, err := v.propose(ctx, m, e)
 			cancel()
 			if err != nil || r.Code != fleetpb.Result_DONE {
-				v.log.Warn("fleet: the leader's own entry", "result", r, "err", err)
+				v.log.Warn("fleet: an entry of the leader itself failed", "result", r, "err", err)
 				break
 			}
 		}
 	}
 }
 
+// leaderWork is the leader's work at one tick.
 type due struct {
 	entries []*fleetpb.Entry
-	waits   bool     // somebody waits for time to pass: in the queue, or a release
-	voters  []uint64 // that are to hold the log
+	waits   bool     // a queued drain or a release waits for time to pass
+	voters  []uint64 // raft IDs of the voters by the log's state
 }
 
-// forget lets go of what a node said whose session is over.
+// forgetNode removes the reports of a node whose session has ended. v.mu must be held.
 func (v *voter) forget(name string) {
 	delete(v.heard, name)
 	delete(v.lapsing, name)
@@ -82,6 +84,7 @@
 	v.vitals.Forget(name)
 }
 
+// sameIDs reports whether a and b are equal apart from the order.
 func sameIDs(a, b []uint64) bool {
 	a, b = slices.Clone(a), slices.Clone(b)
 	slices.Sort(a)
@@ -89,7 +92,8 @@
 	return slices.Equal(a, b)
 }
 
-// due is what the leader has to say now. The member's goroutine calls it.
+// workDue returns the leader's work at the time now. list is the servers by the registry; nil: not known. The member's
+// goroutine calls it, which owns the machine.
 func (v *voter) due(now time.Time, list []*fleetpb.Server) (d due) {
 	s := v.machine.State()
 	d.waits = len(s.Queue) > 0 || v.machine.Releasing()
@@ -129,13 +133,15 @@
 	return d
 }
 
-// Of the nodes with a session, so many have to find a server dead before it counts as out; so few, that it counts as in again.
+// Fractions of the nodes with a session. A server counts as dead once at least deadThreshold of them report it as dead, and
+// until fewer than aliveThreshold do.
 const (
 	deadFrom  = 0.5
 	deadUntil = 0.25
 )
 
-// evidence gives the servers that enough nodes find dead; told: that is what the state says already.
+// deadServers returns the sorted IDs of the servers that enough nodes with a session report as dead. by has each node's
+// reported servers. unchanged means that the state has the same servers as dead already.
 func evidence(s *fleetpb.State, by map[string][]string) (told bool, dead []string) {
 	live, count := 0, map[string]int{}
 	for name, n := range s.Nodes {
@@ -162,7 +168,8 @@
 	return told, dead
 }
 
-// difference is what a list says otherwise than the state. A list that is not known, nil, says nothing.
+// changedServers returns the servers of list that differ from the known ones, and as removed the known ones that list does not
+// have, sorted by ID. It returns nil if list is nil, which means that the list is not known.
 func difference(known map[string]*fleetpb.Server, list []*fleetpb.Server) (news []*fleetpb.Server) {
 	if list == nil {
 		return nil
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -18,14 +18,14 @@
 	"starlingvalve/internal/wholefile"
 )
 
-// held is what this node follows, on its disk: a process that starts follows it before it serves.
+// followedOrders is the orders that this node follows, as its file has them. A process applies them at its start, before it serves.
 type held struct {
-	Log     string            `json:"log"` // that says so
+	Log     string            `json:"log"` // name of the log that the orders are from
 	Version uint64            `json:"version"`
-	Out     map[string]uint64 `json:"out"` // targets, and the epochs of their drains
+	Out     map[string]uint64 `json:"out"` // drained targets, with the epochs of their drains
 }
 
-// kept reads what was followed at last.
+// loadOrders reads the orders that the node followed last from its file.
 func (n *Control) kept() (h held, err error) {
 	err = wholefile.ReadJSON(filepath.Join(n.c.Folder, heldFile), &h)
 	if err != nil {
@@ -34,7 +34,8 @@
 	return h, nil
 }
 
-// Orders waits a while for orders behind a version of a log, or of another log; nil: there are none.
+// AwaitOrders waits for orders of a later version than the given one of a log, or of another log. It returns nil if the long
+// poll ended without any.
 func (n *Control) Orders(ctx context.Context, version uint64, log string) (*fleetpb.Orders, error) {
 	raw, err := proto.Marshal(&fleetpb.Orders{Version: version, Log: log})
 	if err != nil {
@@ -45,7 +46,7 @@
 	n.mu.Lock()
 	moved := n.moved
 	n.mu.Unlock()
-	go func() { // a voter that leads no more may hear no news; the session's calls find that out
+	go func() { // a former leader may get no new orders; the keep-alive calls notice the change of the leader
 		select {
 		case <-moved:
 			cancel()
@@ -62,7 +63,7 @@
 	return o, nil
 }
 
-// follow has the loop follow what is agreed.
+// followOrders requests orders, applies them and writes them to the file, until the node's end.
 func (n *Control) follow() {
 	for n.ctx.Err() == nil {
 		known := n.followed()
@@ -71,7 +72,7 @@
 			continue
 		}
 		if known.Log != "" && known.Log != o.Log {
-			n.log.Error("fleet: the voters hold another log than the one that this node follows; it goes on with what it knows. "+
+			n.log.Error("fleet: the voters have another log than the one that this node follows; it continues with the orders that it has. "+
 				"See \"All voters' disks are lost\" in docs/operate/fleet-control.md", "follows", known.Log, "theirs", o.Log)
 			n.pause(n.c.Life)
 			continue
@@ -83,8 +84,8 @@
 		n.hold(now)
 		n.log.Info("fleet: follows", "version", now.Version, "out", strings.Join(slices.Sorted(maps.Keys(now.Out)), ","))
 		if err := n.keep(now); err != nil {
-			n.log.Error("fleet: what this node follows can't be kept; it acknowledges nothing", "err", err)
-			n.pause(n.c.Life / aliveParts) // the same orders come again at once
+			n.log.Error("fleet: this node's orders can't be kept in its folder; it acknowledges nothing", "err", err)
+			n.pause(n.c.Life / aliveParts) // the next request gets the same orders at once
 			continue
 		}
 		n.mu.Lock()
@@ -95,12 +96,14 @@
 	}
 }
 
+// currentOrders returns the orders that this node follows.
 func (n *Control) followed() held {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.held
 }
 
+// sleep waits for d, or until the node's end.
 func (n *Control) pause(d time.Duration) {
 	select {
 	case <-n.ctx.Done():
@@ -108,19 +111,19 @@
 	}
 }
 
-// suspects are the servers that this node takes for dead.
+// ejectedServers returns the servers that this node has ejected, maxDeadServers at most.
 func (n *Control) suspects() []string {
 	list := n.loop.EjectedServers()
 	return list[:min(len(list), mostSuspects)]
 }
 
-// hold has the loop, and the node, follow.
+// applyOrders applies orders to the loop, and to the node itself if it is drained.
 func (n *Control) hold(h held) {
 	n.loop.SetCordon(heldOf(slices.Collect(maps.Keys(h.Out))...))
 	n.node.Away(h.Out[fleet.NodeTarget(n.c.Name)] > 0)
 }
 
-// heldOf gives the servers and zones among targets.
+// cordonOf returns the servers and zones among targets as a cordon.
 func heldOf(targets ...string) core.Cordon {
 	h := core.Cordon{Servers: map[decide.ServerID]bool{}, Zones: map[string]bool{}}
 	for _, target := range targets {
@@ -134,7 +137,8 @@
 	return h
 }
 
-// left is what is still under way of what a target is to have none of: attempts there; of this node itself, clients' requests.
+// remaining returns how many open attempts this node has at a target; for the node itself as the target, how many open requests
+// of clients. ok is false once the loop has ended.
 func (n *Control) left(target string) (int, bool) {
 	if target == fleet.NodeTarget(n.c.Name) {
 		return n.loop.OpenRequests()
@@ -142,21 +146,23 @@
 	return n.loop.OpenAttemptsAt(heldOf(target))
 }
 
-// keep writes what is followed, whole or not at all, before it is acknowledged.
+// saveOrders writes the orders to their file, atomically. They are acknowledged only after that, so that a restarted process
+// can't go back to older ones.
 func (n *Control) keep(h held) error {
 	return wholefile.WriteJSON(filepath.Join(n.c.Folder, heldFile), h)
 }
 
-// Replaced tells whether another process serves beside this one, to replace it. What this one has stopped says nothing of the other
-// then: that one speaks for the node once it is alone.
-// succeeded: that one serves already, and this one may be told to end.
+// SetReplaced sets whether a successor process runs beside this one. While it does, this process acknowledges no drains, as
+// the successor may still send to the target; the successor acknowledges them once it is alone. succeeded means that the
+// successor serves already, so that this process may be ended.
 func (n *Control) Replaced(on, succeeded bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.silent, n.succeeded = on, succeeded
 }
 
-// acknowledge tells the leader of each drain once nothing of this node's own is left there.
+// sendAcks sends an acknowledgement of each drain to the leader, once in each session, when this node has nothing open
+// at the target any more.
 func (n *Control) acknowledge() {
 	type said struct{ session, epoch uint64 }
 	told := map[string]said{}
@@ -179,7 +185,7 @@
 			select {
 			case <-n.ctx.Done():
 			case <-news:
-			case <-time.After(n.c.Life / aliveParts): // another session may have begun
+			case <-time.After(n.c.Life / aliveParts): // a new session needs new acknowledgements
 			}
 			continue
 		}
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -13,14 +13,17 @@
 	"starlingvalve/internal/agree"
 )
 
-// foundingWord is what voters tell each other before they hold a log in common.
+// foundingInfo is a voter's answer to a kindFounding call, as JSON under the names of the fields. Birth is the birth ID of
+// its disk, and Founding the name of the log that it is part of, or empty if it is not part of one yet.
 type foundingWord struct {
 	Birth, Founding string
-	Voters          map[string]string // the births of their disks, as this voter has them agreed
+	Voters          map[string]string // birth IDs of the voters' disks by the log's state, by name
 }
 
-// found makes sure which log this voter is part of. A voter whose disk is empty takes part only if all voters named began with it:
-// else its disk was lost, and with it its votes.
+// awaitFounding waits until this voter knows which log it is part of, and stores that on its disk. It returns false if ctx ends
+// first. A voter with an empty disk may found a log only together with all other voters. If one of them already has a log
+// that did not begin with this disk, this voter's disk was lost, and its votes with it. It must not vote again until an
+// operator has admitted the new disk (starlingvalve fleet renew).
 func (v *voter) found(ctx context.Context) bool {
 	if v.founding.Log != "" {
 		return true
@@ -53,17 +56,17 @@
 			if w.Founding != f.Log {
 				clash = name
 			}
-			if w.Voters[v.c.Name] == v.birth && w.Founding != f.Log { // it was taken in since
+			if w.Voters[v.c.Name] == v.birth && w.Founding != f.Log { // an operator has admitted this disk
 				f, clash, missing = agree.Founding{Log: w.Founding, Voters: w.Voters, Joined: true}, "", nil
 				break
 			}
 		}
 		switch {
 		case len(missing) > 0:
-			tell("its disk is empty, and not heard are %s: the first start wants all voters", strings.Join(missing, ", "))
+			tell("its disk is empty, and there is no answer from %s: the first start needs all voters", strings.Join(missing, ", "))
 		case clash != "":
 			tell("its disk is empty, but %s has a log already that did not begin with this disk. If this voter's disk was lost, "+
-				"bring the disk back, or have it taken in with its new one: starlingvalve fleet renew %s", clash, v.c.Name)
+				"bring the disk back, or admit the voter with its new disk: starlingvalve fleet renew %s", clash, v.c.Name)
 		default:
 			if err := v.disk.Found(f); err != nil {
 				tell("%v", err)
@@ -83,7 +86,7 @@
 	}
 }
 
-// logName names a log by the births of the disks that it began with.
+// logName returns the name of the log that begins with these disks: a hash of the voters' names and birth IDs.
 func logName(births map[string]string) string {
 	var list []string
 	for name, birth := range births {
@@ -94,6 +97,7 @@
 	return hex.EncodeToString(sum[:8])
 }
 
+// requestFounding requests another voter's foundingInfo.
 func (v *voter) askFounding(ctx context.Context, o Voter) (w foundingWord, err error) {
 	ctx, cancel := context.WithTimeout(ctx, foundingWait)
 	defer cancel()
--- a/internal/control/leak_test.go
+++ b/internal/control/leak_test.go
@@ -20,7 +20,7 @@
 	"starlingvalve/internal/testkit"
 )
 
-// calm is a node and its loop with nothing to do.
+// idleNode is a node and its event loop without traffic, servers or drains.
 type calm struct{}
 
 func (calm) SetCordon(core.Cordon)                  {}
@@ -33,7 +33,8 @@
 func (calm) CanServe() bool                         { return true }
 func (calm) ServerList() core.List                  { return core.List{Full: true} }
 
-// Three voters and a node that is none agree, a hold is asked through the last; once all have ended no goroutine is left.
+// Guards against goroutines that are left after the end of nodes: of three voters, one of whose ports is in use at first, and
+// a node that is no voter, through which a hold is set.
 func TestNothingIsLeft(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	dir := t.TempDir()
@@ -43,14 +44,14 @@
 	}
 	var addrs []string
 	var taken net.PacketConn
-	for len(addrs) < 3 { // not of the ports that the kernel gives out: n4 draws one of those
+	for len(addrs) < 3 { // below the kernel's ephemeral ports, as n4 gets one of those
 		c, err := net.ListenPacket("udp", fmt.Sprintf("127.0.0.1:%d", 10_000+rand.IntN(20_000)))
 		if err != nil {
 			continue
 		}
 		addrs = append(addrs, c.LocalAddr().String())
 		if taken == nil {
-			taken = c // the first voter's port is another's for a while
+			taken = c // the first voter's port stays in use for a while
 		} else {
 			c.Close()
 		}
@@ -121,7 +122,7 @@
 	goleak.VerifyNone(t, before)
 }
 
-// waits until something holds.
+// waitUntil waits until holds returns true. After testkit.Patient it fails the test and prints the status of all nodes.
 func waits(t *testing.T, nodes []*Control, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testkit.Patient); !holds(); time.Sleep(10 * time.Millisecond) {
@@ -129,12 +130,13 @@
 			for _, n := range nodes {
 				t.Errorf("%+v", n.Here())
 			}
-			t.Fatal("in vain")
+			t.Fatal("the condition did not become true")
 		}
 	}
 }
 
-// Counts begin anew with each soak, and while the process is young.
+// Guards against reports that include requests from before the observation period, or from just after the process started,
+// when it refuses more than later: the counts start again in both cases.
 func TestCounting(t *testing.T) {
 	ends := func(served uint64) map[string]health.Ends { return map[string]health.Ends{"c": {Served: served}} }
 	c := counting{}
@@ -142,11 +144,11 @@
 		soak   int64
 		served uint64
 		age    time.Duration
-		want   uint64 // told with 10 more
+		want   uint64 // reported after 10 more requests
 	}{{0, 100, time.Second, 10}, {0, 200, time.Minute, 110}, {7, 300, time.Minute, 10}, {7, 400, time.Minute, 110}, {9, 500, time.Second, 10}, {9, 600, 2 * time.Second, 10}, {9, 700, time.Minute, 110}} {
 		c.heard(&fleetpb.Result{Tell: true, Soak: x.soak}, func() map[string]health.Ends { return ends(x.served) }, x.age)
 		if got := c.ends(ends(x.served + 10)); len(got) != 1 || got[0].Served != x.want || c.soak != x.soak {
-			t.Errorf("soak %d, %d served: told %v, want %d", x.soak, x.served, got, x.want)
+			t.Errorf("soak %d, %d served: reported %v, want %d", x.soak, x.served, got, x.want)
 		}
 	}
 }
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -21,7 +21,7 @@
 	"starlingvalve/internal/wholefile"
 )
 
-// Loop is what the node's loop is to this package. The counts' ok is false once it has ended.
+// Loop is the part of the node's event loop that this package uses. The results ok are false once the loop has ended.
 type Loop interface {
 	SetCordon(core.Cordon)
 	OpenAttemptsAt(core.Cordon) (attempts int, ok bool)
@@ -31,60 +31,60 @@
 	ServerList() core.List
 }
 
-// Node is the rest of the node to this package.
+// Node is the part of the rest of the node that this package uses.
 type Node interface {
-	// Away has the node say that it is not ready, and its clients go, or ends that: it is drained.
+	// Away drains the node, or ends that. A drained node reports that it is not ready and has its clients disconnect.
 	Away(on bool)
-	// Ends gives the requests that are over, by class.
+	// Ends returns the counts of completed requests, by class.
 	Ends() map[string]health.Ends
-	// Resident is the memory that the process holds, in bytes.
+	// Resident returns the resident memory of the process in bytes.
 	Resident() uint64
 }
 
 const (
-	aliveParts = 3 // keep-alives in a session's life
-	callWait   = 1500 * time.Millisecond
-	againAfter = 100 * time.Millisecond
-	leftEvery  = 20 * time.Millisecond
-	openAgain  = 200 * time.Millisecond // before a node that can't take part tries to again
-	openTold   = 30 * time.Second
-	takeOver   = 100 * time.Millisecond // between two looks at the process before this one
-	firstWord  = 3 * time.Second
-	farewell   = 200 * time.Millisecond // for each of the last words of a node that ends
+	aliveParts = 3 // keep-alives within a session's timeout
+	callWait   = 1500 * time.Millisecond // for one voter's answer
+	againAfter = 100 * time.Millisecond  // before a failed call is repeated
+	leftEvery  = 20 * time.Millisecond   // while something is open at a drained target
+	openAgain  = 200 * time.Millisecond // before a node that could not open its UDP port tries again
+	openTold   = 30 * time.Second       // between log lines about that
+	takeOver   = 100 * time.Millisecond // while the predecessor process has the lock
+	firstWord  = 3 * time.Second        // a node without stored orders reports not ready for this long at most
+	farewell   = 200 * time.Millisecond // for each of a node's final calls at its end
 	heldFile   = "held.json"
 	lockFile   = "lock"
 
-	mostSuspects = 500 // told of in one word
+	mostSuspects = 500 // in one keep-alive
 )
 
-// Control is a node's part in the agreement.
+// Control is a node's part in what its fleet agrees on.
 type Control struct {
 	c       *Config
 	loop    Loop
 	log     *slog.Logger
 	node    Node
-	process string // of this run
+	process string // random ID of this process; a new one after its session was refused
 	ctx     context.Context
 	stop    context.CancelFunc
 	work    sync.WaitGroup
 	calls   *link.Calls
-	voter   *voter // nil: it is none
+	voter   *voter // nil: this node is no voter
 
-	configuration *watch.Client // nil: a side that keeps no session
+	configuration *watch.Client // nil for a client without a session (NewClient)
 
 	mu        sync.Mutex
-	leader    int       // index of the voter that is asked first
+	leader    int       // index of the voter that is called first
 	epoch     uint64    // of the session; 0: none
-	until     time.Time // the session holds, counted from before it was asked for
+	until     time.Time // end of the session, counted from when the last successful keep-alive was sent
 	held      held
-	follows   chan struct{} // closed at the next order
-	moved     chan struct{} // closed when another voter is asked first
+	follows   chan struct{} // closed when new orders are in force
+	moved     chan struct{} // closed when leader changes
 	succeeded bool
-	noVote    error // why this voter has no vote; nil: it has one, or is none
-	silent    bool  // a process that replaces this one serves beside it
+	noVote    error // why this node's voter could not be opened; nil: it was, or the node is no voter
+	silent    bool  // a successor process runs beside this one
 }
 
-// Open reads what the node followed at its last end.
+// Open reads the node's orders and its configuration from its folder. ApplySavedOrders and Run follow.
 func Open(c *Config, loop Loop, node Node, log *slog.Logger) (*Control, error) {
 	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("%s: node.folder: %w", c.Path, err)
@@ -92,7 +92,7 @@
 	n := &Control{c: c, loop: loop, node: node, log: log, process: rand.Text(), follows: make(chan struct{}), moved: make(chan struct{})}
 	var err error
 	if n.held, err = n.kept(); err != nil {
-		log.Warn("fleet: what this node followed before is not known", "err", err)
+		log.Warn("fleet: can't read the orders that this node followed before", "err", err)
 	}
 	if n.configuration, err = n.newWatch(); err != nil {
 		return nil, err
@@ -101,7 +101,8 @@
 	return n, nil
 }
 
-// NewClient is a side of the agreement that asks and follows, and keeps no session: a supervisor's. Close ends it.
+// NewClient returns a Control that only calls the voters: it keeps no session and needs no Run. A supervisor uses it.
+// CloseClient ends it.
 func NewClient(c *Config, log *slog.Logger) (*Control, error) {
 	n := &Control{c: c, log: log, follows: make(chan struct{}), moved: make(chan struct{})}
 	n.ctx, n.stop = context.WithCancel(context.Background())
@@ -118,8 +119,9 @@
 	n.calls.Close()
 }
 
-// Begin has the loop follow what was on the disk, before anything is served. A node whose disk knows nothing, as at its first start, says that
-// it is not ready until it has heard, for firstWord at most: out of reach of the others it serves by its own decisions.
+// ApplySavedOrders applies the orders from the node's file, before the node serves. A node without a file, as at its first start,
+// reports that it is not ready until it has received orders, for firstOrdersTimeout at most. After that it serves without
+// orders, so that it also starts when the other nodes are unreachable.
 func (n *Control) Begin() {
 	n.hold(n.followed())
 	if n.followed().Log != "" {
@@ -132,29 +134,30 @@
 		n.mu.Unlock()
 		select {
 		case <-n.ctx.Done():
-		case <-news: // the node is away or not, as they say
+		case <-news: // the orders say whether the node is drained
 		case <-time.After(firstWord):
 			if n.followed().Log == "" {
-				n.log.Warn("fleet: the others are not heard; this node serves by its own decisions")
+				n.log.Warn("fleet: no orders received from the voters; this node serves without them")
 				n.node.Away(false)
 			}
 		}
 	})
 }
 
-// Run takes part until Close. It waits for the process that this one replaces: one of them at a time speaks for the node.
+// Run takes part in the fleet until Close or Stop. It first waits for the end of a predecessor process, as only one process
+// at a time may act for the node.
 func (n *Control) Run() {
 	lock, err := n.lock()
 	if n.ctx.Err() != nil && lock == nil {
-		return // Close came first
+		return // closed before the lock was free
 	}
 	if err != nil {
-		n.log.Error("fleet: this node takes no part", "err", err)
+		n.log.Error("fleet: can't lock the node's folder; this node takes no part in the fleet's control", "err", err)
 		return
 	}
 	defer lock.Close()
 	var told time.Time
-	for ; ; n.pause(openAgain) { // its port may be another process's for a while
+	for ; ; n.pause(openAgain) { // another process may still use the port
 		err := n.open()
 		if err == nil {
 			break
@@ -164,7 +167,7 @@
 		}
 		if time.Since(told) >= openTold {
 			told = time.Now()
-			n.log.Error("fleet: this node takes no part yet; it serves on by its own decisions", "err", err)
+			n.log.Error("fleet: this node takes no part in the fleet's control yet; it serves without it and tries again", "err", err)
 		}
 	}
 	n.work.Go(n.session)
@@ -179,11 +182,12 @@
 	n.calls.Close()
 }
 
-// lock waits until no other process of the node speaks for it.
+// acquireLock waits for the lock of the node's folder, which a predecessor process holds until its end. Meanwhile it applies the
+// orders that the predecessor writes to the file.
 func (n *Control) lock() (*os.File, error) {
 	told := false
 	return wholefile.Lock(n.ctx, filepath.Join(n.c.Folder, lockFile), takeOver, func() {
-		// It serves beside the other one, and follows what that one follows.
+		// This process serves beside the predecessor, so both have to follow the same orders.
 		if h, err := n.kept(); err == nil && h.Version > n.followed().Version {
 			n.hold(h)
 			n.mu.Lock()
@@ -192,11 +196,13 @@
 		}
 		if !told {
 			told = true
-			n.log.Info("fleet: another process speaks for this node; waiting for its end", "folder", n.c.Folder)
+			n.log.Info("fleet: another process has the lock of this node's folder; waiting for its end", "folder", n.c.Folder)
 		}
 	})
 }
 
+// openCalls opens the node's UDP port, and the voter's log where the node is one. A voter whose log can't be used leaves the
+// node without a vote.
 func (n *Control) open() error {
 	o := link.CallsOptions{Keeper: n.c.Keeper, Log: n.log}
 	at := &net.UDPAddr{IP: net.IPv4zero}
@@ -213,10 +219,10 @@
 		if v, noVote = newVoter(n.c, n.servers, n.log); noVote == nil {
 			o.Handle, o.Posted = v.handle, v.posted
 		} else {
-			n.log.Error("fleet: this voter's log can't be used; the node takes part without a vote", "err", noVote)
+			n.log.Error("fleet: can't use this voter's log; the node takes part without a vote", "err", noVote)
 		}
 	}
-	// A call may come before the voter has its way to others: it answers by itself alone until it is asked to find them.
+	// Calls may arrive before v.calls is set below. That is safe: v makes no calls of its own until its run.
 	calls, err := link.NewCalls(udp, o)
 	if err != nil {
 		if v != nil {
@@ -238,15 +244,16 @@
 	return nil
 }
 
-// Leaving tells the others that this node is about to end: it counts as out from here on. Whether they hear it changes nothing here.
+// AnnounceLeaving reports to the leader that this node is about to end, so that it counts as out from now on. A failure is ignored:
+// the node ends in any case.
 func (n *Control) Leaving() {
 	n.last(func(epoch uint64) *fleetpb.Entry {
 		return &fleetpb.Entry{What: &fleetpb.Entry_Leaving{Leaving: &fleetpb.Leaving{Node: n.c.Name, Epoch: epoch}}}
 	})
 }
 
-// Close ends the session, once nothing of this node is left at any server, so that nobody waits for its lapse; then all that Run has
-// begun. A voter that leads has another one lead first.
+// Close ends the session, so that no drain has to wait for its timeout, and then all that Run has started. It is called once
+// this node has nothing open at any server. A voter that leads transfers the leadership first.
 func (n *Control) Close() {
 	n.last(func(epoch uint64) *fleetpb.Entry {
 		return &fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: n.c.Name, Epoch: epoch}}}
@@ -260,10 +267,10 @@
 	n.stop()
 }
 
-// Stop ends all that Run has begun, without a word.
+// Stop ends all that Run has started, without any call to the voters.
 func (n *Control) Stop() { n.stop() }
 
-// last says one of the last words of a session, if there is one.
+// sendFinal proposes a final entry of the session, if there is a session.
 func (n *Control) last(word func(epoch uint64) *fleetpb.Entry) {
 	n.mu.Lock()
 	epoch := n.epoch
@@ -276,7 +283,8 @@
 	n.Ask(ctx, word(epoch))
 }
 
-// servers is what this node's registry says; nil: it has not said yet.
+// registryServers returns the servers by this node's registry, or nil if it has not received a full list yet. An entry without a
+// name is left out.
 func (n *Control) servers() (list []*fleetpb.Server) {
 	l := n.loop.ServerList()
 	if !l.Full {
--- a/internal/control/voter.go
+++ b/internal/control/voter.go
@@ -26,78 +26,81 @@
 	"starlingvalve/internal/vitals"
 )
 
-// Kinds of calls and messages between nodes.
+// Kinds of calls and messages between nodes. A call has an answer, a message has none.
 const (
-	kindRaft     = iota + 1 // message: of raft
-	kindFounding            // call: which log is this voter part of
-	kindEntry               // call, to the leader: an Entry; answered by its Result
-	kindOrders              // call: what is there to follow behind a version; answered by Orders, perhaps after a while
-	kindState               // call, to the leader: the State, without the configuration
-	kindWatch               // call, to any voter: a configpb.WatchRequest; answered by a WatchAnswer, perhaps after a while
-	kindReport              // call, to any voter: a configpb.ReportRequest; answered by a Report
-	kindQuery               // call, to the leader: a configpb.Query; answered by an Answer
+	kindRaft     = iota + 1 // message to a voter: a raft message
+	kindFounding            // call to a voter, without content: answered by its foundingInfo
+	kindEntry               // call to the leader: a fleetpb.Entry; answered by its fleetpb.Result
+	kindOrders              // long poll of any voter: the fleetpb.Orders that the node has; answered by newer ones, or by nothing
+	kindState               // call to the leader, without content: answered by a fleetpb.State without the configuration
+	kindWatch               // long poll of any voter: a configpb.WatchRequest; answered by a configpb.WatchAnswer
+	kindReport              // call to any voter: a configpb.ReportRequest; answered by a configpb.Report
+	kindQuery               // call to the leader: a configpb.Query; answered by a configpb.Answer
 )
 
-// Statuses of answers.
+// Statuses of the answers to calls.
 const (
 	statusOK        = iota
-	statusNotLeader // the answer is the leader's name, if it is known
-	statusUnknown   // it may take effect yet
-	statusBad       // the answer says why
+	statusNotLeader // the answer is the leader's name, or empty if the voter does not know it
+	statusUnknown   // the entry may or may not have been applied, or may be applied later; the answer is the error's text
+	statusBad       // the request was rejected; the answer is the reason
 )
 
 const (
 	foundingEvery = 500 * time.Millisecond
-	foundingWait  = time.Second     // for one voter's word
-	ordersHold    = 4 * time.Second // a call for orders is answered by then, news or not
+	foundingWait  = time.Second     // for one voter's answer
+	ordersHold    = 4 * time.Second // a long poll for orders is answered after this time at the latest
 	entryWait     = 2 * time.Second
-	gatherFor     = 10 * time.Millisecond // words of nodes for one entry,
-	gatherMost    = 1000                  // and so many
-	clockEvery    = time.Second           // while somebody waits in the queue
+	gatherFor     = 10 * time.Millisecond // acknowledgements that arrive within this time go into one entry
+	gatherMost    = 1000                  // acknowledgements in one entry
+	clockEvery    = time.Second           // between clock entries, which are written only while something waits for time to pass
 	listedEvery   = 500 * time.Millisecond
-	listedMost    = 500 // servers told in one entry
+	listedMost    = 500 // servers in one entry
 )
 
-// voter holds the log, once it knows which.
+// voter is this node's part in the replicated log. It takes part once it knows which log it belongs to.
 type voter struct {
 	c       *Config
 	calls   *link.Calls
-	listed  func() []*fleetpb.Server // what this node's registry says; nil: not known
+	listed  func() []*fleetpb.Server // the servers by this node's registry; nil: the registry has not reported yet
 	log     *slog.Logger
-	machine *fleet.Machine // the member's goroutine has it
-	watch   *watch.Server  // of the configuration
+	machine *fleet.Machine // used by the member's goroutine only
+	watch   *watch.Server  // serves the configuration to nodes
 
 	mu        sync.Mutex
 	disk      *agree.Bolt
 	founding  agree.Founding
 	birth     string
-	ids       map[string]uint64 // raft's numbers of the voters, by name
-	gathering *gathering        // nil: none is open
+	ids       map[string]uint64 // raft IDs of the voters, by name
+	gathering *gathering        // batch that still takes acknowledgements; nil: none
 	vitals    vitals.Vitals
-	member    *agree.Member // nil until the voters have found each other
-	changed   chan struct{} // closed at the next news
-	heard     map[string]time.Time
-	lapsing   map[string]uint64   // sessions whose end is on its way
-	dead      map[string][]string // servers, by the nodes that find them dead
+	member    *agree.Member // nil until awaitFounding has succeeded
+	changed   chan struct{} // closed when orders changes
+	// The following are of the leader only, by node name.
+	heard     map[string]time.Time // last keep-alive
+	lapsing   map[string]uint64    // epochs of the timed-out sessions whose end this leader has proposed
+	dead      map[string][]string  // the servers that the node last reported as dead
 
 	orders atomic.Pointer[orders]
-	least  atomic.Uint32 // level that all members understand
+	least  atomic.Uint32 // highest level of entries that all members understand
 }
 
+// encodedOrders is a fleetpb.Orders with its encoded form, which is encoded once for all nodes.
 type orders struct {
 	log     string
 	version uint64
 	raw     []byte
 }
 
-// voterID is raft's number of a voter with that disk: one that lost its disk is another one.
+// raftIDOf returns the raft ID of a voter, from its name and the birth ID of its disk. A voter that lost its disk gets
+// another ID: raft must not take it for the member that voted before.
 func voterID(name, birth string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name + "=" + birth))
 	return max(1, h.Sum64())
 }
 
-// number takes the voters' numbers from the births of their disks.
+// setRaftIDs sets the voters' raft IDs from the birth IDs of their disks.
 func (v *voter) number(births map[string]string) {
 	ids := map[string]uint64{}
 	for name, birth := range births {
@@ -108,13 +111,14 @@
 	v.ids = ids
 }
 
-// id is a voter's number; 0: it is none. name is the voter's of a number; empty: nobody's.
+// raftID returns the raft ID of a voter, or 0 if the name is not a voter's.
 func (v *voter) id(name string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.ids[name]
 }
 
+// voterName returns the name of the voter with a raft ID, or an empty string if there is none.
 func (v *voter) name(id uint64) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -126,6 +130,7 @@
 	return ""
 }
 
+// newVoter opens the voter's disk.
 func newVoter(c *Config, listed func() []*fleetpb.Server, log *slog.Logger) (*voter, error) {
 	disk, err := agree.OpenBolt(filepath.Join(c.Folder, "log.db"))
 	if err != nil {
@@ -141,7 +146,7 @@
 	return v, nil
 }
 
-// run finds the other voters, then takes part until ctx ends or the disk fails.
+// run waits until the voter knows its log, then takes part in it until ctx ends or the disk fails. It closes the disk.
 func (v *voter) run(ctx context.Context) {
 	defer v.disk.Close()
 	if !v.found(ctx) {
@@ -161,7 +166,7 @@
 		v.number(v.machine.State().Voters)
 	}
 	if err != nil {
-		v.log.Error("fleet: this voter's log can't be used; the node serves on without a vote", "folder", v.c.Folder, "err", err)
+		v.log.Error("fleet: can't use this voter's log; the node continues without a vote", "folder", v.c.Folder, "err", err)
 		return
 	}
 	v.least.Store(v.machine.LeastLevel())
@@ -172,15 +177,16 @@
 	var work sync.WaitGroup
 	work.Go(func() { v.duties(ctx, m) })
 	if err := m.Run(ctx); !errors.Is(err, agree.ErrStopped) {
-		v.log.Error("fleet: this voter has stopped; the node serves on without a vote", "err", err)
+		v.log.Error("fleet: this voter has stopped; the node continues without a vote", "err", err)
 	}
 	work.Wait()
 }
 
-// machine is the state machine as the log knows it.
+// stateMachine adapts fleet.Machine to the log's interface of a state machine.
 type machine struct{ *fleet.Machine }
 
-// Apply stops the member where it can't follow.
+// Apply returns the entry's result. It returns an error, which stops the member, for an entry that this version of the
+// program can't apply.
 func (m machine) Apply(entry []byte) any {
 	r, err := m.Follow(entry)
 	if err != nil {
@@ -189,7 +195,8 @@
 	return r
 }
 
-// send is the member's way to other voters.
+// send posts a raft message to the voter that it is for. It tells the member what became of it, if it failed or carried
+// a snapshot.
 func (v *voter) send(m *raftpb.Message) {
 	to := v.name(m.GetTo())
 	for _, o := range v.c.Voters {
@@ -212,7 +219,7 @@
 	}
 }
 
-// leave hands the leadership over before this voter goes.
+// transferLeadership transfers the leadership, if this voter has it, to a voter that is connected. It gives up after within.
 func (v *voter) leave(within time.Duration) {
 	m := v.current()
 	if m == nil {
@@ -228,7 +235,8 @@
 	}
 }
 
-// posted takes a voter's message. Only who is named in the file, and shows it by certificate, speaks for a voter.
+// handlePost passes a raft message to the member. from is the name in the sender's certificate: a message is dropped unless
+// the sender is the voter whose raft ID the message carries.
 func (v *voter) posted(from string, kind uint64, raw []byte) {
 	m := v.current()
 	if m == nil || kind != kindRaft {
@@ -241,16 +249,18 @@
 	m.Step(message)
 }
 
+// currentMember returns the member, or nil if the voter does not take part yet.
 func (v *voter) current() *agree.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.member
 }
 
-// news is told by the member's goroutine, which has the machine.
+// publish publishes the machine's state after a change: the minimum level, the voters' IDs, the configuration and the orders.
+// The member's goroutine calls it, which owns the machine.
 func (v *voter) news() {
 	v.least.Store(v.machine.LeastLevel())
-	if voters := v.machine.State().Voters; len(voters) > 0 { // a voter that joins has them from the others
+	if voters := v.machine.State().Voters; len(voters) > 0 { // a voter that joins a running log learns the voters from the log
 		v.number(voters)
 	}
 	v.watch.Publish(v.founding.Log, v.machine.Configuration(), v.machine.Sessions())
@@ -269,7 +279,8 @@
 	}
 }
 
-// handle answers a call of another node, or of this one.
+// handleCall answers a call of another node, or of this one. from is the name in the caller's certificate. It returns the
+// status and the answer.
 func (v *voter) handle(ctx context.Context, from string, kind uint64, raw []byte) (uint64, []byte) {
 	if kind == kindFounding {
 		v.mu.Lock()
@@ -285,14 +296,14 @@
 	if m == nil {
 		return statusNotLeader, nil
 	}
-	if kind == kindOrders { // it may take a while
+	if kind == kindOrders { // a long poll, so without entryTimeout
 		e := &fleetpb.Orders{}
 		if err := proto.Unmarshal(raw, e); err != nil {
 			return statusBad, []byte(err.Error())
 		}
 		return statusOK, v.ordersBehind(ctx, e)
 	}
-	if kind == kindWatch { // so may this
+	if kind == kindWatch { // a long poll, too
 		return v.watchFor(ctx, m, v.c.short(from), raw)
 	}
 	ctx, cancel := context.WithTimeout(ctx, entryWait)
@@ -336,11 +347,12 @@
 	return statusBad, []byte("unknown kind of call")
 }
 
-// mayAsk tells whether a node may say so: of itself only what it is.
+// checkSender returns an error if the node may not submit the entry. A node may report its own state only, and must not submit
+// the entries that only the leader writes. Operators' entries are accepted from every node.
 func mayAsk(from string, e *fleetpb.Entry) error {
 	own := func(name string) error {
 		if name != from {
-			return fmt.Errorf("%s speaks for %s", from, name)
+			return fmt.Errorf("%s submitted an entry in the name of %s", from, name)
 		}
 		return nil
 	}
@@ -349,7 +361,7 @@
 		return own(w.Open.Node)
 	case *fleetpb.Entry_End:
 		if w.End.Lapsed {
-			return errors.New("only the leader says that a session lapsed")
+			return errors.New("only the leader may end a session as lapsed")
 		}
 		return own(w.End.Node)
 	case *fleetpb.Entry_Leaving:
@@ -367,9 +379,10 @@
 		*fleetpb.Entry_Plan, *fleetpb.Entry_Steer, *fleetpb.Entry_Configure, *fleetpb.Entry_RollBack:
 		return nil
 	}
-	return errors.New("no word that a node may say")
+	return errors.New("a node may not submit an entry of this kind")
 }
 
+// encodeResult returns a result or an error in the form of an answer to a call.
 func (v *voter) answer(r proto.Message, err error) (uint64, []byte) {
 	switch {
 	case errors.Is(err, agree.ErrNotLeader):
@@ -388,12 +401,13 @@
 	return statusOK, raw
 }
 
-// propose appends an entry, stamped with this leader's clock.
+// propose appends an entry to the log, with the time of this leader's clock, and returns its result. The entry gets the
+// highest level that all members understand; one that needs a higher level is refused.
 func (v *voter) propose(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	least := v.least.Load()
 	e.AtMs, e.Level = time.Now().UnixMilli(), max(fleet.NeededLevel(e), min(least, fleet.Level))
 	if e.Level > least {
-		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf("an entry of level %d, and some member understands %d only: release it first", e.Level, least)}, nil
+		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf("the entry needs level %d, and some member understands only %d: release this version to all members first", e.Level, least)}, nil
 	}
 	raw, err := proto.Marshal(e)
 	if err != nil {
@@ -406,7 +420,7 @@
 	return r.(*fleetpb.Result), faultpoint.At(faultpoint.Granted)
 }
 
-// renew takes a voter in that has a new disk, which it is asked for.
+// renewVoter admits a voter whose disk is new: it requests the birth ID of the disk from the voter and proposes it.
 func (v *voter) renew(ctx context.Context, m *agree.Member, e *fleetpb.Entry, r *fleetpb.RenewVoter) (*fleetpb.Result, error) {
 	if err := m.Lead(ctx); err != nil {
 		return nil, err
@@ -416,7 +430,7 @@
 	case at < 0:
 		return &fleetpb.Result{Code: fleetpb.Result_INVALID, Reason: fmt.Sprintf("renew: %s is no voter", r.Node)}, nil
 	case r.Node == v.c.Name:
-		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: r.Node + " leads: nothing is lost"}, nil
+		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: r.Node + " is the leader, so it has not lost its disk"}, nil
 	}
 	w, err := v.askFounding(ctx, v.c.Voters[at])
 	if err != nil {
@@ -426,15 +440,17 @@
 	return v.propose(ctx, m, e)
 }
 
-// gathering is words of nodes that go into one entry of the log: all nodes have stopped at about the same time.
+// ackBatch is a batch of acknowledgements for one entry of the log. All nodes stop sending to a drained target at about
+// the same time, so one entry for each node would be a burst of entries.
 type gathering struct {
 	acks   []*fleetpb.Ack
-	done   chan struct{} // closed once what follows is known
+	done   chan struct{} // closed once result and err are set
 	result *fleetpb.Result
 	err    error
 }
 
-// gather has nodes' words wait for each other for a moment. Whoever comes first proposes them.
+// batchAcks adds acknowledgements to the open batch and returns the result of the batch's entry. The call that opens a batch
+// waits for ackBatchDelay and then proposes it.
 func (v *voter) gather(ctx context.Context, m *agree.Member, acks []*fleetpb.Ack) (*fleetpb.Result, error) {
 	v.mu.Lock()
 	g := v.gathering
@@ -456,7 +472,7 @@
 			return nil, agree.ErrUnknown
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryWait) // others wait for it too
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryWait) // other calls wait for this batch, so the end of this call must not end it
 	defer cancel()
 	time.Sleep(gatherFor)
 	v.mu.Lock()
@@ -469,11 +485,12 @@
 	return g.result, g.err
 }
 
-// keepAlive opens a node's session, or notes that it was heard, which costs no entry. Either way this voter has been the leader
-// since the node asked: another one, that may let the session lapse, counts from later.
+// keepSessionAlive opens a node's session with an entry of the log, or records the keep-alive of a live one, which needs no entry.
+// It first confirms that this voter still leads. So a later leader, which counts timeouts from the begin of its own term,
+// counts from a later time than the node does, and can't end the session too early.
 func (v *voter) keepAlive(ctx context.Context, m *agree.Member, e *fleetpb.Entry, o *fleetpb.OpenSession) (*fleetpb.Result, error) {
 	dead, word := o.Dead, &fleetpb.OpenSession{Ends: o.Ends, Resident: o.Resident, Soak: o.Soak}
-	o.Dead, o.Ends, o.Resident, o.Soak = nil, nil, 0, 0 // the log holds what the leader makes of it
+	o.Dead, o.Ends, o.Resident, o.Soak = nil, nil, 0, 0 // the log gets the leader's conclusions from these, not each node's report
 	if err := m.Lead(ctx); err != nil {
 		return nil, err
 	}
@@ -506,7 +523,8 @@
 	return answer, nil
 }
 
-// ordersBehind waits a while for orders of a later version than one that is known, or of another log.
+// awaitOrders waits up to ordersPollTimeout for orders of a later version than the known ones, or of another log. It
+// returns them encoded, or nil if there were none.
 func (v *voter) ordersBehind(ctx context.Context, known *fleetpb.Orders) []byte {
 	ctx, cancel := context.WithTimeout(ctx, ordersHold)
 	defer cancel()
