--- a/internal/configuration/cache/cache.go
+++ b/internal/configuration/cache/cache.go
@@ -1,5 +1,5 @@
-// Package cache keeps a node's configuration on its disk: a node that starts has it before any control machine is
-// heard. A file is whole or it is refused.
+// Package cache stores a node's configuration on its disk, so that a node has it at its start before a control machine
+// answers. A file that is not complete and valid is refused.
 package cache
 
 import (
@@ -17,29 +17,29 @@
 	"starlingvalve/internal/wholefile"
 )
 
-// A file is the magic line, the SHA-256 of what follows it, and a configpb.Cache.
+// A file is the magic line, the SHA-256 of the rest, and an encoded configpb.Cache.
 const (
 	magic   = "starlingvalve configuration cache 1\n"
-	maxFile = configuration.MaxBytes * 2 // bytes; entries are MaxBytes at most
+	maxFile = configuration.MaxBytes * 2 // bytes; all entries have at most MaxBytes
 )
 
-// refusedSuffix is added to the name of a file that was refused.
+// refusedSuffix is appended to the name of a file that was refused.
 const setAside = ".refused"
 
-// RefusedError tells why a file is not used. It has been renamed, so that nothing of it is lost.
+// RefusedError is the reason why a file was refused. The file has been renamed, so that it is not overwritten.
 type RefusedError struct {
 	Path   string
 	Reason string
-	Kept   string // name that the file has now
+	Kept   string // the file's new path
 }
 
-// Error names the file, the reason and the name that the file has now.
+// Error names the file, the reason and the file's new path.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("configuration cache %s: %s; it is kept as %s, and the node starts without it",
 		e.Path, e.Reason, e.Kept)
 }
 
-// Save puts what a replica has, of a log, in the place of the file.
+// Save atomically replaces the file with a snapshot. log is the name of the log that the snapshot's revision is from.
 func Save(path, log string, snapshot *configpb.Snapshot) error {
 	raw, err := configuration.Encode(&configpb.Cache{Log: log, Snapshot: snapshot})
 	if err != nil {
@@ -52,8 +52,9 @@
 	return nil
 }
 
-// Load reads a file into a replica, and gives the log that its revision is of. Without a file the log is empty. A file
-// that is torn, foreign or not valid is set aside, the replica stays as it is, and the error is a *RefusedError.
+// Load restores a replica from a file and returns the name of the log that the file's revision is from. If there is no file,
+// the name is empty. A file that is truncated, damaged, of another format or invalid is renamed; then the replica is
+// unchanged, and the error is a *RefusedError.
 func Load(path string, into *configuration.Replica) (log string, err error) {
 	raw, err := read(path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -77,7 +78,7 @@
 	return "", &RefusedError{Path: path, Reason: reason, Kept: path + setAside}
 }
 
-// read gives a file's bytes, one more than the bound at most.
+// read returns the content of a file, of one that is too long the first maxFileBytes+1 bytes.
 func read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -87,7 +88,7 @@
 	return io.ReadAll(io.LimitReader(f, maxFile+1))
 }
 
-// decode gives what a file holds, or the reason why it is refused.
+// decode returns the content of a file, or the reason why the file is refused.
 func decode(raw []byte) (c *configpb.Cache, reason string) {
 	if len(raw) > maxFile {
 		return nil, fmt.Sprintf("it is longer than %d bytes", maxFile)
--- a/internal/configuration/configfile/configfile.go
+++ b/internal/configuration/configfile/configfile.go
@@ -1,4 +1,4 @@
-// Package configfile reads and writes entries of the fleet's configuration as TOML, in the form that operators edit.
+// Package configfile reads and writes entries of the fleet's configuration as TOML files for operators.
 package configfile
 
 import (
@@ -15,8 +15,8 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// fileFormat is the form of a file. Each table puts one entry, or deletes it. if_revision makes the whole file conditional on
-// the revision of the entry's last change; 0: there is no such entry.
+// fileFormat is the content of a file. Each table puts or deletes one entry. With if_revision, the file is applied only if
+// the last change of the entry was at that revision, or, for 0, if there is no such entry.
 type file struct {
 	Service []service `toml:"service,omitempty"`
 	Route   []route   `toml:"route,omitempty"`
@@ -57,15 +57,16 @@
 	IfRevision *uint64 `toml:"if_revision,omitempty"`
 }
 
-// File is a file that was read.
+// File is a file that was read, as a transaction.
 type File struct {
-	Transaction *configpb.Transaction // without who made it and why
+	Transaction *configpb.Transaction // without its author and reason
 	path        string
-	tables      map[string]string // that entries come from, as tomlfile.Faults names them, by key
+	tables      map[string]string // the table of each entry, as tomlfile.KeyErrors names tables, by the entry's key
 	fault       func(key, format string, args ...any) error
 }
 
-// Load reads a file and checks all that it shows by itself. An error is one line with file, line and key.
+// Load reads a file and checks it by itself, without the entries that exist. An error is one line with the file, the line
+// and the key.
 func Load(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -104,19 +105,21 @@
 	return f, nil
 }
 
+// put adds a change that puts an entry. condition is the file's if_revision, or nil.
 func (f *File) put(table string, e *configpb.Entry, condition *uint64) {
 	f.add(table, configuration.Key(e), &configpb.Change{What: &configpb.Change_Put{Put: e}}, condition)
 }
 
+// add adds a change of the entry with a key, and its condition.
 func (f *File) add(table, key string, c *configpb.Change, condition *uint64) {
 	f.Transaction.Changes = append(f.Transaction.Changes, c)
 	if condition != nil {
 		f.Transaction.Conditions = append(f.Transaction.Conditions, &configpb.Condition{Key: key, Revision: *condition})
 	}
-	f.tables[key] = table // of two with one key the later one, which is one too many
+	f.tables[key] = table // if two tables have the same key, the later one is the error
 }
 
-// RefusalError is a refusal as one line with file, line, key and reason.
+// RefusalError returns a refusal of the transaction as one line with the file, the line, the key and the reason.
 func (f *File) Fault(r *configpb.Refusal) error {
 	table := f.tables[r.GetEntry()]
 	reason := strings.Join(strings.Fields(r.GetReason()), " ")
@@ -153,8 +156,8 @@
 	return &configpb.Entry{Value: &configpb.Entry_Tenant{Tenant: p}}
 }
 
-// Render gives entries as a file's text, each with the revision of its last change as its condition: put back after an
-// edit, it is refused where somebody has changed one of them meanwhile.
+// Render returns entries as the text of a file, each with the revision of its last change as its condition. So an edited
+// file is refused if any of its entries has changed since.
 func Render(entries []*configpb.Entry) ([]byte, error) {
 	t := file{}
 	for _, e := range entries {
@@ -174,20 +177,20 @@
 			t.Tenant = append(t.Tenant, n)
 		default:
 			return nil, errors.New("an entry of a kind that this program does not know: " +
-				"use one at least as new as the leader")
+				"use a version at least as new as the leader's")
 		}
 	}
 	return toml.Marshal(t)
 }
 
-// Difference is what a file would do to one entry.
+// Difference is the change of one entry by a file.
 type Difference struct {
 	Key    string
-	Before *configpb.Entry // nil: there is none
-	After  *configpb.Entry // nil: it is deleted
+	Before *configpb.Entry // nil: there is no such entry
+	After  *configpb.Entry // nil: the entry is deleted
 }
 
-// Differences gives what a file would change, in the order of the file.
+// Differences returns what the file would change in entries, in the order of the file.
 func (f *File) Differences(entries []*configpb.Entry) (list []Difference) {
 	now := map[string]*configpb.Entry{}
 	for _, e := range entries {
--- a/internal/configuration/errors.go
+++ b/internal/configuration/errors.go
@@ -8,20 +8,20 @@
 )
 
 var (
-	// ErrCompacted answers a question about a revision that the history does not reach back to.
+	// ErrCompacted means that the history no longer has the revisions after the requested one.
 	ErrCompacted = errors.New("the history does not reach back to this revision")
-	// ErrAhead answers a question about a revision that there is not yet.
+	// ErrAhead means that the requested revision does not exist yet.
 	ErrAhead = errors.New("there is no such revision yet")
 )
 
-// InvalidError tells why a configuration is not taken. Nothing of the change has taken effect.
+// InvalidError is the reason why a change is invalid. Nothing of the change has taken effect.
 type InvalidError struct {
 	Entry  string // key of the entry; empty: the change as a whole
 	Field  string // of the entry; empty: the entry as a whole
 	Reason string
 }
 
-// Error is the reason, behind the entry and the field that it concerns.
+// Error returns the entry and the field, if there are any, and the reason.
 func (e *InvalidError) Error() string {
 	switch {
 	case e.Entry == "":
@@ -32,13 +32,13 @@
 	return fmt.Sprintf("%s: %s: %s", e.Entry, e.Field, e.Reason)
 }
 
-// ConflictError tells that a transaction's condition does not hold. Nothing of the transaction has taken effect.
+// ConflictError means that a condition of a transaction does not hold. Nothing of the transaction has taken effect.
 type ConflictError struct {
 	Entry      string // key
-	Want, Have uint64 // revisions of the entry's last change; 0: no entry
+	Want, Have uint64 // expected and actual revision of the entry's last change; 0: no entry
 }
 
-// Error names the entry, the revision that it has and the one that the condition expected.
+// Error names the entry, its revision and the revision that the condition expects.
 func (e *ConflictError) Error() string {
 	state := func(revision uint64) string {
 		if revision == 0 {
@@ -50,18 +50,18 @@
 		e.Entry, state(e.Have), state(e.Want))
 }
 
-// GapError tells that a delta does not continue at the revision that a replica has.
+// GapError means that a delta does not continue at the replica's revision, or that its revisions are not consecutive.
 type GapError struct {
 	Have uint64 // revision of the replica
-	Got  uint64 // revision that came in place of the one behind it
+	Got  uint64 // revision in the delta in place of Have+1
 }
 
-// Error names the revision that came and the one that was expected.
+// Error names the received and the expected revision.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("revision %d came where revision %d was expected", e.Got, e.Have+1)
+	return fmt.Sprintf("received revision %d where revision %d was expected", e.Got, e.Have+1)
 }
 
-// RefusedError tells which revision a replica does not accept. The replica keeps its last good state.
+// RefusedError means that a replica did not accept a revision. The replica stays at its last valid revision.
 type RefusedError struct {
 	Revision uint64
 	Cause    *InvalidError
@@ -70,10 +70,10 @@
 // Error names the revision and the cause.
 func (e *RefusedError) Error() string { return fmt.Sprintf("revision %d: %v", e.Revision, e.Cause) }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
-// RefusalOf is an error in the form that it has on the wire; nil where it is none of this package's typed errors.
+// RefusalOf returns an error in the form of its message, or nil unless it is or wraps an *InvalidError or a *ConflictError.
 func RefusalOf(err error) *configpb.Refusal {
 	var invalid *InvalidError
 	var conflict *ConflictError
@@ -86,6 +86,7 @@
 	return nil
 }
 
+// invalid returns an InvalidError with a formatted reason.
 func invalid(entry, field, format string, args ...any) *InvalidError {
 	return &InvalidError{Entry: entry, Field: field, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -13,17 +13,17 @@
 	KindTenant  = "tenant"
 )
 
-// ServiceKey is the key of a service's entry.
+// ServiceKey returns the key of a service's entry.
 func ServiceKey(name string) string { return KindService + "/" + name }
 
-// RouteKey is the key of a route's entry.
+// RouteKey returns the key of a route's entry.
 func RouteKey(name string) string { return KindRoute + "/" + name }
 
-// TenantKey is the key of a tenant's entry.
+// TenantKey returns the key of a tenant's entry.
 func TenantKey(name string) string { return KindTenant + "/" + name }
 
-// Key is an entry's key, "KIND/NAME". It is empty where the entry has no value, or one of a kind that this program does
-// not know.
+// Key returns the key of an entry, "KIND/NAME". It is empty if the entry has no value, or a value of a kind that this version
+// of the program does not know.
 func Key(e *configpb.Entry) string {
 	switch v := e.GetValue().(type) {
 	case *configpb.Entry_Service:
@@ -36,7 +36,7 @@
 	return ""
 }
 
-// kindOf is the kind that a key names; empty: none that there is.
+// kindOf returns the kind in a key, or an empty string if the key has no name or an unknown kind.
 func kindOf(key string) string {
 	kind, name, _ := strings.Cut(key, "/")
 	if name == "" {
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// references are the services that an entry names, by the field that names each.
+// references returns the services that an entry refers to, each with the field that names it.
 func references(e *configpb.Entry) (list []reference) {
 	switch v := e.GetValue().(type) {
 	case *configpb.Entry_Route:
@@ -62,11 +62,13 @@
 	return list
 }
 
+// reference is the name of a service in a field of an entry.
 type reference struct{ field, service string }
 
-// match is what a route matches: no two routes have the same.
+// match is the requests that a route is for. No two routes have the same match.
 type match struct{ host, pathPrefix string }
 
+// matchOf returns the match of an entry, if it is a route.
 func matchOf(e *configpb.Entry) (m match, isRoute bool) {
 	v, isRoute := e.GetValue().(*configpb.Entry_Route)
 	if !isRoute {
--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -6,16 +6,17 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// Replica is a node's copy of the configuration at one revision. It takes revisions in order, each as a whole or not at
-// all. It is not safe for concurrent use. Messages that it gives, and that it was given, are not to be changed.
+// Replica is a node's copy of the configuration at one revision. It applies revisions in order, each atomically. It is not
+// safe for concurrent use. Messages that it returns, and messages that were passed to it, must not be changed.
 type Replica struct {
 	table    *table
 	revision uint64
 	accept   func([]*configpb.Change) error
 }
 
-// NewReplica makes an empty one, of revision 0. accept is asked about changes before they take effect, in the order of
-// their keys' first change, and refuses them with an error; nil: every valid change is accepted.
+// NewReplica returns an empty replica at revision 0. accept is called with the changes of each step before they take effect,
+// in the order in which their keys first changed, and refuses them by returning an error. If accept is nil, every valid
+// change is accepted.
 func NewReplica(accept func([]*configpb.Change) error) *Replica {
 	if accept == nil {
 		accept = func([]*configpb.Change) error { return nil }
@@ -23,23 +24,24 @@
 	return &Replica{table: newTable(), accept: accept}
 }
 
-// Revision is what the replica has; 0: nothing yet.
+// Revision returns the replica's revision, or 0 if it has received nothing yet.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (r *Replica) Len() int { return len(r.table.entries) }
 
-// Entry gives the entry of a key; nil: there is none.
+// Entry returns the entry of a key, or nil if there is none.
 func (r *Replica) Entry(key string) *configpb.Entry { return r.table.entries[key] }
 
-// Snapshot gives all entries.
+// Snapshot returns all entries, with the replica's revision.
 func (r *Replica) Snapshot() *configpb.Snapshot {
 	return &configpb.Snapshot{Revision: r.revision, Entries: r.table.sorted()}
 }
 
-// Apply takes the revisions of a delta. A delta that does not continue at the replica's revision is a *GapError and
-// changes nothing. A revision that is not valid here is a *RefusedError: the replica stays at the one before it, unless
-// later revisions of the delta mend it; then it goes to the first one that is good, in one step.
+// Apply applies the revisions of a delta. If the delta does not continue at the replica's revision, it changes nothing and
+// returns a *GapError. At a revision that is invalid or not accepted, the replica stays at the revision before it, and Apply
+// returns a *RefusedError. But if the changes up to a later revision of the delta are valid together, the replica goes to
+// that revision in one step.
 func (r *Replica) Apply(d *configpb.Delta) error {
 	if d.GetAfter() != r.revision {
 		return &GapError{Have: r.revision, Got: d.GetAfter() + 1}
@@ -71,11 +73,11 @@
 	return nil
 }
 
-// stage adds the changes of a revision to those that wait.
+// stage adds the changes of a revision to the pending ones, which have not taken effect.
 func (r *Replica) stage(pending *staged, revision *configpb.Revision) *InvalidError {
 	for _, c := range revision.GetChanges() {
 		if put := c.GetPut(); put != nil && put.Revision != revision.Number {
-			return invalid(shorten(Key(put)), "", "it is of revision %d in revision %d", put.Revision, revision.Number)
+			return invalid(shorten(Key(put)), "", "the entry has revision %d, but is part of revision %d", put.Revision, revision.Number)
 		}
 		key := changeKey(c)
 		if kindOf(key) == "" {
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// checkPending tells whether the replica can take what waits.
+// checkPending checks the pending changes together, and has them accepted.
 func (r *Replica) checkPending(pending *staged) *InvalidError {
 	effective := newStaged()
 	var changes []*configpb.Change
@@ -101,7 +103,7 @@
 			}
 		}
 		if e == nil && r.table.entries[key] == nil {
-			continue // put and deleted again while it waited
+			continue // put and deleted again by pending changes
 		}
 		effective.set(key, e)
 		changes = append(changes, changeTo(key, e))
@@ -112,8 +114,8 @@
 	return refusedBy(r.accept(changes))
 }
 
-// Restore takes a snapshot in place of what the replica has, as a whole; one that is not valid is a *RefusedError and
-// changes nothing.
+// Restore replaces the content of the replica with a snapshot. If the snapshot is invalid or not accepted, it changes
+// nothing and returns a *RefusedError.
 func (r *Replica) Restore(s *configpb.Snapshot) error {
 	t, cause := load(s.GetRevision(), s.GetEntries())
 	if cause == nil {
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// causeOf is the error of a replica's owner as a cause.
+// causeOf converts an error of the accept function to the cause of a refusal.
 func refusedBy(err error) *InvalidError {
 	if err == nil {
 		return nil
@@ -146,7 +148,7 @@
 	return &InvalidError{Reason: err.Error()}
 }
 
-// Encode gives a message's bytes, the same for equal messages of one program.
+// Encode returns the bytes of a message. Equal messages have equal bytes within one version of the program.
 func Encode(m proto.Message) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -1,6 +1,7 @@
 // Package configuration is the fleet's configuration: services, routes and tenants with limits, in numbered revisions.
-// Store is the whole of it behind the replicated log, Replica what a node has of it. Both are pure: no I/O, clock,
-// goroutine or map order is in what they do, so that all members of the log come to the same bytes.
+// Store is the complete configuration with its history, as the members of the replicated log have it. Replica is a node's
+// copy. Both are deterministic: they use no I/O, clock, goroutine or map order, so that all members of the log have the
+// same bytes after the same entries.
 package configuration
 
 import (
@@ -17,55 +18,55 @@
 // Bounds of the history.
 const (
 	maxHistory      = 10_000  // revisions
-	maxHistoryBytes = 4 << 20 // of all records, encoded
+	maxHistoryBytes = 4 << 20 // size of all encoded records
 )
 
-// Store is the configuration and its history. It is not safe for concurrent use. Messages that it gives, and that it
-// was given, are not to be changed.
+// Store is the configuration and its history. It is not safe for concurrent use. Messages that it returns, and messages
+// that were passed to it, must not be changed.
 type Store struct {
 	table        *table
 	revision     uint64
-	compacted    uint64 // the history begins behind this revision
+	compacted    uint64 // the history has the revisions after this one
 	history      []*configpb.Record
 	historyBytes int
 
 	mostHistory, mostHistoryBytes int
 }
 
-// New makes an empty store, of revision 0.
+// New returns an empty store at revision 0.
 func New() *Store {
 	return &Store{table: newTable(), mostHistory: maxHistory, mostHistoryBytes: maxHistoryBytes}
 }
 
-// Revision is the number of the last change that took effect; 0: none has.
+// Revision returns the number of the last change that took effect, or 0 if none has.
 func (s *Store) Revision() uint64 { return s.revision }
 
-// Compacted is the revision that the history begins behind.
+// Compacted returns the last revision that the history no longer has; the history has all later ones.
 func (s *Store) Compacted() uint64 { return s.compacted }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (s *Store) Len() int { return len(s.table.entries) }
 
-// Entry gives the entry of a key; nil: there is none.
+// Entry returns the entry of a key, or nil if there is none.
 func (s *Store) Entry(key string) *configpb.Entry { return s.table.entries[key] }
 
-// Entries gives all entries in the order of their keys.
+// Entries returns all entries, sorted by key.
 func (s *Store) Entries() []*configpb.Entry { return s.table.sorted() }
 
-// Outcome is what became of a change that was taken.
+// Outcome is the result of a change that was accepted.
 type Outcome struct {
-	Revision uint64 // of the store afterwards
-	Changed  bool   // false: all entries were as the change wants them, and there is no new revision
+	Revision uint64 // of the store after the change
+	Changed  bool   // false: the entries had these values already, so there is no new revision
 }
 
-// Check tells what Commit would answer, and changes nothing.
+// Check returns the error that Commit would return for the transaction, and changes nothing.
 func (s *Store) Check(tx *configpb.Transaction) error {
 	_, _, err := s.stage(tx)
 	return err
 }
 
-// Commit has a transaction take effect as the next revision, as a whole or not at all. atMs is the time that the
-// history gives, Unix milliseconds. Errors are *InvalidError and *ConflictError.
+// Commit applies a transaction atomically as the next revision. atMs is the time for the history, in Unix milliseconds.
+// Errors are *InvalidError and *ConflictError.
 func (s *Store) Commit(atMs int64, tx *configpb.Transaction) (Outcome, error) {
 	change, record, err := s.stage(tx)
 	if err != nil {
@@ -83,7 +84,7 @@
 	return Outcome{Revision: s.revision, Changed: true}, nil
 }
 
-// stage checks a transaction whole, and gives what it changes.
+// stage checks a transaction completely, and returns the entries that it changes and the history's record of it.
 func (s *Store) stage(tx *configpb.Transaction) (*staged, *configpb.Record, error) {
 	if err := checkTransaction(tx); err != nil {
 		return nil, nil, err
@@ -118,6 +119,7 @@
 	return change, record, nil
 }
 
+// changeTo returns the change that sets a key to entry, or deletes it if entry is nil.
 func changeTo(key string, entry *configpb.Entry) *configpb.Change {
 	if entry == nil {
 		return &configpb.Change{What: &configpb.Change_Delete{Delete: key}}
@@ -125,7 +127,7 @@
 	return &configpb.Change{What: &configpb.Change_Put{Put: entry}}
 }
 
-// SameValue tells whether two entries differ in their revisions at most.
+// SameValue reports whether two entries are equal apart from their revisions. It is false if one of them is nil.
 func SameValue(a, b *configpb.Entry) bool {
 	if a == nil || b == nil {
 		return false
@@ -133,7 +135,7 @@
 	return proto.Equal(&configpb.Entry{Value: a.Value}, &configpb.Entry{Value: b.Value})
 }
 
-// compact lets go of the oldest records beyond the bounds.
+// compact removes the oldest records from the history until it is within its bounds.
 func (s *Store) compact() {
 	drop := 0
 	for len(s.history)-drop > s.mostHistory || s.historyBytes > s.mostHistoryBytes {
@@ -146,7 +148,8 @@
 	}
 }
 
-// Rollback brings all entries back to what they were at a revision, as the next revision.
+// Rollback restores all entries to their values at an earlier revision. This is a change like others, and makes the next
+// revision. atMs is as for Commit.
 func (s *Store) Rollback(atMs int64, r *configpb.Rollback) (Outcome, error) {
 	tx, err := s.RollbackChanges(r)
 	if err != nil {
@@ -158,7 +161,8 @@
 	return s.Commit(atMs, tx)
 }
 
-// RollbackChanges gives the transaction that a rollback is. It has no changes where all entries are as they were.
+// RollbackChanges returns the transaction that does a rollback. It has no changes if all entries still have their values of
+// that revision.
 func (s *Store) RollbackChanges(r *configpb.Rollback) (*configpb.Transaction, error) {
 	before, err := s.undo(r.To)
 	if err != nil {
@@ -176,7 +180,7 @@
 	return tx, nil
 }
 
-// valuesAt gives what the entries that changed since a revision were then; nil: there was none.
+// valuesAt returns, by key, the entries that have changed since a revision as they were at that revision; nil: there was none.
 func (s *Store) undo(to uint64) (map[string]*configpb.Entry, error) {
 	if err := s.reaches(to); err != nil {
 		return nil, err
@@ -195,6 +199,7 @@
 	return before, nil
 }
 
+// changeKey returns the key of the entry that a change puts or deletes.
 func changeKey(c *configpb.Change) string {
 	if put := c.GetPut(); put != nil {
 		return Key(put)
@@ -202,7 +207,7 @@
 	return c.GetDelete()
 }
 
-// checkReachable tells whether the history has all revisions behind one.
+// checkReachable returns an error if the history does not have all revisions after the given one.
 func (s *Store) reaches(revision uint64) error {
 	switch {
 	case revision < s.compacted:
@@ -213,7 +218,8 @@
 	return nil
 }
 
-// History gives the revisions behind one, the oldest first, and so many at most.
+// History returns the revisions after the given one, the oldest first, and at most limit of them. Errors are ErrCompacted and
+// ErrAhead.
 func (s *Store) History(after uint64, most int) ([]*configpb.Revision, error) {
 	if err := s.reaches(after); err != nil {
 		return nil, err
@@ -228,8 +234,8 @@
 	return list, nil
 }
 
-// Delta gives the revisions behind one, as many as fit into mostBytes, and one at least. Errors are ErrCompacted and
-// ErrAhead.
+// Delta returns the revisions after the given one, as many as fit into maxBytes, but at least one if there is any. Errors are
+// ErrCompacted and ErrAhead.
 func (s *Store) Delta(after uint64, mostBytes int) (*configpb.Delta, error) {
 	if err := s.reaches(after); err != nil {
 		return nil, err
@@ -245,12 +251,12 @@
 	return d, nil
 }
 
-// Snapshot gives all entries.
+// Snapshot returns all entries, with the store's revision.
 func (s *Store) Snapshot() *configpb.Snapshot {
 	return &configpb.Snapshot{Revision: s.revision, Entries: s.table.sorted()}
 }
 
-// State gives the whole store.
+// State returns the content of the store with its history.
 func (s *Store) State() *configpb.State {
 	return &configpb.State{
 		Revision:  s.revision,
@@ -260,7 +266,7 @@
 	}
 }
 
-// Restore takes a state in place of what the store holds. A state that is not valid as a whole changes nothing.
+// Restore replaces the content of the store with a state. If any part of the state is invalid, the store is unchanged.
 func (s *Store) Restore(state *configpb.State) error {
 	t, invalid := load(state.GetRevision(), state.GetEntries())
 	if invalid != nil {
@@ -277,7 +283,8 @@
 	return nil
 }
 
-// checkHistory tells whether the history leads up to the state's revision without a gap, in records that can be undone.
+// checkHistory returns an error unless the history leads up to the state's revision without a gap, and each record has the
+// former entries of all its changes, which a rollback needs.
 func checkHistory(state *configpb.State) error {
 	if state.GetRevision()-state.GetCompacted() != uint64(len(state.GetHistory())) {
 		return errors.New("the history does not lead up to the revision")
@@ -288,13 +295,13 @@
 			return fmt.Errorf("the history has revision %d where %d is expected", have, want)
 		}
 		if len(r.Before) != len(r.Revision.Changes) {
-			return fmt.Errorf("revision %d has %d changes of %d entries", have, len(r.Revision.Changes), len(r.Before))
+			return fmt.Errorf("revision %d has %d changes, but %d former entries", have, len(r.Revision.Changes), len(r.Before))
 		}
 	}
 	return nil
 }
 
-// ResultOf is an outcome, or an error of Commit and Rollback, in the form that it has on the wire.
+// ResultOf returns an outcome, or an error of Commit or Rollback, in the form of its message.
 func ResultOf(o Outcome, err error) *configpb.Result {
 	r := &configpb.Result{Code: configpb.Result_APPLIED, Revision: o.Revision, Refusal: RefusalOf(err)}
 	var conflict *ConflictError
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -9,13 +9,13 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// table is a set of entries that is valid as a whole, with the indices by which a change of it is checked.
+// table is a set of entries that is valid as a whole, with the indices that the check of a change needs.
 type table struct {
 	entries    map[string]*configpb.Entry     // by key
-	references map[string]map[string]struct{} // keys of the entries that name a service, by its name
-	matches    map[match]string               // keys of routes
-	counts     map[string]int                 // entries, by kind
-	bytes      int                            // of all entries, encoded
+	references map[string]map[string]struct{} // keys of the entries that refer to a service, by the service's name
+	matches    map[match]string               // keys of the routes, by what they match
+	counts     map[string]int                 // number of entries, by kind
+	bytes      int                            // size of all encoded entries
 }
 
 func newTable() *table {
@@ -27,7 +27,7 @@
 	}
 }
 
-// staged is a change of a table that has not taken effect: what entries are to be, by key; nil: deleted.
+// staged is a change of a table that has not taken effect: the new entries by key, or nil for one that is deleted.
 type staged struct {
 	order   []string // keys, in the order of their first change
 	entries map[string]*configpb.Entry
@@ -42,7 +42,7 @@
 	s.entries[key] = e
 }
 
-// check tells whether the table would be valid with the change. Each entry staged has been checked by itself.
+// check returns an error unless the table would be valid after the change. Each staged entry has been checked by itself.
 func (t *table) check(s *staged) *InvalidError {
 	for _, key := range s.order {
 		var err *InvalidError
@@ -61,6 +61,7 @@
 	return t.checkBounds(s)
 }
 
+// checkReferences returns an error unless all services that an entry refers to exist after the change.
 func (t *table) checkReferences(s *staged, key string, e *configpb.Entry) *InvalidError {
 	for _, r := range references(e) {
 		service, isStaged := s.entries[ServiceKey(r.service)]
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// checkDelete tells whether an entry that stays names the service that is deleted.
+// checkDelete returns an error if the entry to delete does not exist, or is a service that a remaining entry refers to.
 func (t *table) checkDelete(s *staged, key string) *InvalidError {
 	gone := t.entries[key]
 	if gone == nil {
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// checkMatches tells whether two routes would match the same.
+// checkMatches returns an error if two routes would have the same match after the change.
 func (t *table) checkMatches(s *staged) *InvalidError {
 	taken := map[match]string{}
 	for _, key := range s.order {
@@ -104,7 +105,7 @@
 		if !twice {
 			if other, twice = t.matches[m]; twice {
 				_, isStaged := s.entries[other]
-				twice = !isStaged // its own new match is among those taken
+				twice = !isStaged // a staged route's new match is in taken, if it has one
 			}
 		}
 		if twice {
@@ -115,6 +116,7 @@
 	return nil
 }
 
+// checkBounds returns an error if there would be too many entries of a kind, or too many bytes, after the change.
 func (t *table) checkBounds(s *staged) *InvalidError {
 	bytes, counts := t.bytes, maps.Clone(t.counts)
 	for key, e := range s.entries {
@@ -141,9 +143,9 @@
 	return nil
 }
 
-// commit has a change take effect that was checked.
+// commit applies a change that check has accepted.
 func (t *table) commit(s *staged) {
-	for _, key := range s.order { // all old indices go before new ones come: two routes may swap their matches
+	for _, key := range s.order { // all old entries are removed before new ones are added, as two routes may swap their matches
 		if was := t.entries[key]; was != nil {
 			t.remove(key, was)
 		}
@@ -155,6 +157,7 @@
 	}
 }
 
+// add adds an entry and its indices.
 func (t *table) add(key string, e *configpb.Entry) {
 	t.entries[key] = e
 	t.counts[kindOf(key)]++
@@ -170,6 +173,7 @@
 	}
 }
 
+// remove removes an entry and its indices.
 func (t *table) remove(key string, e *configpb.Entry) {
 	delete(t.entries, key)
 	t.counts[kindOf(key)]--
@@ -185,7 +189,7 @@
 	}
 }
 
-// load makes a table of all entries at a revision, which have to come in the order of their keys.
+// load returns a table of entries, which have to be sorted by key and valid as the whole configuration at a revision.
 func load(revision uint64, entries []*configpb.Entry) (*table, *InvalidError) {
 	s, last := newStaged(), ""
 	for _, e := range entries {
@@ -194,10 +198,10 @@
 		}
 		key := Key(e)
 		if key <= last {
-			return nil, invalid(key, "", "it comes behind %s: entries are not in order, or one occurs twice", last)
+			return nil, invalid(key, "", "it comes after %s: entries are not in order, or one occurs twice", last)
 		}
 		if e.Revision == 0 || e.Revision > revision {
-			return nil, invalid(key, "", "it is of revision %d in a state of revision %d", e.Revision, revision)
+			return nil, invalid(key, "", "the entry has revision %d in a state of revision %d", e.Revision, revision)
 		}
 		last = key
 		s.set(key, e)
@@ -210,7 +214,7 @@
 	return t, nil
 }
 
-// sorted gives all entries in the order of their keys.
+// sorted returns all entries, sorted by key.
 func (t *table) sorted() []*configpb.Entry {
 	list := make([]*configpb.Entry, 0, len(t.entries))
 	for _, key := range slices.Sorted(maps.Keys(t.entries)) {
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -10,24 +10,24 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// Bounds of what is held. Each control machine and each node has all of it in memory.
+// Bounds of the configuration. Each control machine and each node has all of it in memory.
 const (
 	MaxServices    = 2_000
 	MaxRoutes      = 20_000
 	MaxTenants     = 60_000
-	MaxBytes       = 8 << 20   // of all entries, encoded
-	MaxEntryBytes  = 4 << 10   // of one entry
-	MaxChanges     = 1_000     // of one transaction
-	MaxChangeBytes = 256 << 10 // of one transaction
+	MaxBytes       = 8 << 20   // size of all encoded entries
+	MaxEntryBytes  = 4 << 10   // size of one encoded entry
+	MaxChanges     = 1_000     // in one transaction; conditions likewise
+	MaxChangeBytes = 256 << 10 // size of one encoded transaction
 	maxName        = 100       // bytes of a name
-	maxText        = 200       // bytes of who made a change, and of why
+	maxText        = 200       // bytes of a change's author, and of its reason
 	maxPath        = 1_000     // bytes of a route's path prefix
 	maxTimeoutMs   = 10 * 60 * 1000
 	maxAttempts    = 100
-	maxRate        = 1e9 // requests a second of a limit
+	maxRate        = 1e9 // requests per second of a limit
 )
 
-// AnyHost is the host of a route that takes requests of every host.
+// AnyHost is the host of a route that matches requests for every host.
 const AnyHost = "*"
 
 var (
@@ -35,7 +35,7 @@
 	hostPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?(\.[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?)*$`)
 )
 
-// checkEntry checks all that an entry shows by itself.
+// checkEntry checks an entry by itself, without the entries that it refers to.
 func checkEntry(e *configpb.Entry) *InvalidError {
 	key := Key(e)
 	if key == "" {
@@ -58,9 +58,10 @@
 	return nil
 }
 
+// validName reports whether name is valid as the name of an entry.
 func goodName(name string) bool { return len(name) <= maxName && namePattern.MatchString(name) }
 
-// truncateKey bounds a key that is quoted in an error.
+// truncateKey cuts off a key that is too long to be quoted in an error.
 func shorten(key string) string {
 	const most = maxName + len(KindService) + 1
 	if len(key) <= most {
@@ -93,6 +94,7 @@
 	return nil
 }
 
+// validPath reports whether p is valid as the path prefix of a route.
 func goodPath(p string) bool {
 	if len(p) == 0 || len(p) > maxPath || p[0] != '/' {
 		return false
@@ -114,7 +116,7 @@
 			return invalid(key, "limits", "want the name of a service, have %.100q", service)
 		case seen[service]:
 			return invalid(key, "limits", "two limits at service %s", service)
-		case !(l.Share >= 0 && l.Share <= 1): // not a number either
+		case !(l.Share >= 0 && l.Share <= 1): // true for NaN, too
 			return invalid(key, "limits", "share at service %s: want 0 to 1, have %v", service, l.Share)
 		case !(l.RequestsPerSecond >= 0 && l.RequestsPerSecond <= maxRate):
 			return invalid(key, "limits", "requests_per_second at service %s: want 0 to %v, have %v",
@@ -127,7 +129,7 @@
 	return nil
 }
 
-// CheckTransaction checks all that a transaction shows by itself, without what is there. An error is an *InvalidError.
+// CheckTransaction checks a transaction by itself, without the entries that exist. An error is an *InvalidError.
 func CheckTransaction(tx *configpb.Transaction) error {
 	if err := checkTransaction(tx); err != nil {
 		return err
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// checkTransaction checks all that a transaction shows by itself.
+// checkTransaction is CheckTransaction with a typed result, so that its nil is not a non-nil error.
 func checkTransaction(tx *configpb.Transaction) *InvalidError {
 	switch {
 	case len(tx.Changes) == 0:
@@ -163,6 +165,7 @@
 	return nil
 }
 
+// checkText checks the author and the reason of a change.
 func checkText(texts ...string) *InvalidError {
 	for _, t := range texts {
 		if len(t) > maxText || !utf8.ValidString(t) {
@@ -172,7 +175,7 @@
 	return nil
 }
 
-// checkChange checks a change and gives its key.
+// checkChange checks a change by itself and returns the key of its entry.
 func checkChange(c *configpb.Change) (string, *InvalidError) {
 	switch w := c.GetWhat().(type) {
 	case *configpb.Change_Put:
--- a/internal/configuration/watch/acknowledgements.go
+++ b/internal/configuration/watch/acknowledgements.go
@@ -9,18 +9,18 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// watcher is a node that asks this machine, as it said last.
+// watcher is a node that sends requests to this machine, with the state in its last request.
 type watcher struct {
-	session uint64
-	applied uint64
-	refused uint64
+	session uint64 // epoch; 0: none
+	applied uint64 // revision in force at the node
+	refused uint64 // newest revision that the node refused; 0: none
 	refusal *configpb.Refusal
-	asks    int       // questions that wait for an answer
-	last    time.Time // when the last one was answered
-	next    time.Time // when it may have the next chunk of a snapshot
+	asks    int       // number of requests in progress
+	last    time.Time // when the last request ended
+	next    time.Time // when NodeRate allows the next chunk of a snapshot
 }
 
-// beginRequest notes what a node says with its question.
+// beginRequest records the node's state from its request.
 func (s *Server) arrive(now time.Time, q *configpb.WatchRequest) (*watcher, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,7 +42,8 @@
 	return w, nil
 }
 
-// endRequest notes that a question is over; gone: its node did not wait for the answer.
+// endRequest records the end of a request. abandoned means that the node did not wait for the answer, as it has moved to
+// another machine: without another request in progress it is forgotten at once.
 func (s *Server) leave(now time.Time, q *configpb.WatchRequest, w *watcher, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,15 +54,15 @@
 	}
 }
 
-// forgetWatchers drops the nodes that ask no more.
+// forgetWatchers removes the nodes without a request for longer than Limits.WatcherTimeout.
 func (s *Server) forgetWatchers(now time.Time) {
 	maps.DeleteFunc(s.watchers, func(_ string, w *watcher) bool {
 		return w.asks == 0 && now.Sub(w.last) > s.o.Limits.WatcherKept
 	})
 }
 
-// Report tells what this machine knows of the nodes that watch here and have a live session by what the machine has
-// applied. names: all of them are named.
+// Report returns a summary of the nodes that send their requests to this machine and have a live session, by the sessions
+// that the machine has applied. If names is set, it has the names and sessions of all of them.
 func (s *Server) Report(names bool) *configpb.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,6 +89,7 @@
 	return r
 }
 
+// lag returns the watcher's state as an entry of a report's list of lagging nodes.
 func (w *watcher) lag(node string) *configpb.Lag {
 	return &configpb.Lag{
 		Node:    node,
@@ -98,10 +100,11 @@
 	}
 }
 
-// InForce is the revision that every live session has acknowledged, by the reports of the control machines. ok is false
-// where some session is heard by none. Where counts show that each is heard just once, that is enough. A node that has
-// moved is counted at two machines for a while: then the reports have to name the sessions. What the machine that it has
-// left knows of it is older, so that the least revision is never too new.
+// InForce returns the highest revision that every live session has acknowledged, by the reports of the control machines.
+// sessions has the epochs of the live sessions by node. ok is false unless the reports show that every session is at one of
+// the machines. The counts are enough for that if they show that each session is at exactly one machine. A node that has
+// moved is counted at two machines for a while; then the reports have to name the sessions. The machine that it has left has
+// an older revision of it, so the result is never too new.
 func InForce(sessions map[string]uint64, reports []*configpb.Report) (revision uint64, ok bool) {
 	first := true
 	for _, r := range reports {
@@ -112,7 +115,7 @@
 	return revision, !first && (heardOnce(sessions, reports) || heardSomewhere(sessions, reports))
 }
 
-// countedOnce tells, by counts alone, whether each live session is heard by just one machine.
+// countedOnce reports whether, by the reports' counts and digests, each live session is at exactly one machine.
 func heardOnce(sessions map[string]uint64, reports []*configpb.Report) bool {
 	var nodes, digest, want uint64
 	for _, epoch := range sessions {
@@ -125,7 +128,7 @@
 	return nodes == uint64(len(sessions)) && digest == want
 }
 
-// allNamed tells whether the reports name every live session.
+// allNamed reports whether the reports name every live session.
 func heardSomewhere(sessions map[string]uint64, reports []*configpb.Report) bool {
 	named := map[uint64]bool{}
 	for _, r := range reports {
@@ -141,8 +144,8 @@
 	return true
 }
 
-// sessionHash spreads a session's epoch over 64 bits, so that sums tell sets of sessions apart (the finalizer of
-// SplitMix64).
+// sessionHash returns a 64-bit hash of a session's epoch (the finalizer of SplitMix64), so that different sets of sessions
+// have different sums, but for a negligible probability.
 func sessionHash(epoch uint64) uint64 {
 	x := epoch + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/configuration/watch/client.go
+++ b/internal/configuration/watch/client.go
@@ -16,64 +16,65 @@
 )
 
 const (
-	answerSlack = 500 * time.Millisecond // beyond the machine's hold, before a question counts as lost
-	askPause    = 100 * time.Millisecond // after an answer that brought nothing though it came early
-	cacheEvery  = 5 * time.Second        // between two writes of the cache
-	saidEvery   = 30 * time.Second       // between two log lines about the same trouble
+	answerSlack = 500 * time.Millisecond // beyond the machine's LongPollTimeout, before a request counts as failed
+	askPause    = 100 * time.Millisecond // after an answer without effect that came earlier than this
+	cacheEvery  = 5 * time.Second        // between writes of the cache
+	saidEvery   = 30 * time.Second       // between warnings about problems that may last
 )
 
-// ClientOptions are what a Client is made of.
+// ClientOptions are the options of a Client.
 type ClientOptions struct {
 	Node     string
-	Machines []string // control machines, by name; the same at all nodes
-	// Session gives the epoch of the node's session; 0: none. nil: there never is one, and the node does not count.
+	Machines []string // names of the control machines, the same at all nodes
+	// Session returns the epoch of the node's session, or 0 if it has none. If Session is nil, the node never has a session,
+	// and is left out of the machines' reports.
 	Session func() uint64
-	// Call carries a question to a machine, and its answer back. It ends with ctx.
+	// Call sends a request to a machine and returns its answer. It has to return when ctx ends.
 	Call func(ctx context.Context, machine string, request []byte) (answer []byte, err error)
-	// Accept is asked about changes before they take effect, and refuses them with an error, as in
-	// configuration.NewReplica. nil: every valid change is accepted.
+	// Accept is called with changes before they take effect, and refuses them by returning an error, as for
+	// configuration.NewReplica. If it is nil, every valid change is accepted.
 	Accept func([]*configpb.Change) error
-	// Applied is told of each revision that has taken effect, by NewClient and the goroutine of Run. It must not block.
-	// It may be nil.
+	// Applied is called, unless it is nil, after the revision in force has changed, by NewClient and by the goroutine of Run.
+	// It must not block.
 	Applied func(revision uint64)
-	// Cache is the path of the node's cache on its disk; empty: there is none.
+	// Cache is the path of the node's cache file. If it is empty, there is none.
 	Cache string
-	Hold  time.Duration // of the machines; 0: that of DefaultLimits
+	Hold  time.Duration // of the machines' Limits; 0: as in DefaultLimits
 	Log   *slog.Logger
 }
 
-// Client is a node's side: it follows the configuration from one control machine at a time, and goes on with what it
-// has while none is heard. It knows nothing of a data plane: a hollow node uses it as it is.
+// Client follows the configuration for a node. It polls one control machine at a time, and keeps the revision that it has
+// while none answers. It does not depend on a data plane, so a simulated node without one uses it, too.
 type Client struct {
 	o       ClientOptions
 	chooser *chooser
 
 	replicaLock sync.Mutex
-	replica     *configuration.Replica // changed by the goroutine of Run alone
+	replica     *configuration.Replica // changed only by the goroutine of Run, under the lock
 
-	// Of the goroutine of Run.
+	// The following are used only by the goroutine of Run.
 	assembly assembly
-	refused  uint64
-	refusal  *configpb.Refusal
-	said     time.Time
+	refused  uint64            // newest revision that was refused; 0: none
+	refusal  *configpb.Refusal // reason for that
+	said     time.Time         // of the last warning
 
 	mu     sync.Mutex
 	status Status
 
-	behind chan struct{} // holds one where the cache is behind
+	behind chan struct{} // of length 1, with an element while the cache file is out of date
 }
 
-// Status is where a node stands.
+// Status is the state of a node's client.
 type Status struct {
-	Log      string            // that the revision is of; empty: the node has none yet
+	Log      string            // name of the log that the revision is from; empty: the node has no revision yet
 	Applied  uint64            // revision in force here
 	Refused  uint64            // newest revision that was refused; 0: none
-	Refusal  *configpb.Refusal // why
-	Machine  string            // that answered last; empty: none has
-	Answered time.Time         // when it did
+	Refusal  *configpb.Refusal // reason for that
+	Machine  string            // machine that answered last; empty: none has
+	Answered time.Time         // time of that answer
 }
 
-// NewClient makes a client that has what the cache holds. A cache that is refused is logged, and the client starts
+// NewClient returns a client with the content of the cache file. If the file is refused, the client logs that and starts
 // without it.
 func NewClient(o ClientOptions) (*Client, error) {
 	if len(o.Machines) == 0 {
@@ -93,23 +94,23 @@
 	}
 	if log != "" {
 		c.status.Log, c.status.Applied = log, c.replica.Revision()
-		o.Log.Info("configuration: from the cache", "revision", c.status.Applied, "entries", c.replica.Len())
+		o.Log.Info("configuration: loaded from the cache", "revision", c.status.Applied, "entries", c.replica.Len())
 		c.tell(c.status.Applied)
 	}
 	return c, nil
 }
 
-// Applied is the revision in force here; 0: none yet.
+// Applied returns the revision in force at this node, or 0 if there is none yet.
 func (c *Client) Applied() uint64 { return c.Status().Applied }
 
-// Status tells where the node stands.
+// Status returns the client's state.
 func (c *Client) Status() Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.status
 }
 
-// Run follows until ctx ends. The cache is written then once more, if it is behind.
+// Run follows the configuration until ctx ends. Then it writes the cache file if that is out of date.
 func (c *Client) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
@@ -126,7 +127,7 @@
 	}
 }
 
-// poll puts one question to a machine and takes the answer.
+// poll sends one request to a machine and applies the answer.
 func (c *Client) ask(ctx context.Context, machine string) {
 	began := time.Now()
 	answer, err := c.call(ctx, machine)
@@ -135,7 +136,7 @@
 	}
 	if err != nil {
 		c.chooser.failed(time.Now())
-		c.say("configuration: a control machine does not answer; the node goes on with what it has",
+		c.say("configuration: a control machine does not answer; the node keeps the revision that it has",
 			"machine", machine, "err", err)
 		return
 	}
@@ -148,6 +149,7 @@
 	}
 }
 
+// call sends a request with the client's state to a machine and returns the answer.
 func (c *Client) call(ctx context.Context, machine string) (*configpb.WatchAnswer, error) {
 	q := &configpb.WatchRequest{
 		Log:      c.Status().Log,
@@ -175,12 +177,12 @@
 	return answer, proto.Unmarshal(raw, answer)
 }
 
-// applyAnswer takes an answer, and tells whether it brought the node on.
+// applyAnswer applies an answer. It returns whether the answer had an effect, so that the next request may follow at once.
 func (c *Client) take(answer *configpb.WatchAnswer) bool {
 	known := c.Status().Log
 	if answer.Log == "" || known != "" && answer.Log != known {
-		c.say("configuration: the control machines hold another log than the one that this node follows; it goes on "+
-			"with what it has. Remove the cache once they are known to be right",
+		c.say("configuration: the control machines have another log than the one that this node follows; it keeps "+
+			"the revision that it has. If the control machines are right, remove the node's cache file",
 			"follows", known, "theirs", answer.Log)
 		return false
 	}
@@ -193,13 +195,13 @@
 		snapshot, err := c.assembly.add(news.Chunk)
 		if err != nil {
 			c.assembly = assembly{}
-			c.say("configuration: a snapshot is begun again", "err", err)
+			c.say("configuration: receiving a snapshot failed; starting again", "err", err)
 			return false
 		}
 		if snapshot == nil {
 			return true
 		}
-		if snapshot.Revision <= c.replica.Revision() { // never back
+		if snapshot.Revision <= c.replica.Revision() { // the revision in force must not go back
 			return false
 		}
 		err = c.change(func() error { return c.replica.Restore(snapshot) })
@@ -208,14 +210,15 @@
 	return false
 }
 
-// changeReplica changes the replica.
+// changeReplica calls f, which changes the replica, under the replica's lock.
 func (c *Client) change(f func() error) error {
 	c.replicaLock.Lock()
 	defer c.replicaLock.Unlock()
 	return f()
 }
 
-// recordResult notes what became of revisions up to the newest that came.
+// recordResult records the result err of applying revisions up to newest, of a log. It returns whether the revision in
+// force has advanced, or a revision was refused that was not refused before.
 func (c *Client) took(log string, newest uint64, err error) bool {
 	refused := (*configuration.RefusedError)(nil)
 	isNew := false
@@ -226,7 +229,7 @@
 		c.o.Log.Error("configuration: refused; the last good revision stays in force",
 			"revision", refused.Revision, "stays", c.replica.Revision(), "why", refused.Cause)
 	case err != nil:
-		c.say("configuration: an answer makes no sense", "err", err)
+		c.say("configuration: an answer can't be applied", "err", err)
 	default:
 		c.refused, c.refusal = 0, nil
 	}
@@ -243,7 +246,7 @@
 	return grown || isNew
 }
 
-// markCacheStale tells that the cache is to be written.
+// markCacheStale has the cache file written.
 func (c *Client) cacheBehind() {
 	select {
 	case c.behind <- struct{}{}:
@@ -251,7 +254,7 @@
 	}
 }
 
-// runCacheWriter writes the cache once it is behind, at most every cacheEvery, and a last time at the end.
+// runCacheWriter writes the cache file when it is out of date, at most once in cacheInterval, and a last time when ctx ends.
 func (c *Client) keepCache(ctx context.Context) {
 	for {
 		select {
@@ -272,23 +275,25 @@
 	}
 }
 
+// writeCache writes the cache file. After an error it is tried again.
 func (c *Client) writeCache() {
 	c.replicaLock.Lock()
 	snapshot := c.replica.Snapshot()
 	c.replicaLock.Unlock()
 	if err := cache.Save(c.o.Cache, c.Status().Log, snapshot); err != nil {
-		c.o.Log.Error("configuration: the cache is not written; it is tried again", "err", err)
+		c.o.Log.Error("configuration: can't write the cache; trying again", "err", err)
 		c.cacheBehind()
 	}
 }
 
+// notifyApplied calls the Applied option, if there is one.
 func (c *Client) tell(revision uint64) {
 	if c.o.Applied != nil {
 		c.o.Applied(revision)
 	}
 }
 
-// warn logs trouble that may last, now and then.
+// warn logs a problem that may last. It drops a warning within logInterval after the last one, of any problem.
 func (c *Client) say(what string, args ...any) {
 	if now := time.Now(); c.said.IsZero() || now.Sub(c.said) >= saidEvery {
 		c.said = now
@@ -296,6 +301,7 @@
 	}
 }
 
+// pause waits for d, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/configuration/watch/machines.go
+++ b/internal/configuration/watch/machines.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	firstBackoff = 100 * time.Millisecond // before a machine that failed is asked again; doubled each time,
-	mostBackoff  = 5 * time.Second        // up to this; each is drawn from half of it to all of it
-	returnAfter  = 10 * time.Second       // before a node goes back to the machines that it prefers,
-	returnSpread = 20 * time.Second       // and up to so much longer: they are not overrun by all at once
+	firstBackoff = 100 * time.Millisecond // after the first failure of a machine; doubled with each further one
+	mostBackoff  = 5 * time.Second        // a wait is random, from half of the backoff to all of it
+	returnAfter  = 10 * time.Second       // before a node that has moved goes back to its preferred machine
+	returnSpread = 20 * time.Second       // random addition, so that not all nodes go back at once
 )
 
-// rendezvous orders machines by a node's preference: each node has an order of its own, and without one of the machines
-// the order of the others is as it was (rendezvous hashing).
+// rendezvous returns the machines in the node's order of preference, by rendezvous hashing: each node has its own order, and
+// removing a machine does not change the order of the others.
 func rendezvous(node string, machines []string) []string {
 	order := slices.Clone(machines)
 	weight := func(machine string) uint64 { return xxhash.Sum64String(node + "\x00" + machine) }
@@ -27,13 +27,13 @@
 	return order
 }
 
-// chooser chooses the machine that a node asks. It is not safe for concurrent use.
+// chooser chooses the machine that a node sends its next request to. It is not safe for concurrent use.
 type chooser struct {
-	order    []string // by preference
-	current  int
-	backTo   time.Time // when a node that has moved tries its preferred machines again
-	failures []int     // in a row, of each machine
-	until    []time.Time
+	order    []string    // machines by preference; the following slices have the same order
+	current  int         // index of the machine in use
+	backTo   time.Time   // when a node that has moved goes back to its most preferred machine
+	failures []int       // consecutive failures of each machine
+	until    []time.Time // end of each machine's backoff
 	random   *rand.Rand
 }
 
@@ -46,7 +46,7 @@
 	}
 }
 
-// next gives the machine to ask, or how long to wait where all have failed a moment ago.
+// next returns the machine for the next request, or the time to wait if all machines are in backoff.
 func (c *chooser) next(now time.Time) (machine string, wait time.Duration) {
 	if c.current > 0 && !now.Before(c.backTo) {
 		c.current = 0
@@ -69,16 +69,17 @@
 	return "", soonest
 }
 
+// returnTime returns a random time for the return to the preferred machine.
 func (c *chooser) returnTime(now time.Time) time.Time {
 	return now.Add(returnAfter + time.Duration(c.random.Int64N(int64(returnSpread))))
 }
 
-// failed notes that the machine that was asked has not answered.
+// failed records that the machine in use has not answered, and starts its backoff.
 func (c *chooser) failed(now time.Time) {
 	backoff := min(mostBackoff, firstBackoff<<min(c.failures[c.current], 10))
 	c.failures[c.current]++
 	c.until[c.current] = now.Add(backoff/2 + time.Duration(c.random.Int64N(int64(backoff/2))))
 }
 
-// answered notes that it has.
+// answered records an answer of the machine in use, which resets its backoff.
 func (c *chooser) answered() { c.failures[c.current] = 0 }
--- a/internal/configuration/watch/server.go
+++ b/internal/configuration/watch/server.go
@@ -1,8 +1,8 @@
-// Package watch brings the configuration from control machines to nodes. A node asks one machine for what is behind
-// its revision; the question acknowledges that revision, and it is answered when there is news, or after a while
-// without. So a machine queues nothing for a node: one that is slow asks later, and one that has fallen too far behind
-// gets a snapshot in place of the revisions. Server is a machine's side, Client a node's; whoever uses them carries
-// the bytes.
+// Package watch distributes the configuration from control machines to nodes, by long polling. A node requests the revisions
+// after its own from one machine. The request acknowledges the node's revision. It is answered as soon as there is a newer
+// one, or without content after Limits.LongPollTimeout. So a machine queues nothing for a node: a slow node sends its next
+// request later, and a node that is too far behind gets a snapshot instead of the revisions. Server is the machine's side,
+// Client the node's; the caller transports the messages.
 package watch
 
 import (
@@ -19,20 +19,20 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// Limits bound what a machine holds and sends.
+// Limits bound what a machine keeps in memory and sends.
 type Limits struct {
-	Hold            time.Duration // a question is answered by then, news or not
-	DeltaBytes      int           // of revisions in one answer
-	BacklogBytes    int           // of revisions that are kept for nodes; a node further behind gets a snapshot
-	ChunkBytes      int           // of a snapshot in one answer
-	NodeRate        float64       // bytes a second of snapshots to one node
-	MachineRate     float64       // bytes a second of snapshots to all nodes
-	SnapshotKept    time.Duration // after its last reader
-	WatcherKept     time.Duration // a node that asks no more does not count after so long
-	ReportedLagging int           // nodes named in a report
+	Hold            time.Duration // a request is answered after this time at the latest
+	DeltaBytes      int           // size of the revisions in one answer
+	BacklogBytes    int           // size of the revisions kept for nodes; a node further behind gets a snapshot
+	ChunkBytes      int           // size of the part of a snapshot in one answer
+	NodeRate        float64       // bytes per second of snapshots to one node
+	MachineRate     float64       // bytes per second of snapshots to all nodes
+	SnapshotKept    time.Duration // an encoded snapshot is dropped after this time without a reader
+	WatcherKept     time.Duration // a node without a request for longer than this is left out of reports
+	ReportedLagging int           // nodes that a report names as behind, at most
 }
 
-// DefaultLimits are those of a program in operation.
+// DefaultLimits returns the limits for production.
 func DefaultLimits() Limits {
 	return Limits{
 		Hold:            time.Second,
@@ -47,37 +47,37 @@
 	}
 }
 
-// ServerOptions are what a Server is made of.
+// ServerOptions are the options of a Server.
 type ServerOptions struct {
 	Limits Limits
-	// Snapshot gives all entries that the machine has applied.
+	// Snapshot returns all entries that the machine has applied.
 	Snapshot func(ctx context.Context) (*configpb.Snapshot, error)
 }
 
-// Server is a control machine's side. It is safe for concurrent use.
+// Server serves the configuration of a control machine to nodes. It is safe for concurrent use.
 type Server struct {
 	o ServerOptions
 
 	mu        sync.Mutex
 	log       string
 	revision  uint64
-	after     uint64 // revisions behind this one are kept
+	after     uint64 // the backlog has the revisions after this one
 	revisions []*configpb.Revision
-	bytes     int           // of the revisions kept
-	changed   chan struct{} // closed at the next news
-	sessions  map[string]uint64
+	bytes     int               // size of the backlog
+	changed   chan struct{}     // closed when there is a new revision
+	sessions  map[string]uint64 // epochs of the live sessions, by node
 	watchers  map[string]*watcher
 	snapshots snapshots
-	next      time.Time // when the machine may send the next chunk of a snapshot
+	next      time.Time // when MachineRate allows the next chunk of a snapshot
 }
 
-// NewServer makes one that knows nothing until Publish.
+// NewServer returns a Server that has no configuration until Publish.
 func NewServer(o ServerOptions) *Server {
 	return &Server{o: o, changed: make(chan struct{}), watchers: map[string]*watcher{}}
 }
 
-// Publish tells what the machine has applied: the store of a log, which is read before Publish returns, and the nodes'
-// live sessions by their epochs, which are kept.
+// Publish sets what the machine has applied: the name of the log, its store, and the epochs of the live sessions by node.
+// The store is only used until Publish returns; sessions must not be changed later.
 func (s *Server) Publish(log string, store *configuration.Store, sessions map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 		return
 	}
 	news, err := store.History(s.revision, math.MaxInt)
-	if s.log != log || err != nil { // another log, or more has been applied at once than the history holds
+	if s.log != log || err != nil { // another log, or more revisions since the last Publish than the history has
 		s.revisions, s.bytes, s.after = nil, 0, store.Compacted()
 		s.snapshots.drop()
 		news, _ = store.History(s.after, math.MaxInt)
@@ -109,21 +109,21 @@
 }
 
 var (
-	// ErrBadRequest answers a question that makes no sense.
+	// ErrBadRequest means that a request can't be decoded, or is not in the caller's own name.
 	ErrBadRequest = errors.New("watch request")
-	// ErrNotReady answers while the machine has not applied anything yet.
+	// ErrNotReady means that the machine has not applied anything yet.
 	ErrNotReady = errors.New("this control machine has no configuration yet")
 )
 
-// Handle answers a node's question; from is the node's name as its certificate shows it. It waits for news up to
-// Limits.Hold, and less if ctx ends.
+// Handle returns the encoded answer to an encoded configpb.WatchRequest. from is the node's name in its certificate. It waits
+// for a new revision until Limits.LongPollTimeout, or until ctx ends.
 func (s *Server) Handle(ctx context.Context, from string, raw []byte) ([]byte, error) {
 	q := &configpb.WatchRequest{}
 	if err := proto.Unmarshal(raw, q); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBadRequest, err)
 	}
 	if q.Node != from {
-		return nil, fmt.Errorf("%w: %s speaks for %s", ErrBadRequest, from, q.Node)
+		return nil, fmt.Errorf("%w: %s sent a request in the name of %s", ErrBadRequest, from, q.Node)
 	}
 	w, err := s.arrive(time.Now(), q)
 	if err != nil {
@@ -153,14 +153,15 @@
 	}
 }
 
-// emptyAnswer is the answer where nothing is new.
+// emptyAnswer returns the answer to a node that has the newest revision.
 func (s *Server) nothing() *configpb.WatchAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &configpb.WatchAnswer{Log: s.log, Revision: s.revision}
 }
 
-// pendingNews is what there is for a node: an answer, a part of a snapshot after a wait, or nothing until changed is closed.
+// pendingNews is what a node is to get: answer, or if chunk is set a part of a snapshot after wait, or nothing until changed
+// is closed.
 type found struct {
 	answer  *configpb.WatchAnswer
 	chunk   bool
@@ -168,14 +169,14 @@
 	changed <-chan struct{}
 }
 
-// findNews finds what there is for a node now.
+// findNews returns what a node is to get now.
 func (s *Server) look(now time.Time, q *configpb.WatchRequest, w *watcher) found {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	applied, known := q.Applied, max(q.Applied, q.Refused)
 	if q.Log == "" {
 		applied, known = 0, 0
-	} else if q.Log != s.log { // the node is told, and takes nothing
+	} else if q.Log != s.log { // the answer has no content: the node sees the other log's name and logs that
 		return found{answer: &configpb.WatchAnswer{Log: s.log, Revision: s.revision}}
 	}
 	switch {
@@ -191,7 +192,8 @@
 	return found{chunk: true, wait: wait}
 }
 
-// delta is the revisions behind one: all that are kept for a node that has refused one, as a later one may mend it.
+// delta returns an answer with the revisions after the given one, up to Limits.DeltaBytes. With all set, for a node that has
+// refused a revision, it returns the complete backlog, as a later revision may correct the refused one.
 func (s *Server) delta(after uint64, all bool) *configpb.WatchAnswer {
 	d, bytes := &configpb.Delta{After: after}, 0
 	for _, r := range s.revisions[after-s.after:] {
@@ -204,8 +206,8 @@
 	return &configpb.WatchAnswer{Log: s.log, Revision: s.revision, News: &configpb.WatchAnswer_Delta{Delta: d}}
 }
 
-// reserveChunk reserves the sending of a part of a snapshot and tells how long that has to wait. Nothing is reserved beyond
-// Limits.Hold.
+// reserveChunk reserves the sending of a part of a snapshot at the next time that both rates allow, and returns the wait
+// until then. It reserves nothing if the wait would reach Limits.LongPollTimeout.
 func (s *Server) turn(now time.Time, w *watcher) (wait time.Duration, reserved bool) {
 	at := now
 	for _, t := range []time.Time{s.next, w.next} {
@@ -223,7 +225,7 @@
 	return at.Sub(now), true
 }
 
-// delayedChunk waits for the turn, then gives a part of a snapshot.
+// delayedChunk waits, then returns an answer with the next part of a snapshot.
 func (s *Server) chunkAfter(ctx context.Context, q *configpb.WatchRequest, wait time.Duration) (
 	*configpb.WatchAnswer, error) {
 	if wait > 0 {
--- a/internal/configuration/watch/snapshot.go
+++ b/internal/configuration/watch/snapshot.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	maxSnapshotBytes = 2 * configuration.MaxBytes // not compressed; entries are MaxBytes at most
-	zstdWindow       = 1 << 20                    // bytes; a node's decoder holds about as much
+	maxSnapshotBytes = 2 * configuration.MaxBytes // uncompressed; all entries have at most MaxBytes
+	zstdWindow       = 1 << 20                    // bytes; a node's decoder needs about this much memory
 )
 
-// encodedSnapshot is a snapshot as it goes to nodes.
+// encodedSnapshot is a snapshot in the form in which it is sent to nodes.
 type encoded struct {
 	revision uint64
 	checksum [sha256.Size]byte
 	data     []byte
 }
 
-// encode gives a snapshot's form on the wire, the same bytes for the same snapshot and version of the library.
+// encode encodes and compresses a snapshot. Equal snapshots have equal bytes with one version of the zstd library, so that
+// a node can get the parts from several machines.
 func encode(s *configpb.Snapshot) (*encoded, error) {
 	raw, err := configuration.Encode(s)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return e, nil
 }
 
-// decode reads what encode made.
+// decode is the inverse of encode.
 func decode(data []byte) (*configpb.Snapshot, error) {
 	r, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true),
 		zstd.WithDecoderMaxMemory(maxSnapshotBytes), zstd.WithDecoderMaxWindow(zstdWindow))
@@ -59,23 +60,24 @@
 	return s, proto.Unmarshal(raw, s)
 }
 
-// snapshotCache is the snapshot that nodes read now. It goes once nobody has read it for a while.
+// snapshotCache holds the snapshot that is being sent to nodes. It is dropped after a time without a reader.
 type snapshots struct {
 	now    *encoded
-	read   time.Time
-	making chan struct{} // closed once the next one is made; nil: none is
+	read   time.Time     // of its last part
+	making chan struct{} // closed once the next snapshot is built; nil: none is being built
 }
 
 func (s *snapshots) drop() { s.now = nil }
 
-// dropUnread lets go of a snapshot that nobody has read for so long.
+// dropUnread drops a snapshot that has not been read for longer than retention.
 func (s *snapshots) forget(now time.Time, kept time.Duration) {
 	if s.now != nil && now.Sub(s.read) > kept {
 		s.now = nil
 	}
 }
 
-// chunk gives the next part of a snapshot to a node: of the one that it has begun, if the machine has the same one.
+// chunk returns an answer with the next part of a snapshot. The part continues the snapshot that the node has begun if this
+// machine has the same one, else it is the first part of this machine's snapshot.
 func (s *Server) chunk(ctx context.Context, q *configpb.WatchRequest) (*configpb.WatchAnswer, error) {
 	e, log, revision, err := s.current(ctx)
 	if err != nil {
@@ -96,8 +98,8 @@
 	return &configpb.WatchAnswer{Log: log, Revision: revision, News: &configpb.WatchAnswer_Chunk{Chunk: c}}, nil
 }
 
-// currentSnapshot gives the snapshot that nodes read, made anew where the revisions kept do not reach back to it. It is made
-// once for all that wait.
+// currentSnapshot returns the snapshot to send, with the log and the revision of the machine. If the backlog does not reach
+// back to the cached snapshot, it builds a new one, once for all requests that wait for it.
 func (s *Server) current(ctx context.Context) (e *encoded, log string, revision uint64, err error) {
 	for {
 		s.mu.Lock()
@@ -126,7 +128,7 @@
 	}
 }
 
-// makeSnapshot makes the next snapshot, and tells those that wait for it.
+// makeSnapshot builds the next snapshot. At the end, also after an error, it closes done, on which other requests wait.
 func (s *Server) makeSnapshot(ctx context.Context, done chan struct{}) error {
 	var e *encoded
 	snapshot, err := s.o.Snapshot(ctx)
@@ -143,7 +145,7 @@
 	return err
 }
 
-// assembly is a snapshot that a node takes in parts.
+// assembly is a snapshot that a node receives in parts.
 type assembly struct {
 	revision uint64
 	size     uint64
@@ -153,18 +155,18 @@
 
 var errChunk = errors.New("part of a snapshot")
 
-// add takes a part. Once the snapshot is whole it is given. A part of another snapshot begins that one, and one that
-// does not continue where the last one ended is an error.
+// add adds a part, and returns the snapshot once it is complete, else nil. A part of another snapshot discards the earlier
+// parts. A part that does not continue where the last one ended is an error.
 func (a *assembly) add(c *configpb.Chunk) (*configpb.Snapshot, error) {
 	if c.Size == 0 || c.Size > maxSnapshotBytes || len(c.Checksum) != sha256.Size {
-		return nil, fmt.Errorf("%w: of %d bytes, with a checksum of %d", errChunk, c.Size, len(c.Checksum))
+		return nil, fmt.Errorf("%w: the snapshot has %d bytes, and its checksum %d", errChunk, c.Size, len(c.Checksum))
 	}
 	if c.Revision != a.revision || c.Size != a.size || !bytes.Equal(c.Checksum, a.checksum) {
 		*a = assembly{revision: c.Revision, size: c.Size, checksum: bytes.Clone(c.Checksum)}
 	}
 	have := uint64(len(a.data))
 	if c.Offset != have || len(c.Data) == 0 || uint64(len(c.Data)) > a.size-have {
-		return nil, fmt.Errorf("%w: %d bytes at %d, where %d of %d are known",
+		return nil, fmt.Errorf("%w: %d bytes at offset %d, after %d of %d bytes",
 			errChunk, len(c.Data), c.Offset, have, a.size)
 	}
 	a.data = append(a.data, c.Data...)
@@ -174,14 +176,14 @@
 	whole := *a
 	*a = assembly{}
 	if sum := sha256.Sum256(whole.data); !bytes.Equal(sum[:], whole.checksum) {
-		return nil, fmt.Errorf("%w: the checksum of the whole is wrong", errChunk)
+		return nil, fmt.Errorf("%w: the checksum of the complete snapshot is wrong", errChunk)
 	}
 	s, err := decode(whole.data)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errChunk, err)
 	}
 	if s.Revision != whole.revision {
-		return nil, fmt.Errorf("%w: of revision %d, and the whole is of %d", errChunk, whole.revision, s.Revision)
+		return nil, fmt.Errorf("%w: the parts are of revision %d, the snapshot of revision %d", errChunk, whole.revision, s.Revision)
 	}
 	return s, nil
 }
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -105,11 +105,11 @@
 // a new version with the others.
 type counting struct {
 	tell bool                   // the leader wants counts at all
-	soak int64                  // observation period that the counts are for, as the leader numbers them
+	soak int64                  // start of the release's soak period that the counts are for, Unix ms; 0: none
 	base map[string]health.Ends // counts at its begin, which are subtracted
 }
 
-// update takes over from an answer of the leader what it wants to be reported. The counts start again with each observation
+// update takes over from an answer of the leader what it wants to be reported. The counts start again with each soak
 // period, and while age, the time since the process started, is below vitals.WarmUp: a new process refuses more requests
 // than it does later.
 func (c *counting) heard(r *fleetpb.Result, ends func() map[string]health.Ends, age time.Duration) {
--- a/internal/control/leak_test.go
+++ b/internal/control/leak_test.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// Guards against reports that include requests from before the observation period, or from just after the process started,
+// Guards against reports that include requests from before a release's soak period, or from just after the process started,
 // when it refuses more than later: the counts start again in both cases.
 func TestCounting(t *testing.T) {
 	ends := func(served uint64) map[string]health.Ends { return map[string]health.Ends{"c": {Served: served}} }
