--- a/internal/configuration/cache/cache_test.go
+++ b/internal/configuration/cache/cache_test.go
@@ -28,14 +28,14 @@
 	return s.Snapshot()
 }
 
-// What was saved is loaded with its log and revision; without a file there is nothing, and that is no error.
+// A saved snapshot is loaded with its log and revision. A missing file is no error.
 func TestSaveAndLoad(t *testing.T) {
 	path, r := filepath.Join(t.TempDir(), "cache"), configuration.NewReplica(nil)
 	if log, err := Load(path, r); err != nil || log != "" || r.Revision() != 0 {
 		t.Errorf("without a file: %q, %v", log, err)
 	}
 	want := snapshot(t)
-	for range 2 { // the second takes the place of the first
+	for range 2 { // the second file replaces the first
 		if err := Save(path, "l1", want); err != nil {
 			t.Fatal(err)
 		}
@@ -46,8 +46,8 @@
 	}
 }
 
-// A file that is torn off at any byte, or has any byte changed, is refused in one line that says what became of it: its
-// bytes are kept, and the replica has what it had.
+// Guards against a damaged configuration after a crash during a write or a disk fault: a file that is truncated at any byte,
+// or has any byte changed, is refused with an error of one line. It is kept under another name, and the replica is unchanged.
 func TestTornOrDamaged(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "cache")
@@ -76,7 +76,7 @@
 			t.Errorf("%s: kept %d of %d bytes, %v", name, len(kept), len(raw), err)
 		}
 		if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-			t.Errorf("%s: it is still in its place: %v", name, err)
+			t.Errorf("%s: the file still has its name: %v", name, err)
 		}
 		return reason
 	}
@@ -92,7 +92,7 @@
 	}
 }
 
-// What has a good checksum and is not a valid configuration is refused too.
+// Guards against a file with a correct checksum whose content is no valid configuration: it is refused, too.
 func TestForeign(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
 	wrong := proto.CloneOf(snapshot(t))
@@ -112,7 +112,7 @@
 	}
 }
 
-// A file that can't be set aside is not overwritten unseen: the error says so.
+// Guards against silently overwriting a refused file that can't be renamed: the error reports that, and the file is unchanged.
 func TestCantBeSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
 	if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// Whatever a file holds: no panic, and what is refused changes nothing.
+// Guards against panics by any content of a file: decode returns either content or a reason.
 func FuzzDecode(f *testing.F) {
 	path := filepath.Join(f.TempDir(), "cache")
 	if err := Save(path, "l1", snapshot(f)); err != nil {
--- a/internal/configuration/configfile/configfile_test.go
+++ b/internal/configuration/configfile/configfile_test.go
@@ -39,8 +39,8 @@
 requests_per_second = 100.0
 `
 
-// What a file says is committed, rendered and read again as it was; put back unchanged it changes nothing, and it is
-// refused once somebody has changed one of its entries.
+// Entries that are committed from a file, rendered and read again are the same, and committing them again changes nothing.
+// Guards against overwriting another operator's change: a rendered file is refused once one of its entries has changed.
 func TestRoundTrip(t *testing.T) {
 	f, err := parse("f.toml", []byte(good))
 	if err != nil {
@@ -80,11 +80,11 @@
 		t.Fatal(err)
 	}
 	if _, err := s.Commit(1, again.Transaction); err == nil {
-		t.Error("taken over another's change")
+		t.Error("a file was accepted though one of its entries has changed")
 	}
 }
 
-// A bad file is one line with the file, the line and the key.
+// The error for an invalid file is one line with the file, the line and the key.
 func TestBadFiles(t *testing.T) {
 	for _, c := range []struct{ text, want string }{
 		{"[[service]]\nname = \"pay\"\ntime = 5\n", "f.toml:3: service.time: unknown key"},
@@ -107,7 +107,7 @@
 	}
 }
 
-// What a store refuses is said with the line of the file.
+// A refusal by the store is reported with the line in the file.
 func TestFault(t *testing.T) {
 	text := "[[route]]\nname = \"r\"\nhost = \"a.org\"\npath_prefix = \"/\"\nservice = \"x\"\n"
 	f, err := parse("f.toml", []byte(text))
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -50,7 +50,7 @@
 	return &configpb.Transaction{Changes: changes, By: "eva"}
 }
 
-// commit is a transaction that has to be taken.
+// commit commits a transaction that has to be valid, and returns the store's revision.
 func commit(t testing.TB, s *Store, changes ...*configpb.Change) uint64 {
 	t.Helper()
 	o, err := s.Commit(1000, transaction(changes...))
@@ -69,7 +69,8 @@
 	return raw
 }
 
-// What is not valid as a whole is refused with entry, field and reason, and changes not one byte of the store.
+// Guards against invalid configurations that reach the nodes: each invalid transaction has to be refused with the entry, the
+// field and the reason, and must not change the store, not even by its valid part.
 func TestRefusals(t *testing.T) {
 	long := strings.Repeat("x", maxName+1)
 	var many []*configpb.Change
@@ -137,7 +138,7 @@
 				t.Errorf("%+v", refused)
 			}
 			if checked := s.Check(transaction(c.changes...)); checked == nil || checked.Error() != err.Error() {
-				t.Errorf("checked before: %v", checked)
+				t.Errorf("Check returned another error: %v", checked)
 			}
 			if !bytes.Equal(before, encoded(t, s.State())) {
 				t.Error("the store has changed")
@@ -147,11 +148,12 @@
 	s := New()
 	bad := &configpb.Transaction{Changes: []*configpb.Change{service("x")}, By: strings.Repeat("x", maxText+1)}
 	if _, err := s.Commit(1, bad); err == nil || s.Revision() != 0 {
-		t.Errorf("a long name of who did it: %v", err)
+		t.Errorf("an author that is too long: %v", err)
 	}
 }
 
-// A transaction's conditions are on the revisions of the entries' last changes; one that does not hold changes nothing.
+// Guards against changes that overwrite another operator's: a transaction is refused, and changes nothing, unless each of
+// its conditions names the revision of the entry's last change, or 0 for an entry that does not exist.
 func TestConditions(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"))
@@ -184,7 +186,8 @@
 	}
 }
 
-// A change that alters nothing makes no revision, and what is as it was keeps its revision.
+// Guards against revisions without a change: a transaction that changes no value makes no revision, and an entry whose value
+// stays the same keeps its revision.
 func TestUnchanged(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"))
@@ -200,7 +203,8 @@
 	}
 }
 
-// Two routes may swap what they match in one transaction, and a service may go together with all that names it.
+// Guards against a check of single changes in place of the whole transaction: in one transaction two routes may swap their
+// matches, and a service may be deleted together with all entries that refer to it.
 func TestWholeTransaction(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), service("cart"), route("a", "a.org", "/a", "pay"), route("b", "a.org", "/b", "pay"))
@@ -208,11 +212,12 @@
 	commit(t, s, drop("service/pay"), drop("route/a"), route("b", "a.org", "/a", "cart"))
 	commit(t, s, route("c", "a.org", "/b", "cart"))
 	if _, err := s.Commit(1, transaction(route("d", "a.org", "/a", "cart"))); err == nil {
-		t.Error("the match of route/b was taken")
+		t.Error("a second route with the match of route/b was accepted")
 	}
 }
 
-// A rollback is a new revision that has the entries as they were; what the history does not reach is refused.
+// A rollback makes a new revision with the entries' values of an earlier one. A revision that the history does not reach, or
+// that does not exist yet, is refused.
 func TestRollback(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), route("a", "a.org", "/", "pay"))
@@ -229,19 +234,20 @@
 		t.Errorf("to nothing: %v, %v", o, err)
 	}
 	if _, err := s.Rollback(5, &configpb.Rollback{To: 6}); err == nil {
-		t.Error("to a revision that there is not")
+		t.Error("a rollback to a revision that does not exist was accepted")
 	}
 	s.mostHistory = 2
 	commit(t, s, service("x"))
 	if _, err := s.Rollback(5, &configpb.Rollback{To: s.Compacted() - 1}); err == nil || s.Revision() != 6 {
-		t.Errorf("behind the compaction: %v", err)
+		t.Errorf("to a compacted revision: %v", err)
 	}
 	if _, err := s.Rollback(5, &configpb.Rollback{To: s.Compacted()}); err != nil {
 		t.Error(err)
 	}
 }
 
-// The history is bounded by revisions and by bytes; what it does not reach back to is said.
+// Guards against a history that grows without bound: it is limited in revisions and in bytes, and requests for revisions that
+// it no longer has, or that do not exist yet, return errors.
 func TestCompaction(t *testing.T) {
 	s := New()
 	s.mostHistory = 3
@@ -274,7 +280,7 @@
 	}
 }
 
-// At the bounds of the whole the next entry is refused.
+// Guards against a configuration beyond its bounds in entries of a kind and in bytes: the next entry is refused.
 func TestBounds(t *testing.T) {
 	s := New()
 	for i := 0; i < MaxServices; i += MaxChanges {
@@ -294,7 +300,7 @@
 	}
 }
 
-// A state that is damaged is refused, and the store keeps what it has.
+// Guards against a damaged state that replaces a good one: it is refused, and the store is unchanged.
 func TestRestoreRefuses(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), route("a", "a.org", "/", "pay"))
@@ -317,7 +323,7 @@
 	}
 }
 
-// drawTransaction makes a transaction of a small world, often one that is refused.
+// drawTransaction draws a transaction with few names and values, so that it is often refused.
 func draw(t *rapid.T) *configpb.Transaction {
 	name := rapid.SampledFrom([]string{"a", "b", "c"})
 	number := rapid.IntRange(0, 3)
@@ -344,10 +350,10 @@
 	return tx
 }
 
-// model is a store as a plain map, checked by going over all of it.
+// model is a simple reference for Store: a map of all entries, each check of which goes over all of them.
 type model map[string]*configpb.Entry
 
-// after gives the map with a transaction; ok is false where the transaction has to be refused.
+// after returns the model after a transaction. ok is false if the transaction has to be refused.
 func (m model) after(tx *configpb.Transaction, revision uint64) (next model, ok bool) {
 	for _, c := range tx.Conditions {
 		if m[c.Key].GetRevision() != c.Revision {
@@ -402,9 +408,9 @@
 	return true
 }
 
-// Whatever is changed, rolled back, compacted and restored: the store has what a plain map has, and two stores that
-// took the same have the same bytes. A replica that follows by deltas and snapshots has, at each revision, what the
-// store had.
+// Compares the store with a simple model over random changes, rollbacks, compactions and restores. Both have to have the same
+// entries. Two stores with the same operations have to have the same bytes, else the members of the log would differ. A
+// replica that follows by deltas and snapshots has to have the store's entries at each revision.
 func TestStoreBesideMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, twin := New(), New()
@@ -413,7 +419,7 @@
 		replica := NewReplica(nil)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
-			case 0: // through bytes and back
+			case 0: // encode, decode and restore
 				state := &configpb.State{}
 				raw, err := Encode(s.State())
 				if err = errors.Join(err, proto.Unmarshal(raw, state)); err != nil {
@@ -453,12 +459,12 @@
 				}
 			}
 			if s.Revision() != uint64(len(states)-1) || !now.equal(s.Entries()) {
-				t.Fatalf("revision %d of %d: %v beside %v", s.Revision(), len(states)-1, s.Entries(), now)
+				t.Fatalf("revision %d of %d: %v, the model has %v", s.Revision(), len(states)-1, s.Entries(), now)
 			}
 			a, _ := Encode(s.State())
 			b, _ := Encode(twin.State())
 			if !bytes.Equal(a, b) {
-				t.Fatalf("two that took the same differ")
+				t.Fatalf("two stores with the same operations differ")
 			}
 		}
 		for replica.Revision() < s.Revision() {
@@ -467,6 +473,7 @@
 	})
 }
 
+// rolledBack returns the model after a rollback from now to then, which makes the given revision.
 func rolledBack(now, then model, revision uint64) model {
 	next := model{}
 	for key, e := range then {
@@ -479,7 +486,7 @@
 	return next
 }
 
-// followStore brings a replica some way to where the store is.
+// followStore brings a replica closer to the store's revision, by a delta or a snapshot, and checks it.
 func follow(t *rapid.T, s *Store, replica *Replica, states []model) {
 	d, err := s.Delta(replica.Revision(), rapid.IntRange(1, 500).Draw(t, "bytes"))
 	if errors.Is(err, ErrCompacted) {
--- a/internal/configuration/design_size_test.go
+++ b/internal/configuration/design_size_test.go
@@ -10,15 +10,15 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// The operators' design size, by kind of entry. What an entry holds is our assumption: a route's host and path have some
-// forty bytes, and a tenant has limits at two services.
+// The number of entries of each kind that operators require. The content of the entries is an assumption: a route's host and
+// path have about 40 bytes together, and a tenant has limits at two services.
 const (
 	designServices = 340
 	designRoutes   = 2_600
 	designTenants  = 18_000
 )
 
-// newDesignSizeStore is a store of the design size.
+// newDesignSizeStore returns a store with these numbers of entries.
 func designSize(b *testing.B) *Store {
 	b.Helper()
 	s := New()
@@ -41,6 +41,7 @@
 	return s
 }
 
+// heap returns the bytes of live heap objects.
 func heap() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -49,7 +50,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkCommit has one route changed in a store of the design size.
+// BenchmarkCommit changes one route in a store of the design size.
 func BenchmarkCommit(b *testing.B) {
 	s := designSize(b)
 	i := 0
@@ -64,7 +65,7 @@
 	b.ReportMetric(float64(proto.Size(d)), "delta-bytes")
 }
 
-// BenchmarkState encodes the whole state of the log's snapshot.
+// BenchmarkState encodes the store's state, as for a snapshot of the log.
 func BenchmarkState(b *testing.B) {
 	s := designSize(b)
 	var raw []byte
@@ -75,7 +76,7 @@
 	b.ReportMetric(float64(len(encoded(b, s.Snapshot()))), "snapshot-bytes")
 }
 
-// BenchmarkReplica takes a whole snapshot, as a node does that starts, and tells the memory that it then holds.
+// BenchmarkReplica restores a replica from a snapshot, as at a node's first start, and reports the heap bytes of the replica.
 func BenchmarkReplica(b *testing.B) {
 	raw := encoded(b, designSize(b).Snapshot())
 	var r *Replica
--- a/internal/configuration/replica_test.go
+++ b/internal/configuration/replica_test.go
@@ -20,7 +20,7 @@
 	return proto.CloneOf(d)
 }
 
-// A delta that does not continue where the replica is, or has a hole, changes nothing.
+// Guards against lost revisions: a delta that does not continue at the replica's revision, or has a gap, changes nothing.
 func TestGaps(t *testing.T) {
 	s := New()
 	for i := range 4 {
@@ -42,18 +42,19 @@
 	}
 	gap := (*GapError)(nil)
 	if err := r.Apply(delta(t, s, 2)); !errors.As(err, &gap) || r.Revision() != 4 {
-		t.Errorf("once more: %v", err)
+		t.Errorf("the same delta again: %v", err)
 	}
 	commit(t, s, service("cart"))
 	next := delta(t, s, 4)
 	next.After = 3
 	if err := r.Apply(next); !errors.As(err, &gap) || r.Revision() != 4 {
-		t.Errorf("another beginning than its revisions have: %v", err)
+		t.Errorf("a delta whose After does not fit its revisions: %v", err)
 	}
 }
 
-// A revision that the node does not accept leaves the last good state, says which entry and why, and what comes before
-// it is taken; a later revision that mends it is taken with it in one step.
+// Guards against a revision that the node refuses, as it could stop the node for good or take effect in part: the replica
+// stays at the revision before it, with the entry and the reason in the error, and a later revision that corrects it is
+// applied together with it in one step.
 func TestRefusedRevision(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"))
@@ -79,14 +80,14 @@
 	}
 	commit(t, s, slowService("pay", 98))
 	if err := r.Apply(delta(t, s, 1)); err != nil || r.Revision() != 4 {
-		t.Fatalf("mended: %v, revision %d", err, r.Revision())
+		t.Fatalf("corrected: %v, revision %d", err, r.Revision())
 	}
 	if !bytes.Equal(encoded(t, r.Snapshot()), encoded(t, s.Snapshot())) || len(seen) != 2 || len(seen[1]) != 3 {
 		t.Errorf("%v; accepted %v", r.Snapshot(), seen)
 	}
 }
 
-// Each revision of a delta is accepted by itself, with its own changes only.
+// The accept function is called once for each revision of a delta, with the changes of that revision only.
 func TestAcceptedOneByOne(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), service("cart"))
@@ -98,7 +99,8 @@
 	}
 }
 
-// What no store would send is refused whole.
+// Guards against deltas and snapshots that no store sends, as from a damaged or incompatible sender: they are refused as a
+// whole.
 func TestForeignDelta(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), route("a", "a.org", "/", "pay"))
@@ -124,7 +126,7 @@
 	}
 }
 
-// A snapshot takes the place of all there was, and its owner hears of what goes with it.
+// A snapshot replaces all entries. The accept function also gets the deletion of the entries that it does not have.
 func TestSnapshotOverOld(t *testing.T) {
 	s, old := New(), New()
 	commit(t, old, service("gone"))
@@ -139,7 +141,7 @@
 		t.Errorf("%v: %v", err, r.Snapshot())
 	}
 	if len(last) != 3 || last[2].GetDelete() != "service/gone" {
-		t.Errorf("told %v", last)
+		t.Errorf("accept was called with %v", last)
 	}
 	refuses := errors.New("not now")
 	r.accept = func([]*configpb.Change) error { return refuses }
@@ -148,7 +150,8 @@
 	}
 }
 
-// Whatever bytes come as a delta, a snapshot, a state or a transaction: no panic, and what is refused changes nothing.
+// Guards against panics by any bytes of a delta, a snapshot, a state or a transaction, and against refused ones that change
+// something.
 func FuzzDecode(f *testing.F) {
 	s := New()
 	commit(f, s, service("pay"), route("a", "a.org", "/", "pay"), tenant("t", share("pay", 0.5)))
@@ -161,15 +164,15 @@
 		r := NewReplica(nil)
 		if d := new(configpb.Delta); proto.Unmarshal(raw, d) == nil {
 			if err := r.Apply(d); err != nil && r.Revision() == 0 && r.Len() > 0 {
-				t.Errorf("refused, and %d entries", r.Len())
+				t.Errorf("a refused delta left %d entries", r.Len())
 			}
 			if err := NewReplica(nil).Restore(r.Snapshot()); err != nil {
-				t.Errorf("what was applied is not valid as a whole: %v", err)
+				t.Errorf("the applied delta leaves an invalid configuration: %v", err)
 			}
 		}
 		if snapshot := new(configpb.Snapshot); proto.Unmarshal(raw, snapshot) == nil {
 			if r := NewReplica(nil); r.Restore(snapshot) != nil && r.Len() > 0 {
-				t.Error("refused, and there are entries")
+				t.Error("a refused snapshot left entries")
 			}
 		}
 		if state := new(configpb.State); proto.Unmarshal(raw, state) == nil {
@@ -183,10 +186,10 @@
 		if tx := new(configpb.Transaction); proto.Unmarshal(raw, tx) == nil {
 			s := New()
 			if _, err := s.Commit(1, tx); err != nil && s.Revision() > 0 {
-				t.Errorf("refused: %v, and revision %d", err, s.Revision())
+				t.Errorf("refused: %v, but the store is at revision %d", err, s.Revision())
 			}
 			if err := New().Restore(s.State()); err != nil {
-				t.Errorf("what was committed is not valid as a whole: %v", err)
+				t.Errorf("the committed transaction leaves an invalid state: %v", err)
 			}
 		}
 	})
--- a/internal/configuration/watch/simulation_test.go
+++ b/internal/configuration/watch/simulation_test.go
@@ -19,13 +19,13 @@
 
 const testLog = "l1"
 
-// simulation is control machines and nodes in virtual time. What its store commits is applied at once by all machines
-// that are not cut.
+// simulation is control machines and nodes in virtual time. All machines that are not cut off apply a commit of its store at
+// once.
 type simulation struct {
 	t        *testing.T
 	limits   Limits
 	store    *configuration.Store
-	states   []*configpb.Snapshot // of each revision
+	states   []*configpb.Snapshot // content of the store by revision
 	machines []*machine
 	nodes    []*node
 	sessions map[string]uint64
@@ -38,7 +38,7 @@
 	name   string
 	server *Server
 	mu     sync.Mutex
-	cut    bool // nothing gets through, and nobody is told
+	cut    bool // requests and answers are lost, without an error to the node
 	calls  int
 	bytes  int
 }
@@ -46,11 +46,11 @@
 type node struct {
 	*Client
 	name    string
-	applied []time.Time // by revision; zero: it was passed over
+	applied []time.Time // when each revision took effect; zero: the node skipped it
 	accept  func([]*configpb.Change) error
 }
 
-// simulate runs a test in virtual time with so many machines and nodes, and ends all of it.
+// simulate runs a test in virtual time with numbers of machines and nodes, and then ends them.
 func simulate(t *testing.T, machines, nodes int, limits Limits, run func(*simulation)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &simulation{t: t, limits: limits, store: configuration.New(), sessions: map[string]uint64{}}
@@ -78,7 +78,7 @@
 	return m
 }
 
-// addNode starts a node; what o leaves open is filled in.
+// addNode starts a node. It sets the options that o does not have.
 func (s *simulation) addNode(name string, o ClientOptions) *node {
 	n := &node{name: name, accept: o.Accept}
 	epoch := uint64(len(s.sessions) + 1)
@@ -114,11 +114,12 @@
 	return n
 }
 
+// oneWay is the network delay of a request or an answer.
 const oneWay = 5 * time.Millisecond
 
 var errCut = errors.New("cut")
 
-// call carries a question to a machine.
+// call is a node's call of the machine over the simulated network.
 func (m *machine) call(ctx context.Context, from string, request []byte) ([]byte, error) {
 	pause(ctx, oneWay)
 	m.mu.Lock()
@@ -154,7 +155,8 @@
 	return m.calls, m.bytes
 }
 
-// publish has all machines that are not cut know the store. Nothing else runs meanwhile.
+// publish has all machines that are not cut off apply the store's content. No other goroutine of the simulation runs
+// meanwhile.
 func (s *simulation) publish() {
 	for _, m := range s.machines {
 		m.mu.Lock()
@@ -166,7 +168,7 @@
 	}
 }
 
-// put commits a service and gives the revision.
+// put commits a service and returns the revision.
 func (s *simulation) put(name string, timeoutMs uint32) uint64 {
 	s.t.Helper()
 	return s.commit(&configpb.Entry{Value: &configpb.Entry_Service{
@@ -189,7 +191,7 @@
 	return o.Revision
 }
 
-// tenants commits so many tenants, in several revisions.
+// tenants commits n tenants, in several revisions.
 func (s *simulation) tenants(n int) {
 	s.t.Helper()
 	s.put("pay", 1)
@@ -206,7 +208,7 @@
 	}
 }
 
-// inForce is what the leader would say.
+// inForce returns InForce by the reports of the machines that are not cut off, as the leader computes it.
 func (s *simulation) inForce() (uint64, bool) {
 	var reports []*configpb.Report
 	for _, m := range s.machines {
@@ -220,7 +222,7 @@
 	return InForce(s.sessions, reports)
 }
 
-// until waits in virtual time, and fails the test after limit. It gives how long it took.
+// until waits in virtual time until holds returns true, and returns how long that took. After limit it fails the test.
 func (s *simulation) until(what string, limit time.Duration, holds func() bool) time.Duration {
 	s.t.Helper()
 	began := time.Now()
@@ -235,19 +237,20 @@
 	}
 }
 
+// allAt returns a condition: all nodes are at a revision.
 func (s *simulation) allAt(revision uint64) func() bool {
 	return func() bool {
 		return !slices.ContainsFunc(s.nodes, func(n *node) bool { return n.Applied() != revision })
 	}
 }
 
-// check tells whether each node has just what the store had at its revision.
+// check fails the test unless each node has exactly the entries that the store had at the node's revision.
 func (s *simulation) check() {
 	s.t.Helper()
 	synctest.Wait()
 	for _, n := range s.nodes {
 		if got := n.replica.Snapshot(); !proto.Equal(got, s.states[got.Revision]) {
-			s.t.Errorf("%s at revision %d has not what the store had", n.name, got.Revision)
+			s.t.Errorf("%s at revision %d has other entries than the store had", n.name, got.Revision)
 		}
 	}
 }
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -18,15 +18,16 @@
 	"starlingvalve/internal/testkit"
 )
 
-// A burst of changes is in force at all nodes at once after the last one, at each node in order and as the store had
-// it; what the machines report says so only once it is true.
+// Guards against a backlog at the nodes during a burst of changes, and against a report that a revision is in force before it
+// is. Each node has to apply the revisions in order, each with the store's content, and the last one has to be in force soon
+// after its commit.
 func TestBurst(t *testing.T) {
 	simulate(t, 5, 60, DefaultLimits(), func(s *simulation) {
 		for i := range 100 {
 			revision := s.put(fmt.Sprint("s", i%10), uint32(i+1))
 			s.check()
 			if at, ok := s.inForce(); ok && at >= revision {
-				t.Fatalf("revision %d in force at once", revision)
+				t.Fatalf("revision %d is reported as in force right after its commit", revision)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -44,7 +45,8 @@
 	})
 }
 
-// Without changes a node asks once in the machines' hold, and the nodes are spread over the machines.
+// Guards against needless requests: without changes a node sends about one request in each LongPollTimeout. The nodes have to
+// be spread over the machines.
 func TestAtRest(t *testing.T) {
 	simulate(t, 5, 100, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -57,14 +59,15 @@
 		for i, m := range s.machines {
 			calls, _ := m.counted()
 			if a := (calls - before[i]) / 20; a < 8 || a > 40 {
-				t.Errorf("%s is asked %d times a second", m.name, a)
+				t.Errorf("%s gets %d requests per second", m.name, a)
 			}
 		}
 	})
 }
 
-// A machine that is silent for 30 s: its nodes have the next change within 3 s, from others; they come back to it
-// later, at most half of them within a second.
+// Guards against nodes that miss changes while their control machine is unresponsive, here for 30 s: they have to get the next
+// change from other machines within 3 s. Later they have to return, but at most half of them within one second, so that they
+// don't overload the machine.
 func TestMachineGone(t *testing.T) {
 	simulate(t, 5, 100, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -93,14 +96,14 @@
 			most, last = max(most, now-last), now
 		}
 		if had < 10 || last != had || most > had/2 {
-			t.Errorf("it had %d nodes, and has %d; %d came back within a second", had, last, most)
+			t.Errorf("it had %d nodes, and has %d; %d returned within one second", had, last, most)
 		}
 		s.check()
 	})
 }
 
-// With all machines silent a node goes on with what it has, asks in longer and longer intervals, and follows soon
-// after.
+// Guards against lost configuration, or too many retries, while all control machines are unresponsive: a node has to keep its
+// revision, back off between requests, and follow soon after the machines answer again.
 func TestAllGone(t *testing.T) {
 	simulate(t, 3, 30, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -122,7 +125,7 @@
 		before := calls()
 		time.Sleep(time.Minute)
 		if a := calls() - before; a > 30*45 {
-			t.Errorf("30 nodes asked %d times in a minute", a)
+			t.Errorf("30 nodes sent %d requests in a minute", a)
 		}
 		for _, m := range s.machines {
 			m.setCut(false)
@@ -133,8 +136,8 @@
 	})
 }
 
-// Nodes that lost their disks take snapshots in parts, at the stated rate of their machine; nodes that have the
-// configuration get a change meanwhile as fast as ever.
+// Guards against snapshots that delay changes: many nodes without a cache receive snapshots in parts, within the rates of the
+// machine and of a node, while a node that has the configuration gets changes as fast as otherwise.
 func TestSnapshotsArePaced(t *testing.T) {
 	limits := DefaultLimits()
 	limits.ChunkBytes, limits.NodeRate, limits.MachineRate = 4<<10, 16<<10, 128<<10
@@ -169,7 +172,8 @@
 	})
 }
 
-// A node takes a snapshot at the stated rate. One that is begun at one machine is gone on with at another one.
+// A node receives a snapshot within NodeRate. Guards against starting again when the machine becomes unresponsive: the node
+// has to get the remaining parts from another machine.
 func TestSnapshotResumed(t *testing.T) {
 	limits := DefaultLimits()
 	limits.ChunkBytes, limits.NodeRate, limits.BacklogBytes = 4<<10, 16<<10, 1<<10
@@ -196,7 +200,8 @@
 	})
 }
 
-// A snapshot goes once nobody reads it, and nodes that have been gone do not stay known.
+// Guards against memory that a machine never frees: the backlog stays within its bound, an encoded snapshot is dropped some
+// time after its last reader, and nodes that send no more requests are forgotten.
 func TestNothingStays(t *testing.T) {
 	limits := DefaultLimits()
 	limits.BacklogBytes = 1 << 10
@@ -205,23 +210,24 @@
 		s.until("all have all", time.Minute, s.allAt(s.store.Revision()))
 		server := s.machines[0].server
 		if server.bytes > limits.BacklogBytes || len(server.revisions) > 0 && server.after == 0 {
-			t.Errorf("%d bytes of revisions are kept", server.bytes)
+			t.Errorf("the backlog has %d bytes", server.bytes)
 		}
 		time.Sleep(2 * limits.SnapshotKept)
 		s.stop()
 		s.work.Wait()
 		if server.snapshots.now != nil {
-			t.Error("the snapshot is kept")
+			t.Error("the snapshot is not dropped")
 		}
 		time.Sleep(2 * limits.WatcherKept)
 		if r := server.Report(true); r.Nodes != 0 || len(server.watchers) != 0 {
-			t.Errorf("%d nodes are known", len(server.watchers))
+			t.Errorf("%d nodes are not forgotten", len(server.watchers))
 		}
 	})
 }
 
-// A node that refuses a revision stays at the one before it and is named with the reason; what is in force does not
-// pass it. A later revision that mends it brings the node on, also where it has refused more than an answer holds.
+// Guards against a node that can't continue after a revision that it refused: it stays at the revision before, is reported
+// with the reason, and keeps the revision in force back. A later revision that corrects the refused one has to bring it
+// forward, also if the refused revisions exceed DeltaBytes.
 func TestRefused(t *testing.T) {
 	limits := DefaultLimits()
 	limits.DeltaBytes = 64
@@ -264,8 +270,8 @@
 	})
 }
 
-// A session that no machine hears keeps a revision from being said to be in force, and so does one that two machines
-// count, unless they name it.
+// Guards against reporting a revision as in force too early: a session that is in no machine's report prevents that, and so
+// does one that two machines count, unless the reports name the sessions.
 func TestInForceCountsEachOnce(t *testing.T) {
 	report := func(least uint64, sessions ...uint64) *configpb.Report {
 		r := &configpb.Report{Applied: 9, Least: least, Nodes: uint64(len(sessions))}
@@ -304,7 +310,7 @@
 	}
 }
 
-// Only nodes whose session is live count in a report.
+// Guards against reports that count nodes without a live session, or with an old one.
 func TestReportCountsLiveSessions(t *testing.T) {
 	simulate(t, 1, 3, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -319,8 +325,8 @@
 	})
 }
 
-// A node that starts has what its cache holds before it hears anybody, follows from there by deltas, and leaves the
-// cache up to date.
+// Guards against a node without a configuration when it starts while no control machine answers: it has to start with the
+// revision of its cache file and then continue from there by deltas. At its end the cache file has to be up to date.
 func TestCache(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
 	simulate(t, 2, 0, DefaultLimits(), func(s *simulation) {
@@ -355,7 +361,7 @@
 	})
 }
 
-// Machines of another log are not followed.
+// Guards against nodes that follow machines of another log, as after a new start of the voters with empty disks.
 func TestForeignLog(t *testing.T) {
 	simulate(t, 1, 2, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -383,15 +389,16 @@
 		raw, err = s.machines[0].server.Handle(t.Context(), "n0", raw)
 		err = errors.Join(err, proto.Unmarshal(raw, answer))
 		if err != nil || answer.Log != "l2" || answer.News != nil {
-			t.Errorf("a node of another log is answered %v, %v", answer, err)
+			t.Errorf("answer to a node of another log: %v, %v", answer, err)
 		}
 		if r := s.machines[0].server.Report(false); r.Least != 0 {
-			t.Errorf("what nodes have of another log counts: %v", r)
+			t.Errorf("the report counts revisions of another log: %v", r)
 		}
 	})
 }
 
-// A machine that has applied nothing yet says so at once; a node speaks for itself only.
+// A machine that has applied nothing yet returns ErrNotReady without waiting. Requests that can't be decoded, or are in another
+// node's name, are refused.
 func TestBadQuestions(t *testing.T) {
 	s := NewServer(ServerOptions{Limits: DefaultLimits()})
 	raw, err := configuration.Encode(&configpb.WatchRequest{Node: "n"})
@@ -410,7 +417,8 @@
 	}
 }
 
-// A node that does not wait for its answer any more, as it has moved, does not count here from then on.
+// Guards against counting a node that has moved to another machine: once it stops waiting for its answer, this machine must
+// not report it.
 func TestNodeThatLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewServer(ServerOptions{Limits: DefaultLimits()})
@@ -427,7 +435,7 @@
 		}()
 		synctest.Wait()
 		if r := s.Report(false); r.Nodes != 1 {
-			t.Errorf("while it asks: %v", r)
+			t.Errorf("while its request is open: %v", r)
 		}
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -439,7 +447,7 @@
 	})
 }
 
-// A snapshot that is older than what a node has does not bring it back.
+// Guards against a node that goes back to an older revision, when a machine that is behind sends it a snapshot.
 func TestNeverBack(t *testing.T) {
 	store := configuration.New()
 	var parts []*configpb.Chunk
@@ -468,7 +476,7 @@
 	}
 }
 
-// Without one of the machines only its nodes move, and each machine has about its part of the nodes.
+// Removing a machine moves only its own nodes, and each machine is the first choice of about the same number of nodes.
 func TestRendezvous(t *testing.T) {
 	machines := []string{"a", "b", "c", "d", "e"}
 	count := map[string]int{}
@@ -488,7 +496,8 @@
 	}
 }
 
-// Whatever parts come: no panic, no more memory than stated, and a whole snapshot only with its checksum.
+// Guards against panics by any parts of a snapshot, more memory than the stated size, and a snapshot that is accepted without
+// the right checksum.
 func FuzzAssembly(f *testing.F) {
 	s := configuration.New()
 	put := &configpb.Entry{Value: &configpb.Entry_Service{Service: &configpb.Service{Name: "pay"}}}
@@ -522,7 +531,7 @@
 	})
 }
 
-// The order of trials is spread, doubles up to the bound, and begins anew after an answer.
+// The backoff of a machine is random within bounds, doubles up to its maximum, and starts again after an answer.
 func TestBackoff(t *testing.T) {
 	c := newChooser("n", []string{"a"}, rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
@@ -530,7 +539,7 @@
 		c.failed(now)
 		_, wait := c.next(now)
 		if most := min(want, mostBackoff); wait < most/2 || wait > most {
-			t.Errorf("waits %v of %v", wait, most)
+			t.Errorf("waits %v, with a backoff of %v", wait, most)
 		}
 		now = now.Add(wait)
 	}
