--- a/internal/configuration/cache/cache.go
+++ b/internal/configuration/cache/cache.go
@@ -52,9 +52,9 @@
 	return nil
 }
 
-// Load restores a replica from a file and returns the name of the log that the file's revision is from. If there is no file,
-// the name is empty. A file that is truncated, damaged, of another format or invalid is renamed; then the replica is
-// unchanged, and the error is a *RefusedError.
+// Load restores a replica from a file and returns the name of the log that the file's revision is from. If there is no
+// file, the name is empty. A file that is truncated, damaged, of another format or invalid is renamed; then the replica
+// is unchanged, and the error is a *RefusedError.
 func Load(path string, into *configuration.Replica) (log string, err error) {
 	raw, err := read(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/configuration/cache/cache_test.go
+++ b/internal/configuration/cache/cache_test.go
@@ -46,8 +46,9 @@
 	}
 }
 
-// Guards against a damaged configuration after a crash during a write or a disk fault: a file that is truncated at any byte,
-// or has any byte changed, is refused with an error of one line. It is kept under another name, and the replica is unchanged.
+// Guards against a damaged configuration after a crash during a write or a disk fault: a file that is truncated at any
+// byte, or has any byte changed, is refused with an error of one line. It is kept under another name, and the replica
+// is unchanged.
 func TestTornOrDamaged(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "cache")
@@ -112,7 +113,8 @@
 	}
 }
 
-// Guards against silently overwriting a refused file that can't be renamed: the error reports that, and the file is unchanged.
+// Guards against silently overwriting a refused file that can't be renamed: the error reports that, and the file is
+// unchanged.
 func TestCantBeSetAside(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
 	if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
--- a/internal/configuration/configfile/configfile.go
+++ b/internal/configuration/configfile/configfile.go
@@ -15,8 +15,8 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// fileFormat is the content of a file. Each table puts or deletes one entry. With if_revision, the file is applied only if
-// the last change of the entry was at that revision, or, for 0, if there is no such entry.
+// fileFormat is the content of a file. Each table puts or deletes one entry. With if_revision, the file is applied only
+// if the last change of the entry was at that revision, or, for 0, if there is no such entry.
 type file struct {
 	Service []service `toml:"service,omitempty"`
 	Route   []route   `toml:"route,omitempty"`
@@ -65,8 +65,8 @@
 	fault       func(key, format string, args ...any) error
 }
 
-// Load reads a file and checks it by itself, without the entries that exist. An error is one line with the file, the line
-// and the key.
+// Load reads a file and checks it by itself, without the entries that exist. An error is one line with the file, the
+// line and the key.
 func Load(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -156,8 +156,8 @@
 	return &configpb.Entry{Value: &configpb.Entry_Tenant{Tenant: p}}
 }
 
-// Render returns entries as the text of a file, each with the revision of its last change as its condition. So an edited
-// file is refused if any of its entries has changed since.
+// Render returns entries as the text of a file, each with the revision of its last change as its condition. So an
+// edited file is refused if any of its entries has changed since.
 func Render(entries []*configpb.Entry) ([]byte, error) {
 	t := file{}
 	for _, e := range entries {
--- a/internal/configuration/configfile/configfile_test.go
+++ b/internal/configuration/configfile/configfile_test.go
@@ -39,8 +39,9 @@
 requests_per_second = 100.0
 `
 
-// Entries that are committed from a file, rendered and read again are the same, and committing them again changes nothing.
-// Guards against overwriting another operator's change: a rendered file is refused once one of its entries has changed.
+// Entries that are committed from a file, rendered and read again are the same, and committing them again changes
+// nothing. Guards against overwriting another operator's change: a rendered file is refused once one of its entries has
+// changed.
 func TestRoundTrip(t *testing.T) {
 	f, err := parse("f.toml", []byte(good))
 	if err != nil {
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -69,8 +69,8 @@
 	return raw
 }
 
-// Guards against invalid configurations that reach the nodes: each invalid transaction has to be refused with the entry, the
-// field and the reason, and must not change the store, not even by its valid part.
+// Guards against invalid configurations that reach the nodes: each invalid transaction has to be refused with the
+// entry, the field and the reason, and must not change the store, not even by its valid part.
 func TestRefusals(t *testing.T) {
 	long := strings.Repeat("x", maxName+1)
 	var many []*configpb.Change
@@ -152,8 +152,8 @@
 	}
 }
 
-// Guards against changes that overwrite another operator's: a transaction is refused, and changes nothing, unless each of
-// its conditions names the revision of the entry's last change, or 0 for an entry that does not exist.
+// Guards against changes that overwrite another operator's: a transaction is refused, and changes nothing, unless each
+// of its conditions names the revision of the entry's last change, or 0 for an entry that does not exist.
 func TestConditions(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"))
@@ -186,8 +186,8 @@
 	}
 }
 
-// Guards against revisions without a change: a transaction that changes no value makes no revision, and an entry whose value
-// stays the same keeps its revision.
+// Guards against revisions without a change: a transaction that changes no value makes no revision, and an entry whose
+// value stays the same keeps its revision.
 func TestUnchanged(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"))
@@ -203,8 +203,8 @@
 	}
 }
 
-// Guards against a check of single changes in place of the whole transaction: in one transaction two routes may swap their
-// matches, and a service may be deleted together with all entries that refer to it.
+// Guards against a check of single changes in place of the whole transaction: in one transaction two routes may swap
+// their matches, and a service may be deleted together with all entries that refer to it.
 func TestWholeTransaction(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), service("cart"), route("a", "a.org", "/a", "pay"), route("b", "a.org", "/b", "pay"))
@@ -216,8 +216,8 @@
 	}
 }
 
-// A rollback makes a new revision with the entries' values of an earlier one. A revision that the history does not reach, or
-// that does not exist yet, is refused.
+// A rollback makes a new revision with the entries' values of an earlier one. A revision that the history does not
+// reach, or that does not exist yet, is refused.
 func TestRollback(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), route("a", "a.org", "/", "pay"))
@@ -246,8 +246,8 @@
 	}
 }
 
-// Guards against a history that grows without bound: it is limited in revisions and in bytes, and requests for revisions that
-// it no longer has, or that do not exist yet, return errors.
+// Guards against a history that grows without bound: it is limited in revisions and in bytes, and requests for
+// revisions that it no longer has, or that do not exist yet, return errors.
 func TestCompaction(t *testing.T) {
 	s := New()
 	s.mostHistory = 3
@@ -408,9 +408,9 @@
 	return true
 }
 
-// Compares the store with a simple model over random changes, rollbacks, compactions and restores. Both have to have the same
-// entries. Two stores with the same operations have to have the same bytes, else the members of the log would differ. A
-// replica that follows by deltas and snapshots has to have the store's entries at each revision.
+// Compares the store with a simple model over random changes, rollbacks, compactions and restores. Both have to have
+// the same entries. Two stores with the same operations have to have the same bytes, else the members of the log would
+// differ. A replica that follows by deltas and snapshots has to have the store's entries at each revision.
 func TestStoreBesideMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, twin := New(), New()
--- a/internal/configuration/design_size_test.go
+++ b/internal/configuration/design_size_test.go
@@ -10,8 +10,8 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// The number of entries of each kind that operators require. The content of the entries is an assumption: a route's host and
-// path have about 40 bytes together, and a tenant has limits at two services.
+// The number of entries of each kind that operators require. The content of the entries is an assumption: a route's
+// host and path have about 40 bytes together, and a tenant has limits at two services.
 const (
 	designServices = 340
 	designRoutes   = 2_600
@@ -76,7 +76,8 @@
 	b.ReportMetric(float64(len(encoded(b, s.Snapshot()))), "snapshot-bytes")
 }
 
-// BenchmarkReplica restores a replica from a snapshot, as at a node's first start, and reports the heap bytes of the replica.
+// BenchmarkReplica restores a replica from a snapshot, as at a node's first start, and reports the heap bytes of the
+// replica.
 func BenchmarkReplica(b *testing.B) {
 	raw := encoded(b, designSize(b).Snapshot())
 	var r *Replica
--- a/internal/configuration/errors.go
+++ b/internal/configuration/errors.go
@@ -73,7 +73,8 @@
 // Unwrap returns the cause.
 func (e *RefusedError) Unwrap() error { return e.Cause }
 
-// RefusalOf returns an error in the form of its message, or nil unless it is or wraps an *InvalidError or a *ConflictError.
+// RefusalOf returns an error in the form of its message, or nil unless it is or wraps an *InvalidError or a
+// *ConflictError.
 func RefusalOf(err error) *configpb.Refusal {
 	var invalid *InvalidError
 	var conflict *ConflictError
--- a/internal/configuration/key.go
+++ b/internal/configuration/key.go
@@ -22,8 +22,8 @@
 // TenantKey returns the key of a tenant's entry.
 func TenantKey(name string) string { return KindTenant + "/" + name }
 
-// Key returns the key of an entry, "KIND/NAME". It is empty if the entry has no value, or a value of a kind that this version
-// of the program does not know.
+// Key returns the key of an entry, "KIND/NAME". It is empty if the entry has no value, or a value of a kind that this
+// version of the program does not know.
 func Key(e *configpb.Entry) string {
 	switch v := e.GetValue().(type) {
 	case *configpb.Entry_Service:
--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -6,17 +6,17 @@
 	"starlingvalve/internal/configuration/configpb"
 )
 
-// Replica is a node's copy of the configuration at one revision. It applies revisions in order, each atomically. It is not
-// safe for concurrent use. Messages that it returns, and messages that were passed to it, must not be changed.
+// Replica is a node's copy of the configuration at one revision. It applies revisions in order, each atomically. It is
+// not safe for concurrent use. Messages that it returns, and messages that were passed to it, must not be changed.
 type Replica struct {
 	table    *table
 	revision uint64
 	accept   func([]*configpb.Change) error
 }
 
-// NewReplica returns an empty replica at revision 0. accept is called with the changes of each step before they take effect,
-// in the order in which their keys first changed, and refuses them by returning an error. If accept is nil, every valid
-// change is accepted.
+// NewReplica returns an empty replica at revision 0. accept is called with the changes of each step before they take
+// effect, in the order in which their keys first changed, and refuses them by returning an error. If accept is nil,
+// every valid change is accepted.
 func NewReplica(accept func([]*configpb.Change) error) *Replica {
 	if accept == nil {
 		accept = func([]*configpb.Change) error { return nil }
@@ -38,10 +38,10 @@
 	return &configpb.Snapshot{Revision: r.revision, Entries: r.table.sorted()}
 }
 
-// Apply applies the revisions of a delta. If the delta does not continue at the replica's revision, it changes nothing and
-// returns a *GapError. At a revision that is invalid or not accepted, the replica stays at the revision before it, and Apply
-// returns a *RefusedError. But if the changes up to a later revision of the delta are valid together, the replica goes to
-// that revision in one step.
+// Apply applies the revisions of a delta. If the delta does not continue at the replica's revision, it changes nothing
+// and returns a *GapError. At a revision that is invalid or not accepted, the replica stays at the revision before it,
+// and Apply returns a *RefusedError. But if the changes up to a later revision of the delta are valid together, the
+// replica goes to that revision in one step.
 func (r *Replica) Apply(d *configpb.Delta) error {
 	if d.GetAfter() != r.revision {
 		return &GapError{Have: r.revision, Got: d.GetAfter() + 1}
--- a/internal/configuration/replica_test.go
+++ b/internal/configuration/replica_test.go
@@ -20,7 +20,8 @@
 	return proto.CloneOf(d)
 }
 
-// Guards against lost revisions: a delta that does not continue at the replica's revision, or has a gap, changes nothing.
+// Guards against lost revisions: a delta that does not continue at the replica's revision, or has a gap, changes
+// nothing.
 func TestGaps(t *testing.T) {
 	s := New()
 	for i := range 4 {
@@ -52,9 +53,9 @@
 	}
 }
 
-// Guards against a revision that the node refuses, as it could stop the node for good or take effect in part: the replica
-// stays at the revision before it, with the entry and the reason in the error, and a later revision that corrects it is
-// applied together with it in one step.
+// Guards against a revision that the node refuses, as it could stop the node for good or take effect in part: the
+// replica stays at the revision before it, with the entry and the reason in the error, and a later revision that
+// corrects it is applied together with it in one step.
 func TestRefusedRevision(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"))
@@ -99,8 +100,8 @@
 	}
 }
 
-// Guards against deltas and snapshots that no store sends, as from a damaged or incompatible sender: they are refused as a
-// whole.
+// Guards against deltas and snapshots that no store sends, as from a damaged or incompatible sender: they are refused
+// as a whole.
 func TestForeignDelta(t *testing.T) {
 	s := New()
 	commit(t, s, service("pay"), route("a", "a.org", "/", "pay"))
@@ -150,8 +151,8 @@
 	}
 }
 
-// Guards against panics by any bytes of a delta, a snapshot, a state or a transaction, and against refused ones that change
-// something.
+// Guards against panics by any bytes of a delta, a snapshot, a state or a transaction, and against refused ones that
+// change something.
 func FuzzDecode(f *testing.F) {
 	s := New()
 	commit(f, s, service("pay"), route("a", "a.org", "/", "pay"), tenant("t", share("pay", 0.5)))
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -1,7 +1,7 @@
 // Package configuration is the fleet's configuration: services, routes and tenants with limits, in numbered revisions.
-// Store is the complete configuration with its history, as the members of the replicated log have it. Replica is a node's
-// copy. Both are deterministic: they use no I/O, clock, goroutine or map order, so that all members of the log have the
-// same bytes after the same entries.
+// Store is the complete configuration with its history, as the members of the replicated log have it. Replica is a
+// node's copy. Both are deterministic: they use no I/O, clock, goroutine or map order, so that all members of the log
+// have the same bytes after the same entries.
 package configuration
 
 import (
@@ -148,8 +148,8 @@
 	}
 }
 
-// Rollback restores all entries to their values at an earlier revision. This is a change like others, and makes the next
-// revision. atMs is as for Commit.
+// Rollback restores all entries to their values at an earlier revision. This is a change like others, and makes the
+// next revision. atMs is as for Commit.
 func (s *Store) Rollback(atMs int64, r *configpb.Rollback) (Outcome, error) {
 	tx, err := s.RollbackChanges(r)
 	if err != nil {
@@ -161,8 +161,8 @@
 	return s.Commit(atMs, tx)
 }
 
-// RollbackChanges returns the transaction that does a rollback. It has no changes if all entries still have their values of
-// that revision.
+// RollbackChanges returns the transaction that does a rollback. It has no changes if all entries still have their
+// values of that revision.
 func (s *Store) RollbackChanges(r *configpb.Rollback) (*configpb.Transaction, error) {
 	before, err := s.undo(r.To)
 	if err != nil {
@@ -180,7 +180,8 @@
 	return tx, nil
 }
 
-// valuesAt returns, by key, the entries that have changed since a revision as they were at that revision; nil: there was none.
+// valuesAt returns, by key, the entries that have changed since a revision as they were at that revision; nil: there
+// was none.
 func (s *Store) undo(to uint64) (map[string]*configpb.Entry, error) {
 	if err := s.reaches(to); err != nil {
 		return nil, err
@@ -218,8 +219,8 @@
 	return nil
 }
 
-// History returns the revisions after the given one, the oldest first, and at most limit of them. Errors are ErrCompacted and
-// ErrAhead.
+// History returns the revisions after the given one, the oldest first, and at most limit of them. Errors are
+// ErrCompacted and ErrAhead.
 func (s *Store) History(after uint64, most int) ([]*configpb.Revision, error) {
 	if err := s.reaches(after); err != nil {
 		return nil, err
@@ -234,8 +235,8 @@
 	return list, nil
 }
 
-// Delta returns the revisions after the given one, as many as fit into maxBytes, but at least one if there is any. Errors are
-// ErrCompacted and ErrAhead.
+// Delta returns the revisions after the given one, as many as fit into maxBytes, but at least one if there is any.
+// Errors are ErrCompacted and ErrAhead.
 func (s *Store) Delta(after uint64, mostBytes int) (*configpb.Delta, error) {
 	if err := s.reaches(after); err != nil {
 		return nil, err
@@ -283,8 +284,8 @@
 	return nil
 }
 
-// checkHistory returns an error unless the history leads up to the state's revision without a gap, and each record has the
-// former entries of all its changes, which a rollback needs.
+// checkHistory returns an error unless the history leads up to the state's revision without a gap, and each record has
+// the former entries of all its changes, which a rollback needs.
 func checkHistory(state *configpb.State) error {
 	if state.GetRevision()-state.GetCompacted() != uint64(len(state.GetHistory())) {
 		return errors.New("the history does not lead up to the revision")
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -42,7 +42,8 @@
 	s.entries[key] = e
 }
 
-// check returns an error unless the table would be valid after the change. Each staged entry has been checked by itself.
+// check returns an error unless the table would be valid after the change. Each staged entry has been checked by
+// itself.
 func (t *table) check(s *staged) *InvalidError {
 	for _, key := range s.order {
 		var err *InvalidError
@@ -145,7 +146,8 @@
 
 // commit applies a change that check has accepted.
 func (t *table) commit(s *staged) {
-	for _, key := range s.order { // all old entries are removed before new ones are added, as two routes may swap their matches
+	// All old entries are removed before new ones are added, as two routes may swap their matches.
+	for _, key := range s.order {
 		if was := t.entries[key]; was != nil {
 			t.remove(key, was)
 		}
--- a/internal/configuration/watch/acknowledgements.go
+++ b/internal/configuration/watch/acknowledgements.go
@@ -42,8 +42,8 @@
 	return w, nil
 }
 
-// endRequest records the end of a request. abandoned means that the node did not wait for the answer, as it has moved to
-// another machine: without another request in progress it is forgotten at once.
+// endRequest records the end of a request. abandoned means that the node did not wait for the answer, as it has moved
+// to another machine: without another request in progress it is forgotten at once.
 func (s *Server) leave(now time.Time, q *configpb.WatchRequest, w *watcher, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,8 +61,8 @@
 	})
 }
 
-// Report returns a summary of the nodes that send their requests to this machine and have a live session, by the sessions
-// that the machine has applied. If names is set, it has the names and sessions of all of them.
+// Report returns a summary of the nodes that send their requests to this machine and have a live session, by the
+// sessions that the machine has applied. If names is set, it has the names and sessions of all of them.
 func (s *Server) Report(names bool) *configpb.Report {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,11 +100,11 @@
 	}
 }
 
-// InForce returns the highest revision that every live session has acknowledged, by the reports of the control machines.
-// sessions has the epochs of the live sessions by node. ok is false unless the reports show that every session is at one of
-// the machines. The counts are enough for that if they show that each session is at exactly one machine. A node that has
-// moved is counted at two machines for a while; then the reports have to name the sessions. The machine that it has left has
-// an older revision of it, so the result is never too new.
+// InForce returns the highest revision that every live session has acknowledged, by the reports of the control
+// machines. sessions has the epochs of the live sessions by node. ok is false unless the reports show that every
+// session is at one of the machines. The counts are enough for that if they show that each session is at exactly one
+// machine. A node that has moved is counted at two machines for a while; then the reports have to name the sessions.
+// The machine that it has left has an older revision of it, so the result is never too new.
 func InForce(sessions map[string]uint64, reports []*configpb.Report) (revision uint64, ok bool) {
 	first := true
 	for _, r := range reports {
@@ -144,8 +144,8 @@
 	return true
 }
 
-// sessionHash returns a 64-bit hash of a session's epoch (the finalizer of SplitMix64), so that different sets of sessions
-// have different sums, but for a negligible probability.
+// sessionHash returns a 64-bit hash of a session's epoch (the finalizer of SplitMix64), so that different sets of
+// sessions have different sums, but for a negligible probability.
 func sessionHash(epoch uint64) uint64 {
 	x := epoch + 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/internal/configuration/watch/client.go
+++ b/internal/configuration/watch/client.go
@@ -26,16 +26,16 @@
 type ClientOptions struct {
 	Node     string
 	Machines []string // names of the control machines, the same at all nodes
-	// Session returns the epoch of the node's session, or 0 if it has none. If Session is nil, the node never has a session,
-	// and is left out of the machines' reports.
+	// Session returns the epoch of the node's session, or 0 if it has none. If Session is nil, the node never has a
+	// session, and is left out of the machines' reports.
 	Session func() uint64
 	// Call sends a request to a machine and returns its answer. It has to return when ctx ends.
 	Call func(ctx context.Context, machine string, request []byte) (answer []byte, err error)
 	// Accept is called with changes before they take effect, and refuses them by returning an error, as for
 	// configuration.NewReplica. If it is nil, every valid change is accepted.
 	Accept func([]*configpb.Change) error
-	// Applied is called, unless it is nil, after the revision in force has changed, by NewClient and by the goroutine of Run.
-	// It must not block.
+	// Applied is called, unless it is nil, after the revision in force has changed, by NewClient and by the goroutine
+	// of Run. It must not block.
 	Applied func(revision uint64)
 	// Cache is the path of the node's cache file. If it is empty, there is none.
 	Cache string
@@ -43,8 +43,8 @@
 	Log   *slog.Logger
 }
 
-// Client follows the configuration for a node. It polls one control machine at a time, and keeps the revision that it has
-// while none answers. It does not depend on a data plane, so a simulated node without one uses it, too.
+// Client follows the configuration for a node. It polls one control machine at a time, and keeps the revision that it
+// has while none answers. It does not depend on a data plane, so a simulated node without one uses it, too.
 type Client struct {
 	o       ClientOptions
 	chooser *chooser
@@ -74,8 +74,8 @@
 	Answered time.Time         // time of that answer
 }
 
-// NewClient returns a client with the content of the cache file. If the file is refused, the client logs that and starts
-// without it.
+// NewClient returns a client with the content of the cache file. If the file is refused, the client logs that and
+// starts without it.
 func NewClient(o ClientOptions) (*Client, error) {
 	if len(o.Machines) == 0 {
 		return nil, errors.New("watch: no control machines")
@@ -177,7 +177,8 @@
 	return answer, proto.Unmarshal(raw, answer)
 }
 
-// applyAnswer applies an answer. It returns whether the answer had an effect, so that the next request may follow at once.
+// applyAnswer applies an answer. It returns whether the answer had an effect, so that the next request may follow at
+// once.
 func (c *Client) take(answer *configpb.WatchAnswer) bool {
 	known := c.Status().Log
 	if answer.Log == "" || known != "" && answer.Log != known {
@@ -254,7 +255,8 @@
 	}
 }
 
-// runCacheWriter writes the cache file when it is out of date, at most once in cacheInterval, and a last time when ctx ends.
+// runCacheWriter writes the cache file when it is out of date, at most once in cacheInterval, and a last time when ctx
+// ends.
 func (c *Client) keepCache(ctx context.Context) {
 	for {
 		select {
--- a/internal/configuration/watch/machines.go
+++ b/internal/configuration/watch/machines.go
@@ -16,8 +16,8 @@
 	returnSpread = 20 * time.Second       // random addition, so that not all nodes go back at once
 )
 
-// rendezvous returns the machines in the node's order of preference, by rendezvous hashing: each node has its own order, and
-// removing a machine does not change the order of the others.
+// rendezvous returns the machines in the node's order of preference, by rendezvous hashing: each node has its own
+// order, and removing a machine does not change the order of the others.
 func rendezvous(node string, machines []string) []string {
 	order := slices.Clone(machines)
 	weight := func(machine string) uint64 { return xxhash.Sum64String(node + "\x00" + machine) }
--- a/internal/configuration/watch/server.go
+++ b/internal/configuration/watch/server.go
@@ -1,8 +1,8 @@
-// Package watch distributes the configuration from control machines to nodes, by long polling. A node requests the revisions
-// after its own from one machine. The request acknowledges the node's revision. It is answered as soon as there is a newer
-// one, or without content after Limits.LongPollTimeout. So a machine queues nothing for a node: a slow node sends its next
-// request later, and a node that is too far behind gets a snapshot instead of the revisions. Server is the machine's side,
-// Client the node's; the caller transports the messages.
+// Package watch distributes the configuration from control machines to nodes, by long polling. A node requests the
+// revisions after its own from one machine. The request acknowledges the node's revision. It is answered as soon as
+// there is a newer one, or without content after Limits.LongPollTimeout. So a machine queues nothing for a node: a slow
+// node sends its next request later, and a node that is too far behind gets a snapshot instead of the revisions. Server
+// is the machine's side, Client the node's; the caller transports the messages.
 package watch
 
 import (
@@ -76,8 +76,8 @@
 	return &Server{o: o, changed: make(chan struct{}), watchers: map[string]*watcher{}}
 }
 
-// Publish sets what the machine has applied: the name of the log, its store, and the epochs of the live sessions by node.
-// The store is only used until Publish returns; sessions must not be changed later.
+// Publish sets what the machine has applied: the name of the log, its store, and the epochs of the live sessions by
+// node. The store is only used until Publish returns; sessions must not be changed later.
 func (s *Server) Publish(log string, store *configuration.Store, sessions map[string]uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +115,8 @@
 	ErrNotReady = errors.New("this control machine has no configuration yet")
 )
 
-// Handle returns the encoded answer to an encoded configpb.WatchRequest. from is the node's name in its certificate. It waits
-// for a new revision until Limits.LongPollTimeout, or until ctx ends.
+// Handle returns the encoded answer to an encoded configpb.WatchRequest. from is the node's name in its certificate. It
+// waits for a new revision until Limits.LongPollTimeout, or until ctx ends.
 func (s *Server) Handle(ctx context.Context, from string, raw []byte) ([]byte, error) {
 	q := &configpb.WatchRequest{}
 	if err := proto.Unmarshal(raw, q); err != nil {
@@ -160,8 +160,8 @@
 	return &configpb.WatchAnswer{Log: s.log, Revision: s.revision}
 }
 
-// pendingNews is what a node is to get: answer, or if chunk is set a part of a snapshot after wait, or nothing until changed
-// is closed.
+// pendingNews is what a node is to get: answer, or if chunk is set a part of a snapshot after wait, or nothing until
+// changed is closed.
 type found struct {
 	answer  *configpb.WatchAnswer
 	chunk   bool
@@ -192,8 +192,8 @@
 	return found{chunk: true, wait: wait}
 }
 
-// delta returns an answer with the revisions after the given one, up to Limits.DeltaBytes. With all set, for a node that has
-// refused a revision, it returns the complete backlog, as a later revision may correct the refused one.
+// delta returns an answer with the revisions after the given one, up to Limits.DeltaBytes. With all set, for a node
+// that has refused a revision, it returns the complete backlog, as a later revision may correct the refused one.
 func (s *Server) delta(after uint64, all bool) *configpb.WatchAnswer {
 	d, bytes := &configpb.Delta{After: after}, 0
 	for _, r := range s.revisions[after-s.after:] {
@@ -206,8 +206,8 @@
 	return &configpb.WatchAnswer{Log: s.log, Revision: s.revision, News: &configpb.WatchAnswer_Delta{Delta: d}}
 }
 
-// reserveChunk reserves the sending of a part of a snapshot at the next time that both rates allow, and returns the wait
-// until then. It reserves nothing if the wait would reach Limits.LongPollTimeout.
+// reserveChunk reserves the sending of a part of a snapshot at the next time that both rates allow, and returns the
+// wait until then. It reserves nothing if the wait would reach Limits.LongPollTimeout.
 func (s *Server) turn(now time.Time, w *watcher) (wait time.Duration, reserved bool) {
 	at := now
 	for _, t := range []time.Time{s.next, w.next} {
--- a/internal/configuration/watch/simulation_test.go
+++ b/internal/configuration/watch/simulation_test.go
@@ -19,8 +19,8 @@
 
 const testLog = "l1"
 
-// simulation is control machines and nodes in virtual time. All machines that are not cut off apply a commit of its store at
-// once.
+// simulation is control machines and nodes in virtual time. All machines that are not cut off apply a commit of its
+// store at once.
 type simulation struct {
 	t        *testing.T
 	limits   Limits
--- a/internal/configuration/watch/snapshot.go
+++ b/internal/configuration/watch/snapshot.go
@@ -27,8 +27,8 @@
 	data     []byte
 }
 
-// encode encodes and compresses a snapshot. Equal snapshots have equal bytes with one version of the zstd library, so that
-// a node can get the parts from several machines.
+// encode encodes and compresses a snapshot. Equal snapshots have equal bytes with one version of the zstd library, so
+// that a node can get the parts from several machines.
 func encode(s *configpb.Snapshot) (*encoded, error) {
 	raw, err := configuration.Encode(s)
 	if err != nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// chunk returns an answer with the next part of a snapshot. The part continues the snapshot that the node has begun if this
-// machine has the same one, else it is the first part of this machine's snapshot.
+// chunk returns an answer with the next part of a snapshot. The part continues the snapshot that the node has begun if
+// this machine has the same one, else it is the first part of this machine's snapshot.
 func (s *Server) chunk(ctx context.Context, q *configpb.WatchRequest) (*configpb.WatchAnswer, error) {
 	e, log, revision, err := s.current(ctx)
 	if err != nil {
@@ -98,8 +98,8 @@
 	return &configpb.WatchAnswer{Log: log, Revision: revision, News: &configpb.WatchAnswer_Chunk{Chunk: c}}, nil
 }
 
-// currentSnapshot returns the snapshot to send, with the log and the revision of the machine. If the backlog does not reach
-// back to the cached snapshot, it builds a new one, once for all requests that wait for it.
+// currentSnapshot returns the snapshot to send, with the log and the revision of the machine. If the backlog does not
+// reach back to the cached snapshot, it builds a new one, once for all requests that wait for it.
 func (s *Server) current(ctx context.Context) (e *encoded, log string, revision uint64, err error) {
 	for {
 		s.mu.Lock()
@@ -155,8 +155,8 @@
 
 var errChunk = errors.New("part of a snapshot")
 
-// add adds a part, and returns the snapshot once it is complete, else nil. A part of another snapshot discards the earlier
-// parts. A part that does not continue where the last one ended is an error.
+// add adds a part, and returns the snapshot once it is complete, else nil. A part of another snapshot discards the
+// earlier parts. A part that does not continue where the last one ended is an error.
 func (a *assembly) add(c *configpb.Chunk) (*configpb.Snapshot, error) {
 	if c.Size == 0 || c.Size > maxSnapshotBytes || len(c.Checksum) != sha256.Size {
 		return nil, fmt.Errorf("%w: the snapshot has %d bytes, and its checksum %d", errChunk, c.Size, len(c.Checksum))
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -18,9 +18,9 @@
 	"starlingvalve/internal/testkit"
 )
 
-// Guards against a backlog at the nodes during a burst of changes, and against a report that a revision is in force before it
-// is. Each node has to apply the revisions in order, each with the store's content, and the last one has to be in force soon
-// after its commit.
+// Guards against a backlog at the nodes during a burst of changes, and against a report that a revision is in force
+// before it is. Each node has to apply the revisions in order, each with the store's content, and the last one has to
+// be in force soon after its commit.
 func TestBurst(t *testing.T) {
 	simulate(t, 5, 60, DefaultLimits(), func(s *simulation) {
 		for i := range 100 {
@@ -45,8 +45,8 @@
 	})
 }
 
-// Guards against needless requests: without changes a node sends about one request in each LongPollTimeout. The nodes have to
-// be spread over the machines.
+// Guards against needless requests: without changes a node sends about one request in each LongPollTimeout. The nodes
+// have to be spread over the machines.
 func TestAtRest(t *testing.T) {
 	simulate(t, 5, 100, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -65,9 +65,9 @@
 	})
 }
 
-// Guards against nodes that miss changes while their control machine is unresponsive, here for 30 s: they have to get the next
-// change from other machines within 3 s. Later they have to return, but at most half of them within one second, so that they
-// don't overload the machine.
+// Guards against nodes that miss changes while their control machine is unresponsive, here for 30 s: they have to get
+// the next change from other machines within 3 s. Later they have to return, but at most half of them within one
+// second, so that they don't overload the machine.
 func TestMachineGone(t *testing.T) {
 	simulate(t, 5, 100, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -102,8 +102,8 @@
 	})
 }
 
-// Guards against lost configuration, or too many retries, while all control machines are unresponsive: a node has to keep its
-// revision, back off between requests, and follow soon after the machines answer again.
+// Guards against lost configuration, or too many retries, while all control machines are unresponsive: a node has to
+// keep its revision, back off between requests, and follow soon after the machines answer again.
 func TestAllGone(t *testing.T) {
 	simulate(t, 3, 30, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
@@ -136,8 +136,8 @@
 	})
 }
 
-// Guards against snapshots that delay changes: many nodes without a cache receive snapshots in parts, within the rates of the
-// machine and of a node, while a node that has the configuration gets changes as fast as otherwise.
+// Guards against snapshots that delay changes: many nodes without a cache receive snapshots in parts, within the rates
+// of the machine and of a node, while a node that has the configuration gets changes as fast as otherwise.
 func TestSnapshotsArePaced(t *testing.T) {
 	limits := DefaultLimits()
 	limits.ChunkBytes, limits.NodeRate, limits.MachineRate = 4<<10, 16<<10, 128<<10
@@ -172,8 +172,8 @@
 	})
 }
 
-// A node receives a snapshot within NodeRate. Guards against starting again when the machine becomes unresponsive: the node
-// has to get the remaining parts from another machine.
+// A node receives a snapshot within NodeRate. Guards against starting again when the machine becomes unresponsive: the
+// node has to get the remaining parts from another machine.
 func TestSnapshotResumed(t *testing.T) {
 	limits := DefaultLimits()
 	limits.ChunkBytes, limits.NodeRate, limits.BacklogBytes = 4<<10, 16<<10, 1<<10
@@ -200,8 +200,8 @@
 	})
 }
 
-// Guards against memory that a machine never frees: the backlog stays within its bound, an encoded snapshot is dropped some
-// time after its last reader, and nodes that send no more requests are forgotten.
+// Guards against memory that a machine never frees: the backlog stays within its bound, an encoded snapshot is dropped
+// some time after its last reader, and nodes that send no more requests are forgotten.
 func TestNothingStays(t *testing.T) {
 	limits := DefaultLimits()
 	limits.BacklogBytes = 1 << 10
@@ -225,9 +225,9 @@
 	})
 }
 
-// Guards against a node that can't continue after a revision that it refused: it stays at the revision before, is reported
-// with the reason, and keeps the revision in force back. A later revision that corrects the refused one has to bring it
-// forward, also if the refused revisions exceed DeltaBytes.
+// Guards against a node that can't continue after a revision that it refused: it stays at the revision before, is
+// reported with the reason, and keeps the revision in force back. A later revision that corrects the refused one has to
+// bring it forward, also if the refused revisions exceed DeltaBytes.
 func TestRefused(t *testing.T) {
 	limits := DefaultLimits()
 	limits.DeltaBytes = 64
@@ -270,8 +270,8 @@
 	})
 }
 
-// Guards against reporting a revision as in force too early: a session that is in no machine's report prevents that, and so
-// does one that two machines count, unless the reports name the sessions.
+// Guards against reporting a revision as in force too early: a session that is in no machine's report prevents that,
+// and so does one that two machines count, unless the reports name the sessions.
 func TestInForceCountsEachOnce(t *testing.T) {
 	report := func(least uint64, sessions ...uint64) *configpb.Report {
 		r := &configpb.Report{Applied: 9, Least: least, Nodes: uint64(len(sessions))}
@@ -325,8 +325,9 @@
 	})
 }
 
-// Guards against a node without a configuration when it starts while no control machine answers: it has to start with the
-// revision of its cache file and then continue from there by deltas. At its end the cache file has to be up to date.
+// Guards against a node without a configuration when it starts while no control machine answers: it has to start with
+// the revision of its cache file and then continue from there by deltas. At its end the cache file has to be up to
+// date.
 func TestCache(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "cache")
 	simulate(t, 2, 0, DefaultLimits(), func(s *simulation) {
@@ -397,8 +398,8 @@
 	})
 }
 
-// A machine that has applied nothing yet returns ErrNotReady without waiting. Requests that can't be decoded, or are in another
-// node's name, are refused.
+// A machine that has applied nothing yet returns ErrNotReady without waiting. Requests that can't be decoded, or are in
+// another node's name, are refused.
 func TestBadQuestions(t *testing.T) {
 	s := NewServer(ServerOptions{Limits: DefaultLimits()})
 	raw, err := configuration.Encode(&configpb.WatchRequest{Node: "n"})
@@ -417,8 +418,8 @@
 	}
 }
 
-// Guards against counting a node that has moved to another machine: once it stops waiting for its answer, this machine must
-// not report it.
+// Guards against counting a node that has moved to another machine: once it stops waiting for its answer, this machine
+// must not report it.
 func TestNodeThatLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := NewServer(ServerOptions{Limits: DefaultLimits()})
@@ -496,8 +497,8 @@
 	}
 }
 
-// Guards against panics by any parts of a snapshot, more memory than the stated size, and a snapshot that is accepted without
-// the right checksum.
+// Guards against panics by any parts of a snapshot, more memory than the stated size, and a snapshot that is accepted
+// without the right checksum.
 func FuzzAssembly(f *testing.F) {
 	s := configuration.New()
 	put := &configpb.Entry{Value: &configpb.Entry_Service{Service: &configpb.Service{Name: "pay"}}}
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -18,9 +18,9 @@
 // errNoLeader means that no voter answered as the leader. Operators and tests match "out of reach".
 var errNoLeader = errors.New("the agreement is out of reach: no voter answers as the leader")
 
-// callLeader sends a request to the leader and returns its answer. It tries the voters in turn, or the one that an answer names
-// as the leader, until one succeeds or rejects the request, or ctx ends. So the request may be applied more than once: an
-// entry needs a request ID (Entry.Ask), or must do no harm if it is applied twice.
+// callLeader sends a request to the leader and returns its answer. It tries the voters in turn, or the one that an
+// answer names as the leader, until one succeeds or rejects the request, or ctx ends. So the request may be applied
+// more than once: an entry needs a request ID (Entry.Ask), or must do no harm if it is applied twice.
 func (n *Control) call(ctx context.Context, kind uint64, request []byte) ([]byte, error) {
 	var last error
 	for try := 0; ; try++ {
@@ -101,8 +101,8 @@
 	return s, proto.Unmarshal(raw, s)
 }
 
-// reportedCounts determines which of this node's completed requests it reports to the leader, which compares the nodes that run
-// a new version with the others.
+// reportedCounts determines which of this node's completed requests it reports to the leader, which compares the nodes
+// that run a new version with the others.
 type counting struct {
 	tell bool                   // the leader wants counts at all
 	soak int64                  // start of the release's soak period that the counts are for, Unix ms; 0: none
@@ -110,8 +110,8 @@
 }
 
 // update takes over from an answer of the leader what it wants to be reported. The counts start again with each soak
-// period, and while age, the time since the process started, is below vitals.WarmUp: a new process refuses more requests
-// than it does later.
+// period, and while age, the time since the process started, is below vitals.WarmUp: a new process refuses more
+// requests than it does later.
 func (c *counting) heard(r *fleetpb.Result, ends func() map[string]health.Ends, age time.Duration) {
 	if c.tell = r.Tell; r.Soak != c.soak || age < vitals.WarmUp {
 		c.soak, c.base = r.Soak, ends()
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -1,7 +1,7 @@
-// Package control is a node's part in what its fleet agrees on. It keeps the node's session alive, applies the fleet's drain
-// orders to the node's event loop, acknowledges a drain once the node has stopped sending to the target, and serves an API
-// for operators on a Unix socket. On a voter it also replicates the log (internal/agree) of the fleet's state
-// (internal/fleet). No request waits for any of this, and a node that can't reach the voters continues to serve.
+// Package control is a node's part in what its fleet agrees on. It keeps the node's session alive, applies the fleet's
+// drain orders to the node's event loop, acknowledges a drain once the node has stopped sending to the target, and
+// serves an API for operators on a Unix socket. On a voter it also replicates the log (internal/agree) of the fleet's
+// state (internal/fleet). No request waits for any of this, and a node that can't reach the voters continues to serve.
 package control
 
 import (
@@ -83,8 +83,8 @@
 
 var nodeName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,60}[a-z0-9])?$`)
 
-// Load reads a file and checks all of it, including that the certificates are valid at the time now. An error is one line
-// with the file, the line and the key.
+// Load reads a file and checks all of it, including that the certificates are valid at the time now. An error is one
+// line with the file, the line and the key.
 func Load(path string, now time.Time) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -11,8 +11,8 @@
 	"starlingvalve/internal/standin"
 )
 
-// writeFolder writes a fleet file with that text, the certificate of n1 and its root into a new folder, and returns the file's
-// path.
+// writeFolder writes a fleet file with that text, the certificate of n1 and its root into a new folder, and returns the
+// file's path.
 func folder(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -32,7 +32,8 @@
 	return filepath.Join(dir, "fleet.toml")
 }
 
-// Checks that the example of a fleet file is valid, and that the error for an invalid file is one line with line and key.
+// Checks that the example of a fleet file is valid, and that the error for an invalid file is one line with line and
+// key.
 func TestConfig(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/fleet.toml")
 	if err != nil {
@@ -82,8 +83,8 @@
 		"own session":       {&fleetpb.Entry{What: &fleetpb.Entry_Open{Open: &fleetpb.OpenSession{Node: "n1"}}}, true},
 		"another's session": {&fleetpb.Entry{What: &fleetpb.Entry_Open{Open: &fleetpb.OpenSession{Node: "n2"}}}, false},
 		"another's end":     {&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: "n2"}}}, false},
-		"a lapse":           {&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: "n1", Lapsed: true}}}, false},
-		"another's word":    {&fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: []*fleetpb.Ack{{Node: "n1"}, {Node: "n2"}}}}}, false},
+		"a lapsed session":  {&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: "n1", Lapsed: true}}}, false},
+		"another's ack":     {&fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: []*fleetpb.Ack{{Node: "n1"}, {Node: "n2"}}}}}, false},
 		"another's leaving": {&fleetpb.Entry{What: &fleetpb.Entry_Leaving{Leaving: &fleetpb.Leaving{Node: "n2"}}}, false},
 		"the registry":      {&fleetpb.Entry{What: &fleetpb.Entry_Listed{Listed: &fleetpb.Listed{}}}, false},
 		"the leader's view": {&fleetpb.Entry{What: &fleetpb.Entry_Observed{Observed: &fleetpb.Observed{}}}, false},
@@ -96,8 +97,8 @@
 	}
 }
 
-// A server counts as dead once half of the nodes with a session report it, and until fewer than a quarter do. Nodes without
-// a session don't count.
+// A server counts as dead once half of the nodes with a session report it, and until fewer than a quarter do. Nodes
+// without a session don't count.
 func TestEvidence(t *testing.T) {
 	s := &fleetpb.State{Servers: map[string]*fleetpb.Server{"s-1": {}, "s-2": {}}, Nodes: map[string]*fleetpb.Node{}}
 	for _, n := range []string{"n1", "n2", "n3", "n4", "n5"} {
@@ -124,7 +125,8 @@
 	}
 }
 
-// Checks that all differences between the registry's list and the state are found, and none while the list is not known.
+// Checks that all differences between the registry's list and the state are found, and none while the list is not
+// known.
 func TestDifference(t *testing.T) {
 	known := map[string]*fleetpb.Server{"a": {Id: "a", State: "ready", Weight: 1}, "b": {Id: "b", State: "ready"}, "c": {Id: "c", State: "gone"}}
 	if d := difference(known, nil); d != nil {
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -24,7 +24,8 @@
 	reportWait         = 700 * time.Millisecond
 )
 
-// newWatchClient returns the client that follows the configuration. It starts with the content of the node's cache file.
+// newWatchClient returns the client that follows the configuration. It starts with the content of the node's cache
+// file.
 func (n *Control) newWatch() (*watch.Client, error) {
 	o := watch.ClientOptions{
 		Node:    n.c.Name,
@@ -89,8 +90,8 @@
 	return watch.NewServer(watch.ServerOptions{Limits: watch.DefaultLimits(), Snapshot: snapshot})
 }
 
-// handleWatch answers a node's watch request. A voter that knows of no leader may be behind, so it answers statusNotLeader
-// and the node tries another voter.
+// handleWatch answers a node's watch request. A voter that knows of no leader may be behind, so it answers
+// statusNotLeader and the node tries another voter.
 func (v *voter) watchFor(ctx context.Context, m *agree.Member, node string, raw []byte) (uint64, []byte) {
 	if m.Status().Leader == 0 {
 		return statusNotLeader, nil
@@ -111,9 +112,9 @@
 	return v.answer(v.watch.Report(q.Names), nil)
 }
 
-// precheckChange checks a change of the configuration before it is proposed, so that a change that is refused needs no entry
-// of the log. It returns the refusal, or nil if the change is to be proposed. A request that already has a result is not
-// checked again: its repetition has to get the first result.
+// precheckChange checks a change of the configuration before it is proposed, so that a change that is refused needs no
+// entry of the log. It returns the refusal, or nil if the change is to be proposed. A request that already has a result
+// is not checked again: its repetition has to get the first result.
 func (v *voter) refuseEarly(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	tx := e.GetConfigure()
 	if tx == nil {
@@ -160,7 +161,8 @@
 	return statusBad, []byte("unknown query about the configuration")
 }
 
-// revisionsAfter returns the newest revisions after the query's revision, up to its limit, as far as the history reaches back.
+// revisionsAfter returns the newest revisions after the query's revision, up to its limit, as far as the history
+// reaches back.
 func historyOf(store *configuration.Store, q *configpb.HistoryQuery) ([]*configpb.Revision, error) {
 	after := min(max(q.GetAfter(), store.Compacted()), store.Revision())
 	list, err := store.History(after, int(store.Revision()))
@@ -198,8 +200,8 @@
 	return &configpb.Answer{Status: s}, nil
 }
 
-// collectReports requests the reports of all voters in parallel. A voter that does not answer within reportTimeout has the reason
-// in place of a report.
+// collectReports requests the reports of all voters in parallel. A voter that does not answer within reportTimeout has
+// the reason in place of a report.
 func (v *voter) reports(ctx context.Context) []*configpb.MachineStatus {
 	ctx, cancel := context.WithTimeout(ctx, reportWait)
 	defer cancel()
--- a/internal/control/configuration_test.go
+++ b/internal/control/configuration_test.go
@@ -221,8 +221,8 @@
 	},
 }
 
-// Guards against a lost answer that makes a change fail: a client that repeats the request under the same request ID has
-// to get the first result, though the change's condition does not hold any more.
+// Guards against a lost answer that makes a change fail: a client that repeats the request under the same request ID
+// has to get the first result, though the change's condition does not hold any more.
 func TestConfigurationAskedAgain(t *testing.T) {
 	m := startMembers(t, 3)
 	tx := &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}}
@@ -237,8 +237,8 @@
 	}
 }
 
-// Guards against stale answers to queries, which only the leader may answer. A watch request is answered by any voter, but
-// only in the caller's own name.
+// Guards against stale answers to queries, which only the leader may answer. A watch request is answered by any voter,
+// but only in the caller's own name.
 func TestOnlyTheLeaderAnswers(t *testing.T) {
 	m := startMembers(t, 3)
 	m.put(0, "a", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}})
@@ -274,8 +274,8 @@
 	}
 }
 
-// Guards against nodes that can't catch up after more changes than the voters keep for watches: both a node that lost its
-// folder and one that still has it get to the last revision, by a snapshot.
+// Guards against nodes that can't catch up after more changes than the voters keep for watches: both a node that lost
+// its folder and one that still has it get to the last revision, by a snapshot.
 func TestSnapshotOverTheNetwork(t *testing.T) {
 	m := startMembers(t, 5)
 	if r := m.put(4, "first", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}}); r == nil {
@@ -317,8 +317,8 @@
 	}
 }
 
-// Guards against lost updates, stale reads and revisions that are assigned twice when leaders fail: clients write, with and
-// without conditions, and read through all nodes at once, while leaders stop and start again. The history has to be
+// Guards against lost updates, stale reads and revisions that are assigned twice when leaders fail: clients write, with
+// and without conditions, and read through all nodes at once, while leaders stop and start again. The history has to be
 // linearizable (checked by porcupine).
 func TestConfigurationIsLinearizable(t *testing.T) {
 	m := startMembers(t, 5)
@@ -432,8 +432,8 @@
 	return nil
 }
 
-// Checks the checker: a history with a stale read, an ignored or wrongly failed condition, a revision that goes back or a
-// lost update must not pass as linearizable.
+// Checks the checker: a history with a stale read, an ignored or wrongly failed condition, a revision that goes back or
+// a lost update must not pass as linearizable.
 func TestLinearizableFindsFaults(t *testing.T) {
 	one := uint64(1)
 	type operations = []porcupine.Operation
--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	doorLimit = 1 << 20          // bytes
+	doorLimit = 1 << 20
 	doorWait  = 10 * time.Second // to read a request, and to answer it
 )
 
@@ -83,8 +83,8 @@
 	reply(w, answer, err)
 }
 
-// listenAPI listens on a Unix socket at path. It creates the socket in folder, which only the node's user can enter, and
-// moves it to path once its mode keeps other users out.
+// listenAPI listens on a Unix socket at path. It creates the socket in folder, which only the node's user can enter,
+// and moves it to path once its mode keeps other users out.
 func listenDoor(path, folder string) (net.Listener, error) {
 	hidden := filepath.Join(folder, "door")
 	os.Remove(hidden)
@@ -124,7 +124,7 @@
 	Session uint64            `json:"session"` // epoch of the node's session; 0: none
 	Version uint64            `json:"version"` // of the orders that it follows
 	Out     map[string]uint64 `json:"out"`     // drained targets by these orders, with the epochs of their drains
-	Voter   string            `json:"voter,omitempty"` // leads, follows, waits (for the other voters), stopped; empty: the node is no voter
+	Voter   string            `json:"voter,omitempty"` // leads, follows, waits, stopped; empty: it is no voter
 	Term    uint64            `json:"term,omitempty"`
 	Leader  string            `json:"leader,omitempty"`
 	Why     string            `json:"why,omitempty"`     // error of a voter that has stopped
@@ -191,8 +191,8 @@
 		}}}}
 }
 
-// ErrAPIUnavailable means that the node did not answer, or could not reach the leader. A proposed entry may have been applied: it is
-// safe to propose it again with the same request ID (Entry.Ask).
+// ErrAPIUnavailable means that the node did not answer, or could not reach the leader. A proposed entry may have been
+// applied: it is safe to propose it again with the same request ID (Entry.Ask).
 var ErrDoor = errors.New("no answer from the agreement")
 
 // call sends a request to the node and returns the body of a successful response.
@@ -218,8 +218,8 @@
 	return raw, nil
 }
 
-// Propose proposes an entry and returns its result. After ErrAPIUnavailable it repeats the request until ctx ends, but only
-// for an entry with a request ID (Entry.Ask), which is applied once at most.
+// Propose proposes an entry and returns its result. After ErrAPIUnavailable it repeats the request until ctx ends, but
+// only for an entry with a request ID (Entry.Ask), which is applied once at most.
 func (d *Door) Ask(ctx context.Context, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	body, err := protojson.Marshal(e)
 	if err != nil {
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -12,8 +12,8 @@
 	"starlingvalve/internal/vitals"
 )
 
-// leaderDuties does the leader's periodic work while this voter leads: it ends sessions that timed out, writes changes of the
-// registry's server list to the log, and writes clock entries for what waits for time to pass.
+// leaderDuties does the leader's periodic work while this voter leads: it ends sessions that timed out, writes changes
+// of the registry's server list to the log, and writes clock entries for what waits for time to pass.
 func (v *voter) duties(ctx context.Context, m *agree.Member) {
 	tick := time.NewTicker(v.c.Tick)
 	defer tick.Stop()
@@ -133,15 +133,15 @@
 	return d
 }
 
-// Fractions of the nodes with a session. A server counts as dead once at least deadThreshold of them report it as dead, and
-// until fewer than aliveThreshold do.
+// Fractions of the nodes with a session. A server counts as dead once at least deadThreshold of them report it as dead,
+// and until fewer than aliveThreshold do.
 const (
 	deadFrom  = 0.5
 	deadUntil = 0.25
 )
 
-// deadServers returns the sorted IDs of the servers that enough nodes with a session report as dead. by has each node's
-// reported servers. unchanged means that the state has the same servers as dead already.
+// deadServers returns the sorted IDs of the servers that enough nodes with a session report as dead. reports has each
+// node's reported servers. unchanged means that the state has the same servers as dead already.
 func evidence(s *fleetpb.State, by map[string][]string) (told bool, dead []string) {
 	live, count := 0, map[string]int{}
 	for name, n := range s.Nodes {
@@ -168,8 +168,8 @@
 	return told, dead
 }
 
-// changedServers returns the servers of list that differ from the known ones, and as removed the known ones that list does not
-// have, sorted by ID. It returns nil if list is nil, which means that the list is not known.
+// changedServers returns the servers of list that differ from the known ones, and as removed the known ones that list
+// does not have, sorted by ID. It returns nil if list is nil, which means that the list is not known.
 func difference(known map[string]*fleetpb.Server, list []*fleetpb.Server) (news []*fleetpb.Server) {
 	if list == nil {
 		return nil
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -18,7 +18,8 @@
 	"starlingvalve/internal/wholefile"
 )
 
-// followedOrders is the orders that this node follows, as its file has them. A process applies them at its start, before it serves.
+// followedOrders is the orders that this node follows, as its file has them. A process applies them at its start,
+// before it serves.
 type held struct {
 	Log     string            `json:"log"` // name of the log that the orders are from
 	Version uint64            `json:"version"`
@@ -34,8 +35,8 @@
 	return h, nil
 }
 
-// AwaitOrders waits for orders of a later version than the given one of a log, or of another log. It returns nil if the long
-// poll ended without any.
+// AwaitOrders waits for orders of a later version than the given one of a log, or of another log. It returns nil if the
+// long poll ended without any.
 func (n *Control) Orders(ctx context.Context, version uint64, log string) (*fleetpb.Orders, error) {
 	raw, err := proto.Marshal(&fleetpb.Orders{Version: version, Log: log})
 	if err != nil {
@@ -137,8 +138,8 @@
 	return h
 }
 
-// remaining returns how many open attempts this node has at a target; for the node itself as the target, how many open requests
-// of clients. ok is false once the loop has ended.
+// remaining returns how many open attempts this node has at a target; for the node itself as the target, how many open
+// requests of clients. ok is false once the loop has ended.
 func (n *Control) left(target string) (int, bool) {
 	if target == fleet.NodeTarget(n.c.Name) {
 		return n.loop.OpenRequests()
@@ -146,15 +147,15 @@
 	return n.loop.OpenAttemptsAt(heldOf(target))
 }
 
-// saveOrders writes the orders to their file, atomically. They are acknowledged only after that, so that a restarted process
-// can't go back to older ones.
+// saveOrders writes the orders to their file, atomically. They are acknowledged only after that, so that a restarted
+// process can't go back to older ones.
 func (n *Control) keep(h held) error {
 	return wholefile.WriteJSON(filepath.Join(n.c.Folder, heldFile), h)
 }
 
-// SetReplaced sets whether a successor process runs beside this one. While it does, this process acknowledges no drains, as
-// the successor may still send to the target; the successor acknowledges them once it is alone. succeeded means that the
-// successor serves already, so that this process may be ended.
+// SetReplaced sets whether a successor process runs beside this one. While it does, this process acknowledges no
+// drains, as the successor may still send to the target; the successor acknowledges them once it is alone. succeeded
+// means that the successor serves already, so that this process may be ended.
 func (n *Control) Replaced(on, succeeded bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -13,17 +13,17 @@
 	"starlingvalve/internal/agree"
 )
 
-// foundingInfo is a voter's answer to a kindFounding call, as JSON under the names of the fields. Birth is the birth ID of
-// its disk, and Founding the name of the log that it is part of, or empty if it is not part of one yet.
+// foundingInfo is a voter's answer to a kindFounding call, as JSON under the names of the fields. Birth is the birth ID
+// of its disk, and Founding the name of the log that it is part of, or empty if it is not part of one yet.
 type foundingWord struct {
 	Birth, Founding string
 	Voters          map[string]string // birth IDs of the voters' disks by the log's state, by name
 }
 
-// awaitFounding waits until this voter knows which log it is part of, and stores that on its disk. It returns false if ctx ends
-// first. A voter with an empty disk may found a log only together with all other voters. If one of them already has a log
-// that did not begin with this disk, this voter's disk was lost, and its votes with it. It must not vote again until an
-// operator has admitted the new disk (starlingvalve fleet renew).
+// awaitFounding waits until this voter knows which log it is part of, and stores that on its disk. It returns false if
+// ctx ends first. A voter with an empty disk may found a log only together with all other voters. If one of them
+// already has a log that did not begin with this disk, this voter's disk was lost, and its votes with it. It must not
+// vote again until an operator has admitted the new disk (starlingvalve fleet renew).
 func (v *voter) found(ctx context.Context) bool {
 	if v.founding.Log != "" {
 		return true
--- a/internal/control/leak_test.go
+++ b/internal/control/leak_test.go
@@ -33,8 +33,8 @@
 func (calm) CanServe() bool                         { return true }
 func (calm) ServerList() core.List                  { return core.List{Full: true} }
 
-// Guards against goroutines that are left after the end of nodes: of three voters, one of whose ports is in use at first, and
-// a node that is no voter, through which a hold is set.
+// Guards against goroutines that are left after the end of nodes: of three voters, one of whose ports is in use at
+// first, and a node that is no voter, through which a hold is set.
 func TestNothingIsLeft(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	dir := t.TempDir()
@@ -135,8 +135,8 @@
 	}
 }
 
-// Guards against reports that include requests from before a release's soak period, or from just after the process started,
-// when it refuses more than later: the counts start again in both cases.
+// Guards against reports that include requests from before a release's soak period, or from just after the process
+// started, when it refuses more than later: the counts start again in both cases.
 func TestCounting(t *testing.T) {
 	ends := func(served uint64) map[string]health.Ends { return map[string]health.Ends{"c": {Served: served}} }
 	c := counting{}
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -33,11 +33,11 @@
 
 // Node is the part of the rest of the node that this package uses.
 type Node interface {
-	// Away drains the node, or ends that. A drained node reports that it is not ready and has its clients disconnect.
+	// SetDrained drains the node, or ends that. A drained node reports that it is not ready and has its clients disconnect.
 	Away(on bool)
-	// Ends returns the counts of completed requests, by class.
+	// ClassCounts returns the counts of completed requests, by class.
 	Ends() map[string]health.Ends
-	// Resident returns the resident memory of the process in bytes.
+	// ResidentBytes returns the resident memory of the process in bytes.
 	Resident() uint64
 }
 
@@ -119,9 +119,9 @@
 	n.calls.Close()
 }
 
-// ApplySavedOrders applies the orders from the node's file, before the node serves. A node without a file, as at its first start,
-// reports that it is not ready until it has received orders, for firstOrdersTimeout at most. After that it serves without
-// orders, so that it also starts when the other nodes are unreachable.
+// ApplySavedOrders applies the orders from the node's file, before the node serves. A node without a file, as at its
+// first start, reports that it is not ready until it has received orders, for firstOrdersTimeout at most. After that it
+// serves without orders, so that it also starts when the other nodes are unreachable.
 func (n *Control) Begin() {
 	n.hold(n.followed())
 	if n.followed().Log != "" {
@@ -144,8 +144,8 @@
 	})
 }
 
-// Run takes part in the fleet until Close or Stop. It first waits for the end of a predecessor process, as only one process
-// at a time may act for the node.
+// Run takes part in the fleet until Close or Stop. It first waits for the end of a predecessor process, as only one
+// process at a time may act for the node.
 func (n *Control) Run() {
 	lock, err := n.lock()
 	if n.ctx.Err() != nil && lock == nil {
@@ -182,8 +182,8 @@
 	n.calls.Close()
 }
 
-// acquireLock waits for the lock of the node's folder, which a predecessor process holds until its end. Meanwhile it applies the
-// orders that the predecessor writes to the file.
+// acquireLock waits for the lock of the node's folder, which a predecessor process holds until its end. Meanwhile it
+// applies the orders that the predecessor writes to the file.
 func (n *Control) lock() (*os.File, error) {
 	told := false
 	return wholefile.Lock(n.ctx, filepath.Join(n.c.Folder, lockFile), takeOver, func() {
@@ -201,8 +201,8 @@
 	})
 }
 
-// openCalls opens the node's UDP port, and the voter's log where the node is one. A voter whose log can't be used leaves the
-// node without a vote.
+// openCalls opens the node's UDP port, and the voter's log where the node is one. A voter whose log can't be used
+// leaves the node without a vote.
 func (n *Control) open() error {
 	o := link.CallsOptions{Keeper: n.c.Keeper, Log: n.log}
 	at := &net.UDPAddr{IP: net.IPv4zero}
@@ -244,16 +244,16 @@
 	return nil
 }
 
-// AnnounceLeaving reports to the leader that this node is about to end, so that it counts as out from now on. A failure is ignored:
-// the node ends in any case.
+// AnnounceLeaving reports to the leader that this node is about to end, so that it counts as out from now on. A failure
+// is ignored: the node ends in any case.
 func (n *Control) Leaving() {
 	n.last(func(epoch uint64) *fleetpb.Entry {
 		return &fleetpb.Entry{What: &fleetpb.Entry_Leaving{Leaving: &fleetpb.Leaving{Node: n.c.Name, Epoch: epoch}}}
 	})
 }
 
-// Close ends the session, so that no drain has to wait for its timeout, and then all that Run has started. It is called once
-// this node has nothing open at any server. A voter that leads transfers the leadership first.
+// Close ends the session, so that no drain has to wait for its timeout, and then all that Run has started. It is called
+// once this node has nothing open at any server. A voter that leads transfers the leadership first.
 func (n *Control) Close() {
 	n.last(func(epoch uint64) *fleetpb.Entry {
 		return &fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: n.c.Name, Epoch: epoch}}}
@@ -283,8 +283,8 @@
 	n.Ask(ctx, word(epoch))
 }
 
-// registryServers returns the servers by this node's registry, or nil if it has not received a full list yet. An entry without a
-// name is left out.
+// registryServers returns the servers by this node's registry, or nil if it has not received a full list yet. An entry
+// without a name is left out.
 func (n *Control) servers() (list []*fleetpb.Server) {
 	l := n.loop.ServerList()
 	if !l.Full {
--- a/internal/control/voter.go
+++ b/internal/control/voter.go
@@ -31,7 +31,7 @@
 	kindRaft     = iota + 1 // message to a voter: a raft message
 	kindFounding            // call to a voter, without content: answered by its foundingInfo
 	kindEntry               // call to the leader: a fleetpb.Entry; answered by its fleetpb.Result
-	kindOrders              // long poll of any voter: the fleetpb.Orders that the node has; answered by newer ones, or by nothing
+	kindOrders              // long poll of any voter: the node's fleetpb.Orders; answered by newer ones, or by nothing
 	kindState               // call to the leader, without content: answered by a fleetpb.State without the configuration
 	kindWatch               // long poll of any voter: a configpb.WatchRequest; answered by a configpb.WatchAnswer
 	kindReport              // call to any voter: a configpb.ReportRequest; answered by a configpb.Report
@@ -53,7 +53,7 @@
 	entryWait     = 2 * time.Second
 	gatherFor     = 10 * time.Millisecond // acknowledgements that arrive within this time go into one entry
 	gatherMost    = 1000                  // acknowledgements in one entry
-	clockEvery    = time.Second           // between clock entries, which are written only while something waits for time to pass
+	clockEvery    = time.Second           // between clock entries, while something waits for time to pass
 	listedEvery   = 500 * time.Millisecond
 	listedMost    = 500 // servers in one entry
 )
@@ -73,7 +73,7 @@
 	birth     string
 	ids       map[string]uint64 // raft IDs of the voters, by name
 	gathering *gathering        // batch that still takes acknowledgements; nil: none
-	vitals    vitals.Vitals
+	vitals    vitals.Vitals     // the nodes' health reports, used by the leader only
 	member    *agree.Member // nil until awaitFounding has succeeded
 	changed   chan struct{} // closed when orders changes
 	// The following are of the leader only, by node name.
@@ -219,7 +219,8 @@
 	}
 }
 
-// transferLeadership transfers the leadership, if this voter has it, to a voter that is connected. It gives up after within.
+// transferLeadership transfers the leadership, if this voter has it, to a voter that is connected. It gives up after
+// within.
 func (v *voter) leave(within time.Duration) {
 	m := v.current()
 	if m == nil {
@@ -235,8 +236,8 @@
 	}
 }
 
-// handlePost passes a raft message to the member. from is the name in the sender's certificate: a message is dropped unless
-// the sender is the voter whose raft ID the message carries.
+// handlePost passes a raft message to the member. from is the name in the sender's certificate: a message is dropped
+// unless the sender is the voter whose raft ID the message carries.
 func (v *voter) posted(from string, kind uint64, raw []byte) {
 	m := v.current()
 	if m == nil || kind != kindRaft {
@@ -256,11 +257,12 @@
 	return v.member
 }
 
-// publish publishes the machine's state after a change: the minimum level, the voters' IDs, the configuration and the orders.
-// The member's goroutine calls it, which owns the machine.
+// publish publishes the machine's state after a change: the minimum level, the voters' IDs, the configuration and the
+// orders. The member's goroutine calls it, which owns the machine.
 func (v *voter) news() {
 	v.least.Store(v.machine.LeastLevel())
-	if voters := v.machine.State().Voters; len(voters) > 0 { // a voter that joins a running log learns the voters from the log
+	// A voter that joins a running log learns the voters from the log.
+	if voters := v.machine.State().Voters; len(voters) > 0 {
 		v.number(voters)
 	}
 	v.watch.Publish(v.founding.Log, v.machine.Configuration(), v.machine.Sessions())
@@ -279,8 +281,8 @@
 	}
 }
 
-// handleCall answers a call of another node, or of this one. from is the name in the caller's certificate. It returns the
-// status and the answer.
+// handleCall answers a call of another node, or of this one. from is the name in the caller's certificate. It returns
+// the status and the answer.
 func (v *voter) handle(ctx context.Context, from string, kind uint64, raw []byte) (uint64, []byte) {
 	if kind == kindFounding {
 		v.mu.Lock()
@@ -347,8 +349,8 @@
 	return statusBad, []byte("unknown kind of call")
 }
 
-// checkSender returns an error if the node may not submit the entry. A node may report its own state only, and must not submit
-// the entries that only the leader writes. Operators' entries are accepted from every node.
+// checkSender returns an error if the node may not submit the entry. A node may report its own state only, and must not
+// submit the entries that only the leader writes. Operators' entries are accepted from every node.
 func mayAsk(from string, e *fleetpb.Entry) error {
 	own := func(name string) error {
 		if name != from {
@@ -449,8 +451,8 @@
 	err    error
 }
 
-// batchAcks adds acknowledgements to the open batch and returns the result of the batch's entry. The call that opens a batch
-// waits for ackBatchDelay and then proposes it.
+// batchAcks adds acknowledgements to the open batch and returns the result of the batch's entry. The call that opens a
+// batch waits for ackBatchDelay and then proposes it.
 func (v *voter) gather(ctx context.Context, m *agree.Member, acks []*fleetpb.Ack) (*fleetpb.Result, error) {
 	v.mu.Lock()
 	g := v.gathering
@@ -472,7 +474,8 @@
 			return nil, agree.ErrUnknown
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryWait) // other calls wait for this batch, so the end of this call must not end it
+	// Other calls wait for this batch, so the end of this call must not end it.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryWait)
 	defer cancel()
 	time.Sleep(gatherFor)
 	v.mu.Lock()
@@ -485,12 +488,13 @@
 	return g.result, g.err
 }
 
-// keepSessionAlive opens a node's session with an entry of the log, or records the keep-alive of a live one, which needs no entry.
-// It first confirms that this voter still leads. So a later leader, which counts timeouts from the begin of its own term,
-// counts from a later time than the node does, and can't end the session too early.
+// keepSessionAlive opens a node's session with an entry of the log, or records the keep-alive of a live one, which
+// needs no entry. It first confirms that this voter still leads. So a later leader, which counts timeouts from the
+// begin of its own term, counts from a later time than the node does, and can't end the session too early.
 func (v *voter) keepAlive(ctx context.Context, m *agree.Member, e *fleetpb.Entry, o *fleetpb.OpenSession) (*fleetpb.Result, error) {
 	dead, word := o.Dead, &fleetpb.OpenSession{Ends: o.Ends, Resident: o.Resident, Soak: o.Soak}
-	o.Dead, o.Ends, o.Resident, o.Soak = nil, nil, 0, 0 // the log gets the leader's conclusions from these, not each node's report
+	// The log gets the leader's conclusions from these, not each node's report.
+	o.Dead, o.Ends, o.Resident, o.Soak = nil, nil, 0, 0
 	if err := m.Lead(ctx); err != nil {
 		return nil, err
 	}
