--- a/cmd/rehearse/trace.go
+++ b/cmd/rehearse/trace.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return err
 		}
-		s := trace.Synth{Length: length, Rate: rate, Shape: trace.Shape(shape), Sessions: sessions, Think: think, Seed: seed}
+		s := trace.Synth{Length: length, Rate: rate, Shape: trace.Shape(shape), OrdersPerSession: sessions, ThinkTime: think, Seed: seed}
 		if !slices.Contains(trace.Shapes, s.Shape) {
 			return fmt.Errorf("--shape: want one of %v, have %q", trace.Shapes, shape)
 		}
@@ -169,7 +169,7 @@
 			work = (s.work / time.Duration(s.worked)).Round(time.Microsecond).String()
 		}
 		var ends []string
-		for out := trace.Unknown; out <= trace.Gone; out++ {
+		for out := trace.Unknown; out <= trace.ClientGone; out++ {
 			if n := s.outcomes[out]; n > 0 {
 				ends = append(ends, fmt.Sprintf("%d %v", n, out))
 			}
--- a/cmd/rig/agreement.go
+++ b/cmd/rig/agreement.go
@@ -113,11 +113,11 @@
 	name := fmt.Sprintf("agreement.voters-%d.", voters)
 	var times standin.Times
 	for i := range grants {
-		d, target := control.Knock(p.members[i%voters].socket), agreed.ServerTarget(f.servers[i%len(f.servers)].Name)
+		d, target := control.NewAPIClient(p.members[i%voters].socket), agreed.ServerTarget(f.servers[i%len(f.servers)].Name)
 		for _, e := range []*fleetpb.Entry{{What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: target}}}, {What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target}}}} {
 			e.Ask = rand.Text()
 			began := time.Now()
-			r, err := d.Ask(ctx, e)
+			r, err := d.Propose(ctx, e)
 			if err != nil || r.Code != fleetpb.Result_DONE {
 				return fmt.Errorf("%s: %v, %w", target, r, err)
 			}
@@ -140,9 +140,9 @@
 		}
 		p.members[at].kill()
 		began := time.Now()
-		d := control.Knock(p.members[(at+1)%voters].socket)
+		d := control.NewAPIClient(p.members[(at+1)%voters].socket)
 		wait, cancel := context.WithTimeout(ctx, settleWait)
-		r, err := d.Ask(wait, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Withdraw{Withdraw: &fleetpb.Withdraw{Target: "server/none"}}})
+		r, err := d.Propose(wait, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Withdraw{Withdraw: &fleetpb.Withdraw{Target: "server/none"}}})
 		cancel()
 		if err != nil {
 			return fmt.Errorf("after the leader was killed: %v, %w", r, err)
@@ -179,14 +179,14 @@
 // EjectedServers names no server.
 func (idleLoop) EjectedServers() []string { return nil }
 
-// Away does nothing.
-func (idleLoop) Away(bool) {}
+// SetDrained does nothing.
+func (idleLoop) SetDrained(bool) {}
 
-// Ends has no finished requests.
-func (idleLoop) Ends() map[string]health.Ends { return nil }
+// ClassCounts has no finished requests.
+func (idleLoop) ClassCounts() map[string]health.ClassCounts { return nil }
 
-// Resident is 0: the memory is not measured.
-func (idleLoop) Resident() uint64 { return 0 }
+// ResidentBytes is 0: the memory is not measured.
+func (idleLoop) ResidentBytes() uint64 { return 0 }
 
 // CanServe reports that the node can serve.
 func (idleLoop) CanServe() bool { return true }
@@ -260,15 +260,15 @@
 		if at < 0 {
 			return errors.New("nobody leads")
 		}
-		door := control.Knock(p.members[at].socket)
-		before, err := door.Here(ctx)
+		door := control.NewAPIClient(p.members[at].socket)
+		before, err := door.Status(ctx)
 		if err != nil {
 			return err
 		}
 		d0, b0 := carried()
 		cpu0 := p.members[at].proc.cpu()
 		sleepFor(ctx, window)
-		after, err := door.Here(ctx)
+		after, err := door.Status(ctx)
 		if err != nil {
 			return err
 		}
@@ -311,7 +311,7 @@
 func (p *cluster) sessionsLive(ctx context.Context, want int) error {
 	for end := time.Now().Add(2 * settleWait); ; sleepFor(ctx, 50*time.Millisecond) {
 		live := 0
-		s, err := control.Knock(p.members[0].socket).State(ctx)
+		s, err := control.NewAPIClient(p.members[0].socket).State(ctx)
 		if err == nil {
 			for _, n := range s.Nodes {
 				if n.State == agreed.Live {
@@ -329,9 +329,9 @@
 }
 
 // proveDrain drains a target, waits for the proof, and brings it back.
-func proveDrain(ctx context.Context, d *control.Door, target string) (time.Duration, error) {
+func proveDrain(ctx context.Context, d *control.APIClient, target string) (time.Duration, error) {
 	began := time.Now()
-	if r, err := d.Ask(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: target}}}); err != nil || r.Code != fleetpb.Result_DONE {
+	if r, err := d.Propose(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: target}}}); err != nil || r.Code != fleetpb.Result_DONE {
 		return 0, fmt.Errorf("%s: %v, %w", target, r, err)
 	}
 	took := time.Duration(0)
@@ -340,7 +340,7 @@
 		if err != nil {
 			return 0, err
 		}
-		proof := agreed.From(s).Proof(target)
+		proof := agreed.FromState(s).Proof(target)
 		if proof.Proven {
 			took = time.Since(began)
 			break
@@ -349,6 +349,6 @@
 			return 0, fmt.Errorf("%s: not proven within %v: %+v", target, settleWait, proof)
 		}
 	}
-	_, err := d.Ask(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target}}})
+	_, err := d.Propose(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target}}})
 	return took, err
 }
--- a/cmd/rig/cluster.go
+++ b/cmd/rig/cluster.go
@@ -243,7 +243,7 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
-		h, err := control.Knock(m.socket).Here(ctx)
+		h, err := control.NewAPIClient(m.socket).Status(ctx)
 		cancel()
 		if err == nil && h.Voter == "leads" && h.Term >= term {
 			best, term = i, h.Term
@@ -261,7 +261,7 @@
 	var last error
 	for try := 0; ; try++ {
 		m := p.members[try%len(p.members)]
-		s, err := control.Knock(m.socket).State(ctx)
+		s, err := control.NewAPIClient(m.socket).State(ctx)
 		if err == nil {
 			live, listed := 0, len(s.Servers)
 			for _, n := range s.Nodes {
--- a/cmd/rig/configuration.go
+++ b/cmd/rig/configuration.go
@@ -153,7 +153,7 @@
 func (r *configurationRun) read(ctx context.Context, random *rand.Rand, pair int) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	d := control.Knock(r.member(random).socket)
+	d := control.NewAPIClient(r.member(random).socket)
 	answer, err := d.Query(ctx, &configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
 	if err != nil {
 		return 0, err
@@ -201,7 +201,7 @@
 	put.from = time.Now()
 	for end := put.from.Add(2 * settleWait); time.Now().Before(end); {
 		once, cancel := context.WithTimeout(ctx, 2*time.Second)
-		result, err := control.Knock(r.member(random).socket).Ask(once, e)
+		result, err := control.NewAPIClient(r.member(random).socket).Propose(once, e)
 		cancel()
 		if err == nil && result.Configuration != nil {
 			put.code, put.revision = result.Configuration.Code, result.Configuration.Revision
@@ -224,11 +224,11 @@
 	var looked time.Time
 	for ; ctx.Err() == nil; sleepFor(ctx, sampleEvery) {
 		once, cancel := context.WithTimeout(ctx, time.Second)
-		h, err := control.Knock(m.socket).Here(once)
+		h, err := control.NewAPIClient(m.socket).Status(once)
 		cancel()
 		if err == nil {
 			r.mu.Lock()
-			r.samples = append(r.samples, configurationSample{m.name, h.Pid, h.Configuration, time.Now()})
+			r.samples = append(r.samples, configurationSample{m.name, h.Pid, h.ConfigurationRevision, time.Now()})
 			r.mu.Unlock()
 		}
 		if time.Since(looked) >= cacheSampleEvery {
@@ -321,7 +321,7 @@
 	ctx, cancel := context.WithTimeout(ctx, settleWait)
 	defer cancel()
 	q := &configpb.Query{About: &configpb.Query_History{History: &configpb.HistoryQuery{}}}
-	answer, err := control.Knock(r.p.members[0].socket).Query(ctx, q)
+	answer, err := control.NewAPIClient(r.p.members[0].socket).Query(ctx, q)
 	if err != nil {
 		return nil, fmt.Errorf("history: %w", err)
 	}
--- a/cmd/rig/configuration_test.go
+++ b/cmd/rig/configuration_test.go
@@ -42,8 +42,8 @@
 }
 
 // here is a member's own view.
-func (c *configured) here(member int) (h control.Here) {
-	h, _ = control.Knock(c.members[member].socket).Here(c.Context()) // one that does not run has nothing
+func (c *configured) here(member int) (h control.NodeStatus) {
+	h, _ = control.NewAPIClient(c.members[member].socket).Status(c.Context()) // one that does not run has nothing
 	return h
 }
 
@@ -199,7 +199,7 @@
 	if err := p.settled(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	c.until("the old leader has it", func() bool { return c.here(leader).Configuration == 2 })
+	c.until("the old leader has it", func() bool { return c.here(leader).ConfigurationRevision == 2 })
 
 	p.members[5].kill()
 	cache := filepath.Join(p.members[5].folder, "configuration.cache")
@@ -216,11 +216,11 @@
 		}
 	}
 	// The cache may be some seconds behind what the node had.
-	c.until("from the cache, without a control machine", func() bool { return c.here(6).Configuration >= 1 })
+	c.until("from the cache, without a control machine", func() bool { return c.here(6).ConfigurationRevision >= 1 })
 	c.until("the torn cache is told of", func() bool {
 		return strings.Contains(strings.Join(p.members[5].logs(), ""), "it is torn off; it is kept as")
 	})
-	if h := c.here(3); h.Configuration != 2 {
+	if h := c.here(3); h.ConfigurationRevision != 2 {
 		t.Errorf("a node that went on: %+v", h)
 	}
 	c.say(3, 6, "out of reach", "status")
@@ -232,7 +232,7 @@
 	if err := p.settled(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	c.until("from a control machine, without a cache", func() bool { return c.here(5).Configuration >= 2 })
+	c.until("from a control machine, without a cache", func() bool { return c.here(5).ConfigurationRevision >= 2 })
 	t.Log(c.say(4, 0, "in force at all 7 nodes", "rollback", "1", "--wait", "20s", "--why", "too slow"))
 	c.say(5, 0, "timeout_ms = 1000", "get", "service/pay")
 	c.say(6, 0, "too slow", "history")
--- a/cmd/rig/drains_test.go
+++ b/cmd/rig/drains_test.go
@@ -243,7 +243,7 @@
 	if err := p.tear(t.Context(), 0.3); err != nil {
 		t.Fatal(err)
 	}
-	if h, err := control.Knock(p.members[2].socket).Here(t.Context()); err != nil || h.Voter != "stopped" || !strings.Contains(h.Why, "damaged") {
+	if h, err := control.NewAPIClient(p.members[2].socket).Status(t.Context()); err != nil || h.Voter != "stopped" || !strings.Contains(h.Reason, "damaged") {
 		t.Errorf("a voter whose log is torn off: %+v, %v", h, err)
 	}
 	say(0, "done", 2, "drain", f.servers[0].Name) // it asks, and follows, without a vote
--- a/cmd/rig/faults.go
+++ b/cmd/rig/faults.go
@@ -293,8 +293,8 @@
 	case <-ctx.Done():
 	}
 	os.Remove(m.faults())
-	h, err := control.Knock(m.socket).Here(ctx)
-	p.history.note(m.name, "%s: voter %q %s, %v", what, h.Voter, h.Why, err)
+	h, err := control.NewAPIClient(m.socket).Status(ctx)
+	p.history.note(m.name, "%s: voter %q %s, %v", what, h.Voter, h.Reason, err)
 	if err == nil && h.Voter != "stopped" {
 		return nil
 	}
@@ -320,10 +320,10 @@
 	if err := errors.Join(os.Truncate(path, at), p.start(ctx, last)); err != nil {
 		return err
 	}
-	var h control.Here
+	var h control.NodeStatus
 	for end := time.Now().Add(settleWait); time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
-		if h, err = control.Knock(m.socket).Here(ctx); err == nil && h.Able && h.Session > 0 && (h.Voter == "stopped" || h.Leader != "") {
-			p.history.note(m.name, "its log torn off at %d of %d: voter %s %s", at, info.Size(), h.Voter, h.Why)
+		if h, err = control.NewAPIClient(m.socket).Status(ctx); err == nil && h.CanServe && h.Session > 0 && (h.Voter == "stopped" || h.Leader != "") {
+			p.history.note(m.name, "its log torn off at %d of %d: voter %s %s", at, info.Size(), h.Voter, h.Reason)
 			return nil
 		}
 	}
@@ -333,7 +333,7 @@
 // hitNode kills or stops the node that a member's supervisor keeps, by its id. end has it go on, and waits until the
 // member's node answers.
 func (p *cluster) hitNode(ctx context.Context, m *clusterMember, stop bool) (end func() error, err error) {
-	h, err := control.Knock(m.socket).Here(ctx)
+	h, err := control.NewAPIClient(m.socket).Status(ctx)
 	if err != nil { // it is just being replaced, or started
 		return func() error { return nil }, nil
 	}
@@ -355,7 +355,7 @@
 		}
 		end := time.Now().Add(settleWait)
 		for ; time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 20*time.Millisecond) {
-			if h, err := control.Knock(m.socket).Here(ctx); err == nil && h.Able {
+			if h, err := control.NewAPIClient(m.socket).Status(ctx); err == nil && h.CanServe {
 				m.mu.Lock()
 				defer m.mu.Unlock()
 				m.up()
@@ -375,7 +375,7 @@
 			continue
 		}
 		for ; time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
-			if h, err := control.Knock(m.socket).Here(ctx); err == nil && h.Leader != "" {
+			if h, err := control.NewAPIClient(m.socket).Status(ctx); err == nil && h.Leader != "" {
 				return nil
 			}
 		}
--- a/cmd/rig/releasetable.go
+++ b/cmd/rig/releasetable.go
@@ -151,11 +151,11 @@
 }
 
 // ends draws a second's requests of a node.
-func (p *modelTrial) ends(n *modelNode, into map[string]health.Ends) {
+func (p *modelTrial) ends(n *modelNode, into map[string]health.ClassCounts) {
 	for _, c := range kampklip {
 		e := into[c.Name]
-		if e.Took == nil {
-			e.Took = make([]uint64, health.Buckets)
+		if e.Latencies == nil {
+			e.Latencies = make([]uint64, health.Buckets)
 		}
 		count := modelRate * c.Share
 		for range int(count) + map[bool]int{true: 1}[p.r.Float64() < count-math.Floor(count)] {
@@ -170,7 +170,7 @@
 			}
 			e.Served++
 			at, _ := slices.BinarySearch(modelBounds[c.Name], time.Duration(modelMedian*slower*math.Exp(modelSpread*p.r.NormFloat64())*1e9))
-			e.Took[at]++
+			e.Latencies[at]++
 		}
 		into[c.Name] = e
 	}
@@ -179,7 +179,7 @@
 var modelBounds = func() map[string][]time.Duration {
 	all := map[string][]time.Duration{}
 	for _, c := range kampklip {
-		all[c.Name] = health.Bounds(c.Aim)
+		all[c.Name] = health.LatencyBounds(c.Aim)
 	}
 	return all
 }()
--- a/cmd/rig/releasetrial.go
+++ b/cmd/rig/releasetrial.go
@@ -121,7 +121,7 @@
 func (r *releaseTrial) state(ctx context.Context) *fleetpb.State {
 	for _, i := range r.r.Perm(len(r.p.members)) {
 		once, cancel := context.WithTimeout(ctx, 2*time.Second)
-		s, err := control.Knock(r.p.members[i].socket).State(once)
+		s, err := control.NewAPIClient(r.p.members[i].socket).State(once)
 		cancel()
 		if err == nil {
 			return s
@@ -192,7 +192,7 @@
 				run.halted, run.cause = time.Since(began), l.Cause
 			}
 		}
-		over := l.State == agreed.Done || l.State == agreed.TurnedBack || l.State == agreed.Failed
+		over := l.State == agreed.Done || l.State == agreed.RolledBack || l.State == agreed.Failed
 		if k.cause == "" && l.State == agreed.Halted {
 			run.hands++
 			r.command(ctx, "resume", name, "--why", "faults, and not the version")
@@ -225,7 +225,7 @@
 			return true
 		}
 		r.before = version
-	} else if run.state != agreed.TurnedBack {
+	} else if run.state != agreed.RolledBack {
 		r.wrong("%s: %s: %s", k.name, run.state, run.cause)
 	}
 	have := map[string]string{}
--- a/cmd/rig/releaseways.go
+++ b/cmd/rig/releaseways.go
@@ -20,7 +20,7 @@
 	for _, n := range p.nodes[:modelVoters] {
 		voters[n.name] = "birth"
 	}
-	m := agreed.Found(voters)
+	m := agreed.NewWithVoters(voters)
 	say := func(e *fleetpb.Entry) *fleetpb.Result {
 		e.Level, e.AtMs = agreed.Level, 1000*int64(p.now+1)
 		raw, err := proto.Marshal(e)
@@ -43,7 +43,7 @@
 		say(&fleetpb.Entry{What: &fleetpb.Entry_Open{Open: &fleetpb.OpenSession{Node: n.name, Zone: fmt.Sprint(n.zone), Process: "p", Level: agreed.Level, Voter: n.voter}}})
 		tell(n, agreed.UnitReady)
 	}
-	waves, err := m.Waves(modelWaves)
+	waves, err := m.BuildWaves(modelWaves)
 	if err != nil {
 		panic(err)
 	}
@@ -52,7 +52,7 @@
 		panic(r.Reason)
 	}
 	var v vitals.Vitals
-	counts, soak := map[string]map[string]health.Ends{}, int64(0)
+	counts, soak := map[string]map[string]health.ClassCounts{}, int64(0)
 	for p.now < modelLimit {
 		for _, n := range p.second() {
 			tell(n, agreed.UnitCrashed)
@@ -74,9 +74,9 @@
 			}
 		}
 		s := m.State()
-		at, wanted := vitals.Soak(s)
+		at, wanted := vitals.ActiveSoak(s)
 		if at != soak {
-			soak, counts = at, map[string]map[string]health.Ends{}
+			soak, counts = at, map[string]map[string]health.ClassCounts{}
 		}
 		if wanted && soak > 0 {
 			olds := 0
@@ -90,27 +90,27 @@
 					olds++
 				}
 				if counts[n.name] == nil {
-					counts[n.name] = map[string]health.Ends{}
+					counts[n.name] = map[string]health.ClassCounts{}
 				}
 				p.ends(n, counts[n.name])
 				o := &fleetpb.OpenSession{Soak: soak, Resident: p.resident(n)}
 				for class, e := range counts[n.name] {
 					x := &fleetpb.Ends{Class: class, Served: e.Served, Failed: e.Failed}
-					vitals.Trim(x, e.Took)
+					vitals.SetTrimmedLatencies(x, e.Latencies)
 					o.Ends = append(o.Ends, x)
 				}
-				v.Tell(n.name, s.Nodes[n.name].Epoch, o)
+				v.SetReport(n.name, s.Nodes[n.name].Epoch, o)
 			}
 			if j := v.Judge(s); j != nil {
 				say(&fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: j}})
 			}
 		}
 		switch state := m.State().Release.State; {
-		case state == agreed.TurningBack && p.halted == 0:
+		case state == agreed.RollingBack && p.halted == 0:
 			p.halted = p.now
 		case state == agreed.Done:
 			return p.run()
-		case state == agreed.TurnedBack || state == agreed.Failed:
+		case state == agreed.RolledBack || state == agreed.Failed:
 			p.back = p.now
 			return p.run()
 		}
--- a/cmd/rig/supervise_test.go
+++ b/cmd/rig/supervise_test.go
@@ -45,7 +45,7 @@
 	pid := func() int {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		h, err := control.Knock(m.socket).Here(ctx)
+		h, err := control.NewAPIClient(m.socket).Status(ctx)
 		if err != nil {
 			return 0
 		}
--- a/cmd/starlingvalve/config.go
+++ b/cmd/starlingvalve/config.go
@@ -33,24 +33,24 @@
 			"how long to wait until the change is in force at every node; exit code 5 if it is not by then")
 	}
 	waits(add("put FILE", "Apply all changes of a file, or none", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *control.Door, args []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.putConfig(cmd, client, args[0], wait)
 		}))
 	waits(add("rollback REVISION", "Restore all entries as of a revision", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *control.Door, args []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.rollBackConfig(cmd, client, args[0], wait)
 		}))
 	add("get [KEY...]", "Print entries in the format of a file for put", cobra.ArbitraryArgs, cli.getConfig)
 	add("diff FILE", "Print what put would change", cobra.ExactArgs(1), cli.diffConfig)
 	var maxRevisions uint32
 	history := add("history", "Print who changed what, and why", cobra.NoArgs,
-		func(cmd *cobra.Command, client *control.Door, _ []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, _ []string) error {
 			return cli.configHistory(cmd, client, maxRevisions)
 		})
 	history.Flags().Uint32Var(&maxRevisions, "most", 20, "number of revisions to print, newest ones; 0: all that are kept")
 	add("status", "Print the revision in force, which nodes lag and why; exit code 5 while the newest is not in force",
 		cobra.NoArgs,
-		func(cmd *cobra.Command, client *control.Door, _ []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, _ []string) error {
 			status, err := configStatus(cmd.Context(), client)
 			if err != nil {
 				return err
@@ -60,7 +60,7 @@
 	return root
 }
 
-func (a *fleetCLI) putConfig(cmd *cobra.Command, client *control.Door, path string, wait time.Duration) error {
+func (a *fleetCLI) putConfig(cmd *cobra.Command, client *control.APIClient, path string, wait time.Duration) error {
 	file, err := configfile.Load(path)
 	if err != nil {
 		return err
@@ -71,13 +71,13 @@
 		return err
 	}
 	if refusal := result.GetConfiguration().GetRefusal(); refusal != nil && !a.jsonOutput() {
-		fmt.Fprintln(cmd.ErrOrStderr(), "starlingvalve:", file.Fault(refusal))
+		fmt.Fprintln(cmd.ErrOrStderr(), "starlingvalve:", file.RefusalError(refusal))
 		return exitCodeOf(result)
 	}
 	return a.printChange(cmd, client, result, wait)
 }
 
-func (a *fleetCLI) rollBackConfig(cmd *cobra.Command, client *control.Door, revision string, wait time.Duration) error {
+func (a *fleetCLI) rollBackConfig(cmd *cobra.Command, client *control.APIClient, revision string, wait time.Duration) error {
 	to, err := parseRevision(revision)
 	if err != nil {
 		return err
@@ -91,18 +91,18 @@
 }
 
 // changeConfig submits a change. It has a number of its own, so that it is safe to submit it again.
-func (a *fleetCLI) changeConfig(cmd *cobra.Command, client *control.Door, e *fleetpb.Entry) (*fleetpb.Result, error) {
+func (a *fleetCLI) changeConfig(cmd *cobra.Command, client *control.APIClient, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	if e.Ask = a.requestID; e.Ask == "" {
 		e.Ask = rand.Text()
 	}
 	ctx, cancel := context.WithTimeout(cmd.Context(), 30*time.Second)
 	defer cancel()
-	return client.Ask(ctx, e)
+	return client.Propose(ctx, e)
 }
 
 // printChange prints the result of a change. If wait is not 0, it then waits up to that long until the change is in
 // force.
-func (a *fleetCLI) printChange(cmd *cobra.Command, client *control.Door, result *fleetpb.Result, wait time.Duration) error {
+func (a *fleetCLI) printChange(cmd *cobra.Command, client *control.APIClient, result *fleetpb.Result, wait time.Duration) error {
 	w, change := cmd.OutOrStdout(), result.GetConfiguration()
 	switch {
 	case a.jsonOutput():
@@ -142,7 +142,7 @@
 
 // waitInForce waits until every node has applied a revision or a newer one. If that takes longer than wait, it prints
 // which nodes lag.
-func (a *fleetCLI) waitInForce(cmd *cobra.Command, client *control.Door, revision uint64, wait time.Duration) error {
+func (a *fleetCLI) waitInForce(cmd *cobra.Command, client *control.APIClient, revision uint64, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), wait)
 	defer cancel()
 	var last *configpb.Status
@@ -161,7 +161,7 @@
 		case <-ctx.Done():
 		}
 		if last == nil {
-			return fmt.Errorf("%w within %v: %w", control.ErrDoor, wait, err)
+			return fmt.Errorf("%w within %v: %w", control.ErrAPIUnavailable, wait, err)
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "not in force within %v\n", wait)
 		a.printLags(cmd.OutOrStdout(), last)
@@ -169,7 +169,7 @@
 	}
 }
 
-func configStatus(ctx context.Context, client *control.Door) (*configpb.Status, error) {
+func configStatus(ctx context.Context, client *control.APIClient) (*configpb.Status, error) {
 	answer, err := client.Query(ctx, &configpb.Query{About: &configpb.Query_Status{Status: true}})
 	return answer.GetStatus(), err
 }
@@ -224,7 +224,7 @@
 	return slices.DeleteFunc(list, func(s string) bool { return s == "" })
 }
 
-func (a *fleetCLI) getConfig(cmd *cobra.Command, client *control.Door, keys []string) error {
+func (a *fleetCLI) getConfig(cmd *cobra.Command, client *control.APIClient, keys []string) error {
 	snapshot, err := configSnapshot(cmd.Context(), client)
 	if err != nil {
 		return err
@@ -254,12 +254,12 @@
 	return nil
 }
 
-func configSnapshot(ctx context.Context, client *control.Door) (*configpb.Snapshot, error) {
+func configSnapshot(ctx context.Context, client *control.APIClient) (*configpb.Snapshot, error) {
 	answer, err := client.Query(ctx, &configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
 	return answer.GetSnapshot(), err
 }
 
-func (a *fleetCLI) diffConfig(cmd *cobra.Command, client *control.Door, args []string) error {
+func (a *fleetCLI) diffConfig(cmd *cobra.Command, client *control.APIClient, args []string) error {
 	file, err := configfile.Load(args[0])
 	if err != nil {
 		return err
@@ -291,7 +291,7 @@
 	return string(raw)
 }
 
-func (a *fleetCLI) configHistory(cmd *cobra.Command, client *control.Door, maxRevisions uint32) error {
+func (a *fleetCLI) configHistory(cmd *cobra.Command, client *control.APIClient, maxRevisions uint32) error {
 	query := &configpb.HistoryQuery{Most: maxRevisions}
 	answer, err := client.Query(cmd.Context(), &configpb.Query{About: &configpb.Query_History{History: query}})
 	if err != nil {
--- a/cmd/starlingvalve/fleet.go
+++ b/cmd/starlingvalve/fleet.go
@@ -53,7 +53,7 @@
 // node's socket, through which it reads or changes what the fleet agreed on.
 func (a *fleetCLI) command(use, short string) (root *cobra.Command,
 	add func(use, short string, args cobra.PositionalArgs,
-		run func(*cobra.Command, *control.Door, []string) error) *cobra.Command) {
+		run func(*cobra.Command, *control.APIClient, []string) error) *cobra.Command) {
 	root = &cobra.Command{Use: use, Short: short, Long: short + ", through the socket of any node.\n\n" + codesHelp,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if a.socket == "" {
@@ -75,10 +75,10 @@
 		"a `number` of your own for this request: repeated with the same number, it has no second effect and returns the first result")
 	root.PersistentFlags().StringVarP(&a.output, "output", "o", "text", "text or json")
 	return root, func(use, short string, args cobra.PositionalArgs,
-		run func(*cobra.Command, *control.Door, []string) error) *cobra.Command {
+		run func(*cobra.Command, *control.APIClient, []string) error) *cobra.Command {
 		cmd := &cobra.Command{Use: use, Short: short, Args: args, RunE: func(cmd *cobra.Command, args []string) error {
-			err := run(cmd, control.Knock(a.socket), args)
-			if errors.Is(err, control.ErrDoor) {
+			err := run(cmd, control.NewAPIClient(a.socket), args)
+			if errors.Is(err, control.ErrAPIUnavailable) {
 				fmt.Fprintln(os.Stderr, "starlingvalve:", root.Use+":", err)
 				return exitCode(exitUnreachable)
 			}
@@ -107,7 +107,7 @@
 	var dryRun, force bool
 	drainCommand := add("drain TARGET",
 		"Drain a server (s-5), a node (node/n3) or all servers of a zone (zone/hall-a), if the budgets allow it",
-		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			drainRequest := &fleetpb.Drain{Target: target(args[0]), By: cli.by, Why: cli.why,
 				WaitMs: cli.queueTimeout.Milliseconds(), Force: force}
 			if dryRun {
@@ -125,31 +125,31 @@
 	drainCommand.Flags().BoolVar(&force, "force", false, "ignore the budgets; the history names who did it")
 	var epoch uint64
 	returnCommand := add("return TARGET", "End a drain", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *control.Door, args []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target(args[0]),
 				By: cli.by, Why: cli.why, Epoch: epoch}}})
 		})
 	returnCommand.Flags().Uint64Var(&epoch, "epoch", 0, "only the drain that was granted at this epoch; 0: any")
 	add("withdraw TARGET", "Remove a waiting drain from the queue", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *control.Door, args []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Withdraw{
 				Withdraw: &fleetpb.Withdraw{Target: target(args[0]), By: cli.by}}})
 		})
 	add("renew VOTER", "Readmit a voter that lost its disk, with its new disk; start the voter first", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *control.Door, args []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Renew{Renew: &fleetpb.RenewVoter{Node: args[0],
 				By: cli.by, Why: cli.why}}})
 		})
 	var lift bool
 	holdCommand := add("hold TARGET",
 		"Forbid drains of a server, a node, a zone or, with the target fleet, of everything",
-		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target(args[0]),
 				By: cli.by, Why: cli.why, Lift: lift}}})
 		})
 	holdCommand.Flags().BoolVar(&lift, "lift", false, "allow drains again")
 	add("forget TARGET", "Remove a node whose session lapsed (node/n3) or a server that no longer exists (server/s-5)",
-		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Forget{Forget: &fleetpb.Forget{Target: target(args[0]),
 				By: cli.by, Why: cli.why}}})
 		})
@@ -162,7 +162,7 @@
 
 // target returns the target that arg names: a server, unless arg has a prefix such as zone/ or is the whole fleet.
 func target(arg string) string {
-	if strings.Contains(arg, "/") || arg == fleet.Everything {
+	if strings.Contains(arg, "/") || arg == fleet.FleetTarget {
 		return arg
 	}
 	return fleet.ServerTarget(arg)
@@ -170,13 +170,13 @@
 
 // submit submits an entry to the agreement and prints the result. The entry has a number of its own, so that it is
 // safe to submit it again.
-func (a *fleetCLI) submit(cmd *cobra.Command, client *control.Door, entry *fleetpb.Entry) error {
+func (a *fleetCLI) submit(cmd *cobra.Command, client *control.APIClient, entry *fleetpb.Entry) error {
 	if entry.Ask = a.requestID; entry.Ask == "" {
 		entry.Ask = rand.Text()
 	}
 	ctx, cancel := context.WithTimeout(cmd.Context(), 30*time.Second)
 	defer cancel()
-	result, err := client.Ask(ctx, entry)
+	result, err := client.Propose(ctx, entry)
 	if err != nil {
 		return err
 	}
@@ -214,19 +214,19 @@
 }
 
 // agreedState fetches the fleet's agreed state, for queries in this process.
-func (a *fleetCLI) agreedState(ctx context.Context, client *control.Door) (*fleet.Machine, error) {
+func (a *fleetCLI) agreedState(ctx context.Context, client *control.APIClient) (*fleet.Machine, error) {
 	s, err := client.State(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return fleet.From(s), nil
+	return fleet.FromState(s), nil
 }
 
 // proofPollInterval is how often the wait command fetches the state.
 const proofPollInterval = 50 * time.Millisecond
 
 // waitForProof waits until a drain is proven, for the time of --timeout at most.
-func (a *fleetCLI) waitForProof(cmd *cobra.Command, client *control.Door, args []string) error {
+func (a *fleetCLI) waitForProof(cmd *cobra.Command, client *control.APIClient, args []string) error {
 	ctx, cancel := context.WithTimeout(cmd.Context(), a.timeout)
 	defer cancel()
 	drained := target(args[0])
@@ -234,7 +234,7 @@
 	for {
 		machine, err := a.agreedState(ctx, client)
 		switch {
-		case err != nil && ctx.Err() == nil && !errors.Is(err, control.ErrDoor):
+		case err != nil && ctx.Err() == nil && !errors.Is(err, control.ErrAPIUnavailable):
 			return err
 		case err == nil:
 			if proof = machine.Proof(drained); proof.Proven {
@@ -253,10 +253,10 @@
 		case <-ctx.Done():
 		}
 		if !proof.Granted {
-			return fmt.Errorf("%w within %v: %w", control.ErrDoor, a.timeout, err)
+			return fmt.Errorf("%w within %v: %w", control.ErrAPIUnavailable, a.timeout, err)
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "not proven, epoch %d: unheard with a session: %s; unheard, session lapsed: %s\n",
-			proof.Epoch, joinNames(proof.Unheard), joinNames(proof.Lapsed))
+			proof.Epoch, joinNames(proof.Unconfirmed), joinNames(proof.Lapsed))
 		return exitCode(exitUnproven)
 	}
 }
@@ -269,8 +269,8 @@
 	return strings.Join(list, ", ")
 }
 
-func (a *fleetCLI) status(cmd *cobra.Command, client *control.Door, _ []string) error {
-	here, err := client.Here(cmd.Context())
+func (a *fleetCLI) status(cmd *cobra.Command, client *control.APIClient, _ []string) error {
+	here, err := client.Status(cmd.Context())
 	if err != nil {
 		return err
 	}
@@ -303,7 +303,7 @@
 	for _, target := range slices.Sorted(maps.Keys(state.Outs)) {
 		out, proof, proofState := state.Outs[target], machine.Proof(target), "proven"
 		if !proof.Proven {
-			proofState = "unheard: " + joinNames(append(proof.Unheard, proof.Lapsed...))
+			proofState = "unheard: " + joinNames(append(proof.Unconfirmed, proof.Lapsed...))
 		}
 		fmt.Fprintf(w, "out\t%s\tepoch %d\tby %s at %s\t%s\t%s\n", target, out.Epoch, out.By, at(out.GrantedMs),
 			proofState, out.Why)
@@ -318,7 +318,7 @@
 	return nil
 }
 
-func (a *fleetCLI) budget(cmd *cobra.Command, client *control.Door, _ []string) error {
+func (a *fleetCLI) budget(cmd *cobra.Command, client *control.APIClient, _ []string) error {
 	machine, err := a.agreedState(cmd.Context(), client)
 	if err != nil {
 		return err
@@ -327,16 +327,16 @@
 	defer w.Flush()
 	for _, group := range machine.Groups() {
 		state := "within"
-		if over := group.Over(); over != "" {
+		if over := group.Exceeded(); over != "" {
 			state = "OVER: " + over
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d of %d out\t%.4g of %.4g left\t%s\t%s\n", group.Budget.Name, group.Name, len(group.Out), group.Members,
-			group.Left, group.Weight, state, strings.Join(group.Out, ", "))
+			group.RemainingWeight, group.TotalWeight, state, strings.Join(group.Out, ", "))
 	}
 	return nil
 }
 
-func (a *fleetCLI) history(cmd *cobra.Command, client *control.Door, _ []string) error {
+func (a *fleetCLI) history(cmd *cobra.Command, client *control.APIClient, _ []string) error {
 	machine, err := a.agreedState(cmd.Context(), client)
 	if err != nil {
 		return err
--- a/cmd/starlingvalve/main_test.go
+++ b/cmd/starlingvalve/main_test.go
@@ -253,7 +253,7 @@
 		t.Fatalf("%+v, %v", records, err)
 	}
 	for i, record := range records {
-		if record.Class != "c" || record.Outcome != trace.Refused || record.Repeat != (i == 1) || record.Size != 12 ||
+		if record.Class != "c" || record.Outcome != trace.Refused || record.Repeat != (i == 1) || record.BodySize != 12 ||
 			record.Patience != 500*time.Millisecond || (record.Order == records[0].Order) != (i < 2) || record.Tenant == 0 {
 			t.Errorf("%d: %+v", i, record)
 		}
--- a/cmd/starlingvalve/release.go
+++ b/cmd/starlingvalve/release.go
@@ -72,7 +72,7 @@
 	if machine == nil {
 		return plan, nil
 	}
-	if plan.Waves, err = machine.Waves(file.Wave); err != nil {
+	if plan.Waves, err = machine.BuildWaves(file.Wave); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	if field, err := fleet.CheckPlan(plan); err != nil {
@@ -82,7 +82,7 @@
 }
 
 // planForFleet loads the plan of a file for the nodes that the fleet has now. It also returns the fleet's state.
-func (a *fleetCLI) planForFleet(cmd *cobra.Command, client *control.Door, path string) (*fleet.Machine, *fleetpb.Plan, error) {
+func (a *fleetCLI) planForFleet(cmd *cobra.Command, client *control.APIClient, path string) (*fleet.Machine, *fleetpb.Plan, error) {
 	machine, err := a.agreedState(cmd.Context(), client)
 	if err != nil {
 		return nil, nil, err
@@ -96,7 +96,7 @@
 	cli := &fleetCLI{}
 	root, add := cli.command("release", "Bring the nodes of a fleet to another version, in waves")
 	add("plan FILE", "Check a plan, and print what it would do", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *control.Door, args []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			machine, plan, err := cli.planForFleet(cmd, client, args[0])
 			if err != nil {
 				return err
@@ -108,7 +108,7 @@
 		})
 	var again bool
 	start := add("start FILE", "Start the release of a plan", cobra.ExactArgs(1),
-		func(cmd *cobra.Command, client *control.Door, args []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			_, plan, err := cli.planForFleet(cmd, client, args[0])
 			if err != nil {
 				return err
@@ -120,13 +120,13 @@
 	for verb, about := range map[string]string{"pause": "Bring no further node to the new version for now",
 		"resume": "Continue a paused or halted release", "halt": "Stop the release: nodes that are out return as they were",
 		"back": "Roll back to the previous version"} {
-		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+		add(verb+" RELEASE", about, cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			return cli.submit(cmd, client, &fleetpb.Entry{What: &fleetpb.Entry_Steer{Steer: &fleetpb.Steer{Release: args[0],
 				Verb: verb, By: cli.by, Why: cli.why}}})
 		})
 	}
 	add("status", "Print the current or last release, and the version of each node", cobra.NoArgs,
-		func(cmd *cobra.Command, client *control.Door, _ []string) error {
+		func(cmd *cobra.Command, client *control.APIClient, _ []string) error {
 			machine, err := cli.agreedState(cmd.Context(), client)
 			if err != nil {
 				return err
@@ -135,7 +135,7 @@
 		})
 	add("report FILE.html",
 		"Write an HTML page of the current or last release: what was out of service over time, against its budgets",
-		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.Door, args []string) error {
+		cobra.ExactArgs(1), func(cmd *cobra.Command, client *control.APIClient, args []string) error {
 			machine, err := cli.agreedState(cmd.Context(), client)
 			if err != nil {
 				return err
@@ -183,7 +183,7 @@
 				return fmt.Errorf("configuration: %w", err)
 			}
 			if program != "" {
-				programs, err := supervise.OpenPrograms(file.Folder)
+				programs, err := supervise.OpenPrograms(file.ProgramFolder)
 				if err != nil {
 					return err
 				}
--- a/internal/agree/bolt.go
+++ b/internal/agree/bolt.go
@@ -23,12 +23,12 @@
 )
 
 var (
-	bucketLog   = []byte("log")
-	bucketMeta  = []byte("meta")
-	keyHard     = []byte("hard")
-	keySnapshot = []byte("snapshot")
-	keyBirth    = []byte("birth")
-	keyFounding = []byte("founding")
+	bucketLog    = []byte("log")
+	bucketMeta   = []byte("meta")
+	keyHardState = []byte("hard")
+	keySnapshot  = []byte("snapshot")
+	keyBirth     = []byte("birth")
+	keyFounding  = []byte("founding")
 	// Checksums of the records in the other buckets, by bucket and key, and the ID of the bbolt transaction that
 	// wrote them. An older program, to which a release was rolled back, writes no checksums. If the file has a newer
 	// transaction than the checksums, they are computed anew.
@@ -78,11 +78,11 @@
 		if meta.Get(keyBirth) == nil {
 			birth := make([]byte, 8)
 			rand.Read(birth)
-			if err := put(tx, bucketMeta, keyBirth, []byte(hex.EncodeToString(birth))); err != nil {
+			if err := putRecord(tx, bucketMeta, keyBirth, []byte(hex.EncodeToString(birth))); err != nil {
 				return err
 			}
 		}
-		if sumsHold(tx, uint64(tx.ID())-1) {
+		if sumsCurrent(tx, uint64(tx.ID())-1) {
 			return nil
 		}
 		tx.DeleteBucket(bucketSums)
@@ -103,14 +103,14 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func sumOf(key, raw []byte) []byte {
+func recordSum(key, raw []byte) []byte {
 	return binary.BigEndian.AppendUint32(nil, crc32.Update(crc32.Checksum(key, castagnoli), castagnoli, raw))
 }
 
 func sumKey(bucket, key []byte) []byte { return append(append(slices.Clone(bucket), '/'), key...) }
 
 // sumsCurrent reports whether the checksums were written by the transaction with that ID.
-func sumsHold(tx *bbolt.Tx, of uint64) bool {
+func sumsCurrent(tx *bbolt.Tx, of uint64) bool {
 	sums := tx.Bucket(bucketSums)
 	if sums == nil {
 		return false
@@ -123,7 +123,7 @@
 // is not used, since it reads in a goroutine of its own, where a memory fault ends the process; so the list of free
 // pages is not checked.
 func verify(tx *bbolt.Tx) error {
-	holds, count := sumsHold(tx, uint64(tx.ID())), 0
+	current, count := sumsCurrent(tx, uint64(tx.ID())), 0
 	for _, name := range [][]byte{bucketLog, bucketMeta} {
 		b := tx.Bucket(name)
 		if b == nil {
@@ -131,7 +131,7 @@
 		}
 		err := b.ForEach(func(key, raw []byte) error {
 			count++
-			if want := sumOf(key, raw); holds && !bytes.Equal(tx.Bucket(bucketSums).Get(sumKey(name, key)), want) {
+			if want := recordSum(key, raw); current && !bytes.Equal(tx.Bucket(bucketSums).Get(sumKey(name, key)), want) {
 				return fmt.Errorf("%s %x does not match its checksum", name, key)
 			}
 			return nil
@@ -140,7 +140,7 @@
 			return err
 		}
 	}
-	if holds {
+	if current {
 		sums := 0
 		tx.Bucket(bucketSums).ForEach(func(_, _ []byte) error { sums++; return nil })
 		if sums != count+1 {
@@ -164,7 +164,7 @@
 	})
 }
 
-func put(tx *bbolt.Tx, bucket, key, raw []byte) error {
+func putRecord(tx *bbolt.Tx, bucket, key, raw []byte) error {
 	if err := tx.Bucket(bucket).Put(key, raw); err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 	if err != nil {
 		return err
 	}
-	return sums.Put(sumKey(bucket, key), sumOf(key, raw))
+	return sums.Put(sumKey(bucket, key), recordSum(key, raw))
 }
 
 // Close closes the file, which another process may open then.
@@ -210,31 +210,31 @@
 }
 
 // SaveFounding stores which log the voter takes part in.
-func (b *Bolt) Found(f Founding) error {
+func (b *Bolt) SaveFounding(f Founding) error {
 	raw, err := json.Marshal(f)
 	if err != nil {
 		return err
 	}
-	return b.update(func(tx *bbolt.Tx) error { return put(tx, bucketMeta, keyFounding, raw) })
+	return b.update(func(tx *bbolt.Tx) error { return putRecord(tx, bucketMeta, keyFounding, raw) })
 }
 
 // Load implements Disk.
-func (b *Bolt) Load() (k Kept, err error) {
+func (b *Bolt) Load() (loaded DiskState, err error) {
 	err = b.db.View(func(tx *bbolt.Tx) error {
 		meta := tx.Bucket(bucketMeta)
-		if raw := meta.Get(keyHard); raw != nil {
-			k.Hard = &raftpb.HardState{}
-			if err := proto.Unmarshal(raw, k.Hard); err != nil {
+		if raw := meta.Get(keyHardState); raw != nil {
+			loaded.HardState = &raftpb.HardState{}
+			if err := proto.Unmarshal(raw, loaded.HardState); err != nil {
 				return fmt.Errorf("hard state: %w", err)
 			}
 		}
 		if raw := meta.Get(keySnapshot); raw != nil {
-			k.Snapshot = &raftpb.Snapshot{}
-			if err := proto.Unmarshal(raw, k.Snapshot); err != nil {
+			loaded.Snapshot = &raftpb.Snapshot{}
+			if err := proto.Unmarshal(raw, loaded.Snapshot); err != nil {
 				return fmt.Errorf("snapshot: %w", err)
 			}
 		}
-		next := k.Snapshot.GetMetadata().GetIndex() + 1
+		next := loaded.Snapshot.GetMetadata().GetIndex() + 1
 		return tx.Bucket(bucketLog).ForEach(func(key, raw []byte) error {
 			index := binary.BigEndian.Uint64(key)
 			if index < next {
@@ -244,17 +244,17 @@
 			if err := proto.Unmarshal(raw, e); err != nil || e.GetIndex() != index || index != next {
 				return fmt.Errorf("entry %d: want a complete entry %d: %w", index, next, errors.Join(err))
 			}
-			k.Entries = append(k.Entries, e)
+			loaded.Entries = append(loaded.Entries, e)
 			next++
 			return nil
 		})
 	})
-	return k, err
+	return loaded, err
 }
 
 // Save implements Disk, as one transaction.
 func (b *Bolt) Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error {
-	if err := faultpoint.At(faultpoint.Save); err != nil {
+	if err := faultpoint.Reached(faultpoint.BeforeSave); err != nil {
 		return err
 	}
 	err := b.update(func(tx *bbolt.Tx) error {
@@ -263,10 +263,10 @@
 			if err != nil {
 				return err
 			}
-			return put(tx, bucket, key, raw)
+			return putRecord(tx, bucket, key, raw)
 		}
 		if hs != nil {
-			if err := message(bucketMeta, keyHard, hs); err != nil {
+			if err := message(bucketMeta, keyHardState, hs); err != nil {
 				return err
 			}
 		}
@@ -274,7 +274,7 @@
 			if err := message(bucketMeta, keySnapshot, snap); err != nil {
 				return err
 			}
-			if err := drop(tx, func(index uint64) bool { return index <= snap.GetMetadata().GetIndex() }); err != nil {
+			if err := deleteEntries(tx, func(index uint64) bool { return index <= snap.GetMetadata().GetIndex() }); err != nil {
 				return err
 			}
 		}
@@ -283,7 +283,7 @@
 		}
 		first := entries[0].GetIndex()
 		if key, _ := tx.Bucket(bucketLog).Cursor().Last(); key != nil && binary.BigEndian.Uint64(key) >= first {
-			if err := drop(tx, func(index uint64) bool { return index >= first }); err != nil {
+			if err := deleteEntries(tx, func(index uint64) bool { return index >= first }); err != nil {
 				return err
 			}
 		}
@@ -297,11 +297,11 @@
 	if err != nil {
 		return err
 	}
-	return faultpoint.At(faultpoint.Saved)
+	return faultpoint.Reached(faultpoint.AfterSave)
 }
 
 // deleteEntries deletes the log entries whose index matches, with their checksums.
-func drop(tx *bbolt.Tx, which func(index uint64) bool) error {
+func deleteEntries(tx *bbolt.Tx, which func(index uint64) bool) error {
 	log, sums := tx.Bucket(bucketLog), tx.Bucket(bucketSums)
 	var keys [][]byte
 	c := log.Cursor()
--- a/internal/agree/core.go
+++ b/internal/agree/core.go
@@ -23,7 +23,7 @@
 	ErrNotLeader = errors.New("this voter does not lead")
 	// ErrOutcomeUnknown is returned for a proposal whose outcome this voter did not learn, since it lost the
 	// leadership or stopped. The entry may still take effect. The caller should repeat the request under the same ID.
-	ErrUnknown = errors.New("leadership was lost meanwhile: the outcome is not known yet")
+	ErrOutcomeUnknown = errors.New("leadership was lost meanwhile: the outcome is not known yet")
 )
 
 // Machine is the state machine that the entries are applied to. It is called by one goroutine at a time. An Apply
@@ -36,17 +36,17 @@
 
 // Disk stores a voter's log, vote and snapshot. The data of a call are durable once it returns without an error.
 type Disk interface {
-	Load() (Kept, error)
+	Load() (DiskState, error)
 	// Save appends entries, which replace the stored entries with the same or a higher index. A snapshot replaces all
 	// entries up to its index. hs and snap may be nil.
 	Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) error
 }
 
 // DiskState is the content of a disk.
-type Kept struct {
-	Hard     *raftpb.HardState // nil if there is none
-	Snapshot *raftpb.Snapshot  // nil if there is none
-	Entries  []*raftpb.Entry   // those after the snapshot
+type DiskState struct {
+	HardState *raftpb.HardState // nil if there is none
+	Snapshot  *raftpb.Snapshot  // nil if there is none
+	Entries   []*raftpb.Entry   // those after the snapshot
 }
 
 // Options configure a Core.
@@ -64,32 +64,32 @@
 }
 
 const (
-	mostMessage = 256 << 10 // bytes of entries in one message
-	mostUnsure  = 4 << 20   // bytes of entries that are not committed yet
-	inflight    = 64        // unacknowledged messages with entries to one voter
-	envelope    = 16        // bytes before each entry: ID of the proposing Core and number of the proposal there, 8 bytes each
-	compactKeep = 200       // entries kept from before a snapshot, so that voters that lag a little need no snapshot
+	maxMessageBytes     = 256 << 10 // bytes of entries in one message
+	maxUncommittedBytes = 4 << 20   // bytes of entries that are not committed yet
+	maxInflightMessages = 64        // unacknowledged messages with entries to one voter
+	envelopeSize        = 16        // bytes before each entry: ID of the proposing Core and number of the proposal there, 8 bytes each
+	keptEntries         = 200       // entries kept from before a snapshot, so that voters that lag a little need no snapshot
 )
 
 // Core is a voter without a clock, network or goroutines of its own. It is not safe for concurrent use.
 type Core struct {
-	o       Options
-	node    *raft.RawNode
-	storage *raft.MemoryStorage
-	conf    *raftpb.ConfState
-	applied uint64
-	snapped uint64 // index of the last snapshot
-	origin  uint64 // random ID of this Core, which marks its proposals
-	number  uint64 // of the last proposal or read
-	waiting map[uint64]func(any, error) // callbacks of the proposals without a result yet, by number
-	reads   []read        // reads that were sent to raft, by number
-	asked   []func(error) // callbacks of reads that wait to be sent
-	renewed bool          // the voters changed since the last snapshot; a new voter accepts only a snapshot that includes it
-	lead    bool
-	led     uint64 // ID of the leader; 0 if not known
+	options       Options
+	node          *raft.RawNode
+	storage       *raft.MemoryStorage
+	confState     *raftpb.ConfState
+	applied       uint64
+	snapshotIndex uint64                      // index of the last snapshot
+	proposerID    uint64                      // random ID of this Core, which marks its proposals
+	lastNumber    uint64                      // of the last proposal or read
+	proposals     map[uint64]func(any, error) // callbacks of the proposals without a result yet, by number
+	activeReads   []pendingRead               // reads that were sent to raft, by number
+	queuedReads   []func(error)               // callbacks of reads that wait to be sent
+	votersChanged bool                        // the voters changed since the last snapshot; a new voter accepts only a snapshot that includes it
+	isLeader      bool
+	leader        uint64 // ID of the leader; 0 if not known
 }
 
-type read struct {
+type pendingRead struct {
 	number uint64
 	index  uint64 // commit index of the read; 0 if raft has not returned it yet
 	done   []func(error)
@@ -97,54 +97,54 @@
 
 // NewCore creates a Core that continues from the disk. With an empty disk and without Join it starts a new log with
 // the given voters. The caller must be sure that these voters have no log yet.
-func NewCore(o Options) (*Core, error) {
-	if o.ElectionTicks <= 0 {
-		o.ElectionTicks, o.HeartbeatTicks = 10, 1
+func NewCore(options Options) (*Core, error) {
+	if options.ElectionTicks <= 0 {
+		options.ElectionTicks, options.HeartbeatTicks = 10, 1
 	}
-	if o.CompactEvery == 0 {
-		o.CompactEvery = 2000
+	if options.CompactEvery == 0 {
+		options.CompactEvery = 2000
 	}
-	kept, err := o.Disk.Load()
+	loaded, err := options.Disk.Load()
 	if err != nil {
 		return nil, err
 	}
-	c := &Core{o: o, storage: raft.NewMemoryStorage(), origin: rand.Uint64(), waiting: map[uint64]func(any, error){}}
-	if kept.Snapshot == nil && !o.Join {
-		if len(kept.Entries) > 0 || kept.Hard != nil {
+	core := &Core{options: options, storage: raft.NewMemoryStorage(), proposerID: rand.Uint64(), proposals: map[uint64]func(any, error){}}
+	if loaded.Snapshot == nil && !options.Join {
+		if len(loaded.Entries) > 0 || loaded.HardState != nil {
 			return nil, errors.New("the disk has a log without the snapshot that it begins with: it is damaged")
 		}
-		state, err := o.Machine.Snapshot()
+		state, err := options.Machine.Snapshot()
 		if err != nil {
 			return nil, err
 		}
-		kept.Snapshot = &raftpb.Snapshot{Data: state, Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
-			ConfState: &raftpb.ConfState{Voters: o.Voters}}}
-		kept.Hard = &raftpb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))}
-		if err := o.Disk.Save(kept.Hard, nil, kept.Snapshot); err != nil {
+		loaded.Snapshot = &raftpb.Snapshot{Data: state, Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)),
+			ConfState: &raftpb.ConfState{Voters: options.Voters}}}
+		loaded.HardState = &raftpb.HardState{Term: new(uint64(1)), Commit: new(uint64(1)), Vote: new(uint64(0))}
+		if err := options.Disk.Save(loaded.HardState, nil, loaded.Snapshot); err != nil {
 			return nil, err
 		}
 	}
-	if kept.Snapshot != nil {
-		if err := c.storage.ApplySnapshot(kept.Snapshot); err != nil {
+	if loaded.Snapshot != nil {
+		if err := core.storage.ApplySnapshot(loaded.Snapshot); err != nil {
 			return nil, err
 		}
-		if err := o.Machine.Restore(kept.Snapshot.Data); err != nil {
+		if err := options.Machine.Restore(loaded.Snapshot.Data); err != nil {
 			return nil, err
 		}
 	}
-	c.conf = kept.Snapshot.GetMetadata().GetConfState()
-	c.applied = kept.Snapshot.GetMetadata().GetIndex()
-	c.snapped = c.applied
-	if kept.Hard != nil {
-		c.storage.SetHardState(kept.Hard)
+	core.confState = loaded.Snapshot.GetMetadata().GetConfState()
+	core.applied = loaded.Snapshot.GetMetadata().GetIndex()
+	core.snapshotIndex = core.applied
+	if loaded.HardState != nil {
+		core.storage.SetHardState(loaded.HardState)
 	}
-	if err := c.storage.Append(kept.Entries); err != nil {
+	if err := core.storage.Append(loaded.Entries); err != nil {
 		return nil, err
 	}
-	c.node, err = raft.NewRawNode(&raft.Config{ID: o.ID, ElectionTick: o.ElectionTicks, HeartbeatTick: o.HeartbeatTicks, Storage: c.storage,
-		Applied: c.applied, MaxSizePerMsg: mostMessage, MaxInflightMsgs: inflight, MaxUncommittedEntriesSize: mostUnsure, CheckQuorum: true, PreVote: true,
-		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: raftLog{o.Log}})
-	return c, err
+	core.node, err = raft.NewRawNode(&raft.Config{ID: options.ID, ElectionTick: options.ElectionTicks, HeartbeatTick: options.HeartbeatTicks, Storage: core.storage,
+		Applied: core.applied, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, MaxUncommittedEntriesSize: maxUncommittedBytes, CheckQuorum: true, PreVote: true,
+		DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: raftLog{options.Log}})
+	return core, err
 }
 
 // Tick advances the clock by one unit.
@@ -161,29 +161,29 @@
 // Propose appends an entry if this voter is the leader. done is called once, by Process, Propose or Close: with the
 // machine's result once the entry has been applied, or with an error.
 func (c *Core) Propose(entry []byte, done func(any, error)) {
-	if !c.lead {
+	if !c.isLeader {
 		done(nil, ErrNotLeader)
 		return
 	}
-	c.number++
-	data := binary.BigEndian.AppendUint64(make([]byte, 0, envelope+len(entry)), c.origin)
-	data = append(binary.BigEndian.AppendUint64(data, c.number), entry...)
+	c.lastNumber++
+	data := binary.BigEndian.AppendUint64(make([]byte, 0, envelopeSize+len(entry)), c.proposerID)
+	data = append(binary.BigEndian.AppendUint64(data, c.lastNumber), entry...)
 	if err := c.node.Propose(data); err != nil {
 		done(nil, fmt.Errorf("%w (%w)", ErrNotLeader, err)) // raft dropped it: nothing was appended
 		return
 	}
-	c.waiting[c.number] = done
+	c.proposals[c.lastNumber] = done
 }
 
 // ReadIndex makes the next reads of the machine linearizable. done is called once, by Process, ReadIndex or Close:
 // with nil after a majority confirmed that this voter was still the leader after the call, and the machine has
 // applied all entries that were committed before; or with ErrNotLeader.
-func (c *Core) Read(done func(error)) {
-	if !c.lead {
+func (c *Core) ReadIndex(done func(error)) {
+	if !c.isLeader {
 		done(ErrNotLeader)
 		return
 	}
-	c.asked = append(c.asked, done)
+	c.queuedReads = append(c.queuedReads, done)
 }
 
 // Transfer hands the leadership to another voter if this one is the leader.
@@ -193,7 +193,7 @@
 // The change uses joint consensus: until it is complete, decisions need a majority of the old voters and one of the
 // new voters. There is no result; Status has the new voters once the change is committed.
 func (c *Core) Reconfigure(voters []uint64) {
-	if !c.lead || len(c.conf.GetVotersOutgoing()) > 0 {
+	if !c.isLeader || len(c.confState.GetVotersOutgoing()) > 0 {
 		return
 	}
 	cc := &raftpb.ConfChangeV2{Transition: raftpb.ConfChangeTransitionJointImplicit.Enum()}
@@ -201,11 +201,11 @@
 		cc.Changes = append(cc.Changes, &raftpb.ConfChangeSingle{Type: kind.Enum(), NodeId: &id})
 	}
 	for _, id := range voters {
-		if !slices.Contains(c.conf.GetVoters(), id) {
+		if !slices.Contains(c.confState.GetVoters(), id) {
 			change(raftpb.ConfChangeAddNode, id)
 		}
 	}
-	for _, id := range c.conf.GetVoters() {
+	for _, id := range c.confState.GetVoters() {
 		if !slices.Contains(voters, id) {
 			change(raftpb.ConfChangeRemoveNode, id)
 		}
@@ -229,36 +229,36 @@
 
 // Status is the state of a voter.
 type Status struct {
-	Leads          bool
-	Leader         uint64 // ID; 0 if not known
-	Term           uint64
-	Applied, First uint64   // indices of the log: last applied entry; first entry that is not compacted
-	Voters         []uint64 // IDs of the log's present voters
+	IsLeader            bool
+	Leader              uint64 // ID; 0 if not known
+	Term                uint64
+	Applied, FirstIndex uint64   // indices of the log: last applied entry; first entry that is not compacted
+	Voters              []uint64 // IDs of the log's present voters
 }
 
 // Status returns the state of this voter.
 func (c *Core) Status() Status {
 	first, _ := c.storage.FirstIndex()
-	return Status{Leads: c.lead, Leader: c.led, Term: c.node.BasicStatus().GetTerm(), Applied: c.applied, First: first, Voters: c.conf.GetVoters()}
+	return Status{IsLeader: c.isLeader, Leader: c.leader, Term: c.node.BasicStatus().GetTerm(), Applied: c.applied, FirstIndex: first, Voters: c.confState.GetVoters()}
 }
 
 // Process handles everything that the calls since the last Process caused: it saves entries to the disk, applies
 // committed ones, calls the callbacks, and returns the messages to send. An error means that the disk failed or that
 // this program can't apply the log. The Core must not be used afterwards.
-func (c *Core) Work() (messages []*raftpb.Message, err error) {
+func (c *Core) Process() (messages []*raftpb.Message, err error) {
 	for {
-		if len(c.asked) > 0 && len(c.reads) == 0 && c.lead {
-			c.number++
-			c.reads = append(c.reads, read{number: c.number, done: c.asked})
-			c.asked = nil
-			c.node.ReadIndex(binary.BigEndian.AppendUint64(nil, c.number))
+		if len(c.queuedReads) > 0 && len(c.activeReads) == 0 && c.isLeader {
+			c.lastNumber++
+			c.activeReads = append(c.activeReads, pendingRead{number: c.lastNumber, done: c.queuedReads})
+			c.queuedReads = nil
+			c.node.ReadIndex(binary.BigEndian.AppendUint64(nil, c.lastNumber))
 		}
 		if !c.node.HasReady() {
 			return messages, nil
 		}
 		rd := c.node.Ready()
 		if rd.HardState != nil || len(rd.Entries) > 0 || rd.Snapshot != nil {
-			if err := c.o.Disk.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
+			if err := c.options.Disk.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
 				return nil, fmt.Errorf("the log can't be written, so this voter stops: %w", err)
 			}
 		}
@@ -266,11 +266,11 @@
 			if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 				return nil, err
 			}
-			if err := c.o.Machine.Restore(rd.Snapshot.Data); err != nil {
+			if err := c.options.Machine.Restore(rd.Snapshot.Data); err != nil {
 				return nil, err
 			}
 			c.applied = rd.Snapshot.GetMetadata().GetIndex()
-			c.snapped, c.conf = c.applied, rd.Snapshot.GetMetadata().GetConfState()
+			c.snapshotIndex, c.confState = c.applied, rd.Snapshot.GetMetadata().GetConfState()
 		}
 		if rd.HardState != nil {
 			c.storage.SetHardState(rd.HardState)
@@ -282,9 +282,9 @@
 			messages = append(messages, proto.CloneOf(m))
 		}
 		if rd.SoftState != nil {
-			c.led = rd.SoftState.Lead
-			if c.lead = rd.SoftState.RaftState == raft.StateLeader; !c.lead {
-				c.lost()
+			c.leader = rd.SoftState.Lead
+			if c.isLeader = rd.SoftState.RaftState == raft.StateLeader; !c.isLeader {
+				c.failPending()
 			}
 		}
 		for _, e := range rd.CommittedEntries {
@@ -293,15 +293,15 @@
 			}
 		}
 		for _, s := range rd.ReadStates {
-			for i := range c.reads {
-				if len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == c.reads[i].number {
-					c.reads[i].index = s.Index
+			for i := range c.activeReads {
+				if len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == c.activeReads[i].number {
+					c.activeReads[i].index = s.Index
 				}
 			}
 		}
-		for len(c.reads) > 0 && c.reads[0].index > 0 && c.reads[0].index <= c.applied {
-			done := c.reads[0].done
-			c.reads = c.reads[1:]
+		for len(c.activeReads) > 0 && c.activeReads[0].index > 0 && c.activeReads[0].index <= c.applied {
+			done := c.activeReads[0].done
+			c.activeReads = c.activeReads[1:]
 			for _, f := range done {
 				f(nil)
 			}
@@ -314,24 +314,24 @@
 }
 
 // failPending calls all pending callbacks with an error, after the leadership was lost.
-func (c *Core) lost() {
-	waiting, reads, asked := c.waiting, c.reads, c.asked
-	c.waiting, c.reads, c.asked = map[uint64]func(any, error){}, nil, nil
-	for _, done := range waiting {
-		done(nil, ErrUnknown)
+func (c *Core) failPending() {
+	proposals, reads, queued := c.proposals, c.activeReads, c.queuedReads
+	c.proposals, c.activeReads, c.queuedReads = map[uint64]func(any, error){}, nil, nil
+	for _, done := range proposals {
+		done(nil, ErrOutcomeUnknown)
 	}
 	for _, r := range reads {
-		asked = append(asked, r.done...)
+		queued = append(queued, r.done...)
 	}
-	for _, done := range asked {
+	for _, done := range queued {
 		done(ErrNotLeader)
 	}
 }
 
 // Close calls all pending callbacks with an error.
 func (c *Core) Close() {
-	c.lead = false
-	c.lost()
+	c.isLeader = false
+	c.failPending()
 }
 
 func (c *Core) apply(e *raftpb.Entry) error {
@@ -342,25 +342,25 @@
 		if err := proto.Unmarshal(e.Data, cc); err != nil {
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
-		c.conf, c.renewed = c.node.ApplyConfChange(cc), true
+		c.confState, c.votersChanged = c.node.ApplyConfChange(cc), true
 	case raftpb.EntryConfChangeV2:
 		cc := &raftpb.ConfChangeV2{}
 		if err := proto.Unmarshal(e.Data, cc); err != nil {
 			return fmt.Errorf("entry %d: %w", e.GetIndex(), err)
 		}
-		c.conf, c.renewed = c.node.ApplyConfChange(cc), true
+		c.confState, c.votersChanged = c.node.ApplyConfChange(cc), true
 	default:
-		if len(e.Data) < envelope { // the empty entry that a leader appends at the start of its term
+		if len(e.Data) < envelopeSize { // the empty entry that a leader appends at the start of its term
 			return nil
 		}
-		result := c.o.Machine.Apply(e.Data[envelope:])
+		result := c.options.Machine.Apply(e.Data[envelopeSize:])
 		if err, cannot := result.(error); cannot {
 			return err
 		}
-		if binary.BigEndian.Uint64(e.Data) == c.origin {
+		if binary.BigEndian.Uint64(e.Data) == c.proposerID {
 			number := binary.BigEndian.Uint64(e.Data[8:])
-			if done := c.waiting[number]; done != nil {
-				delete(c.waiting, number)
+			if done := c.proposals[number]; done != nil {
+				delete(c.proposals, number)
 				done(result, nil)
 			}
 		}
@@ -371,26 +371,26 @@
 // compact saves a snapshot once CompactEvery entries were applied since the last one or the voters changed, and then
 // drops the entries before it from memory, but for the last keptEntries.
 func (c *Core) compact() error {
-	if c.applied-c.snapped < c.o.CompactEvery && !c.renewed {
+	if c.applied-c.snapshotIndex < c.options.CompactEvery && !c.votersChanged {
 		return nil
 	}
-	c.renewed = false
-	state, err := c.o.Machine.Snapshot()
+	c.votersChanged = false
+	state, err := c.options.Machine.Snapshot()
 	if err != nil {
 		return err
 	}
-	snap, err := c.storage.CreateSnapshot(c.applied, c.conf, state)
+	snap, err := c.storage.CreateSnapshot(c.applied, c.confState, state)
 	if err != nil {
 		return err
 	}
-	if err := c.o.Disk.Save(nil, nil, snap); err != nil {
+	if err := c.options.Disk.Save(nil, nil, snap); err != nil {
 		return fmt.Errorf("the snapshot can't be written, so this voter stops: %w", err)
 	}
-	c.snapped = c.applied
-	if c.applied <= compactKeep {
+	c.snapshotIndex = c.applied
+	if c.applied <= keptEntries {
 		return nil
 	}
-	if err := c.storage.Compact(c.applied - compactKeep); err != nil && !errors.Is(err, raft.ErrCompacted) {
+	if err := c.storage.Compact(c.applied - keptEntries); err != nil && !errors.Is(err, raft.ErrCompacted) {
 		return err
 	}
 	return nil
--- a/internal/agree/core_test.go
+++ b/internal/agree/core_test.go
@@ -20,37 +20,39 @@
 var quiet = slog.New(slog.DiscardHandler)
 
 // recordingMachine is a machine that records the entries that it applies.
-type words struct{ list []string }
+type recordingMachine struct{ entries []string }
 
-func (w *words) Apply(entry []byte) any {
-	w.list = append(w.list, string(entry))
-	return len(w.list)
+func (w *recordingMachine) Apply(entry []byte) any {
+	w.entries = append(w.entries, string(entry))
+	return len(w.entries)
 }
 
-func (w *words) Snapshot() ([]byte, error) { return []byte(strings.Join(w.list, " ")), nil }
+func (w *recordingMachine) Snapshot() ([]byte, error) {
+	return []byte(strings.Join(w.entries, " ")), nil
+}
 
-func (w *words) Restore(raw []byte) error {
-	w.list = strings.Fields(string(raw))
+func (w *recordingMachine) Restore(raw []byte) error {
+	w.entries = strings.Fields(string(raw))
 	return nil
 }
 
-// memoryDisk is a disk in memory, which stays when its Core is replaced, and can fail.
-type memory struct {
-	Kept
-	fails  bool // every write fails and stores nothing
-	breaks bool // the next write stores its data and then fails, as if the process died before it could go on
+// memoryDisk is a disk in memoryDisk, which stays when its Core is replaced, and can fail.
+type memoryDisk struct {
+	DiskState
+	fails     bool // every write fails and stores nothing
+	failsNext bool // the next write stores its data and then fails, as if the process died before it could go on
 }
 
 var errDisk = errors.New("no space left")
 
-func (d *memory) Load() (Kept, error) { return d.Kept, nil }
+func (d *memoryDisk) Load() (DiskState, error) { return d.DiskState, nil }
 
-func (d *memory) Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) (err error) {
+func (d *memoryDisk) Save(hs *raftpb.HardState, entries []*raftpb.Entry, snap *raftpb.Snapshot) (err error) {
 	if d.fails {
 		return errDisk
 	}
 	if hs != nil {
-		d.Hard = proto.CloneOf(hs)
+		d.HardState = proto.CloneOf(hs)
 	}
 	if snap != nil {
 		d.Snapshot = proto.CloneOf(snap)
@@ -61,8 +63,8 @@
 		}
 		d.Entries = append(d.Entries, proto.CloneOf(e))
 	}
-	if d.breaks {
-		d.breaks = false
+	if d.failsNext {
+		d.failsNext = false
 		defer func() { err = errDisk }()
 	}
 	for len(d.Entries) > 0 && d.Entries[0].GetIndex() <= d.Snapshot.GetMetadata().GetIndex() {
@@ -73,51 +75,51 @@
 
 // testCluster is a group of voters in virtual time, with memory disks and a network that loses, delays, reorders and
 // duplicates messages and can be partitioned.
-type tier struct {
-	t       interface{ Fatalf(string, ...any) }
-	r       *rand.Rand
-	cores   []*Core // nil for a voter that is killed
-	disks   []*memory
-	states  []*words
-	flying  []*raftpb.Message
-	cut     [][2]uint64     // partitioned directions: from, to
-	said    map[string]bool // proposals that returned without an error
-	commits []string        // the longest list of entries that any machine had
-	compact uint64
+type testCluster struct {
+	t         interface{ Fatalf(string, ...any) }
+	random    *rand.Rand
+	cores     []*Core // nil for a voter that is killed
+	disks     []*memoryDisk
+	machines  []*recordingMachine
+	inTransit []*raftpb.Message
+	cutLinks  [][2]uint64     // partitioned directions: from, to
+	confirmed map[string]bool // proposals that returned without an error
+	longest   []string        // the longest list of entries that any machine had
+	compact   uint64
 }
 
-func newTier(t interface{ Fatalf(string, ...any) }, n int, seed uint64) *tier {
-	s := &tier{t: t, r: rand.New(rand.NewPCG(seed, 1)), said: map[string]bool{}, compact: 20}
+func newTestCluster(t interface{ Fatalf(string, ...any) }, n int, seed uint64) *testCluster {
+	s := &testCluster{t: t, random: rand.New(rand.NewPCG(seed, 1)), confirmed: map[string]bool{}, compact: 20}
 	for range n {
-		s.disks = append(s.disks, &memory{})
+		s.disks = append(s.disks, &memoryDisk{})
 	}
-	s.cores, s.states = make([]*Core, n), make([]*words, n)
+	s.cores, s.machines = make([]*Core, n), make([]*recordingMachine, n)
 	for i := range n {
 		s.start(i)
 	}
 	return s
 }
 
-func (s *tier) start(i int) {
+func (s *testCluster) start(i int) {
 	var ids []uint64
 	for j := range s.disks {
 		ids = append(ids, uint64(j+1))
 	}
-	s.states[i] = &words{}
-	c, err := NewCore(Options{ID: uint64(i + 1), Voters: ids, Disk: s.disks[i], Machine: s.states[i], CompactEvery: s.compact, Log: quiet})
+	s.machines[i] = &recordingMachine{}
+	c, err := NewCore(Options{ID: uint64(i + 1), Voters: ids, Disk: s.disks[i], Machine: s.machines[i], CompactEvery: s.compact, Log: quiet})
 	if err != nil {
 		s.t.Fatalf("voter %d: %v", i+1, err)
 	}
 	s.cores[i] = c
 }
 
-func (s *tier) kill(i int) {
+func (s *testCluster) kill(i int) {
 	s.cores[i].Close()
 	s.cores[i] = nil
 }
 
-func (s *tier) isCut(m *raftpb.Message) bool {
-	for _, c := range s.cut {
+func (s *testCluster) isCut(m *raftpb.Message) bool {
+	for _, c := range s.cutLinks {
 		if c == [2]uint64{m.GetFrom(), m.GetTo()} {
 			return true
 		}
@@ -127,7 +129,7 @@
 
 // step ticks all voters once and delivers messages in transit for up to three hops. loss is the chance to lose a
 // message; half of it is the chance to deliver one twice.
-func (s *tier) step(loss float64) {
+func (s *testCluster) step(loss float64) {
 	for i, c := range s.cores {
 		if c == nil {
 			continue
@@ -136,19 +138,19 @@
 		s.work(i)
 	}
 	for range 3 {
-		flying := s.flying
-		s.flying = nil
-		s.r.Shuffle(len(flying), func(i, j int) { flying[i], flying[j] = flying[j], flying[i] })
+		flying := s.inTransit
+		s.inTransit = nil
+		s.random.Shuffle(len(flying), func(i, j int) { flying[i], flying[j] = flying[j], flying[i] })
 		for _, m := range flying {
 			to := int(m.GetTo()) - 1
-			if s.isCut(m) || s.r.Float64() < loss || s.cores[to] == nil {
+			if s.isCut(m) || s.random.Float64() < loss || s.cores[to] == nil {
 				if m.GetType() == raftpb.MsgSnap && s.cores[m.GetFrom()-1] != nil {
 					s.cores[m.GetFrom()-1].SnapshotSent(m.GetTo(), false)
 				}
 				continue
 			}
-			if s.r.Float64() < loss/2 {
-				s.flying = append(s.flying, m) // a duplicate
+			if s.random.Float64() < loss/2 {
+				s.inTransit = append(s.inTransit, m) // a duplicate
 			}
 			s.cores[to].Step(proto.CloneOf(m))
 			s.work(to)
@@ -159,8 +161,8 @@
 	}
 }
 
-func (s *tier) work(i int) {
-	messages, err := s.cores[i].Work()
+func (s *testCluster) work(i int) {
+	messages, err := s.cores[i].Process()
 	if err != nil {
 		if !errors.Is(err, errDisk) {
 			s.t.Fatalf("voter %d: %v", i+1, err)
@@ -168,37 +170,37 @@
 		s.kill(i)
 		return
 	}
-	s.flying = append(s.flying, messages...)
-	list := s.states[i].list
-	for j := range min(len(list), len(s.commits)) {
-		if list[j] != s.commits[j] {
-			s.t.Fatalf("voter %d has %q at %d, another voter %q", i+1, list[j], j, s.commits[j])
+	s.inTransit = append(s.inTransit, messages...)
+	list := s.machines[i].entries
+	for j := range min(len(list), len(s.longest)) {
+		if list[j] != s.longest[j] {
+			s.t.Fatalf("voter %d has %q at %d, another voter %q", i+1, list[j], j, s.longest[j])
 		}
 	}
-	if len(list) > len(s.commits) {
-		s.commits = append([]string(nil), list...)
+	if len(list) > len(s.longest) {
+		s.longest = append([]string(nil), list...)
 	}
 }
 
-func (s *tier) leader() int {
+func (s *testCluster) leader() int {
 	for i, c := range s.cores {
-		if c != nil && c.Status().Leads {
+		if c != nil && c.Status().IsLeader {
 			return i
 		}
 	}
 	return -1
 }
 
-func (s *tier) propose(i int, word string) {
+func (s *testCluster) propose(i int, word string) {
 	s.cores[i].Propose([]byte(word), func(_ any, err error) {
 		if err == nil {
-			s.said[word] = true
+			s.confirmed[word] = true
 		}
 	})
 	s.work(i)
 }
 
-func (s *tier) until(what string, done func() bool) {
+func (s *testCluster) runUntil(what string, done func() bool) {
 	for range 2000 {
 		if done() {
 			return
@@ -218,47 +220,47 @@
 	}
 	for seed := range seeds {
 		n := 3 + 2*int(seed%2)
-		s := newTier(t, n, seed)
+		s := newTestCluster(t, n, seed)
 		for i := range 250 {
 			switch {
-			case s.r.IntN(25) == 0:
-				s.cut = append(s.cut, [2]uint64{uint64(1 + s.r.IntN(n)), uint64(1 + s.r.IntN(n))})
-			case s.r.IntN(30) == 0:
-				s.cut = nil
-			case s.r.IntN(40) == 0:
-				if x := s.r.IntN(n); s.cores[x] != nil {
+			case s.random.IntN(25) == 0:
+				s.cutLinks = append(s.cutLinks, [2]uint64{uint64(1 + s.random.IntN(n)), uint64(1 + s.random.IntN(n))})
+			case s.random.IntN(30) == 0:
+				s.cutLinks = nil
+			case s.random.IntN(40) == 0:
+				if x := s.random.IntN(n); s.cores[x] != nil {
 					s.kill(x)
 				} else {
 					s.start(x)
 				}
-			case s.r.IntN(60) == 0:
-				s.disks[s.r.IntN(n)].fails = true
-			case s.r.IntN(20) == 0:
-				s.disks[s.r.IntN(n)].breaks = true
+			case s.random.IntN(60) == 0:
+				s.disks[s.random.IntN(n)].fails = true
+			case s.random.IntN(20) == 0:
+				s.disks[s.random.IntN(n)].failsNext = true
 			}
-			if x := s.leader(); x >= 0 && s.r.IntN(2) == 0 {
+			if x := s.leader(); x >= 0 && s.random.IntN(2) == 0 {
 				s.propose(x, fmt.Sprintf("w%d", i))
 			}
 			s.step(0.1)
 		}
-		s.cut = nil
+		s.cutLinks = nil
 		for i := range n {
-			s.disks[i].fails, s.disks[i].breaks = false, false
+			s.disks[i].fails, s.disks[i].failsNext = false, false
 			if s.cores[i] == nil {
 				s.start(i)
 			}
 		}
-		s.until(fmt.Sprintf("seed %d: a confirmed entry after all faults", seed), func() bool {
+		s.runUntil(fmt.Sprintf("seed %d: a confirmed entry after all faults", seed), func() bool {
 			if x := s.leader(); x >= 0 {
 				s.propose(x, "last")
 			}
-			return s.said["last"]
+			return s.confirmed["last"]
 		})
 		has := map[string]bool{}
-		for _, w := range s.commits {
+		for _, w := range s.longest {
 			has[w] = true
 		}
-		for w := range s.said {
+		for w := range s.confirmed {
 			if !has[w] {
 				t.Fatalf("seed %d: %s was confirmed and is not in the log", seed, w)
 			}
@@ -269,59 +271,61 @@
 // Guards against a leader without a majority that still answers. Within two election timeouts after a partition it
 // must fail pending entries and reads, another voter must lead, and its entry must not take effect afterwards.
 func TestCutLeader(t *testing.T) {
-	s := newTier(t, 3, 1)
-	s.until("a leader", func() bool { return s.leader() >= 0 })
+	s := newTestCluster(t, 3, 1)
+	s.runUntil("a leader", func() bool { return s.leader() >= 0 })
 	old := s.leader()
 	for i := range 3 {
-		s.cut = append(s.cut, [2]uint64{uint64(old + 1), uint64(i + 1)}, [2]uint64{uint64(i + 1), uint64(old + 1)})
+		s.cutLinks = append(s.cutLinks, [2]uint64{uint64(old + 1), uint64(i + 1)}, [2]uint64{uint64(i + 1), uint64(old + 1)})
 	}
-	var wrote, read error = errDisk, errDisk
-	s.cores[old].Propose([]byte("x"), func(_ any, err error) { wrote = err })
-	s.cores[old].Read(func(err error) { read = err })
+	var writeErr, readErr error = errDisk, errDisk
+	s.cores[old].Propose([]byte("x"), func(_ any, err error) { writeErr = err })
+	s.cores[old].ReadIndex(func(err error) { readErr = err })
 	for range 40 {
 		s.step(0)
 	}
-	if !errors.Is(wrote, ErrUnknown) || !errors.Is(read, ErrNotLeader) {
-		t.Errorf("entry: %v, read: %v", wrote, read)
+	if !errors.Is(writeErr, ErrOutcomeUnknown) || !errors.Is(readErr, ErrNotLeader) {
+		t.Errorf("entry: %v, read: %v", writeErr, readErr)
 	}
-	if s.cores[old].Status().Leads || s.leader() < 0 {
+	if s.cores[old].Status().IsLeader || s.leader() < 0 {
 		t.Error("no other voter took over the leadership")
 	}
-	s.cut = nil
-	s.until("the old leader follows the new one", func() bool { return s.cores[old].Status().Leader == uint64(s.leader()+1) })
-	if s.said["x"] || strings.Contains(strings.Join(s.commits, " "), "x") {
+	s.cutLinks = nil
+	s.runUntil("the old leader follows the new one", func() bool { return s.cores[old].Status().Leader == uint64(s.leader()+1) })
+	if s.confirmed["x"] || strings.Contains(strings.Join(s.longest, " "), "x") {
 		t.Error("an entry took effect that no majority had stored")
 	}
 }
 
 // Guards against a voter that never catches up because the entries it misses were compacted: it must get a snapshot.
 func TestSnapshotForLaggard(t *testing.T) {
-	s := newTier(t, 3, 2)
-	s.until("a leader", func() bool { return s.leader() >= 0 })
+	s := newTestCluster(t, 3, 2)
+	s.runUntil("a leader", func() bool { return s.leader() >= 0 })
 	away := (s.leader() + 1) % 3
 	s.kill(away)
-	for i := range compactKeep + 100 {
-		s.until("a leader", func() bool { return s.leader() >= 0 })
+	for i := range keptEntries + 100 {
+		s.runUntil("a leader", func() bool { return s.leader() >= 0 })
 		s.propose(s.leader(), fmt.Sprintf("w%d", i))
 		s.step(0)
 	}
-	if first := s.cores[s.leader()].Status().First; first < 50 {
+	if first := s.cores[s.leader()].Status().FirstIndex; first < 50 {
 		t.Fatalf("the first entry is %d: the log was not compacted", first)
 	}
 	s.start(away)
-	s.until("the restarted voter has all entries", func() bool { return len(s.states[away].list) == len(s.commits) && len(s.commits) >= compactKeep+100 })
+	s.runUntil("the restarted voter has all entries", func() bool {
+		return len(s.machines[away].entries) == len(s.longest) && len(s.longest) >= keptEntries+100
+	})
 }
 
 // Guards against a transfer of the leadership that takes an election timeout: it must be done within three ticks.
 func TestTransfer(t *testing.T) {
-	s := newTier(t, 5, 3)
-	s.until("a leader", func() bool { return s.leader() >= 0 })
+	s := newTestCluster(t, 5, 3)
+	s.runUntil("a leader", func() bool { return s.leader() >= 0 })
 	to := (s.leader() + 1) % 5
 	s.cores[s.leader()].Transfer(uint64(to + 1))
 	for range 3 {
 		s.step(0)
 	}
-	if !s.cores[to].Status().Leads {
+	if !s.cores[to].Status().IsLeader {
 		t.Error("the leadership was not transferred within three ticks")
 	}
 }
@@ -330,17 +334,17 @@
 // replaces its old one. It must get all entries, and must count for the majority: afterwards it decides with one of
 // the other two.
 func TestReconfigure(t *testing.T) {
-	s := newTier(t, 3, 4)
-	s.until("a leader", func() bool { return s.leader() >= 0 })
+	s := newTestCluster(t, 3, 4)
+	s.runUntil("a leader", func() bool { return s.leader() >= 0 })
 	for i := range 50 {
 		s.propose(s.leader(), fmt.Sprintf("w%d", i))
 		s.step(0)
 	}
 	lost := (s.leader() + 1) % 3
 	s.kill(lost)
-	s.disks = append(s.disks, &memory{})
-	s.states = append(s.states, &words{})
-	c, err := NewCore(Options{ID: 4, Join: true, Disk: s.disks[3], Machine: s.states[3], CompactEvery: s.compact, Log: quiet})
+	s.disks = append(s.disks, &memoryDisk{})
+	s.machines = append(s.machines, &recordingMachine{})
+	c, err := NewCore(Options{ID: 4, Join: true, Disk: s.disks[3], Machine: s.machines[3], CompactEvery: s.compact, Log: quiet})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -352,7 +356,7 @@
 		}
 	}
 	slices.Sort(want)
-	s.until("the voters have changed", func() bool {
+	s.runUntil("the voters have changed", func() bool {
 		if x := s.leader(); x >= 0 {
 			s.cores[x].Reconfigure(want)
 			s.work(x)
@@ -362,26 +366,26 @@
 		return slices.Equal(got, want)
 	})
 	s.propose(s.leader(), "after")
-	s.until("the new voter has all entries", func() bool { return len(s.states[3].list) == 51 })
-	second := s.leader()
-	s.kill(second) // the majority is now the new voter and the one that is left
-	s.until("the new voter decides with the one that is left", func() bool {
+	s.runUntil("the new voter has all entries", func() bool { return len(s.machines[3].entries) == 51 })
+	oldLeader := s.leader()
+	s.kill(oldLeader) // the majority is now the new voter and the one that is left
+	s.runUntil("the new voter decides with the one that is left", func() bool {
 		if x := s.leader(); x >= 0 {
 			s.propose(x, "last")
 		}
-		return s.said["last"]
+		return s.confirmed["last"]
 	})
 }
 
 // failingMachine is a machine that can't apply an entry.
-type stubborn struct{ words }
+type failingMachine struct{ recordingMachine }
 
-func (*stubborn) Apply([]byte) any { return errDisk }
+func (*failingMachine) Apply([]byte) any { return errDisk }
 
 // Guards against a voter that goes on after its machine could not apply an entry.
 func TestMachineStops(t *testing.T) {
-	c := &Core{o: Options{Machine: &stubborn{}}}
-	if err := c.apply(&raftpb.Entry{Data: make([]byte, envelope+1)}); !errors.Is(err, errDisk) {
+	c := &Core{options: Options{Machine: &failingMachine{}}}
+	if err := c.apply(&raftpb.Entry{Data: make([]byte, envelopeSize+1)}); !errors.Is(err, errDisk) {
 		t.Errorf("the voter goes on: %v", err)
 	}
 }
@@ -405,7 +409,7 @@
 		b.Save(&raftpb.HardState{Term: new(uint64(3)), Vote: new(uint64(0)), Commit: new(uint64(1))}, nil, snap),
 		b.Save(nil, []*raftpb.Entry{entry(2, "a"), entry(3, "b"), entry(4, "c")}, nil),
 		b.Save(nil, []*raftpb.Entry{entry(3, "d")}, nil),
-		b.Found(Founding{Log: "f", Voters: map[string]string{"n1": "b"}}),
+		b.SaveFounding(Founding{Log: "f", Voters: map[string]string{"n1": "b"}}),
 	} {
 		if save != nil {
 			t.Fatal(save)
@@ -418,7 +422,7 @@
 	}
 	defer b.Close()
 	k, err := b.Load()
-	if err != nil || len(k.Entries) != 2 || string(k.Entries[1].Data) != "d" || k.Hard.GetTerm() != 3 || !bytes.Equal(k.Snapshot.Data, snap.Data) {
+	if err != nil || len(k.Entries) != 2 || string(k.Entries[1].Data) != "d" || k.HardState.GetTerm() != 3 || !bytes.Equal(k.Snapshot.Data, snap.Data) {
 		t.Errorf("%v, %v", k, err)
 	}
 	if f, err := b.Founding(); err != nil || b.Birth() != birth || f.Log != "f" || f.Voters["n1"] != "b" || len(birth) != 16 {
@@ -427,7 +431,7 @@
 }
 
 // writeDisk creates a file with a snapshot and 38 entries, and returns the file's bytes.
-func saved(t *testing.T, path string) []byte {
+func writeDisk(t *testing.T, path string) []byte {
 	t.Helper()
 	b, err := OpenBolt(path)
 	if err != nil {
@@ -438,7 +442,7 @@
 		entries = append(entries, &raftpb.Entry{Index: new(i), Term: new(uint64(1)), Data: bytes.Repeat([]byte{byte(i)}, 300)})
 	}
 	snap := &raftpb.Snapshot{Data: bytes.Repeat([]byte("s"), 9000), Metadata: &raftpb.SnapshotMetadata{Index: new(uint64(1)), Term: new(uint64(1)), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}}
-	err = errors.Join(b.Save(&raftpb.HardState{Term: new(uint64(3)), Vote: new(uint64(0)), Commit: new(uint64(1))}, nil, snap), b.Save(nil, entries, nil), b.Found(Founding{Log: "f"}), b.Close())
+	err = errors.Join(b.Save(&raftpb.HardState{Term: new(uint64(3)), Vote: new(uint64(0)), Commit: new(uint64(1))}, nil, snap), b.Save(nil, entries, nil), b.SaveFounding(Founding{Log: "f"}), b.Close())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -454,7 +458,7 @@
 // give all that was written.
 func TestTornDisk(t *testing.T) {
 	dir := t.TempDir()
-	raw := saved(t, filepath.Join(dir, "whole.db"))
+	raw := writeDisk(t, filepath.Join(dir, "whole.db"))
 	r, refused := rand.New(rand.NewPCG(1, 2)), 0
 	for i := range 400 {
 		bad, what := slices.Clone(raw), ""
@@ -481,7 +485,7 @@
 			}
 			continue
 		}
-		if k, err := b.Load(); len(bad) > 0 && (err != nil || len(k.Entries) != 38 || k.Hard.GetTerm() != 3 || len(k.Snapshot.GetData()) != 9000) {
+		if k, err := b.Load(); len(bad) > 0 && (err != nil || len(k.Entries) != 38 || k.HardState.GetTerm() != 3 || len(k.Snapshot.GetData()) != 9000) {
 			t.Errorf("%s: accepted, with %d entries, %v", what, len(k.Entries), err)
 		}
 		b.Close()
@@ -495,13 +499,13 @@
 // checksums must be computed anew when the file is opened.
 func TestSumsMadeAnew(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log.db")
-	saved(t, path)
+	writeDisk(t, path)
 	db, err := bbolt.Open(path, 0o600, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	raw, _ := proto.Marshal(&raftpb.HardState{Term: new(uint64(9)), Vote: new(uint64(0)), Commit: new(uint64(1))})
-	err = db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyHard, raw) })
+	err = db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(bucketMeta).Put(keyHardState, raw) })
 	if err := errors.Join(err, db.Close()); err != nil {
 		t.Fatal(err)
 	}
@@ -510,8 +514,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if k, err := b.Load(); err != nil || k.Hard.GetTerm() != 9 {
-			t.Errorf("%v, %v", k.Hard, err)
+		if k, err := b.Load(); err != nil || k.HardState.GetTerm() != 9 {
+			t.Errorf("%v, %v", k.HardState, err)
 		}
 		b.Close()
 	}
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -245,7 +245,7 @@
 // accepted requests have been answered and recorded.
 func (a *assembly) addRecorder() {
 	writer := recorder.New(a.config.Record, a.log)
-	a.handler.OnComplete = func(s *front.CompletedRequest) { writer.Take(recorderTry(s)) }
+	a.handler.OnComplete = func(s *front.CompletedRequest) { writer.Record(recorderTry(s)) }
 	recorderCtx, stop := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	a.add(part{start: func() error {
@@ -262,7 +262,7 @@
 func (a *assembly) addFleetControl() error {
 	for _, class := range a.config.Settings.Classes {
 		if class.Aim > 0 {
-			a.metrics.TrackLatency(class.Name, health.Bounds(class.Aim))
+			a.metrics.TrackLatency(class.Name, health.LatencyBounds(class.Aim))
 		}
 	}
 	fleetControl, err := control.Open(a.config.Fleet, a.loop, fleetNode{a.takeover, a.metrics}, a.log)
@@ -270,8 +270,8 @@
 		return err
 	}
 	a.takeover.fleetControl = fleetControl
-	a.add(part{start: func() error { fleetControl.Begin(); return nil },
-		run: func(context.Context) { fleetControl.Run() }, announceLeave: fleetControl.Leaving,
+	a.add(part{start: func() error { fleetControl.ApplySavedOrders(); return nil },
+		run: func(context.Context) { fleetControl.Run() }, announceLeave: fleetControl.AnnounceLeaving,
 		afterDrain: fleetControl.Close, close: fleetControl.Stop})
 	return nil
 }
@@ -282,22 +282,22 @@
 	metrics *stats.Metrics
 }
 
-// Away makes the node report that it is not ready, because the fleet has drained it, or ends that.
-func (n fleetNode) Away(on bool) { n.setDrained(on) }
+// SetDrained makes the node report that it is not ready, because the fleet has drained it, or ends that.
+func (n fleetNode) SetDrained(on bool) { n.setDrained(on) }
 
-// Ends returns for each class the number of completed requests by outcome since the start of the process, and the
+// ClassCounts returns for each class the number of completed requests by outcome since the start of the process, and the
 // distribution of the response times of those that were served.
-func (n fleetNode) Ends() map[string]health.Ends {
-	results := map[string]health.Ends{}
+func (n fleetNode) ClassCounts() map[string]health.ClassCounts {
+	results := map[string]health.ClassCounts{}
 	n.metrics.EachClass(func(class string, answered, deferred, errored int64) {
-		results[class] = health.Ends{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored),
-			Took: n.metrics.LatencyCounts(class)}
+		results[class] = health.ClassCounts{Served: uint64(answered), Refused: uint64(deferred), Failed: uint64(errored),
+			Latencies: n.metrics.LatencyCounts(class)}
 	})
 	return results
 }
 
-// Resident returns the resident memory of this process in bytes, from /proc/self/statm, or 0 if that can't be read.
-func (fleetNode) Resident() uint64 {
+// ResidentBytes returns the resident memory of this process in bytes, from /proc/self/statm, or 0 if that can't be read.
+func (fleetNode) ResidentBytes() uint64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
 		return 0
@@ -347,16 +347,16 @@
 // recorderTry converts a completed request to the form in which it is recorded.
 func recorderTry(seen *front.CompletedRequest) *recorder.Try {
 	arrival := &seen.Request.Arrived
-	try := &recorder.Try{Began: seen.StartedAt, Class: arrival.Class, Tenant: arrival.Tenant,
-		Order: seen.Request.Header.Get("Idempotency-Key"), Size: len(seen.Request.Body), Answer: len(seen.Answer.Body),
-		Repeat: arrival.Repeat, Outcome: trace.Failed, Took: seen.Duration, Work: seen.Answer.AttemptTime,
+	try := &recorder.Try{StartedAt: seen.StartedAt, Class: arrival.Class, Tenant: arrival.Tenant,
+		Order: seen.Request.Header.Get("Idempotency-Key"), BodySize: len(seen.Request.Body), AnswerSize: len(seen.Answer.Body),
+		Repeat: arrival.Repeat, Outcome: trace.Failed, Duration: seen.Duration, Work: seen.Answer.AttemptTime,
 		Patience: seen.Patience}
 	if try.Order == "" {
 		try.Order = string(arrival.ID)
 	}
 	switch {
 	case seen.ClientGone:
-		try.Outcome = trace.Gone
+		try.Outcome = trace.ClientGone
 	case seen.Answer.Status == http.StatusOK:
 		try.Outcome = trace.Served
 	case seen.Answer.Status == http.StatusServiceUnavailable, seen.Answer.Status == http.StatusTooManyRequests:
--- a/internal/app/gateway.go
+++ b/internal/app/gateway.go
@@ -22,7 +22,7 @@
 // siteGateway hands requests to other sites and serves requests of theirs. A node with a gateway file has one.
 type siteGateway struct {
 	config     *gateway.Config
-	identities *link.Keeper
+	identities *link.IdentityStore
 	dialer     *link.Dialer
 	server     *link.Server
 	handler    *front.Handler
@@ -32,9 +32,9 @@
 // openSiteGateway starts to connect to the other sites. It accepts no hand-offs from them before startServer is
 // called.
 func openSiteGateway(config *Config, log *slog.Logger) (*siteGateway, error) {
-	g := &siteGateway{config: config.Gateway, identities: link.NewKeeper(config.Gateway.Identity), log: log}
+	g := &siteGateway{config: config.Gateway, identities: link.NewIdentityStore(config.Gateway.Identity), log: log}
 	var err error
-	g.dialer, err = link.NewDialer(link.DialerOptions{Keeper: g.identities, Most: g.config.Out,
+	g.dialer, err = link.NewDialer(link.DialerOptions{Identities: g.identities, MaxHandOffs: g.config.MaxHandOffsOut,
 		Seed: uint64(config.Seed), Log: log})
 	return g, err
 }
@@ -48,10 +48,10 @@
 	memory := float64(config.Limits.MemoryMB << 20)
 	g.handler = front.NewHandler(loop, config.Settings, int64(handoffBodyMemoryShare*memory), g.log)
 	g.handler.HandedOff = true
-	g.server, err = link.NewServer(udp, link.ServerOptions{Keeper: g.identities, Handoffs: g.config.In,
-		Ledger: ledger.Limits{Entries: g.config.Entries, Bytes: min(g.config.Bytes, int(ledgerMemoryShare*memory)),
-			Keep: config.Settings.LongestDeadline() + time.Second},
-		Handle: gateway.Handle(g.handler), Credit: func() int { return int(math.Ceil(g.config.SpareShare * loop.Headroom())) }, Log: g.log})
+	g.server, err = link.NewServer(udp, link.ServerOptions{Identities: g.identities, MaxHandOffs: g.config.MaxHandOffsIn,
+		Ledger: ledger.Limits{Entries: g.config.LedgerEntries, Bytes: min(g.config.LedgerBytes, int(ledgerMemoryShare*memory)),
+			Retention: config.Settings.LongestDeadline() + time.Second},
+		Handle: gateway.NewHandler(g.handler), Headroom: func() int { return int(math.Ceil(g.config.SpareShare * loop.Headroom())) }, Log: g.log})
 	return err
 }
 
--- a/internal/app/gateway_test.go
+++ b/internal/app/gateway_test.go
@@ -41,7 +41,7 @@
 	var configs [2]*gateway.Config
 	for i := range 2 {
 		other := 1 - i
-		configs[i] = &gateway.Config{Listen: addresses[i], Out: 16, In: 16, Entries: 100, Bytes: 1 << 20, SpareShare: 1,
+		configs[i] = &gateway.Config{Listen: addresses[i], MaxHandOffsOut: 16, MaxHandOffsIn: 16, LedgerEntries: 100, LedgerBytes: 1 << 20, SpareShare: 1,
 			Identity: &link.Identity{Site: names[i], Certificate: certs[i],
 				Peers: []link.Peer{{Name: names[other], Roots: authorities[other].Roots(),
 					Addresses: []string{addresses[other].String()}}}}}
--- a/internal/app/takeover.go
+++ b/internal/app/takeover.go
@@ -156,7 +156,7 @@
 	t.handler.SetCloseAfterAnswer(t.stage.ClosesConnections() || t.drainedByFleet)
 	t.handler.SetNotReady(t.drainedByFleet)
 	if t.fleetControl != nil {
-		t.fleetControl.Replaced(t.stage != handover.Alone, t.stage == handover.Succeeded)
+		t.fleetControl.SetReplaced(t.stage != handover.Alone, t.stage == handover.Succeeded)
 	}
 }
 
--- a/internal/configuration/cache/cache.go
+++ b/internal/configuration/cache/cache.go
@@ -19,24 +19,24 @@
 
 // A file is the magic line, the SHA-256 of the rest, and an encoded configpb.Cache.
 const (
-	magic   = "starlingvalve configuration cache 1\n"
-	maxFile = configuration.MaxBytes * 2 // bytes; all entries have at most MaxBytes
+	magic        = "starlingvalve configuration cache 1\n"
+	maxFileBytes = configuration.MaxBytes * 2 // bytes; all entries have at most MaxBytes
 )
 
 // refusedSuffix is appended to the name of a file that was refused.
-const setAside = ".refused"
+const refusedSuffix = ".refused"
 
 // RefusedError is the reason why a file was refused. The file has been renamed, so that it is not overwritten.
 type RefusedError struct {
 	Path   string
 	Reason string
-	Kept   string // the file's new path
+	KeptAs string // the file's new path
 }
 
 // Error names the file, the reason and the file's new path.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("configuration cache %s: %s; it is kept as %s, and the node starts without it",
-		e.Path, e.Reason, e.Kept)
+		e.Path, e.Reason, e.KeptAs)
 }
 
 // Save atomically replaces the file with a snapshot. log is the name of the log that the snapshot's revision is from.
@@ -63,19 +63,19 @@
 	if err != nil {
 		return "", fmt.Errorf("configuration cache %s: %w", path, err)
 	}
-	c, reason := decode(raw)
+	content, reason := decode(raw)
 	if reason == "" {
-		if err := into.Restore(c.Snapshot); err != nil {
+		if err := into.Restore(content.Snapshot); err != nil {
 			reason = fmt.Sprintf("it is not valid: %v", err)
 		}
 	}
 	if reason == "" {
-		return c.Log, nil
+		return content.Log, nil
 	}
-	if err := os.Rename(path, path+setAside); err != nil {
+	if err := os.Rename(path, path+refusedSuffix); err != nil {
 		return "", fmt.Errorf("configuration cache %s: %s; it can't be set aside: %w", path, reason, err)
 	}
-	return "", &RefusedError{Path: path, Reason: reason, Kept: path + setAside}
+	return "", &RefusedError{Path: path, Reason: reason, KeptAs: path + refusedSuffix}
 }
 
 // read returns the content of a file, of one that is too long the first maxFileBytes+1 bytes.
@@ -85,16 +85,16 @@
 		return nil, err
 	}
 	defer f.Close()
-	return io.ReadAll(io.LimitReader(f, maxFile+1))
+	return io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 }
 
 // decode returns the content of a file, or the reason why the file is refused.
 func decode(raw []byte) (c *configpb.Cache, reason string) {
-	if len(raw) > maxFile {
-		return nil, fmt.Sprintf("it is longer than %d bytes", maxFile)
+	if len(raw) > maxFileBytes {
+		return nil, fmt.Sprintf("it is longer than %d bytes", maxFileBytes)
 	}
-	rest, ours := bytes.CutPrefix(raw, []byte(magic))
-	if !ours {
+	rest, hasMagic := bytes.CutPrefix(raw, []byte(magic))
+	if !hasMagic {
 		return nil, "it is not a configuration cache of this format, or its beginning is torn off"
 	}
 	if len(rest) < sha256.Size {
--- a/internal/configuration/cache/cache_test.go
+++ b/internal/configuration/cache/cache_test.go
@@ -72,7 +72,7 @@
 		if strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s: %v", name, err)
 		}
-		kept, err := os.ReadFile(reason.Kept)
+		kept, err := os.ReadFile(reason.KeptAs)
 		if err != nil || string(kept) != string(raw) {
 			t.Errorf("%s: kept %d of %d bytes, %v", name, len(kept), len(raw), err)
 		}
@@ -88,7 +88,7 @@
 		refused(fmt.Sprintf("byte %d changed", n), changed)
 	}
 	refused("a byte more", append(append([]byte(nil), whole...), 0))
-	if err := refused("too long", make([]byte, maxFile+1)); !strings.Contains(err.Error(), "longer than") {
+	if err := refused("too long", make([]byte, maxFileBytes+1)); !strings.Contains(err.Error(), "longer than") {
 		t.Error(err)
 	}
 }
@@ -120,7 +120,7 @@
 	if err := os.WriteFile(path, []byte("x"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.MkdirAll(filepath.Join(path+setAside, "full"), 0o700); err != nil {
+	if err := os.MkdirAll(filepath.Join(path+refusedSuffix, "full"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	_, err := Load(path, configuration.NewReplica(nil))
--- a/internal/configuration/configfile/configfile.go
+++ b/internal/configuration/configfile/configfile.go
@@ -15,9 +15,9 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// fileFormat is the content of a file. Each table puts or deletes one entry. With if_revision, the file is applied only
+// fileFormat is the content of a fileFormat. Each table puts or deletes one entry. With if_revision, the fileFormat is applied only
 // if the last change of the entry was at that revision, or, for 0, if there is no such entry.
-type file struct {
+type fileFormat struct {
 	Service []service `toml:"service,omitempty"`
 	Route   []route   `toml:"route,omitempty"`
 	Tenant  []tenant  `toml:"tenant,omitempty"`
@@ -62,7 +62,7 @@
 	Transaction *configpb.Transaction // without its author and reason
 	path        string
 	tables      map[string]string // the table of each entry, as tomlfile.KeyErrors names tables, by the entry's key
-	fault       func(key, format string, args ...any) error
+	keyError    func(key, format string, args ...any) error
 }
 
 // Load reads a file and checks it by itself, without the entries that exist. An error is one line with the file, the
@@ -76,33 +76,33 @@
 }
 
 func parse(path string, raw []byte) (*File, error) {
-	t := file{}
-	if err := tomlfile.Decode(path, raw, &t); err != nil {
+	content := fileFormat{}
+	if err := tomlfile.Decode(path, raw, &content); err != nil {
 		return nil, err
 	}
-	f := &File{
+	parsed := &File{
 		Transaction: &configpb.Transaction{},
 		path:        path,
 		tables:      map[string]string{},
-		fault:       tomlfile.KeyErrors(path, raw),
+		keyError:    tomlfile.KeyErrors(path, raw),
 	}
-	for i, s := range t.Service {
-		f.put(fmt.Sprintf("service[%d]", i), s.entry(), s.IfRevision)
+	for i, s := range content.Service {
+		parsed.put(fmt.Sprintf("service[%d]", i), s.entry(), s.IfRevision)
 	}
-	for i, r := range t.Route {
-		f.put(fmt.Sprintf("route[%d]", i), r.entry(), r.IfRevision)
+	for i, r := range content.Route {
+		parsed.put(fmt.Sprintf("route[%d]", i), r.entry(), r.IfRevision)
 	}
-	for i, n := range t.Tenant {
-		f.put(fmt.Sprintf("tenant[%d]", i), n.entry(), n.IfRevision)
+	for i, n := range content.Tenant {
+		parsed.put(fmt.Sprintf("tenant[%d]", i), n.entry(), n.IfRevision)
 	}
-	for i, d := range t.Delete {
+	for i, d := range content.Delete {
 		change := &configpb.Change{What: &configpb.Change_Delete{Delete: d.Entry}}
-		f.add(fmt.Sprintf("delete[%d]", i), d.Entry, change, d.IfRevision)
+		parsed.add(fmt.Sprintf("delete[%d]", i), d.Entry, change, d.IfRevision)
 	}
-	if err := configuration.CheckTransaction(f.Transaction); err != nil {
-		return nil, f.Fault(configuration.RefusalOf(err))
+	if err := configuration.CheckTransaction(parsed.Transaction); err != nil {
+		return nil, parsed.RefusalError(configuration.RefusalOf(err))
 	}
-	return f, nil
+	return parsed, nil
 }
 
 // put adds a change that puts an entry. condition is the file's if_revision, or nil.
@@ -120,7 +120,7 @@
 }
 
 // RefusalError returns a refusal of the transaction as one line with the file, the line, the key and the reason.
-func (f *File) Fault(r *configpb.Refusal) error {
+func (f *File) RefusalError(r *configpb.Refusal) error {
 	table := f.tables[r.GetEntry()]
 	reason := strings.Join(strings.Fields(r.GetReason()), " ")
 	switch {
@@ -129,9 +129,9 @@
 	case table == "":
 		return fmt.Errorf("%s: %s: %s", f.path, r.GetEntry(), reason)
 	case r.GetField() == "":
-		return f.fault(table, "%s: %s", r.GetEntry(), reason)
+		return f.keyError(table, "%s: %s", r.GetEntry(), reason)
 	}
-	return f.fault(table+"."+r.GetField(), "%s: %s", r.GetEntry(), reason)
+	return f.keyError(table+"."+r.GetField(), "%s: %s", r.GetEntry(), reason)
 }
 
 func (s service) entry() *configpb.Entry {
@@ -159,28 +159,28 @@
 // Render returns entries as the text of a file, each with the revision of its last change as its condition. So an
 // edited file is refused if any of its entries has changed since.
 func Render(entries []*configpb.Entry) ([]byte, error) {
-	t := file{}
+	content := fileFormat{}
 	for _, e := range entries {
 		revision := e.GetRevision()
 		switch v := e.GetValue().(type) {
 		case *configpb.Entry_Service:
 			s := v.Service
-			t.Service = append(t.Service, service{s.Name, s.RegistryName, s.TimeoutMs, s.MaxAttempts, &revision})
+			content.Service = append(content.Service, service{s.Name, s.RegistryName, s.TimeoutMs, s.MaxAttempts, &revision})
 		case *configpb.Entry_Route:
 			r := v.Route
-			t.Route = append(t.Route, route{r.Name, r.Host, r.PathPrefix, r.Service, &revision})
+			content.Route = append(content.Route, route{r.Name, r.Host, r.PathPrefix, r.Service, &revision})
 		case *configpb.Entry_Tenant:
 			n := tenant{Name: v.Tenant.Name, IfRevision: &revision}
 			for _, l := range v.Tenant.Limits {
 				n.Limits = append(n.Limits, limit{l.Service, l.Share, l.RequestsPerSecond})
 			}
-			t.Tenant = append(t.Tenant, n)
+			content.Tenant = append(content.Tenant, n)
 		default:
 			return nil, errors.New("an entry of a kind that this program does not know: " +
 				"use a version at least as new as the leader's")
 		}
 	}
-	return toml.Marshal(t)
+	return toml.Marshal(content)
 }
 
 // Difference is the change of one entry by a file.
--- a/internal/configuration/configfile/configfile_test.go
+++ b/internal/configuration/configfile/configfile_test.go
@@ -117,14 +117,14 @@
 	}
 	_, err = configuration.New().Commit(1, f.Transaction)
 	want := "f.toml:5: route[0].service: route/r: there is no service x"
-	if got := f.Fault(configuration.RefusalOf(err)); got.Error() != want {
+	if got := f.RefusalError(configuration.RefusalOf(err)); got.Error() != want {
 		t.Error(got)
 	}
-	if got := f.Fault(&configpb.Refusal{Reason: "too much"}); got.Error() != "f.toml: too much" {
+	if got := f.RefusalError(&configpb.Refusal{Reason: "too much"}); got.Error() != "f.toml: too much" {
 		t.Error(got)
 	}
 	named := &configpb.Refusal{Entry: "service/y", Reason: "it is named"}
-	if got := f.Fault(named); got.Error() != "f.toml: service/y: it is named" {
+	if got := f.RefusalError(named); got.Error() != "f.toml: service/y: it is named" {
 		t.Error(got)
 	}
 }
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -236,7 +236,7 @@
 	if _, err := s.Rollback(5, &configpb.Rollback{To: 6}); err == nil {
 		t.Error("a rollback to a revision that does not exist was accepted")
 	}
-	s.mostHistory = 2
+	s.historyLimit = 2
 	commit(t, s, service("x"))
 	if _, err := s.Rollback(5, &configpb.Rollback{To: s.Compacted() - 1}); err == nil || s.Revision() != 6 {
 		t.Errorf("to a compacted revision: %v", err)
@@ -250,7 +250,7 @@
 // revisions that it no longer has, or that do not exist yet, return errors.
 func TestCompaction(t *testing.T) {
 	s := New()
-	s.mostHistory = 3
+	s.historyLimit = 3
 	for i := range 5 {
 		commit(t, s, slowService("pay", uint32(i+1)))
 	}
@@ -269,7 +269,7 @@
 	if d, err := s.Delta(5, 1000); err != nil || len(d.Revisions) != 0 {
 		t.Errorf("%v, %v", d, err)
 	}
-	s.mostHistoryBytes = 1
+	s.historyByteLimit = 1
 	commit(t, s, service("pay"))
 	if s.Compacted() != 6 || len(s.history) != 0 || s.historyBytes != 0 {
 		t.Errorf("%d records of %d bytes", len(s.history), s.historyBytes)
@@ -306,13 +306,13 @@
 	commit(t, s, service("pay"), route("a", "a.org", "/", "pay"))
 	commit(t, s, service("cart"))
 	for name, damage := range map[string]func(*configpb.State){
-		"order":       func(x *configpb.State) { slices.Reverse(x.Entries) },
-		"reference":   func(x *configpb.State) { x.Entries[0].GetRoute().Service = "x" },
-		"revision":    func(x *configpb.State) { x.Entries[0].Revision = 9 },
-		"no revision": func(x *configpb.State) { x.Entries[0].Revision = 0 },
-		"gap":         func(x *configpb.State) { x.History[0].Revision.Number = 7 },
-		"lost record": func(x *configpb.State) { x.History = x.History[1:] },
-		"no before":   func(x *configpb.State) { x.History[0].Before = nil },
+		"order":       func(state *configpb.State) { slices.Reverse(state.Entries) },
+		"reference":   func(state *configpb.State) { state.Entries[0].GetRoute().Service = "x" },
+		"revision":    func(state *configpb.State) { state.Entries[0].Revision = 9 },
+		"no revision": func(state *configpb.State) { state.Entries[0].Revision = 0 },
+		"gap":         func(state *configpb.State) { state.History[0].Revision.Number = 7 },
+		"lost record": func(state *configpb.State) { state.History = state.History[1:] },
+		"no before":   func(state *configpb.State) { state.History[0].Before = nil },
 	} {
 		state, other := proto.CloneOf(s.State()), New()
 		commit(t, other, service("x"))
@@ -324,7 +324,7 @@
 }
 
 // drawTransaction draws a transaction with few names and values, so that it is often refused.
-func draw(t *rapid.T) *configpb.Transaction {
+func drawTransaction(t *rapid.T) *configpb.Transaction {
 	name := rapid.SampledFrom([]string{"a", "b", "c"})
 	number := rapid.IntRange(0, 3)
 	tx := transaction()
@@ -414,7 +414,7 @@
 func TestStoreBesideMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, twin := New(), New()
-		s.mostHistory, twin.mostHistory = 6, 6
+		s.historyLimit, twin.historyLimit = 6, 6
 		now, states := model{}, []model{{}}
 		replica := NewReplica(nil)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -426,7 +426,7 @@
 					t.Fatal(err)
 				}
 				restored := New()
-				restored.mostHistory = 6
+				restored.historyLimit = 6
 				if err := restored.Restore(state); err != nil {
 					t.Fatal(err)
 				}
@@ -444,9 +444,9 @@
 					states = append(states, now)
 				}
 			case 2, 3:
-				follow(t, s, replica, states)
+				followStore(t, s, replica, states)
 			default:
-				tx := draw(t)
+				tx := drawTransaction(t)
 				next, ok := now.after(tx, s.Revision()+1)
 				o, err := s.Commit(7, tx)
 				twin.Commit(7, tx)
@@ -468,7 +468,7 @@
 			}
 		}
 		for replica.Revision() < s.Revision() {
-			follow(t, s, replica, states)
+			followStore(t, s, replica, states)
 		}
 	})
 }
@@ -487,7 +487,7 @@
 }
 
 // followStore brings a replica closer to the store's revision, by a delta or a snapshot, and checks it.
-func follow(t *rapid.T, s *Store, replica *Replica, states []model) {
+func followStore(t *rapid.T, s *Store, replica *Replica, states []model) {
 	d, err := s.Delta(replica.Revision(), rapid.IntRange(1, 500).Draw(t, "bytes"))
 	if errors.Is(err, ErrCompacted) {
 		err = replica.Restore(s.Snapshot())
--- a/internal/configuration/design_size_test.go
+++ b/internal/configuration/design_size_test.go
@@ -19,7 +19,7 @@
 )
 
 // newDesignSizeStore returns a store with these numbers of entries.
-func designSize(b *testing.B) *Store {
+func newDesignSizeStore(b *testing.B) *Store {
 	b.Helper()
 	s := New()
 	var changes []*configpb.Change
@@ -52,7 +52,7 @@
 
 // BenchmarkCommit changes one route in a store of the design size.
 func BenchmarkCommit(b *testing.B) {
-	s := designSize(b)
+	s := newDesignSizeStore(b)
 	i := 0
 	for b.Loop() {
 		i++
@@ -67,7 +67,7 @@
 
 // BenchmarkState encodes the store's state, as for a snapshot of the log.
 func BenchmarkState(b *testing.B) {
-	s := designSize(b)
+	s := newDesignSizeStore(b)
 	var raw []byte
 	for b.Loop() {
 		raw = encoded(b, s.State())
@@ -79,7 +79,7 @@
 // BenchmarkReplica restores a replica from a snapshot, as at a node's first start, and reports the heap bytes of the
 // replica.
 func BenchmarkReplica(b *testing.B) {
-	raw := encoded(b, designSize(b).Snapshot())
+	raw := encoded(b, newDesignSizeStore(b).Snapshot())
 	var r *Replica
 	before := heap()
 	for b.Loop() {
--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -76,14 +76,14 @@
 // stage adds the changes of a revision to the pending ones, which have not taken effect.
 func (r *Replica) stage(pending *staged, revision *configpb.Revision) *InvalidError {
 	for _, c := range revision.GetChanges() {
-		if put := c.GetPut(); put != nil && put.Revision != revision.Number {
-			return invalid(shorten(Key(put)), "", "the entry has revision %d, but is part of revision %d", put.Revision, revision.Number)
+		if entry := c.GetPut(); entry != nil && entry.Revision != revision.Number {
+			return invalid(truncateKey(Key(entry)), "", "the entry has revision %d, but is part of revision %d", entry.Revision, revision.Number)
 		}
 		key := changeKey(c)
 		if kindOf(key) == "" {
-			return invalid(shorten(key), "", "a change of a kind that this program does not know")
+			return invalid(truncateKey(key), "", "a change of a kind that this program does not know")
 		}
-		if _, waits := pending.entries[key]; c.GetPut() == nil && !waits && r.table.entries[key] == nil {
+		if _, isPending := pending.entries[key]; c.GetPut() == nil && !isPending && r.table.entries[key] == nil {
 			return invalid(key, "", "it can't be deleted: there is no such entry")
 		}
 		pending.set(key, c.GetPut())
@@ -111,7 +111,7 @@
 	if err := r.table.check(effective); err != nil {
 		return err
 	}
-	return refusedBy(r.accept(changes))
+	return causeOf(r.accept(changes))
 }
 
 // Restore replaces the content of the replica with a snapshot. If the snapshot is invalid or not accepted, it changes
@@ -128,7 +128,7 @@
 				changes = append(changes, changeTo(key, nil))
 			}
 		}
-		cause = refusedBy(r.accept(changes))
+		cause = causeOf(r.accept(changes))
 	}
 	if cause != nil {
 		return &RefusedError{Revision: s.GetRevision(), Cause: cause}
@@ -138,7 +138,7 @@
 }
 
 // causeOf converts an error of the accept function to the cause of a refusal.
-func refusedBy(err error) *InvalidError {
+func causeOf(err error) *InvalidError {
 	if err == nil {
 		return nil
 	}
--- a/internal/configuration/store.go
+++ b/internal/configuration/store.go
@@ -30,12 +30,12 @@
 	history      []*configpb.Record
 	historyBytes int
 
-	mostHistory, mostHistoryBytes int
+	historyLimit, historyByteLimit int
 }
 
 // New returns an empty store at revision 0.
 func New() *Store {
-	return &Store{table: newTable(), mostHistory: maxHistory, mostHistoryBytes: maxHistoryBytes}
+	return &Store{table: newTable(), historyLimit: maxHistory, historyByteLimit: maxHistoryBytes}
 }
 
 // Revision returns the number of the last change that took effect, or 0 if none has.
@@ -91,7 +91,7 @@
 	}
 	for _, c := range tx.Conditions {
 		if have := s.table.entries[c.GetKey()].GetRevision(); have != c.GetRevision() {
-			return nil, nil, &ConflictError{Entry: shorten(c.GetKey()), Want: c.GetRevision(), Have: have}
+			return nil, nil, &ConflictError{Entry: truncateKey(c.GetKey()), Want: c.GetRevision(), Have: have}
 		}
 	}
 	change := newStaged()
@@ -138,7 +138,7 @@
 // compact removes the oldest records from the history until it is within its bounds.
 func (s *Store) compact() {
 	drop := 0
-	for len(s.history)-drop > s.mostHistory || s.historyBytes > s.mostHistoryBytes {
+	for len(s.history)-drop > s.historyLimit || s.historyBytes > s.historyByteLimit {
 		s.historyBytes -= proto.Size(s.history[drop])
 		drop++
 	}
@@ -164,7 +164,7 @@
 // RollbackChanges returns the transaction that does a rollback. It has no changes if all entries still have their
 // values of that revision.
 func (s *Store) RollbackChanges(r *configpb.Rollback) (*configpb.Transaction, error) {
-	before, err := s.undo(r.To)
+	before, err := s.valuesAt(r.To)
 	if err != nil {
 		return nil, invalid("", "", "rollback to revision %d: %v; revisions %d to %d are known",
 			r.To, err, s.compacted, s.revision)
@@ -182,8 +182,8 @@
 
 // valuesAt returns, by key, the entries that have changed since a revision as they were at that revision; nil: there
 // was none.
-func (s *Store) undo(to uint64) (map[string]*configpb.Entry, error) {
-	if err := s.reaches(to); err != nil {
+func (s *Store) valuesAt(to uint64) (map[string]*configpb.Entry, error) {
+	if err := s.checkReachable(to); err != nil {
 		return nil, err
 	}
 	before := map[string]*configpb.Entry{}
@@ -209,7 +209,7 @@
 }
 
 // checkReachable returns an error if the history does not have all revisions after the given one.
-func (s *Store) reaches(revision uint64) error {
+func (s *Store) checkReachable(revision uint64) error {
 	switch {
 	case revision < s.compacted:
 		return ErrCompacted
@@ -221,13 +221,13 @@
 
 // History returns the revisions after the given one, the oldest first, and at most limit of them. Errors are
 // ErrCompacted and ErrAhead.
-func (s *Store) History(after uint64, most int) ([]*configpb.Revision, error) {
-	if err := s.reaches(after); err != nil {
+func (s *Store) History(after uint64, limit int) ([]*configpb.Revision, error) {
+	if err := s.checkReachable(after); err != nil {
 		return nil, err
 	}
 	var list []*configpb.Revision
 	for _, r := range s.history[after-s.compacted:] {
-		if len(list) == most {
+		if len(list) == limit {
 			break
 		}
 		list = append(list, r.Revision)
@@ -237,14 +237,14 @@
 
 // Delta returns the revisions after the given one, as many as fit into maxBytes, but at least one if there is any.
 // Errors are ErrCompacted and ErrAhead.
-func (s *Store) Delta(after uint64, mostBytes int) (*configpb.Delta, error) {
-	if err := s.reaches(after); err != nil {
+func (s *Store) Delta(after uint64, maxBytes int) (*configpb.Delta, error) {
+	if err := s.checkReachable(after); err != nil {
 		return nil, err
 	}
 	d, bytes := &configpb.Delta{After: after}, 0
 	for _, r := range s.history[after-s.compacted:] {
 		bytes += proto.Size(r.Revision)
-		if bytes > mostBytes && len(d.Revisions) > 0 {
+		if bytes > maxBytes && len(d.Revisions) > 0 {
 			break
 		}
 		d.Revisions = append(d.Revisions, r.Revision)
--- a/internal/configuration/table.go
+++ b/internal/configuration/table.go
@@ -78,11 +78,11 @@
 
 // checkDelete returns an error if the entry to delete does not exist, or is a service that a remaining entry refers to.
 func (t *table) checkDelete(s *staged, key string) *InvalidError {
-	gone := t.entries[key]
-	if gone == nil {
+	deleted := t.entries[key]
+	if deleted == nil {
 		return invalid(key, "", "it can't be deleted: there is no such entry")
 	}
-	service := gone.GetService()
+	service := deleted.GetService()
 	if service == nil {
 		return nil
 	}
@@ -121,8 +121,8 @@
 func (t *table) checkBounds(s *staged) *InvalidError {
 	bytes, counts := t.bytes, maps.Clone(t.counts)
 	for key, e := range s.entries {
-		if was := t.entries[key]; was != nil {
-			bytes -= proto.Size(was)
+		if previous := t.entries[key]; previous != nil {
+			bytes -= proto.Size(previous)
 			counts[kindOf(key)]--
 		}
 		if e != nil {
@@ -148,8 +148,8 @@
 func (t *table) commit(s *staged) {
 	// All old entries are removed before new ones are added, as two routes may swap their matches.
 	for _, key := range s.order {
-		if was := t.entries[key]; was != nil {
-			t.remove(key, was)
+		if previous := t.entries[key]; previous != nil {
+			t.remove(key, previous)
 		}
 	}
 	for _, key := range s.order {
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -42,10 +42,10 @@
 		return invalid("", "", "an entry of a kind that this program does not know")
 	}
 	if size := proto.Size(e); size > MaxEntryBytes {
-		return invalid(shorten(key), "", "%d bytes, at most %d", size, MaxEntryBytes)
+		return invalid(truncateKey(key), "", "%d bytes, at most %d", size, MaxEntryBytes)
 	}
-	if _, name, _ := strings.Cut(key, "/"); !goodName(name) {
-		return invalid(shorten(key), "name", "want up to %d letters, digits, dots, hyphens and underscores", maxName)
+	if _, name, _ := strings.Cut(key, "/"); !validName(name) {
+		return invalid(truncateKey(key), "name", "want up to %d letters, digits, dots, hyphens and underscores", maxName)
 	}
 	switch v := e.Value.(type) {
 	case *configpb.Entry_Service:
@@ -59,10 +59,10 @@
 }
 
 // validName reports whether name is valid as the name of an entry.
-func goodName(name string) bool { return len(name) <= maxName && namePattern.MatchString(name) }
+func validName(name string) bool { return len(name) <= maxName && namePattern.MatchString(name) }
 
 // truncateKey cuts off a key that is too long to be quoted in an error.
-func shorten(key string) string {
+func truncateKey(key string) string {
 	const most = maxName + len(KindService) + 1
 	if len(key) <= most {
 		return strings.ToValidUTF8(key, "?")
@@ -72,7 +72,7 @@
 
 func checkService(key string, s *configpb.Service) *InvalidError {
 	switch {
-	case s.RegistryName != "" && !goodName(s.RegistryName):
+	case s.RegistryName != "" && !validName(s.RegistryName):
 		return invalid(key, "registry_name", "want up to %d letters, digits, dots, hyphens and underscores", maxName)
 	case s.TimeoutMs > maxTimeoutMs:
 		return invalid(key, "timeout_ms", "want 0 to %d, have %d", maxTimeoutMs, s.TimeoutMs)
@@ -86,16 +86,16 @@
 	switch {
 	case r.Host != AnyHost && (len(r.Host) > 253 || !hostPattern.MatchString(r.Host)):
 		return invalid(key, "host", "want a DNS name in lower case, or %q, have %.100q", AnyHost, r.Host)
-	case !goodPath(r.PathPrefix):
+	case !validPath(r.PathPrefix):
 		return invalid(key, "path_prefix", "want / and up to %d printable characters without space, ? and #", maxPath)
-	case !goodName(r.Service):
+	case !validName(r.Service):
 		return invalid(key, "service", "want the name of a service, have %.100q", r.Service)
 	}
 	return nil
 }
 
 // validPath reports whether p is valid as the path prefix of a route.
-func goodPath(p string) bool {
+func validPath(p string) bool {
 	if len(p) == 0 || len(p) > maxPath || p[0] != '/' {
 		return false
 	}
@@ -112,7 +112,7 @@
 	for _, l := range t.Limits {
 		service := l.GetService()
 		switch {
-		case !goodName(service):
+		case !validName(service):
 			return invalid(key, "limits", "want the name of a service, have %.100q", service)
 		case seen[service]:
 			return invalid(key, "limits", "two limits at service %s", service)
@@ -185,7 +185,7 @@
 		return Key(w.Put), nil
 	case *configpb.Change_Delete:
 		if kindOf(w.Delete) == "" {
-			return "", invalid(shorten(w.Delete), "", "want service/NAME, route/NAME or tenant/NAME")
+			return "", invalid(truncateKey(w.Delete), "", "want service/NAME, route/NAME or tenant/NAME")
 		}
 		return w.Delete, nil
 	}
--- a/internal/configuration/watch/acknowledgements.go
+++ b/internal/configuration/watch/acknowledgements.go
@@ -11,30 +11,30 @@
 
 // watcher is a node that sends requests to this machine, with the state in its last request.
 type watcher struct {
-	session uint64 // epoch; 0: none
-	applied uint64 // revision in force at the node
-	refused uint64 // newest revision that the node refused; 0: none
-	refusal *configpb.Refusal
-	asks    int       // number of requests in progress
-	last    time.Time // when the last request ended
-	next    time.Time // when NodeRate allows the next chunk of a snapshot
+	session      uint64 // epoch; 0: none
+	applied      uint64 // revision in force at the node
+	refused      uint64 // newest revision that the node refused; 0: none
+	refusal      *configpb.Refusal
+	openRequests int       // number of requests in progress
+	answeredAt   time.Time // when the last request ended
+	nextChunkAt  time.Time // when NodeRate allows the next chunk of a snapshot
 }
 
 // beginRequest records the node's state from its request.
-func (s *Server) arrive(now time.Time, q *configpb.WatchRequest) (*watcher, error) {
+func (s *Server) beginRequest(now time.Time, q *configpb.WatchRequest) (*watcher, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.log == "" {
 		return nil, ErrNotReady
 	}
-	s.snapshots.forget(now, s.o.Limits.SnapshotKept)
+	s.snapshots.dropUnread(now, s.options.Limits.SnapshotRetention)
 	w := s.watchers[q.Node]
 	if w == nil {
 		s.forgetWatchers(now)
 		w = &watcher{}
 		s.watchers[q.Node] = w
 	}
-	w.asks++
+	w.openRequests++
 	w.session, w.applied, w.refused, w.refusal = q.Session, q.Applied, q.Refused, q.Refusal
 	if q.Log != s.log {
 		w.applied = 0
@@ -44,12 +44,12 @@
 
 // endRequest records the end of a request. abandoned means that the node did not wait for the answer, as it has moved
 // to another machine: without another request in progress it is forgotten at once.
-func (s *Server) leave(now time.Time, q *configpb.WatchRequest, w *watcher, gone bool) {
+func (s *Server) endRequest(now time.Time, q *configpb.WatchRequest, w *watcher, abandoned bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w.asks--
-	w.last = now
-	if gone && w.asks == 0 && s.watchers[q.Node] == w {
+	w.openRequests--
+	w.answeredAt = now
+	if abandoned && w.openRequests == 0 && s.watchers[q.Node] == w {
 		delete(s.watchers, q.Node)
 	}
 }
@@ -57,7 +57,7 @@
 // forgetWatchers removes the nodes without a request for longer than Limits.WatcherTimeout.
 func (s *Server) forgetWatchers(now time.Time) {
 	maps.DeleteFunc(s.watchers, func(_ string, w *watcher) bool {
-		return w.asks == 0 && now.Sub(w.last) > s.o.Limits.WatcherKept
+		return w.openRequests == 0 && now.Sub(w.answeredAt) > s.options.Limits.WatcherTimeout
 	})
 }
 
@@ -67,26 +67,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgetWatchers(time.Now())
-	r := &configpb.Report{Applied: s.revision, Least: s.revision}
+	report := &configpb.Report{Applied: s.revision, Least: s.revision}
 	for _, node := range slices.Sorted(maps.Keys(s.watchers)) {
 		w := s.watchers[node]
 		if w.session == 0 || s.sessions[node] != w.session {
 			continue
 		}
-		r.Nodes++
-		r.Digest += sessionHash(w.session)
-		r.Least = min(r.Least, w.applied)
+		report.Nodes++
+		report.Digest += sessionHash(w.session)
+		report.Least = min(report.Least, w.applied)
 		if names {
-			r.Watching = append(r.Watching, node)
-			r.Sessions = append(r.Sessions, w.session)
+			report.Watching = append(report.Watching, node)
+			report.Sessions = append(report.Sessions, w.session)
 		}
 		if w.applied < s.revision {
-			r.Lagging = append(r.Lagging, w.lag(node))
+			report.Lagging = append(report.Lagging, w.lag(node))
 		}
 	}
-	slices.SortStableFunc(r.Lagging, func(a, b *configpb.Lag) int { return cmp.Compare(a.Applied, b.Applied) })
-	r.Lagging = r.Lagging[:min(len(r.Lagging), s.o.Limits.ReportedLagging)]
-	return r
+	slices.SortStableFunc(report.Lagging, func(a, b *configpb.Lag) int { return cmp.Compare(a.Applied, b.Applied) })
+	report.Lagging = report.Lagging[:min(len(report.Lagging), s.options.Limits.MaxReportedLagging)]
+	return report
 }
 
 // lag returns the watcher's state as an entry of a report's list of lagging nodes.
@@ -112,11 +112,11 @@
 			revision, first = r.GetLeast(), false
 		}
 	}
-	return revision, !first && (heardOnce(sessions, reports) || heardSomewhere(sessions, reports))
+	return revision, !first && (countedOnce(sessions, reports) || allNamed(sessions, reports))
 }
 
 // countedOnce reports whether, by the reports' counts and digests, each live session is at exactly one machine.
-func heardOnce(sessions map[string]uint64, reports []*configpb.Report) bool {
+func countedOnce(sessions map[string]uint64, reports []*configpb.Report) bool {
 	var nodes, digest, want uint64
 	for _, epoch := range sessions {
 		want += sessionHash(epoch)
@@ -129,7 +129,7 @@
 }
 
 // allNamed reports whether the reports name every live session.
-func heardSomewhere(sessions map[string]uint64, reports []*configpb.Report) bool {
+func allNamed(sessions map[string]uint64, reports []*configpb.Report) bool {
 	named := map[uint64]bool{}
 	for _, r := range reports {
 		for _, epoch := range r.GetSessions() {
--- a/internal/configuration/watch/client.go
+++ b/internal/configuration/watch/client.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	answerSlack = 500 * time.Millisecond // beyond the machine's LongPollTimeout, before a request counts as failed
-	askPause    = 100 * time.Millisecond // after an answer without effect that came earlier than this
-	cacheEvery  = 5 * time.Second        // between writes of the cache
-	saidEvery   = 30 * time.Second       // between warnings about problems that may last
+	answerGrace   = 500 * time.Millisecond // beyond the machine's LongPollTimeout, before a request counts as failed
+	requestPause  = 100 * time.Millisecond // after an answer without effect that came earlier than this
+	cacheInterval = 5 * time.Second        // between writes of the cache
+	logInterval   = 30 * time.Second       // between warnings about problems that may last
 )
 
 // ClientOptions are the options of a Client.
@@ -38,15 +38,15 @@
 	// of Run. It must not block.
 	Applied func(revision uint64)
 	// Cache is the path of the node's cache file. If it is empty, there is none.
-	Cache string
-	Hold  time.Duration // of the machines' Limits; 0: as in DefaultLimits
-	Log   *slog.Logger
+	Cache           string
+	LongPollTimeout time.Duration // of the machines' Limits; 0: as in DefaultLimits
+	Log             *slog.Logger
 }
 
 // Client follows the configuration for a node. It polls one control machine at a time, and keeps the revision that it
 // has while none answers. It does not depend on a data plane, so a simulated node without one uses it, too.
 type Client struct {
-	o       ClientOptions
+	options ClientOptions
 	chooser *chooser
 
 	replicaLock sync.Mutex
@@ -56,12 +56,12 @@
 	assembly assembly
 	refused  uint64            // newest revision that was refused; 0: none
 	refusal  *configpb.Refusal // reason for that
-	said     time.Time         // of the last warning
+	warnedAt time.Time         // of the last warning
 
 	mu     sync.Mutex
 	status Status
 
-	behind chan struct{} // of length 1, with an element while the cache file is out of date
+	cacheStale chan struct{} // of length 1, with an element while the cache file is out of date
 }
 
 // Status is the state of a node's client.
@@ -80,10 +80,10 @@
 	if len(o.Machines) == 0 {
 		return nil, errors.New("watch: no control machines")
 	}
-	if o.Hold == 0 {
-		o.Hold = DefaultLimits().Hold
+	if o.LongPollTimeout == 0 {
+		o.LongPollTimeout = DefaultLimits().LongPollTimeout
 	}
-	c := &Client{o: o, replica: configuration.NewReplica(o.Accept), behind: make(chan struct{}, 1)}
+	c := &Client{options: o, replica: configuration.NewReplica(o.Accept), cacheStale: make(chan struct{}, 1)}
 	c.chooser = newChooser(o.Node, o.Machines, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	if o.Cache == "" {
 		return c, nil
@@ -95,7 +95,7 @@
 	if log != "" {
 		c.status.Log, c.status.Applied = log, c.replica.Revision()
 		o.Log.Info("configuration: loaded from the cache", "revision", c.status.Applied, "entries", c.replica.Len())
-		c.tell(c.status.Applied)
+		c.notifyApplied(c.status.Applied)
 	}
 	return c, nil
 }
@@ -114,8 +114,8 @@
 func (c *Client) Run(ctx context.Context) {
 	var work sync.WaitGroup
 	defer work.Wait()
-	if c.o.Cache != "" {
-		work.Go(func() { c.keepCache(ctx) })
+	if c.options.Cache != "" {
+		work.Go(func() { c.runCacheWriter(ctx) })
 	}
 	for ctx.Err() == nil {
 		machine, wait := c.chooser.next(time.Now())
@@ -123,20 +123,20 @@
 			pause(ctx, wait)
 			continue
 		}
-		c.ask(ctx, machine)
+		c.poll(ctx, machine)
 	}
 }
 
 // poll sends one request to a machine and applies the answer.
-func (c *Client) ask(ctx context.Context, machine string) {
-	began := time.Now()
+func (c *Client) poll(ctx context.Context, machine string) {
+	startedAt := time.Now()
 	answer, err := c.call(ctx, machine)
 	if ctx.Err() != nil {
 		return
 	}
 	if err != nil {
 		c.chooser.failed(time.Now())
-		c.say("configuration: a control machine does not answer; the node keeps the revision that it has",
+		c.warn("configuration: a control machine does not answer; the node keeps the revision that it has",
 			"machine", machine, "err", err)
 		return
 	}
@@ -144,16 +144,16 @@
 	c.mu.Lock()
 	c.status.Machine, c.status.Answered = machine, time.Now()
 	c.mu.Unlock()
-	if !c.take(answer) && time.Since(began) < askPause {
-		pause(ctx, askPause)
+	if !c.applyAnswer(answer) && time.Since(startedAt) < requestPause {
+		pause(ctx, requestPause)
 	}
 }
 
 // call sends a request with the client's state to a machine and returns the answer.
 func (c *Client) call(ctx context.Context, machine string) (*configpb.WatchAnswer, error) {
-	q := &configpb.WatchRequest{
+	request := &configpb.WatchRequest{
 		Log:      c.Status().Log,
-		Node:     c.o.Node,
+		Node:     c.options.Node,
 		Applied:  c.replica.Revision(),
 		Refused:  c.refused,
 		Refusal:  c.refusal,
@@ -161,16 +161,16 @@
 		Offset:   uint64(len(c.assembly.data)),
 		Checksum: c.assembly.checksum,
 	}
-	if c.o.Session != nil {
-		q.Session = c.o.Session()
+	if c.options.Session != nil {
+		request.Session = c.options.Session()
 	}
-	raw, err := configuration.Encode(q)
+	raw, err := configuration.Encode(request)
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, c.o.Hold+answerSlack)
+	ctx, cancel := context.WithTimeout(ctx, c.options.LongPollTimeout+answerGrace)
 	defer cancel()
-	if raw, err = c.o.Call(ctx, machine, raw); err != nil {
+	if raw, err = c.options.Call(ctx, machine, raw); err != nil {
 		return nil, err
 	}
 	answer := &configpb.WatchAnswer{}
@@ -179,10 +179,10 @@
 
 // applyAnswer applies an answer. It returns whether the answer had an effect, so that the next request may follow at
 // once.
-func (c *Client) take(answer *configpb.WatchAnswer) bool {
+func (c *Client) applyAnswer(answer *configpb.WatchAnswer) bool {
 	known := c.Status().Log
 	if answer.Log == "" || known != "" && answer.Log != known {
-		c.say("configuration: the control machines have another log than the one that this node follows; it keeps "+
+		c.warn("configuration: the control machines have another log than the one that this node follows; it keeps "+
 			"the revision that it has. If the control machines are right, remove the node's cache file",
 			"follows", known, "theirs", answer.Log)
 		return false
@@ -190,13 +190,13 @@
 	switch news := answer.News.(type) {
 	case *configpb.WatchAnswer_Delta:
 		newest := news.Delta.GetAfter() + uint64(len(news.Delta.GetRevisions()))
-		err := c.change(func() error { return c.replica.Apply(news.Delta) })
-		return c.took(answer.Log, newest, err)
+		err := c.changeReplica(func() error { return c.replica.Apply(news.Delta) })
+		return c.recordResult(answer.Log, newest, err)
 	case *configpb.WatchAnswer_Chunk:
 		snapshot, err := c.assembly.add(news.Chunk)
 		if err != nil {
 			c.assembly = assembly{}
-			c.say("configuration: receiving a snapshot failed; starting again", "err", err)
+			c.warn("configuration: receiving a snapshot failed; starting again", "err", err)
 			return false
 		}
 		if snapshot == nil {
@@ -205,14 +205,14 @@
 		if snapshot.Revision <= c.replica.Revision() { // the revision in force must not go back
 			return false
 		}
-		err = c.change(func() error { return c.replica.Restore(snapshot) })
-		return c.took(answer.Log, snapshot.Revision, err)
+		err = c.changeReplica(func() error { return c.replica.Restore(snapshot) })
+		return c.recordResult(answer.Log, snapshot.Revision, err)
 	}
 	return false
 }
 
 // changeReplica calls f, which changes the replica, under the replica's lock.
-func (c *Client) change(f func() error) error {
+func (c *Client) changeReplica(f func() error) error {
 	c.replicaLock.Lock()
 	defer c.replicaLock.Unlock()
 	return f()
@@ -220,60 +220,60 @@
 
 // recordResult records the result err of applying revisions up to newest, of a log. It returns whether the revision in
 // force has advanced, or a revision was refused that was not refused before.
-func (c *Client) took(log string, newest uint64, err error) bool {
+func (c *Client) recordResult(log string, newest uint64, err error) bool {
 	refused := (*configuration.RefusedError)(nil)
-	isNew := false
+	newRefusal := false
 	switch {
 	case errors.As(err, &refused):
-		isNew = c.refused != newest
+		newRefusal = c.refused != newest
 		c.refused, c.refusal = newest, configuration.RefusalOf(refused)
-		c.o.Log.Error("configuration: refused; the last good revision stays in force",
+		c.options.Log.Error("configuration: refused; the last good revision stays in force",
 			"revision", refused.Revision, "stays", c.replica.Revision(), "why", refused.Cause)
 	case err != nil:
-		c.say("configuration: an answer can't be applied", "err", err)
+		c.warn("configuration: an answer can't be applied", "err", err)
 	default:
 		c.refused, c.refusal = 0, nil
 	}
 	applied := c.replica.Revision()
 	c.mu.Lock()
-	grown := applied > c.status.Applied
+	advanced := applied > c.status.Applied
 	c.status.Log, c.status.Applied = log, applied
 	c.status.Refused, c.status.Refusal = c.refused, c.refusal
 	c.mu.Unlock()
-	if grown {
-		c.tell(applied)
-		c.cacheBehind()
+	if advanced {
+		c.notifyApplied(applied)
+		c.markCacheStale()
 	}
-	return grown || isNew
+	return advanced || newRefusal
 }
 
 // markCacheStale has the cache file written.
-func (c *Client) cacheBehind() {
+func (c *Client) markCacheStale() {
 	select {
-	case c.behind <- struct{}{}:
+	case c.cacheStale <- struct{}{}:
 	default:
 	}
 }
 
 // runCacheWriter writes the cache file when it is out of date, at most once in cacheInterval, and a last time when ctx
 // ends.
-func (c *Client) keepCache(ctx context.Context) {
+func (c *Client) runCacheWriter(ctx context.Context) {
 	for {
 		select {
-		case <-c.behind:
+		case <-c.cacheStale:
 			c.writeCache()
 			if ctx.Err() != nil {
 				return
 			}
 		case <-ctx.Done():
 			select {
-			case <-c.behind:
+			case <-c.cacheStale:
 				c.writeCache()
 			default:
 			}
 			return
 		}
-		pause(ctx, cacheEvery)
+		pause(ctx, cacheInterval)
 	}
 }
 
@@ -282,24 +282,24 @@
 	c.replicaLock.Lock()
 	snapshot := c.replica.Snapshot()
 	c.replicaLock.Unlock()
-	if err := cache.Save(c.o.Cache, c.Status().Log, snapshot); err != nil {
-		c.o.Log.Error("configuration: can't write the cache; trying again", "err", err)
-		c.cacheBehind()
+	if err := cache.Save(c.options.Cache, c.Status().Log, snapshot); err != nil {
+		c.options.Log.Error("configuration: can't write the cache; trying again", "err", err)
+		c.markCacheStale()
 	}
 }
 
 // notifyApplied calls the Applied option, if there is one.
-func (c *Client) tell(revision uint64) {
-	if c.o.Applied != nil {
-		c.o.Applied(revision)
+func (c *Client) notifyApplied(revision uint64) {
+	if c.options.Applied != nil {
+		c.options.Applied(revision)
 	}
 }
 
 // warn logs a problem that may last. It drops a warning within logInterval after the last one, of any problem.
-func (c *Client) say(what string, args ...any) {
-	if now := time.Now(); c.said.IsZero() || now.Sub(c.said) >= saidEvery {
-		c.said = now
-		c.o.Log.Warn(what, args...)
+func (c *Client) warn(what string, args ...any) {
+	if now := time.Now(); c.warnedAt.IsZero() || now.Sub(c.warnedAt) >= logInterval {
+		c.warnedAt = now
+		c.options.Log.Warn(what, args...)
 	}
 }
 
--- a/internal/configuration/watch/machines.go
+++ b/internal/configuration/watch/machines.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	firstBackoff = 100 * time.Millisecond // after the first failure of a machine; doubled with each further one
-	mostBackoff  = 5 * time.Second        // a wait is random, from half of the backoff to all of it
-	returnAfter  = 10 * time.Second       // before a node that has moved goes back to its preferred machine
-	returnSpread = 20 * time.Second       // random addition, so that not all nodes go back at once
+	minBackoff     = 100 * time.Millisecond // after the first failure of a machine; doubled with each further one
+	maxBackoff     = 5 * time.Second        // a wait is random, from half of the backoff to all of it
+	minReturnDelay = 10 * time.Second       // before a node that has moved goes back to its preferred machine
+	returnJitter   = 20 * time.Second       // random addition, so that not all nodes go back at once
 )
 
 // rendezvous returns the machines in the node's order of preference, by rendezvous hashing: each node has its own
@@ -31,9 +31,9 @@
 type chooser struct {
 	order    []string    // machines by preference; the following slices have the same order
 	current  int         // index of the machine in use
-	backTo   time.Time   // when a node that has moved goes back to its most preferred machine
+	returnAt time.Time   // when a node that has moved goes back to its most preferred machine
 	failures []int       // consecutive failures of each machine
-	until    []time.Time // end of each machine's backoff
+	retryAt  []time.Time // end of each machine's backoff
 	random   *rand.Rand
 }
 
@@ -41,24 +41,24 @@
 	return &chooser{
 		order:    rendezvous(node, machines),
 		failures: make([]int, len(machines)),
-		until:    make([]time.Time, len(machines)),
+		retryAt:  make([]time.Time, len(machines)),
 		random:   random,
 	}
 }
 
 // next returns the machine for the next request, or the time to wait if all machines are in backoff.
 func (c *chooser) next(now time.Time) (machine string, wait time.Duration) {
-	if c.current > 0 && !now.Before(c.backTo) {
+	if c.current > 0 && !now.Before(c.returnAt) {
 		c.current = 0
-		c.backTo = c.returnTime(now)
+		c.returnAt = c.returnTime(now)
 	}
 	soonest := time.Duration(-1)
 	for i := range c.order {
 		at := (c.current + i) % len(c.order)
-		left := c.until[at].Sub(now)
+		left := c.retryAt[at].Sub(now)
 		if left <= 0 {
 			if at != c.current {
-				c.current, c.backTo = at, c.returnTime(now)
+				c.current, c.returnAt = at, c.returnTime(now)
 			}
 			return c.order[at], 0
 		}
@@ -71,14 +71,14 @@
 
 // returnTime returns a random time for the return to the preferred machine.
 func (c *chooser) returnTime(now time.Time) time.Time {
-	return now.Add(returnAfter + time.Duration(c.random.Int64N(int64(returnSpread))))
+	return now.Add(minReturnDelay + time.Duration(c.random.Int64N(int64(returnJitter))))
 }
 
 // failed records that the machine in use has not answered, and starts its backoff.
 func (c *chooser) failed(now time.Time) {
-	backoff := min(mostBackoff, firstBackoff<<min(c.failures[c.current], 10))
+	backoff := min(maxBackoff, minBackoff<<min(c.failures[c.current], 10))
 	c.failures[c.current]++
-	c.until[c.current] = now.Add(backoff/2 + time.Duration(c.random.Int64N(int64(backoff/2))))
+	c.retryAt[c.current] = now.Add(backoff/2 + time.Duration(c.random.Int64N(int64(backoff/2))))
 }
 
 // answered records an answer of the machine in use, which resets its backoff.
--- a/internal/configuration/watch/server.go
+++ b/internal/configuration/watch/server.go
@@ -21,29 +21,29 @@
 
 // Limits bound what a machine keeps in memory and sends.
 type Limits struct {
-	Hold            time.Duration // a request is answered after this time at the latest
-	DeltaBytes      int           // size of the revisions in one answer
-	BacklogBytes    int           // size of the revisions kept for nodes; a node further behind gets a snapshot
-	ChunkBytes      int           // size of the part of a snapshot in one answer
-	NodeRate        float64       // bytes per second of snapshots to one node
-	MachineRate     float64       // bytes per second of snapshots to all nodes
-	SnapshotKept    time.Duration // an encoded snapshot is dropped after this time without a reader
-	WatcherKept     time.Duration // a node without a request for longer than this is left out of reports
-	ReportedLagging int           // nodes that a report names as behind, at most
+	LongPollTimeout    time.Duration // a request is answered after this time at the latest
+	DeltaBytes         int           // size of the revisions in one answer
+	BacklogBytes       int           // size of the revisions kept for nodes; a node further behind gets a snapshot
+	ChunkBytes         int           // size of the part of a snapshot in one answer
+	NodeRate           float64       // bytes per second of snapshots to one node
+	MachineRate        float64       // bytes per second of snapshots to all nodes
+	SnapshotRetention  time.Duration // an encoded snapshot is dropped after this time without a reader
+	WatcherTimeout     time.Duration // a node without a request for longer than this is left out of reports
+	MaxReportedLagging int           // nodes that a report names as behind, at most
 }
 
 // DefaultLimits returns the limits for production.
 func DefaultLimits() Limits {
 	return Limits{
-		Hold:            time.Second,
-		DeltaBytes:      64 << 10,
-		BacklogBytes:    512 << 10,
-		ChunkBytes:      16 << 10,
-		NodeRate:        64 << 10,
-		MachineRate:     1 << 20,
-		SnapshotKept:    time.Minute,
-		WatcherKept:     1500 * time.Millisecond,
-		ReportedLagging: 100,
+		LongPollTimeout:    time.Second,
+		DeltaBytes:         64 << 10,
+		BacklogBytes:       512 << 10,
+		ChunkBytes:         16 << 10,
+		NodeRate:           64 << 10,
+		MachineRate:        1 << 20,
+		SnapshotRetention:  time.Minute,
+		WatcherTimeout:     1500 * time.Millisecond,
+		MaxReportedLagging: 100,
 	}
 }
 
@@ -56,24 +56,24 @@
 
 // Server serves the configuration of a control machine to nodes. It is safe for concurrent use.
 type Server struct {
-	o ServerOptions
-
-	mu        sync.Mutex
-	log       string
-	revision  uint64
-	after     uint64 // the backlog has the revisions after this one
-	revisions []*configpb.Revision
-	bytes     int               // size of the backlog
-	changed   chan struct{}     // closed when there is a new revision
-	sessions  map[string]uint64 // epochs of the live sessions, by node
-	watchers  map[string]*watcher
-	snapshots snapshots
-	next      time.Time // when MachineRate allows the next chunk of a snapshot
+	options ServerOptions
+
+	mu           sync.Mutex
+	log          string
+	revision     uint64
+	backlogAfter uint64 // the backlog has the revisions after this one
+	backlog      []*configpb.Revision
+	backlogBytes int               // size of the backlog
+	changed      chan struct{}     // closed when there is a new revision
+	sessions     map[string]uint64 // epochs of the live sessions, by node
+	watchers     map[string]*watcher
+	snapshots    snapshotCache
+	nextChunkAt  time.Time // when MachineRate allows the next chunk of a snapshot
 }
 
 // NewServer returns a Server that has no configuration until Publish.
 func NewServer(o ServerOptions) *Server {
-	return &Server{o: o, changed: make(chan struct{}), watchers: map[string]*watcher{}}
+	return &Server{options: o, changed: make(chan struct{}), watchers: map[string]*watcher{}}
 }
 
 // Publish sets what the machine has applied: the name of the log, its store, and the epochs of the live sessions by
@@ -87,22 +87,22 @@
 	}
 	news, err := store.History(s.revision, math.MaxInt)
 	if s.log != log || err != nil { // another log, or more revisions since the last Publish than the history has
-		s.revisions, s.bytes, s.after = nil, 0, store.Compacted()
+		s.backlog, s.backlogBytes, s.backlogAfter = nil, 0, store.Compacted()
 		s.snapshots.drop()
-		news, _ = store.History(s.after, math.MaxInt)
+		news, _ = store.History(s.backlogAfter, math.MaxInt)
 	}
 	s.log, s.revision = log, store.Revision()
 	for _, r := range news {
-		s.revisions = append(s.revisions, r)
-		s.bytes += proto.Size(r)
+		s.backlog = append(s.backlog, r)
+		s.backlogBytes += proto.Size(r)
 	}
 	drop := 0
-	for ; s.bytes > s.o.Limits.BacklogBytes; drop++ {
-		s.bytes -= proto.Size(s.revisions[drop])
+	for ; s.backlogBytes > s.options.Limits.BacklogBytes; drop++ {
+		s.backlogBytes -= proto.Size(s.backlog[drop])
 	}
 	if drop > 0 {
-		s.after = s.revisions[drop-1].Number
-		s.revisions = append([]*configpb.Revision(nil), s.revisions[drop:]...)
+		s.backlogAfter = s.backlog[drop-1].Number
+		s.backlog = append([]*configpb.Revision(nil), s.backlog[drop:]...)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -118,35 +118,35 @@
 // Handle returns the encoded answer to an encoded configpb.WatchRequest. from is the node's name in its certificate. It
 // waits for a new revision until Limits.LongPollTimeout, or until ctx ends.
 func (s *Server) Handle(ctx context.Context, from string, raw []byte) ([]byte, error) {
-	q := &configpb.WatchRequest{}
-	if err := proto.Unmarshal(raw, q); err != nil {
+	request := &configpb.WatchRequest{}
+	if err := proto.Unmarshal(raw, request); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrBadRequest, err)
 	}
-	if q.Node != from {
-		return nil, fmt.Errorf("%w: %s sent a request in the name of %s", ErrBadRequest, from, q.Node)
+	if request.Node != from {
+		return nil, fmt.Errorf("%w: %s sent a request in the name of %s", ErrBadRequest, from, request.Node)
 	}
-	w, err := s.arrive(time.Now(), q)
+	w, err := s.beginRequest(time.Now(), request)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { s.leave(time.Now(), q, w, ctx.Err() != nil) }()
-	hold := time.NewTimer(s.o.Limits.Hold)
-	defer hold.Stop()
+	defer func() { s.endRequest(time.Now(), request, w, ctx.Err() != nil) }()
+	timeout := time.NewTimer(s.options.Limits.LongPollTimeout)
+	defer timeout.Stop()
 	for {
-		now := s.look(time.Now(), q, w)
-		if now.chunk {
-			now.answer, err = s.chunkAfter(ctx, q, now.wait)
+		pending := s.findNews(time.Now(), request, w)
+		if pending.chunk {
+			pending.answer, err = s.delayedChunk(ctx, request, pending.wait)
 		}
 		if err != nil {
 			return nil, err
 		}
-		if now.answer != nil {
-			return configuration.Encode(now.answer)
+		if pending.answer != nil {
+			return configuration.Encode(pending.answer)
 		}
 		select {
-		case <-now.changed:
-		case <-hold.C:
-			return configuration.Encode(s.nothing())
+		case <-pending.changed:
+		case <-timeout.C:
+			return configuration.Encode(s.emptyAnswer())
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -154,7 +154,7 @@
 }
 
 // emptyAnswer returns the answer to a node that has the newest revision.
-func (s *Server) nothing() *configpb.WatchAnswer {
+func (s *Server) emptyAnswer() *configpb.WatchAnswer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &configpb.WatchAnswer{Log: s.log, Revision: s.revision}
@@ -162,7 +162,7 @@
 
 // pendingNews is what a node is to get: answer, or if chunk is set a part of a snapshot after wait, or nothing until
 // changed is closed.
-type found struct {
+type pendingNews struct {
 	answer  *configpb.WatchAnswer
 	chunk   bool
 	wait    time.Duration
@@ -170,35 +170,35 @@
 }
 
 // findNews returns what a node is to get now.
-func (s *Server) look(now time.Time, q *configpb.WatchRequest, w *watcher) found {
+func (s *Server) findNews(now time.Time, request *configpb.WatchRequest, w *watcher) pendingNews {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	applied, known := q.Applied, max(q.Applied, q.Refused)
-	if q.Log == "" {
+	applied, known := request.Applied, max(request.Applied, request.Refused)
+	if request.Log == "" {
 		applied, known = 0, 0
-	} else if q.Log != s.log { // the answer has no content: the node sees the other log's name and logs that
-		return found{answer: &configpb.WatchAnswer{Log: s.log, Revision: s.revision}}
+	} else if request.Log != s.log { // the answer has no content: the node sees the other log's name and logs that
+		return pendingNews{answer: &configpb.WatchAnswer{Log: s.log, Revision: s.revision}}
 	}
 	switch {
 	case known >= s.revision:
-		return found{changed: s.changed}
-	case applied >= s.after:
-		return found{answer: s.delta(applied, q.Refused > 0)}
+		return pendingNews{changed: s.changed}
+	case applied >= s.backlogAfter:
+		return pendingNews{answer: s.delta(applied, request.Refused > 0)}
 	}
-	wait, reserved := s.turn(now, w)
+	wait, reserved := s.reserveChunk(now, w)
 	if !reserved {
-		return found{changed: s.changed}
+		return pendingNews{changed: s.changed}
 	}
-	return found{chunk: true, wait: wait}
+	return pendingNews{chunk: true, wait: wait}
 }
 
 // delta returns an answer with the revisions after the given one, up to Limits.DeltaBytes. With all set, for a node
 // that has refused a revision, it returns the complete backlog, as a later revision may correct the refused one.
 func (s *Server) delta(after uint64, all bool) *configpb.WatchAnswer {
 	d, bytes := &configpb.Delta{After: after}, 0
-	for _, r := range s.revisions[after-s.after:] {
+	for _, r := range s.backlog[after-s.backlogAfter:] {
 		bytes += proto.Size(r)
-		if !all && bytes > s.o.Limits.DeltaBytes && len(d.Revisions) > 0 {
+		if !all && bytes > s.options.Limits.DeltaBytes && len(d.Revisions) > 0 {
 			break
 		}
 		d.Revisions = append(d.Revisions, r)
@@ -208,25 +208,25 @@
 
 // reserveChunk reserves the sending of a part of a snapshot at the next time that both rates allow, and returns the
 // wait until then. It reserves nothing if the wait would reach Limits.LongPollTimeout.
-func (s *Server) turn(now time.Time, w *watcher) (wait time.Duration, reserved bool) {
-	at := now
-	for _, t := range []time.Time{s.next, w.next} {
-		if t.After(at) {
-			at = t
+func (s *Server) reserveChunk(now time.Time, w *watcher) (wait time.Duration, reserved bool) {
+	sendAt := now
+	for _, t := range []time.Time{s.nextChunkAt, w.nextChunkAt} {
+		if t.After(sendAt) {
+			sendAt = t
 		}
 	}
-	if at.Sub(now) >= s.o.Limits.Hold {
+	if sendAt.Sub(now) >= s.options.Limits.LongPollTimeout {
 		return 0, false
 	}
-	takes := func(rate float64) time.Duration {
-		return time.Duration(float64(s.o.Limits.ChunkBytes) / rate * float64(time.Second))
+	sendTime := func(rate float64) time.Duration {
+		return time.Duration(float64(s.options.Limits.ChunkBytes) / rate * float64(time.Second))
 	}
-	s.next, w.next = at.Add(takes(s.o.Limits.MachineRate)), at.Add(takes(s.o.Limits.NodeRate))
-	return at.Sub(now), true
+	s.nextChunkAt, w.nextChunkAt = sendAt.Add(sendTime(s.options.Limits.MachineRate)), sendAt.Add(sendTime(s.options.Limits.NodeRate))
+	return sendAt.Sub(now), true
 }
 
 // delayedChunk waits, then returns an answer with the next part of a snapshot.
-func (s *Server) chunkAfter(ctx context.Context, q *configpb.WatchRequest, wait time.Duration) (
+func (s *Server) delayedChunk(ctx context.Context, q *configpb.WatchRequest, wait time.Duration) (
 	*configpb.WatchAnswer, error) {
 	if wait > 0 {
 		pause(ctx, wait)
--- a/internal/configuration/watch/snapshot.go
+++ b/internal/configuration/watch/snapshot.go
@@ -21,7 +21,7 @@
 )
 
 // encodedSnapshot is a snapshot in the form in which it is sent to nodes.
-type encoded struct {
+type encodedSnapshot struct {
 	revision uint64
 	checksum [sha256.Size]byte
 	data     []byte
@@ -29,7 +29,7 @@
 
 // encode encodes and compresses a snapshot. Equal snapshots have equal bytes with one version of the zstd library, so
 // that a node can get the parts from several machines.
-func encode(s *configpb.Snapshot) (*encoded, error) {
+func encode(s *configpb.Snapshot) (*encodedSnapshot, error) {
 	raw, err := configuration.Encode(s)
 	if err != nil {
 		return nil, err
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	defer w.Close()
-	e := &encoded{revision: s.GetRevision(), data: w.EncodeAll(raw, nil)}
+	e := &encodedSnapshot{revision: s.GetRevision(), data: w.EncodeAll(raw, nil)}
 	e.checksum = sha256.Sum256(e.data)
 	return e, nil
 }
@@ -61,67 +61,67 @@
 }
 
 // snapshotCache holds the snapshot that is being sent to nodes. It is dropped after a time without a reader.
-type snapshots struct {
-	now    *encoded
-	read   time.Time     // of its last part
-	making chan struct{} // closed once the next snapshot is built; nil: none is being built
+type snapshotCache struct {
+	current  *encodedSnapshot
+	readAt   time.Time     // of its last part
+	building chan struct{} // closed once the next snapshot is built; nil: none is being built
 }
 
-func (s *snapshots) drop() { s.now = nil }
+func (s *snapshotCache) drop() { s.current = nil }
 
 // dropUnread drops a snapshot that has not been read for longer than retention.
-func (s *snapshots) forget(now time.Time, kept time.Duration) {
-	if s.now != nil && now.Sub(s.read) > kept {
-		s.now = nil
+func (s *snapshotCache) dropUnread(now time.Time, retention time.Duration) {
+	if s.current != nil && now.Sub(s.readAt) > retention {
+		s.current = nil
 	}
 }
 
 // chunk returns an answer with the next part of a snapshot. The part continues the snapshot that the node has begun if
 // this machine has the same one, else it is the first part of this machine's snapshot.
-func (s *Server) chunk(ctx context.Context, q *configpb.WatchRequest) (*configpb.WatchAnswer, error) {
-	e, log, revision, err := s.current(ctx)
+func (s *Server) chunk(ctx context.Context, request *configpb.WatchRequest) (*configpb.WatchAnswer, error) {
+	snapshot, log, revision, err := s.currentSnapshot(ctx)
 	if err != nil {
 		return nil, err
 	}
 	offset := uint64(0)
-	if q.Snapshot == e.revision && bytes.Equal(q.Checksum, e.checksum[:]) && q.Offset <= uint64(len(e.data)) {
-		offset = q.Offset
+	if request.Snapshot == snapshot.revision && bytes.Equal(request.Checksum, snapshot.checksum[:]) && request.Offset <= uint64(len(snapshot.data)) {
+		offset = request.Offset
 	}
-	end := min(len(e.data), int(offset)+s.o.Limits.ChunkBytes)
+	end := min(len(snapshot.data), int(offset)+s.options.Limits.ChunkBytes)
 	c := &configpb.Chunk{
-		Revision: e.revision,
-		Size:     uint64(len(e.data)),
-		Checksum: e.checksum[:],
+		Revision: snapshot.revision,
+		Size:     uint64(len(snapshot.data)),
+		Checksum: snapshot.checksum[:],
 		Offset:   offset,
-		Data:     e.data[offset:end],
+		Data:     snapshot.data[offset:end],
 	}
 	return &configpb.WatchAnswer{Log: log, Revision: revision, News: &configpb.WatchAnswer_Chunk{Chunk: c}}, nil
 }
 
 // currentSnapshot returns the snapshot to send, with the log and the revision of the machine. If the backlog does not
 // reach back to the cached snapshot, it builds a new one, once for all requests that wait for it.
-func (s *Server) current(ctx context.Context) (e *encoded, log string, revision uint64, err error) {
+func (s *Server) currentSnapshot(ctx context.Context) (e *encodedSnapshot, log string, revision uint64, err error) {
 	for {
 		s.mu.Lock()
 		log, revision = s.log, s.revision
-		if e = s.snapshots.now; e != nil && e.revision >= s.after {
-			s.snapshots.read = time.Now()
+		if e = s.snapshots.current; e != nil && e.revision >= s.backlogAfter {
+			s.snapshots.readAt = time.Now()
 			s.mu.Unlock()
 			return e, log, revision, nil
 		}
-		making := s.snapshots.making
-		if making == nil {
-			making = make(chan struct{})
-			s.snapshots.making = making
+		building := s.snapshots.building
+		if building == nil {
+			building = make(chan struct{})
+			s.snapshots.building = building
 			s.mu.Unlock()
-			if err := s.makeSnapshot(ctx, making); err != nil {
+			if err := s.makeSnapshot(ctx, building); err != nil {
 				return nil, "", 0, err
 			}
 			continue
 		}
 		s.mu.Unlock()
 		select {
-		case <-making:
+		case <-building:
 		case <-ctx.Done():
 			return nil, "", 0, ctx.Err()
 		}
@@ -130,17 +130,17 @@
 
 // makeSnapshot builds the next snapshot. At the end, also after an error, it closes done, on which other requests wait.
 func (s *Server) makeSnapshot(ctx context.Context, done chan struct{}) error {
-	var e *encoded
-	snapshot, err := s.o.Snapshot(ctx)
+	var e *encodedSnapshot
+	snapshot, err := s.options.Snapshot(ctx)
 	if err == nil {
 		e, err = encode(snapshot)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		s.snapshots.now = e
+		s.snapshots.current = e
 	}
-	s.snapshots.making = nil
+	s.snapshots.building = nil
 	close(done)
 	return err
 }
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -68,31 +68,31 @@
 // Guards against nodes that miss changes while their control machine is unresponsive, here for 30 s: they have to get
 // the next change from other machines within 3 s. Later they have to return, but at most half of them within one
 // second, so that they don't overload the machine.
-func TestMachineGone(t *testing.T) {
+func TestMachineUnresponsive(t *testing.T) {
 	simulate(t, 5, 100, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
 		s.until("all have it", time.Second, s.allAt(1))
-		gone := s.machines[0]
-		theirs := func() (list []*node) {
+		unresponsive := s.machines[0]
+		itsNodes := func() (list []*node) {
 			for _, n := range s.nodes {
-				if n.Status().Machine == gone.name {
+				if n.Status().Machine == unresponsive.name {
 					list = append(list, n)
 				}
 			}
 			return list
 		}
-		had := len(theirs())
-		gone.setCut(true)
+		had := len(itsNodes())
+		unresponsive.setCut(true)
 		s.put("pay", 2)
 		s.until("all have it from others", 3*time.Second, s.allAt(2))
 		s.until("it is in force", 3*time.Second, func() bool { at, ok := s.inForce(); return ok && at == 2 })
 		time.Sleep(30 * time.Second)
-		gone.setCut(false)
+		unresponsive.setCut(false)
 		s.publish()
 		most, last := 0, 0
 		for range 60 {
 			time.Sleep(time.Second)
-			now := len(theirs())
+			now := len(itsNodes())
 			most, last = max(most, now-last), now
 		}
 		if had < 10 || last != had || most > had/2 {
@@ -104,7 +104,7 @@
 
 // Guards against lost configuration, or too many retries, while all control machines are unresponsive: a node has to
 // keep its revision, back off between requests, and follow soon after the machines answer again.
-func TestAllGone(t *testing.T) {
+func TestAllMachinesUnresponsive(t *testing.T) {
 	simulate(t, 3, 30, DefaultLimits(), func(s *simulation) {
 		s.put("pay", 1)
 		s.until("all have it", time.Second, s.allAt(1))
@@ -209,16 +209,16 @@
 		s.tenants(1000)
 		s.until("all have all", time.Minute, s.allAt(s.store.Revision()))
 		server := s.machines[0].server
-		if server.bytes > limits.BacklogBytes || len(server.revisions) > 0 && server.after == 0 {
-			t.Errorf("the backlog has %d bytes", server.bytes)
+		if server.backlogBytes > limits.BacklogBytes || len(server.backlog) > 0 && server.backlogAfter == 0 {
+			t.Errorf("the backlog has %d bytes", server.backlogBytes)
 		}
-		time.Sleep(2 * limits.SnapshotKept)
+		time.Sleep(2 * limits.SnapshotRetention)
 		s.stop()
 		s.work.Wait()
-		if server.snapshots.now != nil {
+		if server.snapshots.current != nil {
 			t.Error("the snapshot is not dropped")
 		}
-		time.Sleep(2 * limits.WatcherKept)
+		time.Sleep(2 * limits.WatcherTimeout)
 		if r := server.Report(true); r.Nodes != 0 || len(server.watchers) != 0 {
 			t.Errorf("%d nodes are not forgotten", len(server.watchers))
 		}
@@ -318,9 +318,9 @@
 		time.Sleep(time.Second)
 		s.sessions = map[string]uint64{"n0": 1, "n1": 7}
 		s.publish()
-		r := s.machines[0].server.Report(true)
-		if !slices.Equal(r.Watching, []string{"n0"}) || r.Nodes != 1 || r.Digest != sessionHash(1) {
-			t.Errorf("%v", r)
+		report := s.machines[0].server.Report(true)
+		if !slices.Equal(report.Watching, []string{"n0"}) || report.Nodes != 1 || report.Digest != sessionHash(1) {
+			t.Errorf("%v", report)
 		}
 	})
 }
@@ -470,7 +470,7 @@
 		t.Fatal(err)
 	}
 	for _, part := range []*configpb.Chunk{parts[1], parts[0]} {
-		c.take(&configpb.WatchAnswer{Log: testLog, Revision: 2, News: &configpb.WatchAnswer_Chunk{Chunk: part}})
+		c.applyAnswer(&configpb.WatchAnswer{Log: testLog, Revision: 2, News: &configpb.WatchAnswer_Chunk{Chunk: part}})
 		if c.Applied() != 2 || c.replica.Len() != 2 {
 			t.Errorf("revision %d", c.Applied())
 		}
@@ -536,17 +536,17 @@
 func TestBackoff(t *testing.T) {
 	c := newChooser("n", []string{"a"}, rand.New(rand.NewPCG(1, 2)))
 	now := time.Unix(1000, 0)
-	for want := firstBackoff; want < 4*mostBackoff; want *= 2 {
+	for want := minBackoff; want < 4*maxBackoff; want *= 2 {
 		c.failed(now)
 		_, wait := c.next(now)
-		if most := min(want, mostBackoff); wait < most/2 || wait > most {
+		if most := min(want, maxBackoff); wait < most/2 || wait > most {
 			t.Errorf("waits %v, with a backoff of %v", wait, most)
 		}
 		now = now.Add(wait)
 	}
 	c.answered()
 	c.failed(now)
-	if _, wait := c.next(now); wait > firstBackoff {
+	if _, wait := c.next(now); wait > minBackoff {
 		t.Errorf("after an answer: %v", wait)
 	}
 }
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -22,18 +22,18 @@
 
 // Config is the content of a valid fleet file. Paths in the file are relative to its folder; here they are resolved.
 type Config struct {
-	Path    string
-	Name    string // of this node
-	Domain  string // the node's certificate is for NAME.DOMAIN
-	Zone    string
-	Listen  netip.AddrPort // UDP address of a voter; the zero value if the node is no voter
-	Folder  string         // for the files that have to survive a restart
-	Socket  string         // path of the Unix socket of the operators' API
-	Life    time.Duration  // a session without a keep-alive ends after this time
-	Tick    time.Duration  // between two ticks of the voters' raft clocks
-	Voters  []Voter        // in the file's order
-	Budgets []*fleetpb.Budget
-	Keeper  *link.Keeper
+	Path           string
+	Name           string // of this node
+	Domain         string // the node's certificate is for NAME.DOMAIN
+	Zone           string
+	Listen         netip.AddrPort // UDP address of a voter; the zero value if the node is no voter
+	Folder         string         // for the files that have to survive a restart
+	Socket         string         // path of the Unix socket of the operators' API
+	SessionTimeout time.Duration  // a session without a keep-alive ends after this time
+	TickInterval   time.Duration  // between two ticks of the voters' raft clocks
+	Voters         []Voter        // in the file's order
+	Budgets        []*fleetpb.Budget
+	Identities     *link.IdentityStore
 }
 
 // Voter is a node that replicates the log.
@@ -76,12 +76,12 @@
 
 // Bounds of the values in a file, in milliseconds and ticks.
 const (
-	leastSession, mostSession = 1000, 60_000
-	leastTick, mostTick       = 10, 1000
-	sessionTicks              = 20 // least session timeout, in ticks: an election ends within this time
+	minSessionMs, maxSessionMs = 1000, 60_000
+	minTickMs, maxTickMs       = 10, 1000
+	minSessionTicks            = 20 // least session timeout, in ticks: an election ends within this time
 )
 
-var nodeName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,60}[a-z0-9])?$`)
+var nodeNamePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,60}[a-z0-9])?$`)
 
 // Load reads a file and checks all of it, including that the certificates are valid at the time now. An error is one
 // line with the file, the line and the key.
@@ -94,99 +94,99 @@
 }
 
 func parse(path string, raw []byte, now time.Time) (*Config, error) {
-	f := file{}
-	f.Timing.SessionMs, f.Timing.TickMs = 5000, 100
-	if err := tomlfile.Decode(path, raw, &f); err != nil {
+	content := file{}
+	content.Timing.SessionMs, content.Timing.TickMs = 5000, 100
+	if err := tomlfile.Decode(path, raw, &content); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.KeyErrors(path, raw)
-	beside := tomlfile.RelativeTo(path)
-	n := f.Node
-	c := &Config{Path: path, Name: n.Name, Domain: n.Domain, Zone: n.Zone, Folder: beside(n.Folder), Socket: beside(n.Socket),
-		Life: time.Duration(f.Timing.SessionMs) * time.Millisecond, Tick: time.Duration(f.Timing.TickMs) * time.Millisecond}
-	if !nodeName.MatchString(n.Name) {
-		return nil, fault("node.name", "want a name of letters, digits and hyphens, have %q", n.Name)
+	keyError := tomlfile.KeyErrors(path, raw)
+	pathOf := tomlfile.RelativeTo(path)
+	node := content.Node
+	config := &Config{Path: path, Name: node.Name, Domain: node.Domain, Zone: node.Zone, Folder: pathOf(node.Folder), Socket: pathOf(node.Socket),
+		SessionTimeout: time.Duration(content.Timing.SessionMs) * time.Millisecond, TickInterval: time.Duration(content.Timing.TickMs) * time.Millisecond}
+	if !nodeNamePattern.MatchString(node.Name) {
+		return nil, keyError("node.name", "want a name of letters, digits and hyphens, have %q", node.Name)
 	}
-	if !gateway.HostName(n.Domain) {
-		return nil, fault("node.domain", "want a DNS name in lower case, have %q", n.Domain)
+	if !gateway.HostName(node.Domain) {
+		return nil, keyError("node.domain", "want a DNS name in lower case, have %q", node.Domain)
 	}
-	for key, v := range map[string]string{"node.folder": n.Folder, "node.socket": n.Socket, "node.zone": n.Zone} {
+	for key, v := range map[string]string{"node.folder": node.Folder, "node.socket": node.Socket, "node.zone": node.Zone} {
 		if v == "" {
-			return nil, fault(key, "is missing")
+			return nil, keyError(key, "is missing")
 		}
 	}
 	for _, l := range []struct {
 		key               string
 		have, least, most int
-	}{{"timing.session_ms", f.Timing.SessionMs, leastSession, mostSession}, {"timing.tick_ms", f.Timing.TickMs, leastTick, mostTick}} {
+	}{{"timing.session_ms", content.Timing.SessionMs, minSessionMs, maxSessionMs}, {"timing.tick_ms", content.Timing.TickMs, minTickMs, maxTickMs}} {
 		if l.have < l.least || l.have > l.most {
-			return nil, fault(l.key, "want %d to %d, have %d", l.least, l.most, l.have)
+			return nil, keyError(l.key, "want %d to %d, have %d", l.least, l.most, l.have)
 		}
 	}
-	if f.Timing.SessionMs < sessionTicks*f.Timing.TickMs {
-		return nil, fault("timing.session_ms", "want %d ticks at least, so that a new leader is elected within a session", sessionTicks)
+	if content.Timing.SessionMs < minSessionTicks*content.Timing.TickMs {
+		return nil, keyError("timing.session_ms", "want %d ticks at least, so that a new leader is elected within a session", minSessionTicks)
 	}
-	if len(f.Voter) != 3 && len(f.Voter) != 5 {
-		return nil, fault("voter", "want 3 or 5, have %d", len(f.Voter))
+	if len(content.Voter) != 3 && len(content.Voter) != 5 {
+		return nil, keyError("voter", "want 3 or 5, have %d", len(content.Voter))
 	}
 	seen := map[string]bool{}
-	for i, v := range f.Voter {
+	for i, v := range content.Voter {
 		key := fmt.Sprintf("voter[%d].", i)
 		at, err := netip.ParseAddrPort(v.Address)
 		switch {
-		case !nodeName.MatchString(v.Name) || seen[v.Name]:
-			return nil, fault(key+"name", "want a name of its own, have %q", v.Name)
+		case !nodeNamePattern.MatchString(v.Name) || seen[v.Name]:
+			return nil, keyError(key+"name", "want a name of its own, have %q", v.Name)
 		case err != nil || seen[v.Address]:
-			return nil, fault(key+"address", "want IP:port of its own, have %q", v.Address)
+			return nil, keyError(key+"address", "want IP:port of its own, have %q", v.Address)
 		}
 		seen[v.Name], seen[v.Address] = true, true
-		c.Voters = append(c.Voters, Voter{v.Name, v.Address})
-		if v.Name == c.Name {
-			c.Listen = at
+		config.Voters = append(config.Voters, Voter{v.Name, v.Address})
+		if v.Name == config.Name {
+			config.Listen = at
 		}
 	}
-	if n.Listen != "" {
-		at, err := netip.ParseAddrPort(n.Listen)
+	if node.Listen != "" {
+		at, err := netip.ParseAddrPort(node.Listen)
 		switch {
 		case err != nil:
-			return nil, fault("node.listen", "want IP:port, have %q", n.Listen)
-		case !c.Votes():
-			return nil, fault("node.listen", "%s is not a voter, so it must not listen", c.Name)
+			return nil, keyError("node.listen", "want IP:port, have %q", node.Listen)
+		case !config.IsVoter():
+			return nil, keyError("node.listen", "%s is not a voter, so it must not listen", config.Name)
 		}
-		c.Listen = at
+		config.Listen = at
 	}
-	for _, b := range f.Budget {
-		p := &fleetpb.Budget{Name: b.Name, On: b.On, By: b.By, Only: b.Only, MostShare: b.MostShare, LeastLeft: b.LeastLeft}
+	for _, b := range content.Budget {
+		budget := &fleetpb.Budget{Name: b.Name, On: b.On, By: b.By, Only: b.Only, MostShare: b.MostShare, LeastLeft: b.LeastLeft}
 		if b.MostOut != nil {
-			p.Bounded, p.MostOut = true, *b.MostOut
+			budget.Bounded, budget.MostOut = true, *b.MostOut
 		}
-		c.Budgets = append(c.Budgets, p)
+		config.Budgets = append(config.Budgets, budget)
 	}
-	if i, field, err := fleet.CheckBudgets(c.Budgets); err != nil {
-		return nil, fault(fmt.Sprintf("budget[%d].%s", i, field), "%v", err)
+	if i, field, err := fleet.CheckBudgets(config.Budgets); err != nil {
+		return nil, keyError(fmt.Sprintf("budget[%d].%s", i, field), "%v", err)
 	}
-	id := &link.Identity{Site: c.full(c.Name)}
+	identity := &link.Identity{Site: config.fullName(config.Name)}
 	var err error
-	if id.Certificate, err = tls.LoadX509KeyPair(beside(n.Certificate), beside(n.Key)); err != nil {
-		return nil, fault("node.certificate", "%v", err)
+	if identity.Certificate, err = tls.LoadX509KeyPair(pathOf(node.Certificate), pathOf(node.Key)); err != nil {
+		return nil, keyError("node.certificate", "%v", err)
 	}
-	if err := gateway.Good(id.Certificate.Leaf, id.Site, now); err != nil {
-		return nil, fault("node.certificate", "%v", err)
+	if err := gateway.CheckCertificate(identity.Certificate.Leaf, identity.Site, now); err != nil {
+		return nil, keyError("node.certificate", "%v", err)
 	}
-	roots, err := gateway.ReadRoots(beside(n.Roots), now)
+	roots, err := gateway.ReadRoots(pathOf(node.Roots), now)
 	if err != nil {
-		return nil, fault("node.roots", "%v", err)
+		return nil, keyError("node.roots", "%v", err)
 	}
-	id.Peers = []link.Peer{{Name: c.Domain, Members: true, Roots: roots}}
-	c.Keeper = link.NewKeeper(id)
-	return c, nil
+	identity.Peers = []link.Peer{{Name: config.Domain, NameIsDomain: true, Roots: roots}}
+	config.Identities = link.NewIdentityStore(identity)
+	return config, nil
 }
 
 // IsVoter reports whether this node is a voter.
-func (c *Config) Votes() bool { return c.Listen.IsValid() }
+func (c *Config) IsVoter() bool { return c.Listen.IsValid() }
 
 // fullName returns the name in the certificate of a node.
-func (c *Config) full(node string) string { return node + "." + c.Domain }
+func (c *Config) fullName(node string) string { return node + "." + c.Domain }
 
 // shortName returns the node's name from the name in its certificate.
-func (c *Config) short(name string) string { return strings.TrimSuffix(name, "."+c.Domain) }
+func (c *Config) shortName(name string) string { return strings.TrimSuffix(name, "."+c.Domain) }
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -13,18 +13,18 @@
 
 // writeFolder writes a fleet file with that text, the certificate of n1 and its root into a new folder, and returns the
 // file's path.
-func folder(t *testing.T, text string) string {
+func writeFolder(t *testing.T, text string) string {
 	t.Helper()
 	dir := t.TempDir()
-	a, err := standin.NewAuthority()
+	authority, err := standin.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, cert, key, err := a.Issue("n1.fleet.hall-a.example.org", time.Now().Add(time.Hour))
+	_, cert, key, err := authority.Issue("n1.fleet.hall-a.example.org", time.Now().Add(time.Hour))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, content := range map[string][]byte{"n1.crt": cert, "n1.key": key, "fleet.roots": a.RootPEM(), "fleet.toml": []byte(text)} {
+	for name, content := range map[string][]byte{"n1.crt": cert, "n1.key": key, "fleet.roots": authority.RootPEM(), "fleet.toml": []byte(text)} {
 		if err := os.WriteFile(filepath.Join(dir, name), content, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -40,8 +40,8 @@
 		t.Fatal(err)
 	}
 	good := string(raw)
-	c, err := Load(folder(t, good), time.Now())
-	if err != nil || !c.Votes() || len(c.Voters) != 3 || len(c.Budgets) != 2 || c.Life != 5*time.Second || !c.Budgets[0].Bounded || c.Budgets[1].Bounded {
+	c, err := Load(writeFolder(t, good), time.Now())
+	if err != nil || !c.IsVoter() || len(c.Voters) != 3 || len(c.Budgets) != 2 || c.SessionTimeout != 5*time.Second || !c.Budgets[0].Bounded || c.Budgets[1].Bounded {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for name, x := range map[string]struct{ from, to, want string }{
@@ -64,18 +64,18 @@
 		if !strings.Contains(good, x.from) {
 			t.Fatalf("%s: the example has no %q", name, x.from)
 		}
-		_, err := Load(folder(t, strings.Replace(good, x.from, x.to, 1)), time.Now())
+		_, err := Load(writeFolder(t, strings.Replace(good, x.from, x.to, 1)), time.Now())
 		if x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%s: %v, want %q", name, err, x.want)
 		}
 	}
-	if _, err := Load(folder(t, good), time.Now().Add(48*time.Hour)); err == nil || !strings.Contains(err.Error(), "node.certificate") {
+	if _, err := Load(writeFolder(t, good), time.Now().Add(48*time.Hour)); err == nil || !strings.Contains(err.Error(), "node.certificate") {
 		t.Errorf("an expired certificate: %v", err)
 	}
 }
 
 // Guards against a node that submits entries in another node's name, or entries that only the leader may write.
-func TestMayAsk(t *testing.T) {
+func TestCheckSender(t *testing.T) {
 	for name, c := range map[string]struct {
 		entry *fleetpb.Entry
 		good  bool
@@ -91,7 +91,7 @@
 		"a drain":           {&fleetpb.Entry{What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{}}}, true},
 		"nothing":           {&fleetpb.Entry{}, false},
 	} {
-		if err := mayAsk("n1", c.entry); (err == nil) != c.good {
+		if err := checkSender("n1", c.entry); (err == nil) != c.good {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -100,16 +100,16 @@
 // A server counts as dead once half of the nodes with a session report it, and until fewer than a quarter do. Nodes
 // without a session don't count.
 func TestEvidence(t *testing.T) {
-	s := &fleetpb.State{Servers: map[string]*fleetpb.Server{"s-1": {}, "s-2": {}}, Nodes: map[string]*fleetpb.Node{}}
+	state := &fleetpb.State{Servers: map[string]*fleetpb.Server{"s-1": {}, "s-2": {}}, Nodes: map[string]*fleetpb.Node{}}
 	for _, n := range []string{"n1", "n2", "n3", "n4", "n5"} {
-		s.Nodes[n] = &fleetpb.Node{State: "live"}
+		state.Nodes[n] = &fleetpb.Node{State: "live"}
 	}
-	s.Nodes["n5"].State = "lapsed"
+	state.Nodes["n5"].State = "lapsed"
 	for _, c := range []struct {
-		by   map[string][]string
-		was  bool
-		told bool
-		dead string
+		by        map[string][]string
+		was       bool
+		unchanged bool
+		dead      string
 	}{
 		{map[string][]string{"n1": {"s-1"}}, false, true, ""},
 		{map[string][]string{"n1": {"s-1"}, "n5": {"s-1"}}, false, true, ""},
@@ -118,9 +118,9 @@
 		{map[string][]string{}, true, false, ""},
 		{map[string][]string{"n1": {"s-1", "s-2"}, "n2": {"s-2"}, "n3": {"s-1"}, "n4": {"s-2"}}, true, false, "s-1 s-2"},
 	} {
-		s.Servers["s-1"].Dead = c.was
-		if told, dead := evidence(s, c.by); told != c.told || strings.Join(dead, " ") != c.dead {
-			t.Errorf("%v, dead before %v: unchanged %v, dead %v", c.by, c.was, told, dead)
+		state.Servers["s-1"].Dead = c.was
+		if unchanged, dead := deadServers(state, c.by); unchanged != c.unchanged || strings.Join(dead, " ") != c.dead {
+			t.Errorf("%v, dead before %v: unchanged %v, dead %v", c.by, c.was, unchanged, dead)
 		}
 	}
 }
@@ -129,17 +129,17 @@
 // known.
 func TestDifference(t *testing.T) {
 	known := map[string]*fleetpb.Server{"a": {Id: "a", State: "ready", Weight: 1}, "b": {Id: "b", State: "ready"}, "c": {Id: "c", State: "gone"}}
-	if d := difference(known, nil); d != nil {
+	if d := changedServers(known, nil); d != nil {
 		t.Errorf("changes by a list that is not known: %v", d)
 	}
 	var got []string
-	for _, s := range difference(known, []*fleetpb.Server{{Id: "a", State: "ready", Weight: 2}, {Id: "d", State: "draining"}}) {
+	for _, s := range changedServers(known, []*fleetpb.Server{{Id: "a", State: "ready", Weight: 2}, {Id: "d", State: "draining"}}) {
 		got = append(got, s.Id+" "+s.State)
 	}
 	if strings.Join(got, ", ") != "a ready, b gone, d draining" {
 		t.Error(got)
 	}
-	if d := difference(known, []*fleetpb.Server{known["a"], known["b"]}); len(d) != 0 {
+	if d := changedServers(known, []*fleetpb.Server{known["a"], known["b"]}); len(d) != 0 {
 		t.Errorf("changes by an unchanged list: %v", d)
 	}
 }
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -20,21 +20,21 @@
 )
 
 const (
-	configurationCache = "configuration.cache" // file in the node's folder
-	reportWait         = 700 * time.Millisecond
+	configurationCacheFile = "configuration.cache" // file in the node's folder
+	reportTimeout          = 700 * time.Millisecond
 )
 
 // newWatchClient returns the client that follows the configuration. It starts with the content of the node's cache
 // file.
-func (n *Control) newWatch() (*watch.Client, error) {
+func (n *Control) newWatchClient() (*watch.Client, error) {
 	o := watch.ClientOptions{
-		Node:    n.c.Name,
+		Node:    n.config.Name,
 		Session: n.sessionEpoch,
-		Call:    n.watchCall,
-		Cache:   filepath.Join(n.c.Folder, configurationCache),
+		Call:    n.callWatch,
+		Cache:   filepath.Join(n.config.Folder, configurationCacheFile),
 		Log:     n.log,
 	}
-	for _, v := range n.c.Voters {
+	for _, v := range n.config.Voters {
 		o.Machines = append(o.Machines, v.Name)
 	}
 	return watch.NewClient(o)
@@ -48,9 +48,9 @@
 }
 
 // callWatch sends a request of the watch client to a voter and returns the answer.
-func (n *Control) watchCall(ctx context.Context, voter string, request []byte) ([]byte, error) {
-	at := slices.IndexFunc(n.c.Voters, func(v Voter) bool { return v.Name == voter })
-	status, answer, err := n.one(ctx, n.c.Voters[at], kindWatch, request)
+func (n *Control) callWatch(ctx context.Context, voter string, request []byte) ([]byte, error) {
+	at := slices.IndexFunc(n.config.Voters, func(v Voter) bool { return v.Name == voter })
+	status, answer, err := n.callVoter(ctx, n.config.Voters[at], kindWatch, request)
 	if err != nil {
 		return nil, err
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if raw, err = n.call(ctx, kindQuery, raw); err != nil {
+	if raw, err = n.callLeader(ctx, kindQuery, raw); err != nil {
 		return nil, err
 	}
 	a := &configpb.Answer{}
@@ -79,7 +79,7 @@
 // newWatchServer returns the server that serves the configuration, as this voter has it, to nodes.
 func (v *voter) newWatchServer() *watch.Server {
 	snapshot := func(ctx context.Context) (*configpb.Snapshot, error) {
-		m := v.current()
+		m := v.currentMember()
 		if m == nil {
 			return nil, agree.ErrStopped
 		}
@@ -92,40 +92,40 @@
 
 // handleWatch answers a node's watch request. A voter that knows of no leader may be behind, so it answers
 // statusNotLeader and the node tries another voter.
-func (v *voter) watchFor(ctx context.Context, m *agree.Member, node string, raw []byte) (uint64, []byte) {
+func (v *voter) handleWatch(ctx context.Context, m *agree.Member, node string, raw []byte) (uint64, []byte) {
 	if m.Status().Leader == 0 {
 		return statusNotLeader, nil
 	}
 	answer, err := v.watch.Handle(ctx, node, raw)
 	if err != nil {
-		return statusBad, []byte(err.Error())
+		return statusRejected, []byte(err.Error())
 	}
 	return statusOK, answer
 }
 
 // handleReport answers the leader with a report on the nodes that watch this voter.
-func (v *voter) reportFor(raw []byte) (uint64, []byte) {
+func (v *voter) handleReport(raw []byte) (uint64, []byte) {
 	q := &configpb.ReportRequest{}
 	if err := proto.Unmarshal(raw, q); err != nil {
-		return statusBad, []byte(err.Error())
+		return statusRejected, []byte(err.Error())
 	}
-	return v.answer(v.watch.Report(q.Names), nil)
+	return v.encodeResult(v.watch.Report(q.Names), nil)
 }
 
 // precheckChange checks a change of the configuration before it is proposed, so that a change that is refused needs no
 // entry of the log. It returns the refusal, or nil if the change is to be proposed. A request that already has a result
 // is not checked again: its repetition has to get the first result.
-func (v *voter) refuseEarly(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
+func (v *voter) precheckChange(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	tx := e.GetConfigure()
 	if tx == nil {
 		return nil, nil
 	}
-	if err := m.Lead(ctx); err != nil {
+	if err := m.ConfirmLeadership(ctx); err != nil {
 		return nil, err
 	}
 	return agree.View(ctx, m, func() (*fleetpb.Result, error) {
 		store := v.machine.Configuration()
-		if v.machine.WasAnswered(e.Ask) {
+		if v.machine.HasResult(e.Ask) {
 			return nil, nil
 		}
 		if err := store.Check(tx); err != nil {
@@ -136,38 +136,38 @@
 }
 
 // handleQuery answers an operator's query. Only the leader answers it, from a state confirmed to be current.
-func (v *voter) query(ctx context.Context, m *agree.Member, raw []byte) (uint64, []byte) {
+func (v *voter) handleQuery(ctx context.Context, m *agree.Member, raw []byte) (uint64, []byte) {
 	q := &configpb.Query{}
 	if err := proto.Unmarshal(raw, q); err != nil {
-		return statusBad, []byte(err.Error())
+		return statusRejected, []byte(err.Error())
 	}
-	if err := m.Lead(ctx); err != nil {
-		return v.answer(nil, err)
+	if err := m.ConfirmLeadership(ctx); err != nil {
+		return v.encodeResult(nil, err)
 	}
 	switch about := q.About.(type) {
 	case *configpb.Query_Snapshot:
-		return v.answer(agree.View(ctx, m, func() (*configpb.Answer, error) {
+		return v.encodeResult(agree.View(ctx, m, func() (*configpb.Answer, error) {
 			return &configpb.Answer{Snapshot: v.machine.Configuration().Snapshot()}, nil
 		}))
 	case *configpb.Query_History:
 		a, err := agree.View(ctx, m, func() (*configpb.Answer, error) {
-			list, err := historyOf(v.machine.Configuration(), about.History)
+			list, err := revisionsAfter(v.machine.Configuration(), about.History)
 			return &configpb.Answer{History: list}, err
 		})
-		return v.answer(a, err)
+		return v.encodeResult(a, err)
 	case *configpb.Query_Status:
-		return v.answer(v.configurationStatus(ctx, m))
+		return v.encodeResult(v.configurationStatus(ctx, m))
 	}
-	return statusBad, []byte("unknown query about the configuration")
+	return statusRejected, []byte("unknown query about the configuration")
 }
 
 // revisionsAfter returns the newest revisions after the query's revision, up to its limit, as far as the history
 // reaches back.
-func historyOf(store *configuration.Store, q *configpb.HistoryQuery) ([]*configpb.Revision, error) {
+func revisionsAfter(store *configuration.Store, q *configpb.HistoryQuery) ([]*configpb.Revision, error) {
 	after := min(max(q.GetAfter(), store.Compacted()), store.Revision())
 	list, err := store.History(after, int(store.Revision()))
-	if most := int(q.GetMost()); most > 0 && len(list) > most {
-		list = list[len(list)-most:]
+	if limit := int(q.GetMost()); limit > 0 && len(list) > limit {
+		list = list[len(list)-limit:]
 	}
 	return list, err
 }
@@ -185,32 +185,32 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &configpb.Status{Revision: now.revision, Compacted: now.compacted, Sessions: uint64(len(now.sessions))}
-	s.Machines = v.reports(ctx)
+	status := &configpb.Status{Revision: now.revision, Compacted: now.compacted, Sessions: uint64(len(now.sessions))}
+	status.Machines = v.collectReports(ctx)
 	var reports []*configpb.Report
-	unheard := maps.Clone(now.sessions)
-	for _, machine := range s.Machines {
+	unreported := maps.Clone(now.sessions)
+	for _, machine := range status.Machines {
 		reports = append(reports, machine.Report)
 		for _, node := range machine.GetReport().GetWatching() {
-			delete(unheard, node)
+			delete(unreported, node)
 		}
 	}
-	s.InForce, s.Accounted = watch.InForce(now.sessions, reports)
-	s.Unheard = slices.Sorted(maps.Keys(unheard))
-	return &configpb.Answer{Status: s}, nil
+	status.InForce, status.Accounted = watch.InForce(now.sessions, reports)
+	status.Unheard = slices.Sorted(maps.Keys(unreported))
+	return &configpb.Answer{Status: status}, nil
 }
 
 // collectReports requests the reports of all voters in parallel. A voter that does not answer within reportTimeout has
 // the reason in place of a report.
-func (v *voter) reports(ctx context.Context) []*configpb.MachineStatus {
-	ctx, cancel := context.WithTimeout(ctx, reportWait)
+func (v *voter) collectReports(ctx context.Context) []*configpb.MachineStatus {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	list := make([]*configpb.MachineStatus, len(v.c.Voters))
-	var asking sync.WaitGroup
-	for i, o := range v.c.Voters {
+	list := make([]*configpb.MachineStatus, len(v.config.Voters))
+	var wg sync.WaitGroup
+	for i, o := range v.config.Voters {
 		list[i] = &configpb.MachineStatus{Name: o.Name}
-		asking.Go(func() {
-			report, err := v.reportOf(ctx, o)
+		wg.Go(func() {
+			report, err := v.requestReport(ctx, o)
 			if err != nil {
 				list[i].Why = err.Error()
 				return
@@ -218,20 +218,20 @@
 			list[i].Report = report
 		})
 	}
-	asking.Wait()
+	wg.Wait()
 	return list
 }
 
 // requestReport requests the report of a voter. It takes the report of this voter directly.
-func (v *voter) reportOf(ctx context.Context, o Voter) (*configpb.Report, error) {
-	if o.Name == v.c.Name {
+func (v *voter) requestReport(ctx context.Context, o Voter) (*configpb.Report, error) {
+	if o.Name == v.config.Name {
 		return v.watch.Report(true), nil
 	}
 	raw, err := proto.Marshal(&configpb.ReportRequest{Names: true})
 	if err != nil {
 		return nil, err
 	}
-	status, answer, err := v.calls.Call(ctx, v.c.full(o.Name), o.Address, kindReport, raw)
+	status, answer, err := v.calls.Call(ctx, v.config.fullName(o.Name), o.Address, kindReport, raw)
 	if err != nil {
 		return nil, err
 	}
