--- a/internal/control/configuration_test.go
+++ b/internal/control/configuration_test.go
@@ -25,7 +25,7 @@
 )
 
 // testFleet is a fleet whose nodes run in this process and use real sockets. The first three are voters.
-type members struct {
+type testFleet struct {
 	t       *testing.T
 	configs []*Config
 	running []*Control
@@ -34,7 +34,7 @@
 
 // startFleet starts count nodes and waits until all have a session. They end with the test, which then checks that no
 // goroutine is left.
-func startMembers(t *testing.T, count int) *members {
+func startFleet(t *testing.T, count int) *testFleet {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
 	dir, authority := t.TempDir(), new(standin.Authority)
@@ -43,21 +43,21 @@
 		t.Fatal(err)
 	}
 	addresses := freeAddresses(t, 3)
-	m := &members{t: t, running: make([]*Control, count), ended: make([]chan struct{}, count)}
+	fleet := &testFleet{t: t, running: make([]*Control, count), ended: make([]chan struct{}, count)}
 	for i := range count {
-		m.configs = append(m.configs, writeMember(t, dir, authority, fmt.Sprintf("n%d", i+1), addresses, i < 3))
-		m.start(i)
+		fleet.configs = append(fleet.configs, writeNode(t, dir, authority, fmt.Sprintf("n%d", i+1), addresses, i < 3))
+		fleet.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range m.running {
-			m.stop(i)
+		for i := range fleet.running {
+			fleet.stop(i)
 		}
 		goleak.VerifyNone(t, before)
 	})
-	for _, n := range m.running {
-		testkit.Until(t, "no session", func() bool { return n.Here().Session > 0 })
+	for _, n := range fleet.running {
+		testkit.Until(t, "no session", func() bool { return n.Status().Session > 0 })
 	}
-	return m
+	return fleet
 }
 
 // freeAddresses returns free UDP addresses with ports below the kernel's ephemeral ports.
@@ -75,9 +75,9 @@
 }
 
 // writeNode writes a node's files to dir and loads its fleet file. voter is whether the node has to be one.
-func writeMember(t *testing.T, dir string, a *standin.Authority, name string, addresses []string, voter bool) *Config {
+func writeNode(t *testing.T, dir string, authority *standin.Authority, name string, addresses []string, voter bool) *Config {
 	t.Helper()
-	_, cert, key, err := a.Issue(name+".f.example.org", time.Now().Add(time.Hour))
+	_, cert, key, err := authority.Issue(name+".f.example.org", time.Now().Add(time.Hour))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 		fmt.Fprintf(&text, "[[voter]]\nname = \"n%d\"\naddress = %q\n", i+1, address)
 	}
 	for file, content := range map[string][]byte{
-		name + ".crt": cert, name + ".key": key, "roots": a.RootPEM(), name + ".toml": []byte(text.String()),
+		name + ".crt": cert, name + ".key": key, "roots": authority.RootPEM(), name + ".toml": []byte(text.String()),
 	} {
 		if err := os.WriteFile(filepath.Join(dir, file), content, 0o600); err != nil {
 			t.Fatal(err)
@@ -100,26 +100,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Votes() != voter {
-		t.Fatalf("%s votes: %v", name, c.Votes())
+	if c.IsVoter() != voter {
+		t.Fatalf("%s votes: %v", name, c.IsVoter())
 	}
 	return c
 }
 
-func (m *members) start(i int) {
+func (m *testFleet) start(i int) {
 	m.t.Helper()
-	n, err := Open(m.configs[i], calm{}, calm{}, testkit.Quiet)
+	n, err := Open(m.configs[i], idleNode{}, idleNode{}, testkit.Quiet)
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	n.Begin()
+	n.ApplySavedOrders()
 	ended := make(chan struct{})
 	go func() { n.Run(); close(ended) }()
 	m.running[i], m.ended[i] = n, ended
 }
 
 // stop ends a node without the final calls, and waits for its end.
-func (m *members) stop(i int) {
+func (m *testFleet) stop(i int) {
 	if m.running[i] == nil {
 		return
 	}
@@ -129,12 +129,12 @@
 }
 
 // put proposes a transaction through a node, and repeats that until there is a result. ask is the request ID.
-func (m *members) put(i int, ask string, tx *configpb.Transaction) *configpb.Result {
+func (m *testFleet) put(i int, ask string, tx *configpb.Transaction) *configpb.Result {
 	ctx, cancel := context.WithTimeout(m.t.Context(), 3*testkit.Patient)
 	defer cancel()
 	for {
 		what := &fleetpb.Entry_Configure{Configure: tx}
-		r, err := m.running[i].Ask(ctx, &fleetpb.Entry{Ask: ask, What: what})
+		r, err := m.running[i].Propose(ctx, &fleetpb.Entry{Ask: ask, What: what})
 		if err == nil && r.Configuration != nil {
 			return r.Configuration
 		}
@@ -146,16 +146,16 @@
 	}
 }
 
-func (m *members) get(i int) (*configpb.Snapshot, error) {
+func (m *testFleet) get(i int) (*configpb.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(m.t.Context(), testkit.Patient)
 	defer cancel()
 	a, err := m.running[i].Query(ctx, &configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
 	return a.GetSnapshot(), err
 }
 
-func (m *members) leader() int {
+func (m *testFleet) leader() int {
 	for i := range 3 {
-		if m.running[i] != nil && m.running[i].Here().Voter == "leads" {
+		if m.running[i] != nil && m.running[i].Status().Voter == "leads" {
 			return i
 		}
 	}
@@ -177,14 +177,14 @@
 }
 
 // accessResult is the result of an access.
-type seen struct {
+type accessResult struct {
 	code      configpb.Result_Code
 	timeoutMs uint32
 	revision  uint64 // of the entry
 }
 
 // registerState is the state of an entry in porcupine's model, which has a single copy.
-type register struct {
+type registerState struct {
 	timeoutMs uint32
 	revision  uint64
 }
@@ -202,9 +202,9 @@
 		}
 		return parts
 	},
-	Init: func() any { return register{} },
+	Init: func() any { return registerState{} },
 	Step: func(state, input, output any) (bool, any) {
-		now, in, out := state.(register), input.(access), output.(seen)
+		now, in, out := state.(registerState), input.(access), output.(accessResult)
 		if !in.write {
 			return out.timeoutMs == now.timeoutMs && out.revision == now.revision, now
 		}
@@ -215,7 +215,7 @@
 		case configpb.Result_UNCHANGED:
 			return holds && now.revision > 0 && in.timeoutMs == now.timeoutMs, now
 		case configpb.Result_APPLIED:
-			return holds && out.revision > now.revision, register{in.timeoutMs, out.revision}
+			return holds && out.revision > now.revision, registerState{in.timeoutMs, out.revision}
 		}
 		return false, now
 	},
@@ -223,16 +223,16 @@
 
 // Guards against a lost answer that makes a change fail: a client that repeats the request under the same request ID
 // has to get the first result, though the change's condition does not hold any more.
-func TestConfigurationAskedAgain(t *testing.T) {
-	m := startMembers(t, 3)
+func TestConfigurationRepeatedRequest(t *testing.T) {
+	fleet := startFleet(t, 3)
 	tx := &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}}
 	tx.Conditions = []*configpb.Condition{{Key: "service/pay"}}
 	for try := range 2 {
-		if r := m.put(try, "a", tx); r.GetCode() != configpb.Result_APPLIED || r.GetRevision() != 1 {
+		if r := fleet.put(try, "a", tx); r.GetCode() != configpb.Result_APPLIED || r.GetRevision() != 1 {
 			t.Errorf("try %d: %v", try, r)
 		}
 	}
-	if r := m.put(1, "b", tx); r.GetCode() != configpb.Result_CONFLICT {
+	if r := fleet.put(1, "b", tx); r.GetCode() != configpb.Result_CONFLICT {
 		t.Errorf("under another request ID: %v", r)
 	}
 }
@@ -240,35 +240,35 @@
 // Guards against stale answers to queries, which only the leader may answer. A watch request is answered by any voter,
 // but only in the caller's own name.
 func TestOnlyTheLeaderAnswers(t *testing.T) {
-	m := startMembers(t, 3)
-	m.put(0, "a", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}})
+	fleet := startFleet(t, 3)
+	fleet.put(0, "a", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}})
 	query, _ := proto.Marshal(&configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
-	ask, _ := proto.Marshal(&configpb.WatchRequest{Node: "n9"})
+	watchRequest, _ := proto.Marshal(&configpb.WatchRequest{Node: "n9"})
 	testkit.Until(t, "all nodes have the revision, and one leads", func() bool {
-		for _, n := range m.running {
-			if n.Here().Configuration != 1 || n.Here().Voter == "waits" {
+		for _, n := range fleet.running {
+			if n.Status().ConfigurationRevision != 1 || n.Status().Voter == "waits" {
 				return false
 			}
 		}
-		return m.leader() >= 0
+		return fleet.leader() >= 0
 	})
 	testkit.Until(t, "one answers as the leader", func() bool {
-		led := 0
-		for _, n := range m.running {
-			if status, _ := n.voter.handle(t.Context(), "n9.f.example.org", kindQuery, query); status == statusOK {
-				led++
+		leaders := 0
+		for _, n := range fleet.running {
+			if status, _ := n.voter.handleCall(t.Context(), "n9.f.example.org", kindQuery, query); status == statusOK {
+				leaders++
 			}
 		}
-		if led > 1 {
-			t.Fatalf("%d voters answer as the leader", led)
+		if leaders > 1 {
+			t.Fatalf("%d voters answer as the leader", leaders)
 		}
-		return led == 1
+		return leaders == 1
 	})
-	for _, n := range m.running {
-		if status, raw := n.voter.handle(t.Context(), "n9.f.example.org", kindWatch, ask); status != statusOK {
+	for _, n := range fleet.running {
+		if status, raw := n.voter.handleCall(t.Context(), "n9.f.example.org", kindWatch, watchRequest); status != statusOK {
 			t.Errorf("watch: %d, %s", status, raw)
 		}
-		if status, _ := n.voter.handle(t.Context(), "n8.f.example.org", kindWatch, ask); status != statusBad {
+		if status, _ := n.voter.handleCall(t.Context(), "n8.f.example.org", kindWatch, watchRequest); status != statusRejected {
 			t.Errorf("watch of another node: %d", status)
 		}
 	}
@@ -277,18 +277,18 @@
 // Guards against nodes that can't catch up after more changes than the voters keep for watches: both a node that lost
 // its folder and one that still has it get to the last revision, by a snapshot.
 func TestSnapshotOverTheNetwork(t *testing.T) {
-	m := startMembers(t, 5)
-	if r := m.put(4, "first", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}}); r == nil {
+	fleet := startFleet(t, 5)
+	if r := fleet.put(4, "first", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}}); r == nil {
 		t.FailNow()
 	}
 	has := func(i int, revision uint64) func() bool {
-		return func() bool { return m.running[i].Here().Configuration == revision }
+		return func() bool { return fleet.running[i].Status().ConfigurationRevision == revision }
 	}
 	testkit.Until(t, "the first revision", has(4, 1))
 	testkit.Until(t, "the first revision", has(3, 1))
-	m.stop(3)
-	m.stop(4)
-	if err := os.RemoveAll(m.configs[4].Folder); err != nil {
+	fleet.stop(3)
+	fleet.stop(4)
+	if err := os.RemoveAll(fleet.configs[4].Folder); err != nil {
 		t.Fatal(err)
 	}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -304,15 +304,15 @@
 			put := &configpb.Entry{Value: &configpb.Entry_Route{Route: route}}
 			tx.Changes = append(tx.Changes, &configpb.Change{What: &configpb.Change_Put{Put: put}})
 		}
-		if r := m.put(0, fmt.Sprint("large", i), tx); r.GetRevision() != uint64(i+2) {
+		if r := fleet.put(0, fmt.Sprint("large", i), tx); r.GetRevision() != uint64(i+2) {
 			t.Fatal(r)
 		}
 	}
-	m.start(3)
-	m.start(4)
+	fleet.start(3)
+	fleet.start(4)
 	testkit.Until(t, "the node without a folder", has(4, 5))
 	testkit.Until(t, "the node with its folder", has(3, 5))
-	if log := m.running[4].configuration.Status().Log; log == "" || log != m.running[3].configuration.Status().Log {
+	if log := fleet.running[4].configuration.Status().Log; log == "" || log != fleet.running[3].configuration.Status().Log {
 		t.Errorf("the log is %q", log)
 	}
 }
@@ -321,19 +321,19 @@
 // and without conditions, and read through all nodes at once, while leaders stop and start again. The history has to be
 // linearizable (checked by porcupine).
 func TestConfigurationIsLinearizable(t *testing.T) {
-	m := startMembers(t, 5)
+	fleet := startFleet(t, 5)
 	const workers = 4
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	given := map[uint64]string{}
 	began := time.Now()
-	note := func(worker int, in access, from time.Duration, out seen) {
+	record := func(worker int, in access, from time.Duration, out accessResult) {
 		mu.Lock()
 		defer mu.Unlock()
 		history = append(history, porcupine.Operation{ClientId: worker, Input: in, Call: int64(from), Output: out,
 			Return: int64(time.Since(began))})
 	}
-	noted := func() int {
+	recorded := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		return len(history)
@@ -352,13 +352,13 @@
 				in := access{key: fmt.Sprint("s", r.IntN(3)), write: r.IntN(2) == 0, timeoutMs: uint32(1 + r.IntN(3))}
 				from, through := time.Since(began), 3+r.IntN(2)
 				if !in.write || r.IntN(2) == 0 { // a conditional put reads the entry's revision first
-					s, err := m.get(through)
+					s, err := fleet.get(through)
 					if err != nil {
 						continue
 					}
 					e := entryOf(s, in.key)
-					out := seen{timeoutMs: e.GetService().GetTimeoutMs(), revision: e.GetRevision()}
-					note(worker, access{key: in.key}, from, out)
+					out := accessResult{timeoutMs: e.GetService().GetTimeoutMs(), revision: e.GetRevision()}
+					record(worker, access{key: in.key}, from, out)
 					if !in.write {
 						continue
 					}
@@ -371,11 +371,11 @@
 					tx.Conditions = append(tx.Conditions, c)
 				}
 				from = time.Since(began)
-				result := m.put(through, ask, tx)
+				result := fleet.put(through, ask, tx)
 				if result == nil {
 					return
 				}
-				note(worker, in, from, seen{code: result.Code, revision: result.Revision})
+				record(worker, in, from, accessResult{code: result.Code, revision: result.Revision})
 				mu.Lock()
 				if other := given[result.Revision]; result.Code == configpb.Result_APPLIED && other != "" {
 					t.Errorf("revision %d assigned to both %s and %s", result.Revision, other, ask)
@@ -386,19 +386,19 @@
 			}
 		})
 	}
-	stopLeaders(t, m, noted)
+	stopLeaders(t, fleet, recorded)
 	close(enough)
 	work.Wait()
 	if !porcupine.CheckOperations(registers, history) {
 		t.Error("the history is not linearizable")
 	}
-	last, err := m.get(4)
+	last, err := fleet.get(4)
 	if err != nil {
 		t.Fatal(err)
 	}
 	testkit.Until(t, "all nodes have the last revision", func() bool {
-		for _, n := range m.running {
-			if n.Here().Configuration != last.Revision {
+		for _, n := range fleet.running {
+			if n.Status().ConfigurationRevision != last.Revision {
 				return false
 			}
 		}
@@ -407,16 +407,16 @@
 }
 
 // stopLeaders stops the leader and starts it again, three times, with some operations before and after each.
-func stopLeaders(t *testing.T, m *members, operations func() int) {
+func stopLeaders(t *testing.T, fleet *testFleet, operations func() int) {
 	t.Helper()
 	const between = 40
 	for range 3 {
 		before := operations()
 		testkit.Until(t, "operations go on", func() bool { return operations() >= before+between })
 		leader := -1
-		testkit.Until(t, "a leader", func() bool { leader = m.leader(); return leader >= 0 })
-		m.stop(leader)
-		m.start(leader)
+		testkit.Until(t, "a leader", func() bool { leader = fleet.leader(); return leader >= 0 })
+		fleet.stop(leader)
+		fleet.start(leader)
 	}
 	before := operations()
 	testkit.Until(t, "operations go on", func() bool { return operations() >= before+between })
@@ -439,11 +439,11 @@
 	type operations = []porcupine.Operation
 	put := func(at int64, timeout uint32, condition *uint64, code configpb.Result_Code, revision uint64) operations {
 		return operations{{Input: access{key: "s", write: true, timeoutMs: timeout, condition: condition},
-			Call: at, Output: seen{code: code, revision: revision}, Return: at + 1}}
+			Call: at, Output: accessResult{code: code, revision: revision}, Return: at + 1}}
 	}
 	read := func(at int64, timeout uint32, revision uint64) operations {
 		return operations{{Input: access{key: "s"}, Call: at, Return: at + 1,
-			Output: seen{timeoutMs: timeout, revision: revision}}}
+			Output: accessResult{timeoutMs: timeout, revision: revision}}}
 	}
 	const applied, conflict = configpb.Result_APPLIED, configpb.Result_CONFLICT
 	first, second := put(1, 5, nil, applied, 1), put(3, 6, nil, applied, 2)
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -15,7 +15,7 @@
 
 // foundingInfo is a voter's answer to a kindFounding call, as JSON under the names of the fields. Birth is the birth ID
 // of its disk, and Founding the name of the log that it is part of, or empty if it is not part of one yet.
-type foundingWord struct {
+type foundingInfo struct {
 	Birth, Founding string
 	Voters          map[string]string // birth IDs of the voters' disks by the log's state, by name
 }
@@ -24,64 +24,64 @@
 // ctx ends first. A voter with an empty disk may found a log only together with all other voters. If one of them
 // already has a log that did not begin with this disk, this voter's disk was lost, and its votes with it. It must not
 // vote again until an operator has admitted the new disk (starlingvalve fleet renew).
-func (v *voter) found(ctx context.Context) bool {
+func (v *voter) awaitFounding(ctx context.Context) bool {
 	if v.founding.Log != "" {
 		return true
 	}
-	told := ""
-	tell := func(format string, args ...any) {
-		if text := fmt.Sprintf(format, args...); text != told {
-			told = text
+	lastWarning := ""
+	warn := func(format string, args ...any) {
+		if text := fmt.Sprintf(format, args...); text != lastWarning {
+			lastWarning = text
 			v.log.Warn("fleet: this voter does not vote yet: " + text)
 		}
 	}
 	for {
-		births, missing, other := map[string]string{v.c.Name: v.birth}, []string{}, map[string]foundingWord{}
-		for _, o := range v.c.Voters {
-			if o.Name == v.c.Name {
+		births, missing, founded := map[string]string{v.config.Name: v.birth}, []string{}, map[string]foundingInfo{}
+		for _, o := range v.config.Voters {
+			if o.Name == v.config.Name {
 				continue
 			}
-			w, err := v.askFounding(ctx, o)
+			info, err := v.requestFounding(ctx, o)
 			if err != nil {
 				missing = append(missing, o.Name)
 				continue
 			}
-			births[o.Name] = w.Birth
-			if w.Founding != "" {
-				other[o.Name] = w
+			births[o.Name] = info.Birth
+			if info.Founding != "" {
+				founded[o.Name] = info
 			}
 		}
-		f, clash := agree.Founding{Log: logName(births), Voters: births}, ""
-		for name, w := range other {
-			if w.Founding != f.Log {
-				clash = name
+		founding, conflicting := agree.Founding{Log: logName(births), Voters: births}, ""
+		for name, info := range founded {
+			if info.Founding != founding.Log {
+				conflicting = name
 			}
-			if w.Voters[v.c.Name] == v.birth && w.Founding != f.Log { // an operator has admitted this disk
-				f, clash, missing = agree.Founding{Log: w.Founding, Voters: w.Voters, Joined: true}, "", nil
+			if info.Voters[v.config.Name] == v.birth && info.Founding != founding.Log { // an operator has admitted this disk
+				founding, conflicting, missing = agree.Founding{Log: info.Founding, Voters: info.Voters, Joined: true}, "", nil
 				break
 			}
 		}
 		switch {
 		case len(missing) > 0:
-			tell("its disk is empty, and there is no answer from %s: the first start needs all voters", strings.Join(missing, ", "))
-		case clash != "":
-			tell("its disk is empty, but %s has a log already that did not begin with this disk. If this voter's disk was lost, "+
-				"bring the disk back, or admit the voter with its new disk: starlingvalve fleet renew %s", clash, v.c.Name)
+			warn("its disk is empty, and there is no answer from %s: the first start needs all voters", strings.Join(missing, ", "))
+		case conflicting != "":
+			warn("its disk is empty, but %s has a log already that did not begin with this disk. If this voter's disk was lost, "+
+				"bring the disk back, or admit the voter with its new disk: starlingvalve fleet renew %s", conflicting, v.config.Name)
 		default:
-			if err := v.disk.Found(f); err != nil {
-				tell("%v", err)
+			if err := v.disk.SaveFounding(founding); err != nil {
+				warn("%v", err)
 				break
 			}
 			v.mu.Lock()
-			v.founding = f
+			v.founding = founding
 			v.mu.Unlock()
-			v.log.Info("fleet: the voters have found each other", "log", f.Log, "joined", f.Joined)
+			v.log.Info("fleet: the voters have found each other", "log", founding.Log, "joined", founding.Joined)
 			return true
 		}
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(foundingEvery):
+		case <-time.After(foundingInterval):
 		}
 	}
 }
@@ -98,12 +98,12 @@
 }
 
 // requestFounding requests another voter's foundingInfo.
-func (v *voter) askFounding(ctx context.Context, o Voter) (w foundingWord, err error) {
-	ctx, cancel := context.WithTimeout(ctx, foundingWait)
+func (v *voter) requestFounding(ctx context.Context, o Voter) (info foundingInfo, err error) {
+	ctx, cancel := context.WithTimeout(ctx, foundingTimeout)
 	defer cancel()
-	_, raw, err := v.calls.Call(ctx, v.c.full(o.Name), o.Address, kindFounding, nil)
+	_, raw, err := v.calls.Call(ctx, v.config.fullName(o.Name), o.Address, kindFounding, nil)
 	if err == nil {
-		err = json.Unmarshal(raw, &w)
+		err = json.Unmarshal(raw, &info)
 	}
-	return w, err
+	return info, err
 }
--- a/internal/control/voter.go
+++ b/internal/control/voter.go
@@ -40,53 +40,53 @@
 
 // Statuses of the answers to calls.
 const (
-	statusOK        = iota
-	statusNotLeader // the answer is the leader's name, or empty if the voter does not know it
-	statusUnknown   // the entry may or may not have been applied, or may be applied later; the answer is the error's text
-	statusBad       // the request was rejected; the answer is the reason
+	statusOK             = iota
+	statusNotLeader      // the answer is the leader's name, or empty if the voter does not know it
+	statusOutcomeUnknown // the entry may or may not have been applied, or may be applied later; the answer is the error's text
+	statusRejected       // the request was rejected; the answer is the reason
 )
 
 const (
-	foundingEvery = 500 * time.Millisecond
-	foundingWait  = time.Second     // for one voter's answer
-	ordersHold    = 4 * time.Second // a long poll for orders is answered after this time at the latest
-	entryWait     = 2 * time.Second
-	gatherFor     = 10 * time.Millisecond // acknowledgements that arrive within this time go into one entry
-	gatherMost    = 1000                  // acknowledgements in one entry
-	clockEvery    = time.Second           // between clock entries, while something waits for time to pass
-	listedEvery   = 500 * time.Millisecond
-	listedMost    = 500 // servers in one entry
+	foundingInterval  = 500 * time.Millisecond
+	foundingTimeout   = time.Second     // for one voter's answer
+	ordersPollTimeout = 4 * time.Second // a long poll for orders is answered after this time at the latest
+	entryTimeout      = 2 * time.Second
+	ackBatchDelay     = 10 * time.Millisecond // acknowledgements that arrive within this time go into one entry
+	maxAckBatch       = 1000                  // acknowledgements in one entry
+	clockInterval     = time.Second           // between clock entries, while something waits for time to pass
+	listInterval      = 500 * time.Millisecond
+	maxListedServers  = 500 // servers in one entry
 )
 
 // voter is this node's part in the replicated log. It takes part once it knows which log it belongs to.
 type voter struct {
-	c       *Config
-	calls   *link.Calls
-	listed  func() []*fleetpb.Server // the servers by this node's registry; nil: the registry has not reported yet
-	log     *slog.Logger
-	machine *fleet.Machine // used by the member's goroutine only
-	watch   *watch.Server  // serves the configuration to nodes
-
-	mu        sync.Mutex
-	disk      *agree.Bolt
-	founding  agree.Founding
-	birth     string
-	ids       map[string]uint64 // raft IDs of the voters, by name
-	gathering *gathering        // batch that still takes acknowledgements; nil: none
-	vitals    vitals.Vitals     // the nodes' health reports, used by the leader only
-	member    *agree.Member // nil until awaitFounding has succeeded
-	changed   chan struct{} // closed when orders changes
+	config          *Config
+	calls           *link.Calls
+	registryServers func() []*fleetpb.Server // the servers by this node's registry; nil: the registry has not reported yet
+	log             *slog.Logger
+	machine         *fleet.Machine // used by the member's goroutine only
+	watch           *watch.Server  // serves the configuration to nodes
+
+	mu            sync.Mutex
+	disk          *agree.Bolt
+	founding      agree.Founding
+	birth         string
+	raftIDs       map[string]uint64 // raft IDs of the voters, by name
+	openBatch     *ackBatch         // batch that still takes acknowledgements; nil: none
+	vitals        vitals.Vitals     // the nodes' health reports, used by the leader only
+	member        *agree.Member     // nil until awaitFounding has succeeded
+	ordersChanged chan struct{}     // closed when orders changes
 	// The following are of the leader only, by node name.
-	heard     map[string]time.Time // last keep-alive
-	lapsing   map[string]uint64    // epochs of the timed-out sessions whose end this leader has proposed
-	dead      map[string][]string  // the servers that the node last reported as dead
+	heardAt        map[string]time.Time // last keep-alive
+	endingSessions map[string]uint64    // epochs of the timed-out sessions whose end this leader has proposed
+	deadReports    map[string][]string  // the servers that the node last reported as dead
 
-	orders atomic.Pointer[orders]
-	least  atomic.Uint32 // highest level of entries that all members understand
+	orders   atomic.Pointer[encodedOrders]
+	minLevel atomic.Uint32 // highest level of entries that all members understand
 }
 
 // encodedOrders is a fleetpb.Orders with its encoded form, which is encoded once for all nodes.
-type orders struct {
+type encodedOrders struct {
 	log     string
 	version uint64
 	raw     []byte
@@ -94,35 +94,35 @@
 
 // raftIDOf returns the raft ID of a voter, from its name and the birth ID of its disk. A voter that lost its disk gets
 // another ID: raft must not take it for the member that voted before.
-func voterID(name, birth string) uint64 {
+func raftIDOf(name, birth string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name + "=" + birth))
 	return max(1, h.Sum64())
 }
 
 // setRaftIDs sets the voters' raft IDs from the birth IDs of their disks.
-func (v *voter) number(births map[string]string) {
+func (v *voter) setRaftIDs(births map[string]string) {
 	ids := map[string]uint64{}
 	for name, birth := range births {
-		ids[name] = voterID(name, birth)
+		ids[name] = raftIDOf(name, birth)
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.ids = ids
+	v.raftIDs = ids
 }
 
 // raftID returns the raft ID of a voter, or 0 if the name is not a voter's.
-func (v *voter) id(name string) uint64 {
+func (v *voter) raftID(name string) uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.ids[name]
+	return v.raftIDs[name]
 }
 
 // voterName returns the name of the voter with a raft ID, or an empty string if there is none.
-func (v *voter) name(id uint64) string {
+func (v *voter) voterName(id uint64) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	for name, n := range v.ids {
+	for name, n := range v.raftIDs {
 		if n == id {
 			return name
 		}
@@ -131,12 +131,12 @@
 }
 
 // newVoter opens the voter's disk.
-func newVoter(c *Config, listed func() []*fleetpb.Server, log *slog.Logger) (*voter, error) {
-	disk, err := agree.OpenBolt(filepath.Join(c.Folder, "log.db"))
+func newVoter(config *Config, registryServers func() []*fleetpb.Server, log *slog.Logger) (*voter, error) {
+	disk, err := agree.OpenBolt(filepath.Join(config.Folder, "log.db"))
 	if err != nil {
 		return nil, err
 	}
-	v := &voter{c: c, listed: listed, log: log, machine: fleet.New(), disk: disk, changed: make(chan struct{}), heard: map[string]time.Time{}, lapsing: map[string]uint64{}, dead: map[string][]string{}}
+	v := &voter{config: config, registryServers: registryServers, log: log, machine: fleet.New(), disk: disk, ordersChanged: make(chan struct{}), heardAt: map[string]time.Time{}, endingSessions: map[string]uint64{}, deadReports: map[string][]string{}}
 	v.birth = disk.Birth()
 	v.watch = v.newWatchServer()
 	if v.founding, err = disk.Founding(); err != nil {
@@ -149,46 +149,46 @@
 // run waits until the voter knows its log, then takes part in it until ctx ends or the disk fails. It closes the disk.
 func (v *voter) run(ctx context.Context) {
 	defer v.disk.Close()
-	if !v.found(ctx) {
+	if !v.awaitFounding(ctx) {
 		return
 	}
-	v.number(v.founding.Voters)
+	v.setRaftIDs(v.founding.Voters)
 	var ids []uint64
 	for name, birth := range v.founding.Voters {
-		ids = append(ids, voterID(name, birth))
+		ids = append(ids, raftIDOf(name, birth))
 	}
 	slices.Sort(ids)
 	if !v.founding.Joined {
-		*v.machine = *fleet.Found(v.founding.Voters)
+		*v.machine = *fleet.NewWithVoters(v.founding.Voters)
 	}
-	core, err := agree.NewCore(agree.Options{ID: voterID(v.c.Name, v.birth), Voters: ids, Join: v.founding.Joined, Disk: v.disk, Machine: machine{v.machine}, Log: v.log})
+	core, err := agree.NewCore(agree.Options{ID: raftIDOf(v.config.Name, v.birth), Voters: ids, Join: v.founding.Joined, Disk: v.disk, Machine: stateMachine{v.machine}, Log: v.log})
 	if err == nil && len(v.machine.State().Voters) > 0 {
-		v.number(v.machine.State().Voters)
+		v.setRaftIDs(v.machine.State().Voters)
 	}
 	if err != nil {
-		v.log.Error("fleet: can't use this voter's log; the node continues without a vote", "folder", v.c.Folder, "err", err)
+		v.log.Error("fleet: can't use this voter's log; the node continues without a vote", "folder", v.config.Folder, "err", err)
 		return
 	}
-	v.least.Store(v.machine.LeastLevel())
-	m := agree.NewMember(core, v.c.Tick, v.send, v.news)
+	v.minLevel.Store(v.machine.MinLevel())
+	member := agree.NewMember(core, v.config.TickInterval, v.send, v.publish)
 	v.mu.Lock()
-	v.member = m
+	v.member = member
 	v.mu.Unlock()
 	var work sync.WaitGroup
-	work.Go(func() { v.duties(ctx, m) })
-	if err := m.Run(ctx); !errors.Is(err, agree.ErrStopped) {
+	work.Go(func() { v.leaderDuties(ctx, member) })
+	if err := member.Run(ctx); !errors.Is(err, agree.ErrStopped) {
 		v.log.Error("fleet: this voter has stopped; the node continues without a vote", "err", err)
 	}
 	work.Wait()
 }
 
 // stateMachine adapts fleet.Machine to the log's interface of a state machine.
-type machine struct{ *fleet.Machine }
+type stateMachine struct{ *fleet.Machine }
 
 // Apply returns the entry's result. It returns an error, which stops the member, for an entry that this version of the
 // program can't apply.
-func (m machine) Apply(entry []byte) any {
-	r, err := m.Follow(entry)
+func (m stateMachine) Apply(entry []byte) any {
+	r, err := m.ApplyChecked(entry)
 	if err != nil {
 		return err
 	}
@@ -198,8 +198,8 @@
 // send posts a raft message to the voter that it is for. It tells the member what became of it, if it failed or carried
 // a snapshot.
 func (v *voter) send(m *raftpb.Message) {
-	to := v.name(m.GetTo())
-	for _, o := range v.c.Voters {
+	to := v.voterName(m.GetTo())
+	for _, o := range v.config.Voters {
 		if o.Name != to {
 			continue
 		}
@@ -207,9 +207,9 @@
 		if err != nil {
 			return
 		}
-		snap := m.GetType() == raftpb.MsgSnap
-		v.calls.Post(v.c.full(o.Name), o.Address, kindRaft, raw, func(err error) {
-			if snap {
+		isSnapshot := m.GetType() == raftpb.MsgSnap
+		v.calls.Post(v.config.fullName(o.Name), o.Address, kindRaft, raw, func(err error) {
+			if isSnapshot {
 				v.member.SnapshotSent(m.GetTo(), err == nil)
 			}
 			if err != nil {
@@ -221,15 +221,15 @@
 
 // transferLeadership transfers the leadership, if this voter has it, to a voter that is connected. It gives up after
 // within.
-func (v *voter) leave(within time.Duration) {
-	m := v.current()
+func (v *voter) transferLeadership(within time.Duration) {
+	m := v.currentMember()
 	if m == nil {
 		return
 	}
-	for end := time.Now().Add(within); m.Status().Leads && time.Now().Before(end); time.Sleep(v.c.Tick / 4) {
-		for _, o := range v.c.Voters {
-			if o.Name != v.c.Name && v.calls.Up(v.c.full(o.Name), o.Address) {
-				m.Transfer(v.id(o.Name))
+	for end := time.Now().Add(within); m.Status().IsLeader && time.Now().Before(end); time.Sleep(v.config.TickInterval / 4) {
+		for _, o := range v.config.Voters {
+			if o.Name != v.config.Name && v.calls.Connected(v.config.fullName(o.Name), o.Address) {
+				m.Transfer(v.raftID(o.Name))
 				break
 			}
 		}
@@ -238,20 +238,20 @@
 
 // handlePost passes a raft message to the member. from is the name in the sender's certificate: a message is dropped
 // unless the sender is the voter whose raft ID the message carries.
-func (v *voter) posted(from string, kind uint64, raw []byte) {
-	m := v.current()
+func (v *voter) handlePost(from string, kind uint64, raw []byte) {
+	m := v.currentMember()
 	if m == nil || kind != kindRaft {
 		return
 	}
 	message := &raftpb.Message{}
-	if proto.Unmarshal(raw, message) != nil || message.GetFrom() != v.id(v.c.short(from)) {
+	if proto.Unmarshal(raw, message) != nil || message.GetFrom() != v.raftID(v.config.shortName(from)) {
 		return
 	}
 	m.Step(message)
 }
 
 // currentMember returns the member, or nil if the voter does not take part yet.
-func (v *voter) current() *agree.Member {
+func (v *voter) currentMember() *agree.Member {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.member
@@ -259,120 +259,120 @@
 
 // publish publishes the machine's state after a change: the minimum level, the voters' IDs, the configuration and the
 // orders. The member's goroutine calls it, which owns the machine.
-func (v *voter) news() {
-	v.least.Store(v.machine.LeastLevel())
+func (v *voter) publish() {
+	v.minLevel.Store(v.machine.MinLevel())
 	// A voter that joins a running log learns the voters from the log.
 	if voters := v.machine.State().Voters; len(voters) > 0 {
-		v.number(voters)
+		v.setRaftIDs(voters)
 	}
 	v.watch.Publish(v.founding.Log, v.machine.Configuration(), v.machine.Sessions())
-	o := v.machine.Orders()
-	o.Log = v.founding.Log
-	if was := v.orders.Load(); was == nil || was.version != o.Version {
-		raw, err := proto.Marshal(o)
+	orders := v.machine.Orders()
+	orders.Log = v.founding.Log
+	if previous := v.orders.Load(); previous == nil || previous.version != orders.Version {
+		raw, err := proto.Marshal(orders)
 		if err != nil {
 			return
 		}
-		v.orders.Store(&orders{o.Log, o.Version, raw})
+		v.orders.Store(&encodedOrders{orders.Log, orders.Version, raw})
 		v.mu.Lock()
-		close(v.changed)
-		v.changed = make(chan struct{})
+		close(v.ordersChanged)
+		v.ordersChanged = make(chan struct{})
 		v.mu.Unlock()
 	}
 }
 
 // handleCall answers a call of another node, or of this one. from is the name in the caller's certificate. It returns
 // the status and the answer.
-func (v *voter) handle(ctx context.Context, from string, kind uint64, raw []byte) (uint64, []byte) {
+func (v *voter) handleCall(ctx context.Context, from string, kind uint64, raw []byte) (uint64, []byte) {
 	if kind == kindFounding {
 		v.mu.Lock()
-		w := foundingWord{Birth: v.birth, Founding: v.founding.Log}
+		info := foundingInfo{Birth: v.birth, Founding: v.founding.Log}
 		v.mu.Unlock()
-		if m := v.current(); m != nil {
-			w.Voters, _ = agree.View(ctx, m, func() (map[string]string, error) { return maps.Clone(v.machine.State().Voters), nil })
+		if member := v.currentMember(); member != nil {
+			info.Voters, _ = agree.View(ctx, member, func() (map[string]string, error) { return maps.Clone(v.machine.State().Voters), nil })
 		}
-		out, _ := json.Marshal(w)
+		out, _ := json.Marshal(info)
 		return statusOK, out
 	}
-	m := v.current()
-	if m == nil {
+	member := v.currentMember()
+	if member == nil {
 		return statusNotLeader, nil
 	}
 	if kind == kindOrders { // a long poll, so without entryTimeout
-		e := &fleetpb.Orders{}
-		if err := proto.Unmarshal(raw, e); err != nil {
-			return statusBad, []byte(err.Error())
+		entry := &fleetpb.Orders{}
+		if err := proto.Unmarshal(raw, entry); err != nil {
+			return statusRejected, []byte(err.Error())
 		}
-		return statusOK, v.ordersBehind(ctx, e)
+		return statusOK, v.awaitOrders(ctx, entry)
 	}
 	if kind == kindWatch { // a long poll, too
-		return v.watchFor(ctx, m, v.c.short(from), raw)
+		return v.handleWatch(ctx, member, v.config.shortName(from), raw)
 	}
-	ctx, cancel := context.WithTimeout(ctx, entryWait)
+	ctx, cancel := context.WithTimeout(ctx, entryTimeout)
 	defer cancel()
 	switch kind {
 	case kindEntry:
-		e := &fleetpb.Entry{}
-		if err := proto.Unmarshal(raw, e); err != nil {
-			return statusBad, []byte(err.Error())
+		entry := &fleetpb.Entry{}
+		if err := proto.Unmarshal(raw, entry); err != nil {
+			return statusRejected, []byte(err.Error())
 		}
-		if err := mayAsk(v.c.short(from), e); err != nil {
-			return statusBad, []byte(err.Error())
+		if err := checkSender(v.config.shortName(from), entry); err != nil {
+			return statusRejected, []byte(err.Error())
 		}
-		if o := e.GetOpen(); o != nil {
-			return v.answer(v.keepAlive(ctx, m, e, o))
+		if o := entry.GetOpen(); o != nil {
+			return v.encodeResult(v.keepSessionAlive(ctx, member, entry, o))
 		}
-		if r := e.GetRenew(); r != nil {
-			return v.answer(v.renew(ctx, m, e, r))
+		if r := entry.GetRenew(); r != nil {
+			return v.encodeResult(v.renewVoter(ctx, member, entry, r))
 		}
-		if w := e.GetStopped(); w != nil {
-			return v.answer(v.gather(ctx, m, w.Acks))
+		if info := entry.GetStopped(); info != nil {
+			return v.encodeResult(v.batchAcks(ctx, member, info.Acks))
 		}
-		if r, err := v.refuseEarly(ctx, m, e); r != nil || err != nil {
-			return v.answer(r, err)
+		if r, err := v.precheckChange(ctx, member, entry); r != nil || err != nil {
+			return v.encodeResult(r, err)
 		}
-		return v.answer(v.propose(ctx, m, e))
+		return v.encodeResult(v.propose(ctx, member, entry))
 	case kindReport:
-		return v.reportFor(raw)
+		return v.handleReport(raw)
 	case kindQuery:
-		return v.query(ctx, m, raw)
+		return v.handleQuery(ctx, member, raw)
 	case kindState:
-		if err := m.Lead(ctx); err != nil {
-			return v.answer(nil, err)
+		if err := member.ConfirmLeadership(ctx); err != nil {
+			return v.encodeResult(nil, err)
 		}
-		state, err := agree.View(ctx, m, v.machine.Overview)
+		state, err := agree.View(ctx, member, v.machine.Overview)
 		if err != nil {
-			return v.answer(nil, err)
+			return v.encodeResult(nil, err)
 		}
 		return statusOK, state
 	}
-	return statusBad, []byte("unknown kind of call")
+	return statusRejected, []byte("unknown kind of call")
 }
 
 // checkSender returns an error if the node may not submit the entry. A node may report its own state only, and must not
 // submit the entries that only the leader writes. Operators' entries are accepted from every node.
-func mayAsk(from string, e *fleetpb.Entry) error {
-	own := func(name string) error {
+func checkSender(from string, e *fleetpb.Entry) error {
+	checkOwn := func(name string) error {
 		if name != from {
 			return fmt.Errorf("%s submitted an entry in the name of %s", from, name)
 		}
 		return nil
 	}
-	switch w := e.What.(type) {
+	switch what := e.What.(type) {
 	case *fleetpb.Entry_Open:
-		return own(w.Open.Node)
+		return checkOwn(what.Open.Node)
 	case *fleetpb.Entry_End:
-		if w.End.Lapsed {
+		if what.End.Lapsed {
 			return errors.New("only the leader may end a session as lapsed")
 		}
-		return own(w.End.Node)
+		return checkOwn(what.End.Node)
 	case *fleetpb.Entry_Leaving:
-		return own(w.Leaving.Node)
+		return checkOwn(what.Leaving.Node)
 	case *fleetpb.Entry_Supervised:
-		return own(w.Supervised.Node)
+		return checkOwn(what.Supervised.Node)
 	case *fleetpb.Entry_Stopped:
-		for _, a := range w.Stopped.Acks {
-			if err := own(a.Node); err != nil {
+		for _, a := range what.Stopped.Acks {
+			if err := checkOwn(a.Node); err != nil {
 				return err
 			}
 		}
@@ -385,20 +385,20 @@
 }
 
 // encodeResult returns a result or an error in the form of an answer to a call.
-func (v *voter) answer(r proto.Message, err error) (uint64, []byte) {
+func (v *voter) encodeResult(r proto.Message, err error) (uint64, []byte) {
 	switch {
 	case errors.Is(err, agree.ErrNotLeader):
 		name := ""
-		if m := v.current(); m != nil {
-			name = v.name(m.Status().Leader)
+		if m := v.currentMember(); m != nil {
+			name = v.voterName(m.Status().Leader)
 		}
 		return statusNotLeader, []byte(name)
 	case err != nil:
-		return statusUnknown, []byte(err.Error())
+		return statusOutcomeUnknown, []byte(err.Error())
 	}
 	raw, err := proto.Marshal(r)
 	if err != nil {
-		return statusUnknown, []byte(err.Error())
+		return statusOutcomeUnknown, []byte(err.Error())
 	}
 	return statusOK, raw
 }
@@ -406,10 +406,10 @@
 // propose appends an entry to the log, with the time of this leader's clock, and returns its result. The entry gets the
 // highest level that all members understand; one that needs a higher level is refused.
 func (v *voter) propose(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
-	least := v.least.Load()
-	e.AtMs, e.Level = time.Now().UnixMilli(), max(fleet.NeededLevel(e), min(least, fleet.Level))
-	if e.Level > least {
-		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf("the entry needs level %d, and some member understands only %d: release this version to all members first", e.Level, least)}, nil
+	minLevel := v.minLevel.Load()
+	e.AtMs, e.Level = time.Now().UnixMilli(), max(fleet.RequiredLevel(e), min(minLevel, fleet.Level))
+	if e.Level > minLevel {
+		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf("the entry needs level %d, and some member understands only %d: release this version to all members first", e.Level, minLevel)}, nil
 	}
 	raw, err := proto.Marshal(e)
 	if err != nil {
@@ -419,32 +419,32 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.(*fleetpb.Result), faultpoint.At(faultpoint.Granted)
+	return r.(*fleetpb.Result), faultpoint.Reached(faultpoint.AfterApply)
 }
 
 // renewVoter admits a voter whose disk is new: it requests the birth ID of the disk from the voter and proposes it.
-func (v *voter) renew(ctx context.Context, m *agree.Member, e *fleetpb.Entry, r *fleetpb.RenewVoter) (*fleetpb.Result, error) {
-	if err := m.Lead(ctx); err != nil {
+func (v *voter) renewVoter(ctx context.Context, m *agree.Member, e *fleetpb.Entry, r *fleetpb.RenewVoter) (*fleetpb.Result, error) {
+	if err := m.ConfirmLeadership(ctx); err != nil {
 		return nil, err
 	}
-	at := slices.IndexFunc(v.c.Voters, func(o Voter) bool { return o.Name == r.Node })
+	index := slices.IndexFunc(v.config.Voters, func(o Voter) bool { return o.Name == r.Node })
 	switch {
-	case at < 0:
+	case index < 0:
 		return &fleetpb.Result{Code: fleetpb.Result_INVALID, Reason: fmt.Sprintf("renew: %s is no voter", r.Node)}, nil
-	case r.Node == v.c.Name:
+	case r.Node == v.config.Name:
 		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: r.Node + " is the leader, so it has not lost its disk"}, nil
 	}
-	w, err := v.askFounding(ctx, v.c.Voters[at])
+	info, err := v.requestFounding(ctx, v.config.Voters[index])
 	if err != nil {
 		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf("renew: %s does not answer; start it with its new disk first: %v", r.Node, err)}, nil
 	}
-	r.Birth = w.Birth
+	r.Birth = info.Birth
 	return v.propose(ctx, m, e)
 }
 
 // ackBatch is a batch of acknowledgements for one entry of the log. All nodes stop sending to a drained target at about
 // the same time, so one entry for each node would be a burst of entries.
-type gathering struct {
+type ackBatch struct {
 	acks   []*fleetpb.Ack
 	done   chan struct{} // closed once result and err are set
 	result *fleetpb.Result
@@ -453,55 +453,55 @@
 
 // batchAcks adds acknowledgements to the open batch and returns the result of the batch's entry. The call that opens a
 // batch waits for ackBatchDelay and then proposes it.
-func (v *voter) gather(ctx context.Context, m *agree.Member, acks []*fleetpb.Ack) (*fleetpb.Result, error) {
+func (v *voter) batchAcks(ctx context.Context, m *agree.Member, acks []*fleetpb.Ack) (*fleetpb.Result, error) {
 	v.mu.Lock()
-	g := v.gathering
-	first := g == nil
+	batch := v.openBatch
+	first := batch == nil
 	if first {
-		g = &gathering{done: make(chan struct{})}
-		v.gathering = g
+		batch = &ackBatch{done: make(chan struct{})}
+		v.openBatch = batch
 	}
-	g.acks = append(g.acks, acks...)
-	if len(g.acks) >= gatherMost {
-		v.gathering = nil
+	batch.acks = append(batch.acks, acks...)
+	if len(batch.acks) >= maxAckBatch {
+		v.openBatch = nil
 	}
 	v.mu.Unlock()
 	if !first {
 		select {
-		case <-g.done:
-			return g.result, g.err
+		case <-batch.done:
+			return batch.result, batch.err
 		case <-ctx.Done():
-			return nil, agree.ErrUnknown
+			return nil, agree.ErrOutcomeUnknown
 		}
 	}
 	// Other calls wait for this batch, so the end of this call must not end it.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), entryTimeout)
 	defer cancel()
-	time.Sleep(gatherFor)
+	time.Sleep(ackBatchDelay)
 	v.mu.Lock()
-	if v.gathering == g {
-		v.gathering = nil
+	if v.openBatch == batch {
+		v.openBatch = nil
 	}
 	v.mu.Unlock()
-	g.result, g.err = v.propose(ctx, m, &fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: g.acks}}})
-	close(g.done)
-	return g.result, g.err
+	batch.result, batch.err = v.propose(ctx, m, &fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: batch.acks}}})
+	close(batch.done)
+	return batch.result, batch.err
 }
 
 // keepSessionAlive opens a node's session with an entry of the log, or records the keep-alive of a live one, which
 // needs no entry. It first confirms that this voter still leads. So a later leader, which counts timeouts from the
 // begin of its own term, counts from a later time than the node does, and can't end the session too early.
-func (v *voter) keepAlive(ctx context.Context, m *agree.Member, e *fleetpb.Entry, o *fleetpb.OpenSession) (*fleetpb.Result, error) {
-	dead, word := o.Dead, &fleetpb.OpenSession{Ends: o.Ends, Resident: o.Resident, Soak: o.Soak}
+func (v *voter) keepSessionAlive(ctx context.Context, m *agree.Member, e *fleetpb.Entry, open *fleetpb.OpenSession) (*fleetpb.Result, error) {
+	dead, report := open.Dead, &fleetpb.OpenSession{Ends: open.Ends, Resident: open.Resident, Soak: open.Soak}
 	// The log gets the leader's conclusions from these, not each node's report.
-	o.Dead, o.Ends, o.Resident, o.Soak = nil, nil, 0, 0
-	if err := m.Lead(ctx); err != nil {
+	open.Dead, open.Ends, open.Resident, open.Soak = nil, nil, 0, 0
+	if err := m.ConfirmLeadership(ctx); err != nil {
 		return nil, err
 	}
 	answer := &fleetpb.Result{Code: fleetpb.Result_DONE}
 	epoch, err := agree.View(ctx, m, func() (uint64, error) {
-		answer.Soak, answer.Tell = vitals.Soak(v.machine.State())
-		if n := v.machine.State().Nodes[o.Node]; n != nil && n.State == fleet.Live && n.Process == o.Process {
+		answer.Soak, answer.Tell = vitals.ActiveSoak(v.machine.State())
+		if n := v.machine.State().Nodes[open.Node]; n != nil && n.State == fleet.Live && n.Process == open.Process {
 			return n.Epoch, nil
 		}
 		return 0, nil
@@ -518,23 +518,23 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.lapsing[o.Node] == epoch {
+	if v.endingSessions[open.Node] == epoch {
 		return &fleetpb.Result{Code: fleetpb.Result_FENCED, Reason: "the session has lapsed"}, nil
 	}
-	v.heard[o.Node], v.dead[o.Node] = time.Now(), dead
-	v.vitals.Tell(o.Node, epoch, word)
+	v.heardAt[open.Node], v.deadReports[open.Node] = time.Now(), dead
+	v.vitals.SetReport(open.Node, epoch, report)
 	answer.Epoch = epoch
 	return answer, nil
 }
 
 // awaitOrders waits up to ordersPollTimeout for orders of a later version than the known ones, or of another log. It
 // returns them encoded, or nil if there were none.
-func (v *voter) ordersBehind(ctx context.Context, known *fleetpb.Orders) []byte {
-	ctx, cancel := context.WithTimeout(ctx, ordersHold)
+func (v *voter) awaitOrders(ctx context.Context, known *fleetpb.Orders) []byte {
+	ctx, cancel := context.WithTimeout(ctx, ordersPollTimeout)
 	defer cancel()
 	for {
 		v.mu.Lock()
-		changed := v.changed
+		changed := v.ordersChanged
 		v.mu.Unlock()
 		if o := v.orders.Load(); o != nil && (o.version > known.Version || o.log != known.Log) {
 			return o.raw
--- a/internal/cross/cross_test.go
+++ b/internal/cross/cross_test.go
@@ -12,14 +12,14 @@
 const ms = time.Millisecond
 
 // newReadyDecider returns a decider for one connected site with a credit.
-func ready(most, credit int) *Decider {
+func newReadyDecider(most, credit int) *Decider {
 	d := New([]string{"b"}, most, 1)
-	d.Link(0, 0, true)
-	d.Credit(0, 0, credit, 2*ms)
+	d.SetLink(0, 0, true)
+	d.SetCredit(0, 0, credit, 2*ms)
 	return d
 }
 
-var safe = Request{Effect: decide.Safe, Left: time.Second}
+var safeRequest = Request{Effect: decide.Safe, TimeLeft: time.Second}
 
 // Guards against hand-offs that could take effect twice: keyed requests, unsafe ones that may have run, those that
 // came from another site; and against those without time for a round trip.
@@ -28,15 +28,15 @@
 		r    Request
 		want int
 	}{
-		"safe":               {safe, 0},
-		"unsafe":             {Request{Effect: decide.Unsafe, Left: time.Second}, 0},
-		"unsafe that ran":    {Request{Effect: decide.Unsafe, Left: time.Second, Ran: true}, -1},
-		"safe that ran":      {Request{Effect: decide.Safe, Left: time.Second, Ran: true}, 0},
-		"keyed":              {Request{Effect: decide.Keyed, Left: time.Second}, -1},
-		"from another site":  {Request{Effect: decide.Safe, Left: time.Second, Came: true}, -1},
-		"no time for a trip": {Request{Effect: decide.Safe, Left: 2 * ms}, -1},
+		"safe":               {safeRequest, 0},
+		"unsafe":             {Request{Effect: decide.Unsafe, TimeLeft: time.Second}, 0},
+		"unsafe that ran":    {Request{Effect: decide.Unsafe, TimeLeft: time.Second, MayHaveRun: true}, -1},
+		"safe that ran":      {Request{Effect: decide.Safe, TimeLeft: time.Second, MayHaveRun: true}, 0},
+		"keyed":              {Request{Effect: decide.Keyed, TimeLeft: time.Second}, -1},
+		"from another site":  {Request{Effect: decide.Safe, TimeLeft: time.Second, HandedOff: true}, -1},
+		"no time for a trip": {Request{Effect: decide.Safe, TimeLeft: 2 * ms}, -1},
 	} {
-		if got := ready(9, 9).Offer(0, c.r); got != c.want {
+		if got := newReadyDecider(9, 9).ChooseSite(0, c.r); got != c.want {
 			t.Errorf("%s: site %d, want %d", name, got, c.want)
 		}
 	}
@@ -44,14 +44,14 @@
 
 // Guards against use of outdated credit: it expires after CreditLifetime, and with the loss of the link.
 func TestCreditLapses(t *testing.T) {
-	d := ready(9, 9)
-	if d.Offer(CreditLife, safe) != 0 || d.Offer(CreditLife+1, safe) != -1 {
+	d := newReadyDecider(9, 9)
+	if d.ChooseSite(CreditLifetime, safeRequest) != 0 || d.ChooseSite(CreditLifetime+1, safeRequest) != -1 {
 		t.Error("credit does not expire after exactly CreditLifetime")
 	}
-	d.Credit(time.Second, 0, 9, 0)
-	d.Link(time.Second, 0, false)
-	d.Link(time.Second, 0, true)
-	if d.Offer(time.Second, safe) != -1 {
+	d.SetCredit(time.Second, 0, 9, 0)
+	d.SetLink(time.Second, 0, false)
+	d.SetLink(time.Second, 0, true)
+	if d.ChooseSite(time.Second, safeRequest) != -1 {
 		t.Error("credit is still used after the link was lost")
 	}
 }
@@ -60,11 +60,11 @@
 func TestOrderOfSites(t *testing.T) {
 	d := New([]string{"b", "c"}, 9, 1)
 	for i := range 2 {
-		d.Link(0, i, true)
-		d.Credit(0, i, 1, 0)
+		d.SetLink(0, i, true)
+		d.SetCredit(0, i, 1, 0)
 	}
 	for _, want := range []int{0, 1, -1} {
-		if got := d.Offer(0, safe); got != want {
+		if got := d.ChooseSite(0, safeRequest); got != want {
 			t.Errorf("site %d, want %d", got, want)
 		}
 	}
@@ -72,26 +72,26 @@
 
 // Guards against hand-offs to a site that keeps failing. Uncertain outcomes open its circuit breaker; trials with one
 // safe request each follow at growing intervals, and the first answer closes the breaker.
-func TestLeftAloneAndTried(t *testing.T) {
-	d := ready(9, 9)
+func TestBreakerOpensAndTries(t *testing.T) {
+	d := newReadyDecider(9, 9)
 	now := time.Duration(0)
-	fresh := func() { d.Credit(now, 0, 9, 2*ms) }
-	for range doubtful {
-		if d.Offer(now, safe) != 0 {
+	renewCredit := func() { d.SetCredit(now, 0, 9, 2*ms) }
+	for range breakerThreshold {
+		if d.ChooseSite(now, safeRequest) != 0 {
 			t.Fatal("the breaker opened too early")
 		}
-		d.Ended(now, 0, Doubt, time.Second)
+		d.HandOffEnded(now, 0, Uncertain, time.Second)
 	}
 	last := time.Duration(0)
 	for round := range 6 {
 		began := now
-		for fresh(); d.Offer(now, safe) < 0; fresh() {
+		for renewCredit(); d.ChooseSite(now, safeRequest) < 0; renewCredit() {
 			now += 10 * ms
-			if now-began > 2*pauseLast {
+			if now-began > 2*maxBreakerWait {
 				t.Fatal("no trial was allowed in time")
 			}
 		}
-		if d.Offer(now, safe) >= 0 || d.Offer(now, Request{Effect: decide.Unsafe, Left: time.Second}) >= 0 {
+		if d.ChooseSite(now, safeRequest) >= 0 || d.ChooseSite(now, Request{Effect: decide.Unsafe, TimeLeft: time.Second}) >= 0 {
 			t.Error("a second hand-off was allowed during a trial")
 		}
 		if pause := now - began; round > 0 && pause < last/4 {
@@ -99,19 +99,19 @@
 		} else {
 			last = pause
 		}
-		d.Ended(now, 0, Unseen, 0)
+		d.HandOffEnded(now, 0, NotReceived, 0)
 	}
-	now += 2 * pauseLast
-	fresh()
-	if d.Offer(now, Request{Effect: decide.Unsafe, Left: time.Second}) >= 0 {
+	now += 2 * maxBreakerWait
+	renewCredit()
+	if d.ChooseSite(now, Request{Effect: decide.Unsafe, TimeLeft: time.Second}) >= 0 {
 		t.Error("an unsafe request was allowed as the trial")
 	}
-	if d.Offer(now, safe) < 0 {
+	if d.ChooseSite(now, safeRequest) < 0 {
 		t.Fatal("no trial was allowed")
 	}
-	d.Ended(now, 0, Served, 10*ms)
+	d.HandOffEnded(now, 0, Served, 10*ms)
 	for range 2 {
-		if d.Offer(now, safe) < 0 {
+		if d.ChooseSite(now, safeRequest) < 0 {
 			t.Error("the breaker is still open after an answer")
 		}
 	}
@@ -130,10 +130,10 @@
 			switch rapid.SampledFrom([]string{"credit", "offer", "offer", "end", "link", "wait"}).Draw(t, "step") {
 			case "credit":
 				credit[i], at[i] = rapid.IntRange(-1, 8).Draw(t, "n"), now
-				d.Credit(now, i, credit[i], 0)
+				d.SetCredit(now, i, credit[i], 0)
 			case "offer":
-				if got := d.Offer(now, safe); got >= 0 {
-					if !up[got] || now-at[got] > CreditLife || out[got] >= min(credit[got], most) {
+				if got := d.ChooseSite(now, safeRequest); got >= 0 {
+					if !up[got] || now-at[got] > CreditLifetime || out[got] >= min(credit[got], most) {
 						t.Fatalf("site %d was chosen: up %v, credit %d, %v old, %d in flight", got, up[got], credit[got], now-at[got], out[got])
 					}
 					out[got]++
@@ -141,17 +141,17 @@
 			case "end":
 				if out[i] > 0 {
 					out[i]--
-					d.Ended(now, i, rapid.SampledFrom([]Outcome{Served, TurnedAway, Unseen, Doubt, Withdrawn}).Draw(t, "outcome"), ms)
+					d.HandOffEnded(now, i, rapid.SampledFrom([]Outcome{Served, Rejected, NotReceived, Uncertain, ClientGone}).Draw(t, "outcome"), ms)
 				}
 			case "link":
 				if up[i] = !up[i]; !up[i] {
 					credit[i] = 0
 				}
-				d.Link(now, i, up[i])
+				d.SetLink(now, i, up[i])
 			case "wait":
 				now += time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * ms
 			}
-			if v := d.Views(now)[i]; v.Out != out[i] || v.Up != up[i] {
+			if v := d.Views(now)[i]; v.InFlight != out[i] || v.Up != up[i] {
 				t.Fatalf("got %+v, want %d in flight", v, out[i])
 			}
 		}
@@ -163,7 +163,7 @@
 	d := New([]string{"b", "c", "d"}, 256, 1)
 	b.ReportAllocs()
 	for b.Loop() {
-		if d.Offer(time.Second, safe) >= 0 {
+		if d.ChooseSite(time.Second, safeRequest) >= 0 {
 			b.Fatal("a disconnected site was chosen")
 		}
 	}
--- a/internal/faultpoint/faultpoint.go
+++ b/internal/faultpoint/faultpoint.go
@@ -13,13 +13,13 @@
 
 // Names of the points.
 const (
-	Save    = "save"    // a voter is about to write to its log
-	Saved   = "saved"   // it has written, and nothing of that is applied, sent or answered yet
-	Granted = "granted" // an entry is committed and applied, and the client has no answer yet
+	BeforeSave = "save"    // a voter is about to write to its log
+	AfterSave  = "saved"   // it has written, and nothing of that is applied, sent or answered yet
+	AfterApply = "granted" // an entry is committed and applied, and the client has no answer yet
 )
 
 // Reached calls Hit for a point. It returns nil if Hit is nil.
-func At(point string) error {
+func Reached(point string) error {
 	if Hit == nil {
 		return nil
 	}
--- a/internal/fleet/budget.go
+++ b/internal/fleet/budget.go
@@ -15,22 +15,22 @@
 // CheckBudgets validates budgets. It returns the index and the field of the first invalid one and the reason, or -1,
 // an empty field and nil.
 func CheckBudgets(list []*fleetpb.Budget) (index int, field string, err error) {
-	if len(list) > mostBudgets {
-		return mostBudgets, "name", fmt.Errorf("%d budgets, %d at most", len(list), mostBudgets)
+	if len(list) > maxBudgets {
+		return maxBudgets, "name", fmt.Errorf("%d budgets, %d at most", len(list), maxBudgets)
 	}
 	seen := map[string]bool{}
 	for i, b := range list {
-		part := func(v float64) bool { return v >= 0 && v <= 1 }
+		isFraction := func(v float64) bool { return v >= 0 && v <= 1 }
 		switch {
-		case b.Name == "" || len(b.Name) > mostText || seen[b.Name]:
+		case b.Name == "" || len(b.Name) > maxTextBytes || seen[b.Name]:
 			return i, "name", fmt.Errorf("want a name of its own, have %.50q", b.Name)
 		case b.On != "servers" && b.On != "nodes":
 			return i, "on", fmt.Errorf("want servers or nodes, have %.50q", b.On)
 		case !slices.Contains([]string{"fleet", "zone", "kind", "cell"}, b.By) || b.On == "nodes" && b.By != "fleet" && b.By != "zone":
 			return i, "by", fmt.Errorf("want fleet or zone, or of servers kind or cell, have %.50q", b.By)
-		case !part(b.MostShare):
+		case !isFraction(b.MostShare):
 			return i, "most_share", fmt.Errorf("want 0 to 1, have %v", b.MostShare)
-		case !part(b.LeastLeft):
+		case !isFraction(b.LeastLeft):
 			return i, "least_left", fmt.Errorf("want 0 to 1, have %v", b.LeastLeft)
 		case !b.Bounded && b.MostShare == 0 && b.LeastLeft == 0:
 			return i, "most_out", fmt.Errorf("want most_out, most_share or least_left: this budget bounds nothing")
@@ -44,39 +44,39 @@
 	if i, field, err := CheckBudgets(s.Budgets); err != nil {
 		return invalid("budget %d: %s: %v", i, field, err)
 	}
-	m.s.Budgets, m.s.BudgetsSet = s.Budgets, true
-	m.log(s.By, "%d budgets set", len(s.Budgets))
-	return done(m.next())
+	m.state.Budgets, m.state.BudgetsSet = s.Budgets, true
+	m.addEvent(s.By, "%d budgets set", len(s.Budgets))
+	return doneResult(m.nextEpoch())
 }
 
 // budgetMember is a server or a node that a budget counts.
-type member struct {
-	name   string
-	weight float64
-	out    string // why it is out of service; empty if it is in service
+type budgetMember struct {
+	name      string
+	weight    float64
+	outReason string // why it is out of service; empty if it is in service
 }
 
 // Group is one group of a budget, with its members that are out of service.
 type Group struct {
-	Budget  *fleetpb.Budget
-	Name    string // "fleet", or the zone, kind or cell
-	Members int
-	Out     []string // members out of service with the reason, "s-1 (drained)", sorted by name
-	Weight  float64  // of all members
-	Left    float64  // weight of the members in service
+	Budget          *fleetpb.Budget
+	Name            string // "fleet", or the zone, kind or cell
+	Members         int
+	Out             []string // members out of service with the reason, "s-1 (drained)", sorted by name
+	TotalWeight     float64  // of all members
+	RemainingWeight float64  // weight of the members in service
 }
 
 // serverOutReason returns why a server is out of service, be it drained or not; empty if it is in service.
-func (m *Machine) outWhy(id string) string {
-	s := m.s.Servers[id]
+func (m *Machine) serverOutReason(id string) string {
+	s := m.state.Servers[id]
 	switch {
-	case m.s.Outs[ServerTarget(id)] != nil:
+	case m.state.Outs[ServerTarget(id)] != nil:
 		return "drained"
-	case m.s.Outs[ZoneTarget(s.Zone)] != nil:
+	case m.state.Outs[ZoneTarget(s.Zone)] != nil:
 		return "drained with its zone"
 	case s.State == Draining:
 		return "draining in the registry"
-	case s.State == Gone:
+	case s.State == Removed:
 		return "gone from the registry"
 	case s.Dead:
 		return "found dead by the nodes"
@@ -85,10 +85,10 @@
 }
 
 // nodeOutReason returns why a node is out of service; empty if it is in service.
-func (m *Machine) nodeWhy(name string) string {
-	n := m.s.Nodes[name]
+func (m *Machine) nodeOutReason(name string) string {
+	n := m.state.Nodes[name]
 	switch {
-	case m.s.Outs[NodeTarget(name)] != nil:
+	case m.state.Outs[NodeTarget(name)] != nil:
 		return "drained"
 	case n.State != Live:
 		return "session " + n.State
@@ -99,13 +99,13 @@
 }
 
 // holdOn returns the hold that keeps a server or a node in service, or nil.
-func (m *Machine) heldBy(on, name string) *fleetpb.Hold {
-	targets := []string{Everything, NodeTarget(name)}
+func (m *Machine) holdOn(on, name string) *fleetpb.Hold {
+	targets := []string{FleetTarget, NodeTarget(name)}
 	if on == "servers" {
-		targets = []string{Everything, ServerTarget(name), ZoneTarget(m.s.Servers[name].Zone)}
+		targets = []string{FleetTarget, ServerTarget(name), ZoneTarget(m.state.Servers[name].Zone)}
 	}
 	for _, t := range targets {
-		if h := m.s.Holds[t]; h != nil {
+		if h := m.state.Holds[t]; h != nil {
 			return h
 		}
 	}
@@ -126,45 +126,45 @@
 
 // groups returns the members of each group of a budget by the group's name. Members in assumedOut count as out of
 // service, with the reason given there.
-func (m *Machine) groups(b *fleetpb.Budget, also map[string]string) map[string][]member {
-	g := map[string][]member{}
-	add := func(group string, n member) {
+func (m *Machine) groups(b *fleetpb.Budget, assumedOut map[string]string) map[string][]budgetMember {
+	groups := map[string][]budgetMember{}
+	add := func(group string, n budgetMember) {
 		if b.Only == "" || group == b.By+" "+b.Only {
-			g[group] = append(g[group], n)
+			groups[group] = append(groups[group], n)
 		}
 	}
 	if b.On == "nodes" {
-		for _, name := range slices.Sorted(maps.Keys(m.s.Nodes)) {
-			why := m.nodeWhy(name)
+		for _, name := range slices.Sorted(maps.Keys(m.state.Nodes)) {
+			why := m.nodeOutReason(name)
 			if why == "" {
-				why = also[name]
+				why = assumedOut[name]
 			}
-			add(groupOf(b, m.s.Nodes[name].Zone, "", 0), member{name, 1, why})
+			add(groupOf(b, m.state.Nodes[name].Zone, "", 0), budgetMember{name, 1, why})
 		}
-		return g
+		return groups
 	}
-	for _, id := range slices.Sorted(maps.Keys(m.s.Servers)) {
-		s, why := m.s.Servers[id], m.outWhy(id)
+	for _, id := range slices.Sorted(maps.Keys(m.state.Servers)) {
+		s, why := m.state.Servers[id], m.serverOutReason(id)
 		if why == "" {
-			why = also[id]
+			why = assumedOut[id]
 		}
 		weight := s.Weight
 		if !(weight > 0) || math.IsInf(weight, 0) {
 			weight = 1
 		}
-		add(groupOf(b, s.Zone, s.Kind, s.Cell), member{id, weight, why})
+		add(groupOf(b, s.Zone, s.Kind, s.Cell), budgetMember{id, weight, why})
 	}
-	return g
+	return groups
 }
 
-func groupFrom(b *fleetpb.Budget, name string, members []member) Group {
+func groupFrom(b *fleetpb.Budget, name string, members []budgetMember) Group {
 	g := Group{Budget: b, Name: name, Members: len(members)}
 	for _, n := range members {
-		g.Weight += n.weight
-		if n.out != "" {
-			g.Out = append(g.Out, n.name+" ("+n.out+")")
+		g.TotalWeight += n.weight
+		if n.outReason != "" {
+			g.Out = append(g.Out, n.name+" ("+n.outReason+")")
 		} else {
-			g.Left += n.weight
+			g.RemainingWeight += n.weight
 		}
 	}
 	return g
@@ -172,7 +172,7 @@
 
 // Groups returns the groups of all budgets, in the order of the budgets and then of the groups' names.
 func (m *Machine) Groups() (all []Group) {
-	for _, b := range m.s.Budgets {
+	for _, b := range m.state.Budgets {
 		g := m.groups(b, nil)
 		for _, name := range slices.Sorted(maps.Keys(g)) {
 			all = append(all, groupFrom(b, name, g[name]))
@@ -182,15 +182,15 @@
 }
 
 // Exceeded describes the limit of the budget that the group exceeds; empty if it exceeds none.
-func (g Group) Over() string {
+func (g Group) Exceeded() string {
 	b, n := g.Budget, len(g.Out)
 	switch {
 	case b.Bounded && n > int(b.MostOut):
 		return fmt.Sprintf("%d of %d out, %d at most", n, g.Members, b.MostOut)
 	case b.MostShare > 0 && n > int(b.MostShare*float64(g.Members)+1e-9):
 		return fmt.Sprintf("%d of %d out, %d at most (%.4g of them)", n, g.Members, int(b.MostShare*float64(g.Members)+1e-9), b.MostShare)
-	case b.LeastLeft > 0 && g.Left < b.LeastLeft*g.Weight-1e-9:
-		return fmt.Sprintf("%.4g of a weight of %.4g left, %.4g at least", g.Left, g.Weight, b.LeastLeft*g.Weight)
+	case b.LeastLeft > 0 && g.RemainingWeight < b.LeastLeft*g.TotalWeight-1e-9:
+		return fmt.Sprintf("%.4g of a weight of %.4g left, %.4g at least", g.RemainingWeight, g.TotalWeight, b.LeastLeft*g.TotalWeight)
 	}
 	return ""
 }
@@ -199,43 +199,43 @@
 // its numbers; empty if it may. The targets in ahead, for which earlier drains wait in the queue, count as out in the
 // groups that they share with the target, so that a later drain does not overtake them. Members that are out already
 // use no budget.
-func (m *Machine) mayGo(target string, ahead []string) string {
-	on, names, err := m.members(target)
+func (m *Machine) denialReason(target string, ahead []string) string {
+	kind, names, err := m.targetMembers(target)
 	if err != nil {
 		return err.Error()
 	}
-	also := map[string]string{}
+	assumedOut := map[string]string{}
 	for _, t := range ahead {
-		if o, waiting, err := m.members(t); err == nil && o == on {
+		if memberKind, waiting, err := m.targetMembers(t); err == nil && memberKind == kind {
 			for _, name := range waiting {
-				also[name] = "waits before it"
+				assumedOut[name] = "waits before it"
 			}
 		}
 	}
-	newly := false
+	takesOut := false
 	for _, name := range names {
-		if on == "servers" && m.outWhy(name) != "" || on == "nodes" && m.nodeWhy(name) != "" {
+		if kind == "servers" && m.serverOutReason(name) != "" || kind == "nodes" && m.nodeOutReason(name) != "" {
 			continue
 		}
-		if h := m.heldBy(on, name); h != nil {
+		if h := m.holdOn(kind, name); h != nil {
 			return fmt.Sprintf("%s is held by %s: %s", h.Target, h.By, h.Why)
 		}
-		also[name], newly = "asked for", true
+		assumedOut[name], takesOut = "asked for", true
 	}
-	if !newly {
+	if !takesOut {
 		return ""
 	}
-	for _, b := range m.s.Budgets {
-		if b.On != on {
+	for _, b := range m.state.Budgets {
+		if b.On != kind {
 			continue
 		}
-		g := m.groups(b, also)
-		for _, name := range slices.Sorted(maps.Keys(g)) {
-			if !slices.ContainsFunc(g[name], func(x member) bool { return x.out == "asked for" }) {
+		groups := m.groups(b, assumedOut)
+		for _, name := range slices.Sorted(maps.Keys(groups)) {
+			if !slices.ContainsFunc(groups[name], func(x budgetMember) bool { return x.outReason == "asked for" }) {
 				continue
 			}
-			if one := groupFrom(b, name, g[name]); one.Over() != "" {
-				return fmt.Sprintf("budget %s, %s: %s: %s", b.Name, name, one.Over(), strings.Join(one.Out, ", "))
+			if group := groupFrom(b, name, groups[name]); group.Exceeded() != "" {
+				return fmt.Sprintf("budget %s, %s: %s: %s", b.Name, name, group.Exceeded(), strings.Join(group.Out, ", "))
 			}
 		}
 	}
@@ -244,18 +244,18 @@
 
 // Explain returns the result that a drain would have now, and does not change the state.
 func (m *Machine) Explain(d *fleetpb.Drain) *fleetpb.Result {
-	return m.try(func(trial *Machine) *fleetpb.Result { return trial.drain(proto.CloneOf(d), "") })
+	return m.dryRun(func(trial *Machine) *fleetpb.Result { return trial.drain(proto.CloneOf(d), "") })
 }
 
 // dryRun runs a function on a copy of the machine.
-func (m *Machine) try(do func(*Machine) *fleetpb.Result) *fleetpb.Result {
+func (m *Machine) dryRun(do func(*Machine) *fleetpb.Result) *fleetpb.Result {
 	raw, err := m.Snapshot()
 	if err != nil {
 		return invalid("%v", err)
 	}
-	trial := New()
-	if err := trial.Restore(raw); err != nil {
+	copied := New()
+	if err := copied.Restore(raw); err != nil {
 		return invalid("%v", err)
 	}
-	return do(trial)
+	return do(copied)
 }
--- a/internal/fleet/configuration.go
+++ b/internal/fleet/configuration.go
@@ -12,7 +12,7 @@
 
 // RequiredLevel returns the level that an entry needs: it must not be appended while a member understands only lower
 // ones.
-func NeededLevel(e *fleetpb.Entry) uint32 {
+func RequiredLevel(e *fleetpb.Entry) uint32 {
 	switch e.GetWhat().(type) {
 	case *fleetpb.Entry_Configure, *fleetpb.Entry_RollBack:
 		return levelConfiguration
@@ -24,14 +24,14 @@
 func (m *Machine) Configuration() *configuration.Store { return m.configuration }
 
 // HasResult reports whether the result of the request with that ID is kept.
-func (m *Machine) WasAnswered(ask string) bool {
-	return ask != "" && slices.ContainsFunc(m.s.Answered, func(a *fleetpb.Answered) bool { return a.Ask == ask })
+func (m *Machine) HasResult(ask string) bool {
+	return ask != "" && slices.ContainsFunc(m.state.Answered, func(a *fleetpb.Answered) bool { return a.Ask == ask })
 }
 
 // Sessions returns the epochs of the live sessions by node name.
 func (m *Machine) Sessions() map[string]uint64 {
-	sessions := make(map[string]uint64, len(m.s.Nodes))
-	for name, n := range m.s.Nodes {
+	sessions := make(map[string]uint64, len(m.state.Nodes))
+	for name, n := range m.state.Nodes {
 		if n.State == Live {
 			sessions[name] = n.Epoch
 		}
@@ -41,24 +41,24 @@
 
 // Overview returns the encoded state without the configuration, for operators.
 func (m *Machine) Overview() ([]byte, error) {
-	return proto.MarshalOptions{Deterministic: true}.Marshal(m.s)
+	return proto.MarshalOptions{Deterministic: true}.Marshal(m.state)
 }
 
 // configure applies a transaction to the configuration. At a level below levelConfiguration it gives the result that
 // a program of that level gives, which does not know the entry.
 func (m *Machine) configure(tx *configpb.Transaction) *fleetpb.Result {
-	if m.s.Level < levelConfiguration {
+	if m.state.Level < levelConfiguration {
 		return unknownEntry()
 	}
-	return ConfigurationResult(m.configuration.Commit(m.s.NowMs, tx))
+	return ConfigurationResult(m.configuration.Commit(m.state.NowMs, tx))
 }
 
 // rollBack restores an earlier revision of the configuration. Below levelConfiguration it does as configure does.
 func (m *Machine) rollBack(r *configpb.Rollback) *fleetpb.Result {
-	if m.s.Level < levelConfiguration {
+	if m.state.Level < levelConfiguration {
 		return unknownEntry()
 	}
-	return ConfigurationResult(m.configuration.Rollback(m.s.NowMs, r))
+	return ConfigurationResult(m.configuration.Rollback(m.state.NowMs, r))
 }
 
 // ConfigurationResult turns the outcome of a configuration change into the result for the client that requested it.
@@ -75,11 +75,11 @@
 
 // fullState returns the state with the configuration, for a snapshot of the log. It shares memory with the
 // configuration.
-func (m *Machine) withConfiguration() *fleetpb.State {
+func (m *Machine) fullState() *fleetpb.State {
 	if m.configuration.Revision() == 0 {
-		return m.s
+		return m.state
 	}
-	whole := proto.CloneOf(m.s)
+	whole := proto.CloneOf(m.state)
 	whole.Configuration = m.configuration.State()
 	return whole
 }
--- a/internal/fleet/configuration_test.go
+++ b/internal/fleet/configuration_test.go
@@ -17,7 +17,7 @@
 }
 
 // configure applies a transaction as an entry of a level.
-func (w *world) configure(level uint32, ask string, tx *configpb.Transaction) *fleetpb.Result {
+func (w *harness) configure(level uint32, ask string, tx *configpb.Transaction) *fleetpb.Result {
 	raw, err := proto.Marshal(&fleetpb.Entry{Level: level, AtMs: w.now, Ask: ask,
 		What: &fleetpb.Entry_Configure{Configure: tx}})
 	if err != nil {
@@ -38,10 +38,10 @@
 // Guards against configuration changes that are missing in a snapshot of the log, that appear in the overview for
 // operators, or that take effect twice when a request is repeated under its ID. A rollback counts as a change.
 func TestConfigurationInTheState(t *testing.T) {
-	w := &world{Machine: New(), now: 1000}
+	w := &harness{Machine: New(), now: 1000}
 	for _, timeout := range []uint32{1, 2} {
 		r := w.configure(Level, "a", putService("pay", timeout))
-		if r.Code != fleetpb.Result_DONE || r.Configuration.Revision != 1 || !w.WasAnswered("a") {
+		if r.Code != fleetpb.Result_DONE || r.Configuration.Revision != 1 || !w.HasResult("a") {
 			t.Errorf("request with timeout %d: %v", timeout, r)
 		}
 	}
@@ -74,7 +74,7 @@
 // Guards against a refused change that has no reason, the wrong result code, or takes effect. The refused changes are
 // one with a stale condition and one with an invalid value.
 func TestConfigurationRefused(t *testing.T) {
-	w := &world{Machine: New(), now: 1000}
+	w := &harness{Machine: New(), now: 1000}
 	w.configure(Level, "", putService("pay", 1))
 	stale := putService("pay", 2)
 	stale.Conditions = []*configpb.Condition{{Key: "service/pay", Revision: 7}}
@@ -95,23 +95,23 @@
 // configuration entries, they need a level above the minimum. One that is in the log nevertheless, at a lower level,
 // must change nothing and give the same snapshot as on a member that does not know it.
 func TestConfigurationNeedsLevel(t *testing.T) {
-	w := &world{Machine: New(), now: 1000}
-	w.say("", &fleetpb.OpenSession{Node: "old", Process: "p", Voter: true, Level: levelWaves})
+	w := &harness{Machine: New(), now: 1000}
+	w.apply("", &fleetpb.OpenSession{Node: "old", Process: "p", Voter: true, Level: levelWaves})
 	entry := &fleetpb.Entry{What: &fleetpb.Entry_Configure{Configure: putService("pay", 1)}}
 	rollBack := &fleetpb.Entry{What: &fleetpb.Entry_RollBack{RollBack: &configpb.Rollback{}}}
-	if least := w.LeastLevel(); NeededLevel(entry) <= least || NeededLevel(rollBack) <= least {
+	if least := w.MinLevel(); RequiredLevel(entry) <= least || RequiredLevel(rollBack) <= least {
 		t.Errorf("least level %d", least)
 	}
-	if NeededLevel(&fleetpb.Entry{What: &fleetpb.Entry_Clock{}}) != levelFirst {
+	if RequiredLevel(&fleetpb.Entry{What: &fleetpb.Entry_Clock{}}) != levelFirst {
 		t.Error("an entry of the first level needs a higher one")
 	}
-	young := &world{Machine: New(), now: 1000}
-	young.configure(levelWaves, "a", putService("pay", 1))
-	old := &world{Machine: New(), now: 1000}
+	newer := &harness{Machine: New(), now: 1000}
+	newer.configure(levelWaves, "a", putService("pay", 1))
+	older := &harness{Machine: New(), now: 1000}
 	// An older program decodes the entry without the field that it does not know.
 	raw, _ := proto.Marshal(&fleetpb.Entry{Level: levelWaves, AtMs: 1000, Ask: "a"})
-	old.Apply(raw)
-	if !bytes.Equal(bytesOf(t, young.Machine), bytesOf(t, old.Machine)) {
+	older.Apply(raw)
+	if !bytes.Equal(bytesOf(t, newer.Machine), bytesOf(t, older.Machine)) {
 		t.Error("members of two program versions have different states")
 	}
 }
@@ -119,7 +119,7 @@
 // Guards against a snapshot with a damaged configuration (a revision that can't be) that is accepted or changes the
 // state.
 func TestDamagedConfiguration(t *testing.T) {
-	w, other := &world{Machine: New(), now: 1000}, &world{Machine: New(), now: 1000}
+	w, other := &harness{Machine: New(), now: 1000}, &harness{Machine: New(), now: 1000}
 	w.configure(Level, "", putService("pay", 1))
 	other.configure(Level, "", putService("cart", 1))
 	state := &fleetpb.State{}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -32,14 +32,14 @@
 
 // Limits that bound the size of the state.
 const (
-	mostHistory  = 500
-	mostAnswered = 1000 // results that are kept to answer a repeated request
-	mostQueue    = 100
-	mostServers  = 20_000
-	mostNodes    = 4_000
-	mostBudgets  = 100
-	mostText     = 200            // bytes of a name or a reason
-	goneKept     = 15 * 60 * 1000 // ms that a server stays in the state after its removal from the registry
+	maxHistory    = 500
+	maxResults    = 1000 // results that are kept to answer a repeated request
+	maxQueue      = 100
+	maxServers    = 20_000
+	maxNodes      = 4_000
+	maxBudgets    = 100
+	maxTextBytes  = 200            // bytes of a name or a reason
+	removedKeptMs = 15 * 60 * 1000 // ms that a server stays in the state after its removal from the registry
 )
 
 // States of a node's session (Live, Lapsed, Ended) and of a server in the registry (Ready, Draining, Removed).
@@ -49,11 +49,11 @@
 	Ended    = "ended"
 	Ready    = "ready"
 	Draining = "draining"
-	Gone     = "gone"
+	Removed  = "gone"
 )
 
 // FleetTarget is the target of a hold that keeps every server and node in service.
-const Everything = "fleet"
+const FleetTarget = "fleet"
 
 // ServerTarget returns the name of a server as the target of a drain or a hold.
 func ServerTarget(id string) string { return "server/" + id }
@@ -66,24 +66,24 @@
 
 // Machine is the replicated state machine. It is not safe for concurrent use.
 type Machine struct {
-	s             *fleetpb.State // without the configuration
+	state         *fleetpb.State // without the configuration
 	configuration *configuration.Store
 }
 
 // New returns a machine with an empty state.
 func New() *Machine {
-	return &Machine{s: fill(&fleetpb.State{Level: levelFirst}), configuration: configuration.New()}
+	return &Machine{state: initMaps(&fleetpb.State{Level: levelFirst}), configuration: configuration.New()}
 }
 
 // NewWithVoters returns the machine that a new log begins with. voters has the disk ID (agree.Bolt.Birth) of each
 // voter by the voter's name.
-func Found(voters map[string]string) *Machine {
+func NewWithVoters(voters map[string]string) *Machine {
 	m := New()
-	m.s.Voters = maps.Clone(voters)
+	m.state.Voters = maps.Clone(voters)
 	return m
 }
 
-func fill(s *fleetpb.State) *fleetpb.State {
+func initMaps(s *fleetpb.State) *fleetpb.State {
 	if s.Servers == nil {
 		s.Servers = map[string]*fleetpb.Server{}
 	}
@@ -103,11 +103,11 @@
 }
 
 // State returns the state without the configuration. The caller must not modify it.
-func (m *Machine) State() *fleetpb.State { return m.s }
+func (m *Machine) State() *fleetpb.State { return m.state }
 
 // Snapshot returns the encoded state, including the configuration. Equal states have equal bytes.
 func (m *Machine) Snapshot() ([]byte, error) {
-	return proto.MarshalOptions{Deterministic: true}.Marshal(m.withConfiguration())
+	return proto.MarshalOptions{Deterministic: true}.Marshal(m.fullState())
 }
 
 // Restore replaces the state by that of a snapshot. After an error the state is unchanged.
@@ -123,15 +123,15 @@
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	m.s, m.configuration = fill(s), c
+	m.state, m.configuration = initMaps(s), c
 	return nil
 }
 
 // MinLevel returns the highest level that all members understand: nodes with a live session, and all voters, also those
 // without a session. Entries of a higher level must not be appended.
-func (m *Machine) LeastLevel() uint32 {
+func (m *Machine) MinLevel() uint32 {
 	least := uint32(Level)
-	for _, n := range m.s.Nodes {
+	for _, n := range m.state.Nodes {
 		if (n.State == Live || n.Voter) && n.Level < least {
 			least = n.Level
 		}
@@ -142,7 +142,7 @@
 // Apply applies one encoded log entry and returns its result for the client that requested it. An entry that can't be
 // decoded changes nothing, on every member alike.
 func (m *Machine) Apply(raw []byte) *fleetpb.Result {
-	r, err := m.Follow(raw)
+	r, err := m.ApplyChecked(raw)
 	if err != nil {
 		return invalid("%v", err)
 	}
@@ -151,7 +151,7 @@
 
 // ApplyChecked is Apply for a member of the log. It returns an error for an entry of a level that this program does not
 // implement. The member must stop then, since its state would differ from that of the others.
-func (m *Machine) Follow(raw []byte) (*fleetpb.Result, error) {
+func (m *Machine) ApplyChecked(raw []byte) (*fleetpb.Result, error) {
 	e := &fleetpb.Entry{}
 	if err := proto.Unmarshal(raw, e); err != nil {
 		return invalid("entry: %v", err), nil
@@ -159,79 +159,79 @@
 	if e.Level > Level {
 		return nil, fmt.Errorf("an entry of level %d, this program understands %d: start a program at least as new as the others", e.Level, Level)
 	}
-	return m.follow(e), nil
+	return m.applyEntry(e), nil
 }
 
-func (m *Machine) follow(e *fleetpb.Entry) *fleetpb.Result {
-	if e.AtMs > m.s.NowMs {
-		m.s.NowMs = e.AtMs
+func (m *Machine) applyEntry(e *fleetpb.Entry) *fleetpb.Result {
+	if e.AtMs > m.state.NowMs {
+		m.state.NowMs = e.AtMs
 	}
 	if e.Ask != "" {
-		for _, a := range m.s.Answered {
+		for _, a := range m.state.Answered {
 			if a.Ask == e.Ask {
-				return m.again(a)
+				return m.repeatedResult(a)
 			}
 		}
 	}
-	if e.Level > m.s.Level {
-		m.s.Level = e.Level
-		m.log("agreement", "all members understand level %d: its rules hold from here on", e.Level)
+	if e.Level > m.state.Level {
+		m.state.Level = e.Level
+		m.addEvent("agreement", "all members understand level %d: its rules hold from here on", e.Level)
 	}
-	r := m.take(e)
-	m.settle()
+	r := m.dispatch(e)
+	m.applyConsequences()
 	if e.Ask != "" {
 		a := &fleetpb.Answered{Ask: e.Ask, Result: r}
 		if d := e.GetDrain(); d != nil && r.Code == fleetpb.Result_QUEUED {
 			a.Target = d.Target
-			r = m.again(a) // settling may have granted it
+			r = m.repeatedResult(a) // settling may have granted it
 		}
-		m.s.Answered = last(append(m.s.Answered, a), mostAnswered)
+		m.state.Answered = lastN(append(m.state.Answered, a), maxResults)
 	}
 	return r
 }
 
-func (m *Machine) take(e *fleetpb.Entry) *fleetpb.Result {
+func (m *Machine) dispatch(e *fleetpb.Entry) *fleetpb.Result {
 	switch w := e.What.(type) {
 	case *fleetpb.Entry_Budgets:
 		return m.setBudgets(w.Budgets)
 	case *fleetpb.Entry_Open:
-		return m.open(w.Open)
+		return m.openSession(w.Open)
 	case *fleetpb.Entry_End:
-		return m.end(w.End)
+		return m.endSession(w.End)
 	case *fleetpb.Entry_Leaving:
-		return m.leaving(w.Leaving)
+		return m.setLeaving(w.Leaving)
 	case *fleetpb.Entry_Listed:
-		return m.listed(w.Listed)
+		return m.updateServers(w.Listed)
 	case *fleetpb.Entry_Drain:
 		return m.drain(w.Drain, e.Ask)
 	case *fleetpb.Entry_Return:
-		return m.giveBack(w.Return)
+		return m.returnTarget(w.Return)
 	case *fleetpb.Entry_Stopped:
-		return m.stopped(w.Stopped)
+		return m.recordAcks(w.Stopped)
 	case *fleetpb.Entry_Withdraw:
 		return m.withdraw(w.Withdraw)
 	case *fleetpb.Entry_Forget:
 		return m.forget(w.Forget)
 	case *fleetpb.Entry_Hold:
-		return m.hold(w.Hold)
+		return m.setHold(w.Hold)
 	case *fleetpb.Entry_Observed:
-		return m.observed(w.Observed)
+		return m.setDeadServers(w.Observed)
 	case *fleetpb.Entry_Renew:
-		return m.renew(w.Renew)
+		return m.renewVoter(w.Renew)
 	case *fleetpb.Entry_Plan:
-		return m.plan(w.Plan)
+		return m.startRelease(w.Plan)
 	case *fleetpb.Entry_Steer:
 		return m.steer(w.Steer)
 	case *fleetpb.Entry_Supervised:
-		return m.supervised(w.Supervised)
+		return m.updateUnit(w.Supervised)
 	case *fleetpb.Entry_Judged:
-		return m.judged(w.Judged)
+		return m.setWaveHealth(w.Judged)
 	case *fleetpb.Entry_Configure:
 		return m.configure(w.Configure)
 	case *fleetpb.Entry_RollBack:
 		return m.rollBack(w.RollBack)
 	case *fleetpb.Entry_Clock:
-		return done(m.s.Epoch)
+		return doneResult(m.state.Epoch)
 	}
 	return unknownEntry()
 }
@@ -240,22 +240,22 @@
 
 // repeatedResult returns the result of a request that was applied before. For a drain that was queued at that time it
 // is the present outcome: still queued, granted, or not granted.
-func (m *Machine) again(a *fleetpb.Answered) *fleetpb.Result {
+func (m *Machine) repeatedResult(a *fleetpb.Answered) *fleetpb.Result {
 	if a.Target == "" {
 		return a.Result
 	}
-	for i, w := range m.s.Queue {
+	for i, w := range m.state.Queue {
 		if w.Ask == a.Ask {
 			return &fleetpb.Result{Code: fleetpb.Result_QUEUED, Reason: w.Reason, Place: uint32(i + 1)}
 		}
 	}
-	if o := m.s.Outs[a.Target]; o != nil {
-		return done(o.Epoch)
+	if o := m.state.Outs[a.Target]; o != nil {
+		return doneResult(o.Epoch)
 	}
 	return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: a.Target + " waited in vain, was withdrawn, or is back already: see the history"}
 }
 
-func done(epoch uint64) *fleetpb.Result {
+func doneResult(epoch uint64) *fleetpb.Result {
 	return &fleetpb.Result{Code: fleetpb.Result_DONE, Epoch: epoch}
 }
 
@@ -263,8 +263,8 @@
 	return &fleetpb.Result{Code: fleetpb.Result_INVALID, Reason: fmt.Sprintf(format, args...)}
 }
 
-// lastN returns the last n elements of a list, or all of it if it is shorter.
-func last[T any](list []T, n int) []T {
+// lastN returns the lastN n elements of a list, or all of it if it is shorter.
+func lastN[T any](list []T, n int) []T {
 	if len(list) <= n {
 		return list
 	}
@@ -272,19 +272,19 @@
 }
 
 // addEvent appends an event to the history.
-func (m *Machine) log(by, format string, args ...any) {
-	m.s.History = last(append(m.s.History, &fleetpb.Event{AtMs: m.s.NowMs, Epoch: m.s.Epoch, By: by, What: fmt.Sprintf(format, args...)}), mostHistory)
+func (m *Machine) addEvent(by, format string, args ...any) {
+	m.state.History = lastN(append(m.state.History, &fleetpb.Event{AtMs: m.state.NowMs, Epoch: m.state.Epoch, By: by, What: fmt.Sprintf(format, args...)}), maxHistory)
 }
 
-func (m *Machine) next() uint64 {
-	m.s.Epoch++
-	return m.s.Epoch
+func (m *Machine) nextEpoch() uint64 {
+	m.state.Epoch++
+	return m.state.Epoch
 }
 
-func text(parts ...string) error {
+func checkText(parts ...string) error {
 	for _, p := range parts {
-		if len(p) > mostText {
-			return fmt.Errorf("a name or a reason of %d bytes, %d at most", len(p), mostText)
+		if len(p) > maxTextBytes {
+			return fmt.Errorf("a name or a reason of %d bytes, %d at most", len(p), maxTextBytes)
 		}
 	}
 	return nil
@@ -292,148 +292,148 @@
 
 // openSession begins a session for a node's process. The drain confirmations of an earlier process of that node are
 // dropped.
-func (m *Machine) open(o *fleetpb.OpenSession) *fleetpb.Result {
-	if err := text(o.Node, o.Zone, o.Process); err != nil || o.Node == "" {
+func (m *Machine) openSession(o *fleetpb.OpenSession) *fleetpb.Result {
+	if err := checkText(o.Node, o.Zone, o.Process); err != nil || o.Node == "" {
 		return invalid("session: node %.50q: %v", o.Node, err)
 	}
-	was := m.s.Nodes[o.Node]
-	if was == nil && len(m.s.Nodes) >= mostNodes {
-		return invalid("session: %d nodes are known already; forget those that are no more", len(m.s.Nodes))
+	previous := m.state.Nodes[o.Node]
+	if previous == nil && len(m.state.Nodes) >= maxNodes {
+		return invalid("session: %d nodes are known already; forget those that are no more", len(m.state.Nodes))
 	}
-	if was != nil && was.State == Live && was.Process == o.Process {
-		return done(was.Epoch)
+	if previous != nil && previous.State == Live && previous.Process == o.Process {
+		return doneResult(previous.Epoch)
 	}
-	epoch := m.next()
-	m.s.Nodes[o.Node] = &fleetpb.Node{Name: o.Node, Zone: o.Zone, Process: o.Process, Epoch: epoch, Level: o.Level, Voter: o.Voter, State: Live, SinceMs: m.s.NowMs}
-	for _, out := range m.s.Outs {
+	epoch := m.nextEpoch()
+	m.state.Nodes[o.Node] = &fleetpb.Node{Name: o.Node, Zone: o.Zone, Process: o.Process, Epoch: epoch, Level: o.Level, Voter: o.Voter, State: Live, SinceMs: m.state.NowMs}
+	for _, out := range m.state.Outs {
 		delete(out.Heard, o.Node)
 	}
-	m.log(o.Node, "session %d of %s opened", epoch, o.Node)
-	return done(epoch)
+	m.addEvent(o.Node, "session %d of %s opened", epoch, o.Node)
+	return doneResult(epoch)
 }
 
-// liveSession returns the node if its session has that epoch and is live. Else it returns the FENCED result for the
+// liveSession returns the node if its session has that epoch and is liveSession. Else it returns the FENCED result for the
 // caller.
-func (m *Machine) live(node string, epoch uint64) (*fleetpb.Node, *fleetpb.Result) {
-	n := m.s.Nodes[node]
+func (m *Machine) liveSession(node string, epoch uint64) (*fleetpb.Node, *fleetpb.Result) {
+	n := m.state.Nodes[node]
 	if n == nil || n.Epoch != epoch || n.State != Live {
 		return nil, &fleetpb.Result{Code: fleetpb.Result_FENCED, Reason: fmt.Sprintf("session %d of %s is over", epoch, node)}
 	}
 	return n, nil
 }
 
-func (m *Machine) leaving(l *fleetpb.Leaving) *fleetpb.Result {
-	n, over := m.live(l.Node, l.Epoch)
-	if over != nil {
-		return over
+func (m *Machine) setLeaving(l *fleetpb.Leaving) *fleetpb.Result {
+	n, ended := m.liveSession(l.Node, l.Epoch)
+	if ended != nil {
+		return ended
 	}
 	if !n.Leaving {
 		n.Leaving = true
-		m.log(l.Node, "%s is leaving", l.Node)
+		m.addEvent(l.Node, "%s is leaving", l.Node)
 	}
-	return done(l.Epoch)
+	return doneResult(l.Epoch)
 }
 
-func (m *Machine) end(e *fleetpb.EndSession) *fleetpb.Result {
-	n, over := m.live(e.Node, e.Epoch)
-	if over != nil {
-		return over
+func (m *Machine) endSession(e *fleetpb.EndSession) *fleetpb.Result {
+	n, ended := m.liveSession(e.Node, e.Epoch)
+	if ended != nil {
+		return ended
 	}
-	n.State, n.SinceMs = Ended, m.s.NowMs
+	n.State, n.SinceMs = Ended, m.state.NowMs
 	if e.Lapsed {
 		n.State = Lapsed
 	}
-	m.log(e.Node, "session %d of %s %s", e.Epoch, e.Node, n.State)
-	return done(e.Epoch)
+	m.addEvent(e.Node, "session %d of %s %s", e.Epoch, e.Node, n.State)
+	return doneResult(e.Epoch)
 }
 
 // updateServers applies the registry's entries of servers. Entries with an unknown state or a text that is too long are
 // skipped, and so are new servers above the limit.
-func (m *Machine) listed(l *fleetpb.Listed) *fleetpb.Result {
+func (m *Machine) updateServers(l *fleetpb.Listed) *fleetpb.Result {
 	for _, s := range l.Servers {
-		if text(s.Id, s.Zone, s.Kind, s.State) != nil || s.Id == "" || s.State != Ready && s.State != Draining && s.State != Gone {
+		if checkText(s.Id, s.Zone, s.Kind, s.State) != nil || s.Id == "" || s.State != Ready && s.State != Draining && s.State != Removed {
 			continue
 		}
-		was := m.s.Servers[s.Id]
-		if was == nil && (s.State == Gone || len(m.s.Servers) >= mostServers) {
+		previous := m.state.Servers[s.Id]
+		if previous == nil && (s.State == Removed || len(m.state.Servers) >= maxServers) {
 			continue
 		}
-		now := proto.CloneOf(s)
-		now.SinceMs = m.s.NowMs
-		if was != nil {
-			now.Dead = was.Dead
-			if was.State == s.State {
-				now.SinceMs = was.SinceMs
+		updated := proto.CloneOf(s)
+		updated.SinceMs = m.state.NowMs
+		if previous != nil {
+			updated.Dead = previous.Dead
+			if previous.State == s.State {
+				updated.SinceMs = previous.SinceMs
 			}
-			if s.State == Gone { // it keeps the attributes that it had
-				now.Zone, now.Kind, now.Cell, now.Weight = was.Zone, was.Kind, was.Cell, was.Weight
+			if s.State == Removed { // it keeps the attributes that it had
+				updated.Zone, updated.Kind, updated.Cell, updated.Weight = previous.Zone, previous.Kind, previous.Cell, previous.Weight
 			}
 		}
-		m.s.Servers[s.Id] = now
+		m.state.Servers[s.Id] = updated
 	}
-	return done(m.s.Epoch)
+	return doneResult(m.state.Epoch)
 }
 
 // setDeadServers marks the servers that the nodes find dead, and clears the mark of all others.
-func (m *Machine) observed(o *fleetpb.Observed) *fleetpb.Result {
-	for _, id := range slices.Sorted(maps.Keys(m.s.Servers)) {
-		s := m.s.Servers[id]
+func (m *Machine) setDeadServers(o *fleetpb.Observed) *fleetpb.Result {
+	for _, id := range slices.Sorted(maps.Keys(m.state.Servers)) {
+		s := m.state.Servers[id]
 		if dead := slices.Contains(o.Dead, id); dead != s.Dead {
 			s.Dead = dead
 			word := "dead"
 			if !dead {
 				word = "alive again"
 			}
-			m.log("nodes", "server %s found %s by the nodes", id, word)
+			m.addEvent("nodes", "server %s found %s by the nodes", id, word)
 		}
 	}
-	return done(m.s.Epoch)
+	return doneResult(m.state.Epoch)
 }
 
 // setHold places a hold, which keeps a target in service, or lifts it.
-func (m *Machine) hold(h *fleetpb.Hold) *fleetpb.Result {
-	if err := text(h.Target, h.By, h.Why); err != nil {
+func (m *Machine) setHold(h *fleetpb.Hold) *fleetpb.Result {
+	if err := checkText(h.Target, h.By, h.Why); err != nil {
 		return invalid("hold: %v", err)
 	}
 	if h.Lift {
-		if m.s.Holds[h.Target] == nil {
+		if m.state.Holds[h.Target] == nil {
 			return invalid("hold: %s is not held", h.Target)
 		}
-		delete(m.s.Holds, h.Target)
-		m.log(h.By, "hold on %s lifted: %s", h.Target, h.Why)
-		return done(m.next())
+		delete(m.state.Holds, h.Target)
+		m.addEvent(h.By, "hold on %s lifted: %s", h.Target, h.Why)
+		return doneResult(m.nextEpoch())
 	}
-	if _, _, err := m.members(h.Target); err != nil && h.Target != Everything {
+	if _, _, err := m.targetMembers(h.Target); err != nil && h.Target != FleetTarget {
 		return invalid("hold: %v", err)
 	}
-	m.s.Holds[h.Target] = h
-	m.log(h.By, "hold on %s: %s", h.Target, h.Why)
-	return done(m.next())
+	m.state.Holds[h.Target] = h
+	m.addEvent(h.By, "hold on %s: %s", h.Target, h.Why)
+	return doneResult(m.nextEpoch())
 }
 
 // renewVoter replaces the disk ID of a voter whose disk was lost.
-func (m *Machine) renew(r *fleetpb.RenewVoter) *fleetpb.Result {
-	if err := text(r.Node, r.Birth, r.By, r.Why); err != nil || r.Birth == "" {
+func (m *Machine) renewVoter(r *fleetpb.RenewVoter) *fleetpb.Result {
+	if err := checkText(r.Node, r.Birth, r.By, r.Why); err != nil || r.Birth == "" {
 		return invalid("renew: disk %.50q: %v", r.Birth, err)
 	}
-	was, ok := m.s.Voters[r.Node]
+	oldBirth, ok := m.state.Voters[r.Node]
 	switch {
 	case !ok:
 		return invalid("renew: %s is no voter", r.Node)
-	case was == r.Birth:
+	case oldBirth == r.Birth:
 		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: r.Node + " has the disk that it had: nothing is lost"}
 	}
-	m.s.Voters[r.Node] = r.Birth
-	m.log(r.By, "voter %s taken in with a new disk, %s in place of %s: %s", r.Node, r.Birth, was, r.Why)
-	return done(m.next())
+	m.state.Voters[r.Node] = r.Birth
+	m.addEvent(r.By, "voter %s taken in with a new disk, %s in place of %s: %s", r.Node, r.Birth, oldBirth, r.Why)
+	return doneResult(m.nextEpoch())
 }
 
 // recordAcks records that nodes have stopped sending to drained targets. Acknowledgements of an older session or an
 // older drain are ignored.
-func (m *Machine) stopped(s *fleetpb.Stopped) *fleetpb.Result {
+func (m *Machine) recordAcks(s *fleetpb.Stopped) *fleetpb.Result {
 	for _, a := range s.Acks {
-		o := m.s.Outs[a.Target]
-		if _, over := m.live(a.Node, a.Session); over != nil || o == nil || o.Epoch != a.Epoch {
+		o := m.state.Outs[a.Target]
+		if _, ended := m.liveSession(a.Node, a.Session); ended != nil || o == nil || o.Epoch != a.Epoch {
 			continue
 		}
 		if o.Heard == nil {
@@ -441,94 +441,94 @@
 		}
 		o.Heard[a.Node] = a.Session
 	}
-	return done(m.s.Epoch)
+	return doneResult(m.state.Epoch)
 }
 
 func (m *Machine) forget(f *fleetpb.Forget) *fleetpb.Result {
 	kind, name, _ := strings.Cut(f.Target, "/")
 	switch {
-	case kind == "node" && m.s.Nodes[name] != nil:
-		if n := m.s.Nodes[name]; n.State == Live {
+	case kind == "node" && m.state.Nodes[name] != nil:
+		if n := m.state.Nodes[name]; n.State == Live {
 			return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: name + " has a live session: end its process first"}
 		}
-		delete(m.s.Nodes, name)
-		for _, o := range m.s.Outs {
+		delete(m.state.Nodes, name)
+		for _, o := range m.state.Outs {
 			delete(o.Heard, name)
 		}
-	case kind == "server" && m.s.Servers[name] != nil:
-		if s := m.s.Servers[name]; s.State != Gone {
+	case kind == "server" && m.state.Servers[name] != nil:
+		if s := m.state.Servers[name]; s.State != Removed {
 			return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: name + " is listed by the registry: take it out there first"}
 		}
-		delete(m.s.Servers, name)
+		delete(m.state.Servers, name)
 	default:
 		return invalid("%s is not known", f.Target)
 	}
-	m.log(f.By, "%s forgotten: %s", f.Target, f.Why)
-	return done(m.s.Epoch)
+	m.addEvent(f.By, "%s forgotten: %s", f.Target, f.Why)
+	return doneResult(m.state.Epoch)
 }
 
 // applyConsequences runs after each entry: it drops servers that were removed long ago, advances the release, grants
 // queued drains that now fit, samples the groups, and marks drains that are now proven.
-func (m *Machine) settle() {
-	for _, id := range slices.Sorted(maps.Keys(m.s.Servers)) {
-		s := m.s.Servers[id]
-		if s.State == Gone && m.s.NowMs-s.SinceMs > goneKept && m.s.Outs[ServerTarget(id)] == nil {
-			delete(m.s.Servers, id)
+func (m *Machine) applyConsequences() {
+	for _, id := range slices.Sorted(maps.Keys(m.state.Servers)) {
+		s := m.state.Servers[id]
+		if s.State == Removed && m.state.NowMs-s.SinceMs > removedKeptMs && m.state.Outs[ServerTarget(id)] == nil {
+			delete(m.state.Servers, id)
 		}
 	}
-	m.advance()
+	m.advanceRelease()
 	m.serveQueue()
 	m.sample()
-	for _, t := range slices.Sorted(maps.Keys(m.s.Outs)) {
-		o := m.s.Outs[t]
+	for _, t := range slices.Sorted(maps.Keys(m.state.Outs)) {
+		o := m.state.Outs[t]
 		if p := m.Proof(t); o.ProvenMs == 0 && p.Proven {
-			o.ProvenMs = m.s.NowMs
-			m.log(o.By, "drain of %s proven", t)
+			o.ProvenMs = m.state.NowMs
+			m.addEvent(o.By, "drain of %s proven", t)
 		}
 	}
 }
 
 // Proof tells whether all nodes have confirmed that they no longer send to a drained target.
 type Proof struct {
-	Granted bool     // the target is drained; if false, the other fields are empty
-	Epoch   uint64   // of the drain
-	Proven  bool     // no node is missing: Unconfirmed and Lapsed are empty
-	Unheard []string // nodes with a live session that have not confirmed yet
-	Lapsed  []string // nodes whose session lapsed before they confirmed: they may still send
+	Granted     bool     // the target is drained; if false, the other fields are empty
+	Epoch       uint64   // of the drain
+	Proven      bool     // no node is missing: Unconfirmed and Lapsed are empty
+	Unconfirmed []string // nodes with a live session that have not confirmed yet
+	Lapsed      []string // nodes whose session lapsed before they confirmed: they may still send
 }
 
 // Proof returns which nodes have not confirmed that they stopped sending to a target. A node confirms in its present
 // session; the drain is proven once none is missing.
 func (m *Machine) Proof(target string) (p Proof) {
-	o := m.s.Outs[target]
+	o := m.state.Outs[target]
 	if o == nil {
 		return p
 	}
 	p.Granted, p.Epoch = true, o.Epoch
-	node, alone := strings.CutPrefix(target, "node/") // the drain of a node needs only that node's own confirmation
-	for _, name := range slices.Sorted(maps.Keys(m.s.Nodes)) {
-		n := m.s.Nodes[name]
-		if o.Heard[name] == n.Epoch || alone && name != node {
+	node, ownOnly := strings.CutPrefix(target, "node/") // the drain of a node needs only that node's own confirmation
+	for _, name := range slices.Sorted(maps.Keys(m.state.Nodes)) {
+		n := m.state.Nodes[name]
+		if o.Heard[name] == n.Epoch || ownOnly && name != node {
 			continue
 		}
 		switch n.State {
 		case Live:
-			p.Unheard = append(p.Unheard, name)
+			p.Unconfirmed = append(p.Unconfirmed, name)
 		case Lapsed:
 			p.Lapsed = append(p.Lapsed, name)
 		}
 	}
-	p.Proven = len(p.Unheard)+len(p.Lapsed) == 0
+	p.Proven = len(p.Unconfirmed)+len(p.Lapsed) == 0
 	return p
 }
 
 // Orders returns the drained targets and the turns of the release, which nodes and supervisors have to carry out.
 func (m *Machine) Orders() *fleetpb.Orders {
-	o := &fleetpb.Orders{Version: m.s.Orders}
-	for _, t := range slices.Sorted(maps.Keys(m.s.Outs)) {
-		o.Out = append(o.Out, &fleetpb.Order{Target: t, Epoch: m.s.Outs[t].Epoch})
+	o := &fleetpb.Orders{Version: m.state.Orders}
+	for _, t := range slices.Sorted(maps.Keys(m.state.Outs)) {
+		o.Out = append(o.Out, &fleetpb.Order{Target: t, Epoch: m.state.Outs[t].Epoch})
 	}
-	if r := m.s.Release; r != nil {
+	if r := m.state.Release; r != nil {
 		for _, n := range slices.Sorted(maps.Keys(r.Turns)) {
 			o.Turns = append(o.Turns, proto.CloneOf(r.Turns[n]))
 		}
@@ -537,4 +537,6 @@
 }
 
 // FromState returns a machine that continues from a state. It takes ownership of the state.
-func From(s *fleetpb.State) *Machine { return &Machine{s: fill(s), configuration: configuration.New()} }
+func FromState(s *fleetpb.State) *Machine {
+	return &Machine{state: initMaps(s), configuration: configuration.New()}
+}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -15,12 +15,12 @@
 )
 
 // harness is a machine with a clock and shortcuts to apply entries to it.
-type world struct {
+type harness struct {
 	*Machine
 	now int64
 }
 
-func (w *world) say(ask string, what any) *fleetpb.Result {
+func (w *harness) apply(ask string, what any) *fleetpb.Result {
 	e := &fleetpb.Entry{Level: Level, AtMs: w.now, Ask: ask}
 	switch x := what.(type) {
 	case *fleetpb.Drain:
@@ -57,18 +57,18 @@
 	return w.Apply(raw)
 }
 
-func (w *world) drain(id string, waitMs int64) *fleetpb.Result {
-	return w.say("", &fleetpb.Drain{Target: ServerTarget(id), By: "eva", WaitMs: waitMs})
+func (w *harness) drain(id string, waitMs int64) *fleetpb.Result {
+	return w.apply("", &fleetpb.Drain{Target: ServerTarget(id), By: "eva", WaitMs: waitMs})
 }
 
-func (w *world) open(node string) uint64 {
-	return w.say("", &fleetpb.OpenSession{Node: node, Zone: "a", Process: node + "-1", Level: Level}).Epoch
+func (w *harness) open(node string) uint64 {
+	return w.apply("", &fleetpb.OpenSession{Node: node, Zone: "a", Process: node + "-1", Level: Level}).Epoch
 }
 
 // newHarness has eight servers, s-0 to s-7, the even ones in zone a and the odd ones in zone b, two per cell. The
 // weight of s-0 is 3, that of the others 1.
-func newWorld(budgets ...*fleetpb.Budget) *world {
-	w := &world{Machine: New(), now: 1000}
+func newHarness(budgets ...*fleetpb.Budget) *harness {
+	w := &harness{Machine: New(), now: 1000}
 	l := &fleetpb.Listed{}
 	for i := range 8 {
 		s := &fleetpb.Server{Id: fmt.Sprintf("s-%d", i), Zone: string(rune('a' + i%2)), Kind: "std", Cell: int32(i / 2), Weight: 1, State: Ready}
@@ -77,8 +77,8 @@
 		}
 		l.Servers = append(l.Servers, s)
 	}
-	w.say("", l)
-	w.say("", &fleetpb.SetBudgets{Budgets: budgets})
+	w.apply("", l)
+	w.apply("", &fleetpb.SetBudgets{Budgets: budgets})
 	return w
 }
 
@@ -92,37 +92,37 @@
 	}
 	for name, c := range map[string]struct {
 		budget *fleetpb.Budget
-		before func(w *world)
+		before func(w *harness)
 		drain  string
 		reason string // part of the refusal; empty: it is granted
 	}{
 		"first":        {zoneBudget(1), nil, "s-0", ""},
-		"other zone":   {zoneBudget(1), func(w *world) { w.drain("s-1", 0) }, "s-0", ""},
-		"second":       {zoneBudget(1), func(w *world) { w.drain("s-2", 0) }, "s-0", "budget a-hall, zone a: 2 of 4 out, 1 at most: s-0 (asked for), s-2 (drained)"},
+		"other zone":   {zoneBudget(1), func(w *harness) { w.drain("s-1", 0) }, "s-0", ""},
+		"second":       {zoneBudget(1), func(w *harness) { w.drain("s-2", 0) }, "s-0", "budget a-hall, zone a: 2 of 4 out, 1 at most: s-0 (asked for), s-2 (drained)"},
 		"none at all":  {zoneBudget(0), nil, "s-0", "1 of 4 out, 0 at most"},
-		"one is gone":  {zoneBudget(1), func(w *world) { w.say("", list("s-2", Gone)) }, "s-0", "s-2 (gone from the registry)"},
-		"one drains":   {zoneBudget(1), func(w *world) { w.say("", list("s-2", Draining)) }, "s-0", "s-2 (draining in the registry)"},
-		"itself gone":  {zoneBudget(0), func(w *world) { w.say("", list("s-2", Gone)) }, "s-2", ""},
-		"share":        {&fleetpb.Budget{Name: "b", On: "servers", By: "fleet", MostShare: 0.3}, func(w *world) { w.drain("s-1", 0); w.drain("s-2", 0) }, "s-3", "fleet: 3 of 8 out, 2 at most (0.3 of them)"},
-		"share fits":   {&fleetpb.Budget{Name: "b", On: "servers", By: "fleet", MostShare: 0.375}, func(w *world) { w.drain("s-1", 0); w.drain("s-2", 0) }, "s-3", ""},
+		"one is gone":  {zoneBudget(1), func(w *harness) { w.apply("", list("s-2", Removed)) }, "s-0", "s-2 (gone from the registry)"},
+		"one drains":   {zoneBudget(1), func(w *harness) { w.apply("", list("s-2", Draining)) }, "s-0", "s-2 (draining in the registry)"},
+		"itself gone":  {zoneBudget(0), func(w *harness) { w.apply("", list("s-2", Removed)) }, "s-2", ""},
+		"share":        {&fleetpb.Budget{Name: "b", On: "servers", By: "fleet", MostShare: 0.3}, func(w *harness) { w.drain("s-1", 0); w.drain("s-2", 0) }, "s-3", "fleet: 3 of 8 out, 2 at most (0.3 of them)"},
+		"share fits":   {&fleetpb.Budget{Name: "b", On: "servers", By: "fleet", MostShare: 0.375}, func(w *harness) { w.drain("s-1", 0); w.drain("s-2", 0) }, "s-3", ""},
 		"weight":       {&fleetpb.Budget{Name: "b", On: "servers", By: "zone", LeastLeft: 0.6}, nil, "s-0", "3 of a weight of 6 left, 3.6 at least"},
 		"weight fits":  {&fleetpb.Budget{Name: "b", On: "servers", By: "zone", LeastLeft: 0.6}, nil, "s-2", ""},
-		"cell":         {&fleetpb.Budget{Name: "b", On: "servers", By: "cell", Bounded: true, MostOut: 1}, func(w *world) { w.drain("s-2", 0) }, "s-3", "cell 1: 2 of 2 out"},
+		"cell":         {&fleetpb.Budget{Name: "b", On: "servers", By: "cell", Bounded: true, MostOut: 1}, func(w *harness) { w.drain("s-2", 0) }, "s-3", "cell 1: 2 of 2 out"},
 		"only another": {&fleetpb.Budget{Name: "b", On: "servers", By: "zone", Only: "b", Bounded: true}, nil, "s-0", ""},
 		"unknown":      {zoneBudget(1), nil, "s-9", "no such server"},
-		"twice":        {zoneBudget(2), func(w *world) { w.drain("s-0", 0) }, "s-0", "drained already, by eva"},
+		"twice":        {zoneBudget(2), func(w *harness) { w.drain("s-0", 0) }, "s-0", "drained already, by eva"},
 	} {
-		w := newWorld(c.budget)
+		w := newHarness(c.budget)
 		if c.before != nil {
 			c.before(w)
 		}
-		dry := w.Explain(&fleetpb.Drain{Target: ServerTarget(c.drain)})
+		dryRun := w.Explain(&fleetpb.Drain{Target: ServerTarget(c.drain)})
 		r := w.drain(c.drain, 0)
 		if (r.Code == fleetpb.Result_DONE) != (c.reason == "") || !strings.Contains(r.Reason, c.reason) {
 			t.Errorf("%s: %v, want %q", name, r, c.reason)
 		}
-		if dry.Code != r.Code || dry.Reason != r.Reason {
-			t.Errorf("%s: the dry run returned %v, the drain %v", name, dry, r)
+		if dryRun.Code != r.Code || dryRun.Reason != r.Reason {
+			t.Errorf("%s: the dry run returned %v, the drain %v", name, dryRun, r)
 		}
 	}
 }
@@ -130,25 +130,25 @@
 // Guards against nodes that are leaving or whose session lapsed and that their budget does not count as out, and
 // against an old session that still has an effect after the node came back.
 func TestNodesOut(t *testing.T) {
-	w := newWorld(&fleetpb.Budget{Name: "nodes", On: "nodes", By: "zone", Bounded: true, MostOut: 1})
+	w := newHarness(&fleetpb.Budget{Name: "nodes", On: "nodes", By: "zone", Bounded: true, MostOut: 1})
 	epochs := map[string]uint64{}
 	for _, n := range []string{"n1", "n2", "n3"} {
 		epochs[n] = w.open(n)
 	}
-	over := func() string { return w.Groups()[0].Over() }
-	w.say("", &fleetpb.Leaving{Node: "n1", Epoch: epochs["n1"]})
+	over := func() string { return w.Groups()[0].Exceeded() }
+	w.apply("", &fleetpb.Leaving{Node: "n1", Epoch: epochs["n1"]})
 	if g := w.Groups()[0]; len(g.Out) != 1 || g.Out[0] != "n1 (leaving)" || over() != "" {
 		t.Errorf("%v", g)
 	}
-	w.say("", &fleetpb.EndSession{Node: "n2", Epoch: epochs["n2"], Lapsed: true})
+	w.apply("", &fleetpb.EndSession{Node: "n2", Epoch: epochs["n2"], Lapsed: true})
 	if over() != "2 of 3 out, 1 at most" {
 		t.Errorf("%q", over())
 	}
-	w.say("", &fleetpb.OpenSession{Node: "n2", Zone: "a", Process: "n2-2", Level: Level})
-	if r := w.say("", &fleetpb.EndSession{Node: "n2", Epoch: epochs["n2"]}); r.Code != fleetpb.Result_FENCED || over() != "" {
+	w.apply("", &fleetpb.OpenSession{Node: "n2", Zone: "a", Process: "n2-2", Level: Level})
+	if r := w.apply("", &fleetpb.EndSession{Node: "n2", Epoch: epochs["n2"]}); r.Code != fleetpb.Result_FENCED || over() != "" {
 		t.Errorf("entry of an old session: %v, %q", r, over())
 	}
-	if r := w.say("", &fleetpb.Forget{Target: "node/n3"}); r.Code != fleetpb.Result_REFUSED {
+	if r := w.apply("", &fleetpb.Forget{Target: "node/n3"}); r.Code != fleetpb.Result_REFUSED {
 		t.Errorf("a node with a live session was forgotten: %v", r)
 	}
 }
@@ -156,45 +156,45 @@
 // Guards against a zone that is drained in part, a node's drain that another node's confirmation proves, a drain past
 // a hold without force, and servers found dead that the budgets do not count as out.
 func TestOtherTargets(t *testing.T) {
-	w := newWorld(&fleetpb.Budget{Name: "half", On: "servers", By: "fleet", MostShare: 0.5}, &fleetpb.Budget{Name: "nodes", On: "nodes", By: "fleet", Bounded: true, MostOut: 1})
+	w := newHarness(&fleetpb.Budget{Name: "half", On: "servers", By: "fleet", MostShare: 0.5}, &fleetpb.Budget{Name: "nodes", On: "nodes", By: "fleet", Bounded: true, MostOut: 1})
 	want := func(what string, r *fleetpb.Result, code fleetpb.Result_Code, reason string) {
 		t.Helper()
 		if r.Code != code || !strings.Contains(r.Reason, reason) {
 			t.Errorf("%s: %v, want %v: %s", what, r, code, reason)
 		}
 	}
-	drain := func(target string) *fleetpb.Result { return w.say("", &fleetpb.Drain{Target: target, By: "eva"}) }
-	w.say("", &fleetpb.Observed{Dead: []string{"s-1", "s-9"}})
+	drain := func(target string) *fleetpb.Result { return w.apply("", &fleetpb.Drain{Target: target, By: "eva"}) }
+	w.apply("", &fleetpb.Observed{Dead: []string{"s-1", "s-9"}})
 	want("a zone beside a dead server", drain("zone/a"), fleetpb.Result_REFUSED, "budget half, fleet: 5 of 8 out, 4 at most (0.5 of them): s-0 (asked for), s-1 (found dead by the nodes)")
 	if n := len(w.State().Outs); n != 0 {
 		t.Errorf("the refused drain of a zone left %d targets out of service", n)
 	}
-	w.say("", &fleetpb.Observed{})
+	w.apply("", &fleetpb.Observed{})
 	want("a zone", drain("zone/a"), fleetpb.Result_DONE, "")
 	want("a server of it", drain("server/s-0"), fleetpb.Result_DONE, "")
 	want("another zone's server", drain("server/s-1"), fleetpb.Result_REFUSED, "s-2 (drained with its zone)")
-	w.say("", &fleetpb.Return{Target: "zone/a"})
+	w.apply("", &fleetpb.Return{Target: "zone/a"})
 	want("no zone", drain("zone/x"), fleetpb.Result_INVALID, "no server")
 	want("no kind", drain("s-1"), fleetpb.Result_INVALID, "want server/NAME")
 	want("no node", drain("node/n9"), fleetpb.Result_INVALID, "has had a session")
 
-	w.say("", &fleetpb.Hold{Target: "zone/b", By: "ole", Why: "a match"})
+	w.apply("", &fleetpb.Hold{Target: "zone/b", By: "ole", Why: "a match"})
 	want("held with its zone", drain("server/s-1"), fleetpb.Result_REFUSED, "zone/b is held by ole: a match")
-	w.say("", &fleetpb.Hold{Target: Everything, By: "ole", Why: "a final"})
+	w.apply("", &fleetpb.Hold{Target: FleetTarget, By: "ole", Why: "a final"})
 	want("all is held", drain("server/s-2"), fleetpb.Result_REFUSED, "fleet is held by ole: a final")
-	want("by force", w.say("", &fleetpb.Drain{Target: "server/s-2", Force: true}), fleetpb.Result_DONE, "")
-	w.say("", &fleetpb.Hold{Target: Everything, Lift: true})
-	want("lifted twice", w.say("", &fleetpb.Hold{Target: Everything, Lift: true}), fleetpb.Result_INVALID, "is not held")
+	want("by force", w.apply("", &fleetpb.Drain{Target: "server/s-2", Force: true}), fleetpb.Result_DONE, "")
+	w.apply("", &fleetpb.Hold{Target: FleetTarget, Lift: true})
+	want("lifted twice", w.apply("", &fleetpb.Hold{Target: FleetTarget, Lift: true}), fleetpb.Result_INVALID, "is not held")
 
 	n1, n2 := w.open("n1"), w.open("n2")
 	out := drain("node/n1")
 	want("a node", out, fleetpb.Result_DONE, "")
 	want("another", drain("node/n2"), fleetpb.Result_REFUSED, "budget nodes, fleet: 2 of 2 out, 1 at most: n1 (drained), n2 (asked for)")
-	w.say("", &fleetpb.Ack{Node: "n2", Session: n2, Target: "node/n1", Epoch: out.Epoch})
-	if p := w.Proof("node/n1"); p.Proven || strings.Join(p.Unheard, " ") != "n1" {
+	w.apply("", &fleetpb.Ack{Node: "n2", Session: n2, Target: "node/n1", Epoch: out.Epoch})
+	if p := w.Proof("node/n1"); p.Proven || strings.Join(p.Unconfirmed, " ") != "n1" {
 		t.Errorf("another node's confirmation counts: %+v", p)
 	}
-	w.say("", &fleetpb.Ack{Node: "n1", Session: n1, Target: "node/n1", Epoch: out.Epoch})
+	w.apply("", &fleetpb.Ack{Node: "n1", Session: n1, Target: "node/n1", Epoch: out.Epoch})
 	if p := w.Proof("node/n1"); !p.Proven {
 		t.Errorf("%+v", p)
 	}
@@ -203,17 +203,17 @@
 // Guards against a drain that counts as proven too early: while a node has not confirmed it in its present session,
 // while one lapsed unconfirmed, or by confirmations of an older session or an older drain.
 func TestProof(t *testing.T) {
-	w := newWorld(zoneBudget(2))
+	w := newHarness(zoneBudget(2))
 	e1, e2, e3 := w.open("n1"), w.open("n2"), w.open("n3")
 	drain := w.drain("s-0", 0).Epoch
 	target := ServerTarget("s-0")
 	ack := func(node string, session, epoch uint64) {
-		w.say("", &fleetpb.Ack{Node: node, Session: session, Target: target, Epoch: epoch})
+		w.apply("", &fleetpb.Ack{Node: node, Session: session, Target: target, Epoch: epoch})
 	}
 	check := func(what string, proven bool, unheard, lapsed string) {
 		t.Helper()
 		p := w.Proof(target)
-		if p.Proven != proven || strings.Join(p.Unheard, " ") != unheard || strings.Join(p.Lapsed, " ") != lapsed || !p.Granted {
+		if p.Proven != proven || strings.Join(p.Unconfirmed, " ") != unheard || strings.Join(p.Lapsed, " ") != lapsed || !p.Granted {
 			t.Errorf("%s: %+v", what, p)
 		}
 	}
@@ -223,24 +223,24 @@
 	ack("n2", e2, drain-1)
 	check("n2 acknowledged another drain, and in n1's session", false, "n2 n3", "")
 	ack("n2", e2, drain)
-	w.say("", &fleetpb.EndSession{Node: "n3", Epoch: e3, Lapsed: true})
+	w.apply("", &fleetpb.EndSession{Node: "n3", Epoch: e3, Lapsed: true})
 	check("n3 lapsed", false, "", "n3")
 	if w.State().Outs[target].ProvenMs != 0 {
 		t.Error("the drain was recorded as proven")
 	}
-	e3 = w.say("", &fleetpb.OpenSession{Node: "n3", Zone: "a", Process: "n3-2", Level: Level}).Epoch
+	e3 = w.apply("", &fleetpb.OpenSession{Node: "n3", Zone: "a", Process: "n3-2", Level: Level}).Epoch
 	check("n3 is back", false, "n3", "")
 	ack("n3", e3, drain)
 	check("all", true, "", "")
 	w.open("n4")
 	check("a node has come", false, "n4", "")
-	w.say("", &fleetpb.EndSession{Node: "n4", Epoch: w.State().Nodes["n4"].Epoch})
+	w.apply("", &fleetpb.EndSession{Node: "n4", Epoch: w.State().Nodes["n4"].Epoch})
 	check("it has ended in order", true, "", "")
-	w.say("", &fleetpb.Return{Target: target})
+	w.apply("", &fleetpb.Return{Target: target})
 	again := w.drain("s-0", 0)
 	check("drained once more", false, "n1 n2 n3", "")
 	ack("n1", e1, drain)
-	if r := w.say("", &fleetpb.Return{Target: target, Epoch: drain}); r.Code != fleetpb.Result_FENCED {
+	if r := w.apply("", &fleetpb.Return{Target: target, Epoch: drain}); r.Code != fleetpb.Result_FENCED {
 		t.Errorf("a return with the first drain's epoch ended the second drain: %v", r)
 	}
 	if again.Epoch <= drain {
@@ -252,7 +252,7 @@
 // Guards against queued drains that are granted out of order, have no place number, or stay in the queue after their
 // wait time, and against a later drain that uses the part of a budget for which an earlier one waits.
 func TestQueue(t *testing.T) {
-	w := newWorld(zoneBudget(1), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", Bounded: true, MostOut: 2})
+	w := newHarness(zoneBudget(1), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", Bounded: true, MostOut: 2})
 	w.drain("s-0", 0)
 	if r := w.drain("s-2", 5000); r.Code != fleetpb.Result_QUEUED || r.Place != 1 {
 		t.Fatal(r)
@@ -263,40 +263,40 @@
 	if r := w.drain("s-1", 0); r.Code != fleetpb.Result_REFUSED || !strings.Contains(r.Reason, "s-2 (waits before it)") {
 		t.Errorf("a later drain overtook the queue in the fleet's budget: %v", r)
 	}
-	w.say("", &fleetpb.Return{Target: ServerTarget("s-0")})
+	w.apply("", &fleetpb.Return{Target: ServerTarget("s-0")})
 	if w.State().Outs[ServerTarget("s-2")] == nil || len(w.State().Queue) != 1 {
 		t.Error("the first drain in the queue was not granted")
 	}
-	if r := w.say("", &fleetpb.Withdraw{Target: ServerTarget("s-4")}); r.Code != fleetpb.Result_DONE || len(w.State().Queue) != 0 {
+	if r := w.apply("", &fleetpb.Withdraw{Target: ServerTarget("s-4")}); r.Code != fleetpb.Result_DONE || len(w.State().Queue) != 0 {
 		t.Error("not withdrawn", r)
 	}
-	r := w.say("late", &fleetpb.Drain{Target: ServerTarget("s-6"), WaitMs: 1000})
+	r := w.apply("late", &fleetpb.Drain{Target: ServerTarget("s-6"), WaitMs: 1000})
 	w.now += 1000
-	w.say("", &fleetpb.Clock{})
+	w.apply("", &fleetpb.Clock{})
 	if r.Code != fleetpb.Result_QUEUED || len(w.State().Queue) != 0 {
 		t.Error("the drain still waits after its wait time", r)
 	}
-	if r := w.say("late", &fleetpb.Drain{Target: ServerTarget("s-6"), WaitMs: 1000}); r.Code != fleetpb.Result_REFUSED {
+	if r := w.apply("late", &fleetpb.Drain{Target: ServerTarget("s-6"), WaitMs: 1000}); r.Code != fleetpb.Result_REFUSED {
 		t.Errorf("repeated request after the wait time: %v", r)
 	}
 }
 
 // Guards against a request that takes effect twice. A client whose answer was lost repeats its request under the same
 // ID; it must get the first result again. The number of kept results and events stays bounded.
-func TestAskedAgain(t *testing.T) {
-	w := newWorld(zoneBudget(1))
-	first := w.say("x", &fleetpb.Drain{Target: ServerTarget("s-0")})
-	if r := w.say("x", &fleetpb.Drain{Target: ServerTarget("s-0")}); !proto.Equal(r, first) || r.Code != fleetpb.Result_DONE {
+func TestRepeatedRequest(t *testing.T) {
+	w := newHarness(zoneBudget(1))
+	first := w.apply("x", &fleetpb.Drain{Target: ServerTarget("s-0")})
+	if r := w.apply("x", &fleetpb.Drain{Target: ServerTarget("s-0")}); !proto.Equal(r, first) || r.Code != fleetpb.Result_DONE {
 		t.Errorf("%v, then %v", first, r)
 	}
-	w.say("y", &fleetpb.Return{Target: ServerTarget("s-0")})
-	if r := w.say("x", &fleetpb.Drain{Target: ServerTarget("s-0")}); r.Epoch != first.Epoch || len(w.State().Outs) != 0 {
+	w.apply("y", &fleetpb.Return{Target: ServerTarget("s-0")})
+	if r := w.apply("x", &fleetpb.Drain{Target: ServerTarget("s-0")}); r.Epoch != first.Epoch || len(w.State().Outs) != 0 {
 		t.Errorf("a late repetition drained the server again: %v", r)
 	}
-	for i := range mostAnswered + 5 {
-		w.say(fmt.Sprint(i), &fleetpb.Withdraw{Target: "server/none"})
+	for i := range maxResults + 5 {
+		w.apply(fmt.Sprint(i), &fleetpb.Withdraw{Target: "server/none"})
 	}
-	if len(w.State().Answered) != mostAnswered || len(w.State().History) > mostHistory {
+	if len(w.State().Answered) != maxResults || len(w.State().History) > maxHistory {
 		t.Errorf("%d results and %d events are kept", len(w.State().Answered), len(w.State().History))
 	}
 }
@@ -304,7 +304,7 @@
 // Guards against entries that change the state although the program does not understand them (a later level, an
 // unknown kind, damaged bytes), and against a snapshot of a later level that is accepted.
 func TestNotUnderstood(t *testing.T) {
-	w := newWorld(zoneBudget(1))
+	w := newHarness(zoneBudget(1))
 	was, _ := w.Snapshot()
 	later, _ := proto.Marshal(&fleetpb.Entry{Level: Level + 1, AtMs: 9e9, What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: ServerTarget("s-0")}}})
 	empty, _ := proto.Marshal(&fleetpb.Entry{Level: Level})
@@ -320,14 +320,14 @@
 	if err := New().Restore(raw); err == nil {
 		t.Error("a snapshot of a later level was accepted")
 	}
-	w.say("", &fleetpb.OpenSession{Node: "old", Process: "p", Level: 0})
-	if w.LeastLevel() != 0 {
+	w.apply("", &fleetpb.OpenSession{Node: "old", Process: "p", Level: 0})
+	if w.MinLevel() != 0 {
 		t.Error("the minimum level ignores an older member")
 	}
-	if _, err := w.Follow(later); err == nil {
+	if _, err := w.ApplyChecked(later); err == nil {
 		t.Error("a member continued past an entry of a level that it does not implement")
 	}
-	if _, err := w.Follow(empty); err != nil {
+	if _, err := w.ApplyChecked(empty); err != nil {
 		t.Error(err)
 	}
 }
@@ -337,8 +337,8 @@
 // (servers that leave by themselves and forced drains may), and epochs never decrease.
 func TestMachineHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(zoneBudget(2), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", MostShare: 0.4, LeastLeft: 0.5})
-		twin := newWorld(w.State().Budgets...)
+		w := newHarness(zoneBudget(2), &fleetpb.Budget{Name: "all", On: "servers", By: "fleet", MostShare: 0.4, LeastLeft: 0.5})
+		twin := newHarness(w.State().Budgets...)
 		epoch := w.State().Epoch
 		server := rapid.SampledFrom([]string{"s-0", "s-1", "s-2", "s-3", "s-4", "s-5", "s-6", "s-7", "s-8"})
 		node := rapid.SampledFrom([]string{"n1", "n2", "n3"})
@@ -355,7 +355,7 @@
 				what = &fleetpb.Return{Target: target}
 			case 3:
 				what, unplanned = &fleetpb.Listed{Servers: []*fleetpb.Server{{Id: target[len("server/"):], Zone: "a", Weight: 1,
-					State: rapid.SampledFrom([]string{Ready, Draining, Gone, "odd"}).Draw(t, "state")}}}, true
+					State: rapid.SampledFrom([]string{Ready, Draining, Removed, "odd"}).Draw(t, "state")}}}, true
 			case 4:
 				what = &fleetpb.OpenSession{Node: node.Draw(t, "node"), Process: rapid.SampledFrom([]string{"p", "q"}).Draw(t, "process"), Level: Level}
 			case 5:
@@ -367,12 +367,12 @@
 			default:
 				what = &fleetpb.Withdraw{Target: target}
 			}
-			over := overs(w.Machine)
+			over := excessOut(w.Machine)
 			ask := rapid.SampledFrom([]string{"", "", "", "a1", "a2"}).Draw(t, "ask")
-			if a, b := w.say(ask, what), twin.say(ask, what); !proto.Equal(a, b) {
+			if a, b := w.apply(ask, what), twin.apply(ask, what); !proto.Equal(a, b) {
 				t.Fatalf("the machines returned %v and %v", a, b)
 			}
-			for group, n := range overs(w.Machine) {
+			for group, n := range excessOut(w.Machine) {
 				if !unplanned && n > over[group] {
 					t.Fatalf("%v: %s exceeds its limit by %d members, by %d before", what, group, n, over[group])
 				}
@@ -395,7 +395,7 @@
 }
 
 // excessOut returns by how many servers each group exceeds its limit. It counts without the machine's own code.
-func overs(m *Machine) map[string]int {
+func excessOut(m *Machine) map[string]int {
 	s, out := m.State(), map[string]int{}
 	for _, id := range slices.Sorted(maps.Keys(s.Servers)) {
 		x := s.Servers[id]
@@ -420,7 +420,7 @@
 	raw, _ := proto.Marshal(&fleetpb.Entry{Level: 1, AtMs: 5, What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: "server/s-0", WaitMs: 5}}})
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		w := newWorld(zoneBudget(1))
+		w := newHarness(zoneBudget(1))
 		w.Apply(raw)
 		snap, err := w.Snapshot()
 		if err == nil {
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -25,8 +25,8 @@
 // Check validates the fields of a wave.
 func (w Wave) Check() error {
 	ways := 0
-	for _, said := range []bool{len(w.Nodes) > 0, w.Count != 0, w.Share != 0, w.Voters} {
-		if said {
+	for _, given := range []bool{len(w.Nodes) > 0, w.Count != 0, w.Share != 0, w.Voters} {
+		if given {
 			ways++
 		}
 	}
@@ -39,55 +39,55 @@
 // BuildWaves turns the waves of a plan file into waves of named nodes. The nodes to choose from are those that
 // supervisors have reported. A wave whose chosen nodes are of several zones becomes one wave per zone, unless it is
 // mixed. Count and Share take nodes evenly from all zones. No chosen node is in two waves.
-func (m *Machine) Waves(list []Wave) (waves []*fleetpb.Wave, err error) {
+func (m *Machine) BuildWaves(list []Wave) (waves []*fleetpb.Wave, err error) {
 	taken := map[string]bool{}
 	for _, w := range list {
 		for _, n := range w.Nodes {
 			taken[n] = true
 		}
 	}
-	done := map[string]int{} // number of nodes in the waves so far, by zone; "": in all zones
+	updated := map[string]int{} // number of nodes in the waves so far, by zone; "": in all zones
 	for i, w := range list {
 		if err := w.Check(); err != nil {
 			return nil, fmt.Errorf("wave[%d]: %w", i, err)
 		}
 		nodes := w.Nodes
 		if len(nodes) == 0 {
-			nodes = m.pick(w, taken, done)
+			nodes = m.pickNodes(w, taken, updated)
 		}
-		by := map[string][]string{}
+		byZone := map[string][]string{}
 		for _, n := range nodes {
 			zone := m.zoneOf(n)
-			done[""]++
-			done[zone]++
+			updated[""]++
+			updated[zone]++
 			if w.Mixed || len(w.Nodes) > 0 {
 				zone = ""
 			}
-			by[zone] = append(by[zone], n)
+			byZone[zone] = append(byZone[zone], n)
 		}
-		for _, zone := range slices.Sorted(maps.Keys(by)) {
+		for _, zone := range slices.Sorted(maps.Keys(byZone)) {
 			name := w.Name
-			if len(by) > 1 {
+			if len(byZone) > 1 {
 				name = strings.TrimSpace(name + " " + zone)
 			}
-			waves = append(waves, &fleetpb.Wave{Name: name, Nodes: by[zone], Mixed: w.Mixed})
+			waves = append(waves, &fleetpb.Wave{Name: name, Nodes: byZone[zone], Mixed: w.Mixed})
 		}
 	}
 	return waves, nil
 }
 
 // pickNodes chooses the nodes of a wave that does not name them, and adds them to taken.
-func (m *Machine) pick(w Wave, taken map[string]bool, done map[string]int) (nodes []string) {
-	of, free := 0, []string{}
+func (m *Machine) pickNodes(w Wave, taken map[string]bool, updated map[string]int) (nodes []string) {
+	total, free := 0, []string{}
 	rank, seen := map[string]int{}, map[string]int{} // rank: by node, how many nodes of its zone come before it; seen: by zone
-	for _, n := range slices.Sorted(maps.Keys(m.s.Units)) {
+	for _, n := range slices.Sorted(maps.Keys(m.state.Units)) {
 		zone := m.zoneOf(n)
 		if w.Zone != "" && zone != w.Zone {
 			continue
 		}
-		of++
-		if !taken[n] && w.Voters == (m.s.Voters[n] != "") {
-			rank[n], free = done[zone]+seen[zone], append(free, n)
+		total++
+		if !taken[n] && w.Voters == (m.state.Voters[n] != "") {
+			rank[n], free = updated[zone]+seen[zone], append(free, n)
 			seen[zone]++
 		}
 	}
@@ -95,8 +95,8 @@
 	slices.SortStableFunc(free, func(a, b string) int {
 		return cmp.Or(cmp.Compare(rank[a], rank[b]), cmp.Compare(m.zoneOf(a), m.zoneOf(b)))
 	})
-	if want := int(math.Ceil(w.Share*float64(of) - 1e-9)); w.Share > 0 {
-		free = free[:min(max(0, want-done[w.Zone]), len(free))]
+	if want := int(math.Ceil(w.Share*float64(total) - 1e-9)); w.Share > 0 {
+		free = free[:min(max(0, want-updated[w.Zone]), len(free))]
 	} else if w.Count > 0 {
 		free = free[:min(w.Count, len(free))]
 	}
@@ -107,14 +107,14 @@
 }
 
 func (m *Machine) zoneOf(node string) string {
-	if n := m.s.Nodes[node]; n != nil {
+	if n := m.state.Nodes[node]; n != nil {
 		return n.Zone
 	}
 	return ""
 }
 
 // wavesProblem returns what is wrong with waves, given the zones and voters of the state; empty if nothing is.
-func (m *Machine) wrongWaves(waves []*fleetpb.Wave) string {
+func (m *Machine) wavesProblem(waves []*fleetpb.Wave) string {
 	voter := ""
 	for i, w := range waves {
 		zone := m.zoneOf(w.Nodes[0])
@@ -122,12 +122,12 @@
 			if z := m.zoneOf(n); z != zone && !w.Mixed {
 				return fmt.Sprintf("wave %d has nodes of zone %s and of zone %s: make it two, or say mixed = true", i+1, zone, z)
 			}
-			if m.s.Voters[n] == "" && voter != "" {
+			if m.state.Voters[n] == "" && voter != "" {
 				return fmt.Sprintf("wave %d has %s, behind %s, which votes: voters come last", i+1, n, voter)
 			}
 		}
 		for _, n := range w.Nodes {
-			if m.s.Voters[n] != "" {
+			if m.state.Voters[n] != "" {
 				voter = n
 			}
 		}
@@ -137,12 +137,12 @@
 
 // canTakeVoterOut reports whether a release may take one more voter out of service, which leaves a majority of the
 // voters. With one or two voters no majority can be kept, so one may always go.
-func (m *Machine) voterMayGo() bool {
+func (m *Machine) canTakeVoterOut() bool {
 	out := 0
-	for v := range m.s.Voters {
-		if m.s.Nodes[v] == nil || m.nodeWhy(v) != "" {
+	for v := range m.state.Voters {
+		if m.state.Nodes[v] == nil || m.nodeOutReason(v) != "" {
 			out++
 		}
 	}
-	return out+1 <= max(1, (len(m.s.Voters)-1)/2)
+	return out+1 <= max(1, (len(m.state.Voters)-1)/2)
 }
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -10,14 +10,14 @@
 
 // newZonedFleet returns a simulated fleet of n nodes that alternate between zones a, b and c. The first ones are
 // voters.
-func hall(t *testing.T, n, most, voters int) *yard {
-	y := newYard(t, 1, n, most, func(string, string) string { return "" })
-	y.m.s.Voters, y.zone = map[string]string{}, map[string]string{}
+func newZonedFleet(t *testing.T, n, most, voters int) *simFleet {
+	y := newSimFleet(t, 1, n, most, func(string, string) string { return "" })
+	y.machine.state.Voters, y.zoneOf = map[string]string{}, map[string]string{}
 	for i, name := range y.nodes {
-		y.zone[name] = string(rune('a' + i%3))
-		y.m.s.Nodes[name].Zone = y.zone[name]
+		y.zoneOf[name] = string(rune('a' + i%3))
+		y.machine.state.Nodes[name].Zone = y.zoneOf[name]
 		if i < voters {
-			y.m.s.Voters[name] = "birth"
+			y.machine.state.Voters[name] = "birth"
 		}
 	}
 	return y
@@ -26,7 +26,7 @@
 // Guards against waves that are filled in another order than that of zones and names, that have nodes of several
 // zones without being mixed, or that have a node twice. Waves are given by count, share, zone, voters and names.
 func TestWaves(t *testing.T) {
-	y := hall(t, 12, 2, 3) // voters: n00 to n02; zone a: n00 n03 n06 n09
+	y := newZonedFleet(t, 12, 2, 3) // voters: n00 to n02; zone a: n00 n03 n06 n09
 	for name, c := range map[string]struct {
 		list []Wave
 		want string
@@ -41,7 +41,7 @@
 		"over a whole":     {[]Wave{{Share: 1.5}}, "wave[0]: want one of"},
 		"a share is there": {[]Wave{{Share: 0.25}, {Share: 0.25}}, "a: n03; b: n04; c: n05"},
 	} {
-		waves, err := y.m.Waves(c.list)
+		waves, err := y.machine.BuildWaves(c.list)
 		parts := []string{}
 		for _, w := range waves {
 			parts = append(parts, w.Name+": "+strings.Join(w.Nodes, " "))
@@ -65,8 +65,8 @@
 		"voters beside others": {[]*fleetpb.Wave{{Nodes: []string{"n00", "n03"}}, {Nodes: []string{"n01"}}}, ""},
 	} {
 		for _, level := range []uint32{levelFirst, Level} {
-			y := hall(t, 6, 2, 3)
-			y.level, y.m.s.Level = level, level
+			y := newZonedFleet(t, 6, 2, 3)
+			y.level, y.machine.state.Level = level, level
 			r := y.plan(func(p *fleetpb.Plan) { p.Waves = c.waves })
 			if level == levelFirst && r.Code != fleetpb.Result_DONE || level == Level && !strings.HasPrefix(r.Reason, c.want) || c.want == "" && r.Code != fleetpb.Result_DONE {
 				t.Errorf("%s, level %d: %v", name, level, r)
@@ -78,11 +78,11 @@
 // Guards against a release that takes the majority of the voters out of service when the budgets would allow it.
 func TestVotersTurn(t *testing.T) {
 	for voters, most := range map[int]int{1: 1, 3: 1, 5: 2, 7: 3} {
-		y := hall(t, voters, voters, voters)
+		y := newZonedFleet(t, voters, voters, voters)
 		y.plan(func(p *fleetpb.Plan) { p.Waves = []*fleetpb.Wave{{Nodes: y.nodes, Mixed: true}} })
-		y.until(Done)
-		if y.worst != most {
-			t.Errorf("%d of %d voters were out at once, want %d: %s", y.worst, voters, most, fmt.Sprint(y.history()))
+		y.runUntil(Done)
+		if y.worstDown != most {
+			t.Errorf("%d of %d voters were out at once, want %d: %s", y.worstDown, voters, most, fmt.Sprint(y.history()))
 		}
 	}
 }
@@ -90,19 +90,19 @@
 // Guards against samples that differ from what was out of service, and against sampling that ends before the last
 // node of the release or of its rollback is back, or goes on afterwards.
 func TestSamples(t *testing.T) {
-	y := hall(t, 6, 2, 0)
-	y.say(&fleetpb.Entry{What: &fleetpb.Entry_Budgets{Budgets: &fleetpb.SetBudgets{Budgets: []*fleetpb.Budget{{Name: "all", On: "nodes", By: "fleet", Bounded: true, MostOut: 2}, {Name: "a-hall", On: "nodes", By: "zone", MostShare: 0.5}}}}})
+	y := newZonedFleet(t, 6, 2, 0)
+	y.apply(&fleetpb.Entry{What: &fleetpb.Entry_Budgets{Budgets: &fleetpb.SetBudgets{Budgets: []*fleetpb.Budget{{Name: "all", On: "nodes", By: "fleet", Bounded: true, MostOut: 2}, {Name: "a-hall", On: "nodes", By: "zone", MostShare: 0.5}}}}})
 	y.plan(func(p *fleetpb.Plan) { p.Waves = []*fleetpb.Wave{{Nodes: y.nodes, Mixed: true}} })
 	out := func() (n uint32) {
-		for _, g := range y.m.Groups() {
+		for _, g := range y.machine.Groups() {
 			if g.Budget.Name == "all" {
 				n = uint32(len(g.Out))
 			}
 		}
 		return n
 	}
-	said := func() (n uint32) {
-		for _, x := range y.m.s.Samples {
+	sampled := func() (n uint32) {
+		for _, x := range y.machine.state.Samples {
 			if x.Budget == "all" {
 				n = x.Out
 			}
@@ -110,46 +110,46 @@
 		return n
 	}
 	worst := uint32(0)
-	for y.m.State().Release.State == Running {
+	for y.machine.State().Release.State == Running {
 		y.step()
-		worst = max(worst, said())
-		if out() != said() {
-			t.Fatalf("%d nodes are out, the samples have %d", out(), said())
+		worst = max(worst, sampled())
+		if out() != sampled() {
+			t.Fatalf("%d nodes are out, the samples have %d", out(), sampled())
 		}
 	}
 	groups := map[string]int32{}
-	for _, x := range y.m.s.Samples {
+	for _, x := range y.machine.state.Samples {
 		groups[x.Budget+" "+x.Group] = x.Most
 	}
-	if worst != 2 || said() != 0 || len(groups) != 4 || groups["all fleet"] != 2 || groups["a-hall zone b"] != 1 {
-		t.Errorf("worst %d, last %d, groups %v", worst, said(), groups)
+	if worst != 2 || sampled() != 0 || len(groups) != 4 || groups["all fleet"] != 2 || groups["a-hall zone b"] != 1 {
+		t.Errorf("worst %d, last %d, groups %v", worst, sampled(), groups)
 	}
-	n := len(y.m.s.Samples)
-	y.say(&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: y.nodes[0], Epoch: y.m.State().Nodes[y.nodes[0]].Epoch}}})
-	if len(y.m.s.Samples) != n {
+	n := len(y.machine.state.Samples)
+	y.apply(&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: y.nodes[0], Epoch: y.machine.State().Nodes[y.nodes[0]].Epoch}}})
+	if len(y.machine.state.Samples) != n {
 		t.Error("a change after the release was sampled")
 	}
 	y.steer("back")
-	y.until(TurnedBack)
-	if said() != 0 || len(y.m.s.Samples) == n {
-		t.Errorf("the rollback was not sampled: %d out", said())
+	y.runUntil(RolledBack)
+	if sampled() != 0 || len(y.machine.state.Samples) == n {
+		t.Errorf("the rollback was not sampled: %d out", sampled())
 	}
 }
 
 // Guards against a resumed release that halts at once. One that halted because its health was unknown soaks and is
 // judged again after a resume, with the full time limit; one that was halted for another reason keeps its soak.
-func TestResumeAsksAnew(t *testing.T) {
-	y := newYard(t, 1, 2, 1, func(string, string) string { return "" })
+func TestResumeJudgesAgain(t *testing.T) {
+	y := newSimFleet(t, 1, 2, 1, func(string, string) string { return "" })
 	y.plan(func(p *fleetpb.Plan) { p.Health, p.TurnBack = true, false })
-	y.until(Halted)
-	if c := y.m.State().Release.Cause; !strings.Contains(c, "too little traffic") {
+	y.runUntil(Halted)
+	if c := y.machine.State().Release.Cause; !strings.Contains(c, "too little traffic") {
 		t.Fatal(c)
 	}
 	y.steer("resume")
 	for range 50 {
 		y.step()
 	}
-	r := y.m.State().Release
+	r := y.machine.State().Release
 	if r.State != Running || y.now-r.SoakMs > 5000 {
 		t.Errorf("after the resume: %s: %s", r.State, r.Cause)
 	}
@@ -160,8 +160,8 @@
 	if r.SoakMs != at {
 		t.Error("the release lost its soak")
 	}
-	y.say(&fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: &fleetpb.Judged{Release: "r1", SoakMs: at, Health: HealthUnknown, Why: "c: 3 of 5"}}})
-	y.until(Halted)
+	y.apply(&fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: &fleetpb.Judged{Release: "r1", SoakMs: at, Health: HealthUnknown, Why: "c: 3 of 5"}}})
+	y.runUntil(Halted)
 	if c := r.Cause; !strings.Contains(c, "too little traffic: c: 3 of 5") {
 		t.Error(c)
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -18,17 +18,17 @@
 
 // Config is a validated gateway file. Paths in the file are relative to its folder.
 type Config struct {
-	Path       string
-	Listen     netip.AddrPort // UDP; nodes of other sites connect to this address
-	Identity   *link.Identity
-	Out, In    int     // limits of hand-offs in flight: to each site; from all sites together
-	Entries    int     // limit of entries in the ledger
-	Bytes      int     // limit of the answers that the ledger keeps, in bytes
-	SpareShare float64 // share of the headroom that is offered to other sites, 0 to 1
+	Path                          string
+	Listen                        netip.AddrPort // UDP; nodes of other sites connect to this address
+	Identity                      *link.Identity
+	MaxHandOffsOut, MaxHandOffsIn int     // limits of hand-offs in flight: to each site; from all sites together
+	LedgerEntries                 int     // limit of entries in the ledger
+	LedgerBytes                   int     // limit of the answers that the ledger keeps, in bytes
+	SpareShare                    float64 // share of the headroom that is offered to other sites, 0 to 1
 }
 
-// fileFormat is the layout of the TOML file.
-type file struct {
+// fileFormat is the layout of the TOML fileFormat.
+type fileFormat struct {
 	Site struct {
 		Name        string `toml:"name"`
 		Listen      string `toml:"listen"`
@@ -51,11 +51,11 @@
 
 // Largest values that a file may have.
 const (
-	mostHandoffs = 4096
-	mostEntries  = 1_000_000
-	mostBytes    = 1 << 30
-	mostPeers    = 32
-	mostAddrs    = 16
+	maxHandOffs      = 4096
+	maxLedgerEntries = 1_000_000
+	maxLedgerBytes   = 1 << 30
+	maxPeers         = 32
+	maxAddresses     = 16
 )
 
 var hostName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]*[a-z0-9])?(\.[a-z0-9]([a-z0-9-]*[a-z0-9])?)*$`)
@@ -75,79 +75,79 @@
 
 // parse validates the text of a gateway file. Relative paths in it start at the folder of path.
 func parse(path string, raw []byte, now time.Time) (*Config, error) {
-	f := file{}
-	f.Limits.Out, f.Limits.In, f.Limits.Entries, f.Limits.Bytes, f.Limits.SpareShare = 256, 256, 10_000, 16<<20, 0.5
-	if err := tomlfile.Decode(path, raw, &f); err != nil {
+	file := fileFormat{}
+	file.Limits.Out, file.Limits.In, file.Limits.Entries, file.Limits.Bytes, file.Limits.SpareShare = 256, 256, 10_000, 16<<20, 0.5
+	if err := tomlfile.Decode(path, raw, &file); err != nil {
 		return nil, err
 	}
 	fault := tomlfile.KeyErrors(path, raw)
-	c := &Config{Path: path, Out: f.Limits.Out, In: f.Limits.In, Entries: f.Limits.Entries, Bytes: f.Limits.Bytes, SpareShare: f.Limits.SpareShare,
-		Identity: &link.Identity{Site: f.Site.Name}}
+	config := &Config{Path: path, MaxHandOffsOut: file.Limits.Out, MaxHandOffsIn: file.Limits.In, LedgerEntries: file.Limits.Entries, LedgerBytes: file.Limits.Bytes, SpareShare: file.Limits.SpareShare,
+		Identity: &link.Identity{Site: file.Site.Name}}
 	var err error
-	if !hostName.MatchString(f.Site.Name) {
-		return nil, fault("site.name", "want a DNS name in lower case, have %q", f.Site.Name)
+	if !hostName.MatchString(file.Site.Name) {
+		return nil, fault("site.name", "want a DNS name in lower case, have %q", file.Site.Name)
 	}
-	if c.Listen, err = netip.ParseAddrPort(f.Site.Listen); err != nil {
-		return nil, fault("site.listen", "want IP:port, have %q", f.Site.Listen)
+	if config.Listen, err = netip.ParseAddrPort(file.Site.Listen); err != nil {
+		return nil, fault("site.listen", "want IP:port, have %q", file.Site.Listen)
 	}
-	for _, l := range []struct {
+	for _, limit := range []struct {
 		key               string
 		have, most, least int
-	}{{"limits.handoffs_out", c.Out, mostHandoffs, 1}, {"limits.handoffs_in", c.In, mostHandoffs, 1},
-		{"limits.ledger_entries", c.Entries, mostEntries, 1}, {"limits.answer_bytes", c.Bytes, mostBytes, 0}} {
-		if l.have < l.least || l.have > l.most {
-			return nil, fault(l.key, "want %d to %d, have %d", l.least, l.most, l.have)
+	}{{"limits.handoffs_out", config.MaxHandOffsOut, maxHandOffs, 1}, {"limits.handoffs_in", config.MaxHandOffsIn, maxHandOffs, 1},
+		{"limits.ledger_entries", config.LedgerEntries, maxLedgerEntries, 1}, {"limits.answer_bytes", config.LedgerBytes, maxLedgerBytes, 0}} {
+		if limit.have < limit.least || limit.have > limit.most {
+			return nil, fault(limit.key, "want %d to %d, have %d", limit.least, limit.most, limit.have)
 		}
 	}
-	if c.Entries < c.In {
-		return nil, fault("limits.ledger_entries", "want as many as handoffs_in (%d) at least, have %d", c.In, c.Entries)
+	if config.LedgerEntries < config.MaxHandOffsIn {
+		return nil, fault("limits.ledger_entries", "want as many as handoffs_in (%d) at least, have %d", config.MaxHandOffsIn, config.LedgerEntries)
 	}
-	if !(c.SpareShare >= 0 && c.SpareShare <= 1) {
-		return nil, fault("limits.spare_share", "want 0 to 1, have %v", c.SpareShare)
+	if !(config.SpareShare >= 0 && config.SpareShare <= 1) {
+		return nil, fault("limits.spare_share", "want 0 to 1, have %v", config.SpareShare)
 	}
-	beside := tomlfile.RelativeTo(path)
-	if c.Identity.Certificate, err = tls.LoadX509KeyPair(beside(f.Site.Certificate), beside(f.Site.Key)); err != nil {
+	pathOf := tomlfile.RelativeTo(path)
+	if config.Identity.Certificate, err = tls.LoadX509KeyPair(pathOf(file.Site.Certificate), pathOf(file.Site.Key)); err != nil {
 		return nil, fault("site.certificate", "%v", err)
 	}
-	if err := Good(c.Identity.Certificate.Leaf, f.Site.Name, now); err != nil {
+	if err := CheckCertificate(config.Identity.Certificate.Leaf, file.Site.Name, now); err != nil {
 		return nil, fault("site.certificate", "%v", err)
 	}
-	if len(f.Peer) > mostPeers {
-		return nil, fault("peer", "%d sites, at most %d are allowed", len(f.Peer), mostPeers)
+	if len(file.Peer) > maxPeers {
+		return nil, fault("peer", "%d sites, at most %d are allowed", len(file.Peer), maxPeers)
 	}
-	seen := map[string]string{f.Site.Name: "site"}
-	for i, p := range f.Peer {
+	seen := map[string]string{file.Site.Name: "site"}
+	for i, peer := range file.Peer {
 		key := fmt.Sprintf("peer[%d].", i)
-		if !hostName.MatchString(p.Name) {
-			return nil, fault(key+"name", "want a DNS name in lower case, have %q", p.Name)
+		if !hostName.MatchString(peer.Name) {
+			return nil, fault(key+"name", "want a DNS name in lower case, have %q", peer.Name)
 		}
-		if other := seen[p.Name]; other != "" {
-			return nil, fault(key+"name", "%q is already the name of %s", p.Name, other)
+		if other := seen[peer.Name]; other != "" {
+			return nil, fault(key+"name", "%q is already the name of %s", peer.Name, other)
 		}
-		seen[p.Name] = fmt.Sprintf("peer[%d]", i)
-		if len(p.Addresses) == 0 || len(p.Addresses) > mostAddrs {
-			return nil, fault(key+"addresses", "want 1 to %d, have %d", mostAddrs, len(p.Addresses))
+		seen[peer.Name] = fmt.Sprintf("peer[%d]", i)
+		if len(peer.Addresses) == 0 || len(peer.Addresses) > maxAddresses {
+			return nil, fault(key+"addresses", "want 1 to %d, have %d", maxAddresses, len(peer.Addresses))
 		}
-		for _, a := range p.Addresses {
+		for _, a := range peer.Addresses {
 			at, err := netip.ParseAddrPort(a)
 			if err != nil {
 				return nil, fault(key+"addresses", "want IP:port, have %q", a)
 			}
-			if at == c.Listen {
+			if at == config.Listen {
 				return nil, fault(key+"addresses", "%s is the address of this node", a)
 			}
 		}
-		roots, err := ReadRoots(beside(p.Roots), now)
+		roots, err := ReadRoots(pathOf(peer.Roots), now)
 		if err != nil {
 			return nil, fault(key+"roots", "%v", err)
 		}
-		c.Identity.Peers = append(c.Identity.Peers, link.Peer{Name: p.Name, Roots: roots, Addresses: p.Addresses})
+		config.Identity.Peers = append(config.Identity.Peers, link.Peer{Name: peer.Name, Roots: roots, Addresses: peer.Addresses})
 	}
-	return c, nil
+	return config, nil
 }
 
 // CheckCertificate returns an error unless a certificate is valid for a name, and valid at now.
-func Good(leaf *x509.Certificate, name string, now time.Time) error {
+func CheckCertificate(leaf *x509.Certificate, name string, now time.Time) error {
 	if err := leaf.VerifyHostname(name); err != nil {
 		return err
 	}
@@ -163,7 +163,7 @@
 	if err != nil {
 		return nil, err
 	}
-	pool, some := x509.NewCertPool(), false
+	pool, anyValid := x509.NewCertPool(), false
 	for {
 		var block *pem.Block
 		if block, raw = pem.Decode(raw); block == nil {
@@ -177,9 +177,9 @@
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 		pool.AddCert(cert)
-		some = some || !now.Before(cert.NotBefore) && !now.After(cert.NotAfter)
+		anyValid = anyValid || !now.Before(cert.NotBefore) && !now.After(cert.NotAfter)
 	}
-	if !some {
+	if !anyValid {
 		return nil, fmt.Errorf("%s: no certificate in it is valid now", path)
 	}
 	return pool, nil
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/standin"
 )
 
-const good1 = `[site]
+const validFile = `[site]
 name = "hall-a.example.org"
 listen = "127.0.0.1:7443"
 certificate = "a.crt"
@@ -32,7 +32,7 @@
 
 // writeFiles writes the certificates, keys and roots that validFile names, and invalid ones, and returns the path of
 // the gateway file, which it does not write.
-func files(t testing.TB) string {
+func writeFiles(t testing.TB) string {
 	dir := t.TempDir()
 	a, err := standin.NewAuthority()
 	if err != nil {
@@ -56,9 +56,9 @@
 
 // Guards against errors that do not name their place: each fault in a file is one line with file, line and key.
 func TestFaultsNameTheirPlace(t *testing.T) {
-	path := files(t)
-	c, err := parse(path, []byte(good1), time.Now())
-	if err != nil || c.Out != 100 || c.In != 256 || c.Identity.Site != "hall-a.example.org" || len(c.Identity.Peers) != 1 {
+	path := writeFiles(t)
+	c, err := parse(path, []byte(validFile), time.Now())
+	if err != nil || c.MaxHandOffsOut != 100 || c.MaxHandOffsIn != 256 || c.Identity.Site != "hall-a.example.org" || len(c.Identity.Peers) != 1 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, bad := range []struct{ from, to, want string }{
@@ -80,12 +80,12 @@
 		{`["127.0.0.1:7444"]`, `[]`, ":13: peer[0].addresses: "},
 		{`addresses = ["127.0.0.1:7444"]`, ``, ":10: peer[0].addresses: "},
 	} {
-		_, err := parse(path, []byte(strings.Replace(good1, bad.from, bad.to, 1)), time.Now())
+		_, err := parse(path, []byte(strings.Replace(validFile, bad.from, bad.to, 1)), time.Now())
 		if err == nil || !strings.HasPrefix(err.Error(), path+bad.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s in place of %s: got error %v, want %q", bad.to, bad.from, err, bad.want)
 		}
 	}
-	expired := strings.Replace(strings.Replace(good1, "a.crt", "old.crt", 1), "a.key", "old.key", 1)
+	expired := strings.Replace(strings.Replace(validFile, "a.crt", "old.crt", 1), "a.key", "old.key", 1)
 	if _, err := parse(path, []byte(expired), time.Now()); err == nil || !strings.Contains(err.Error(), ":4: site.certificate: good from") {
 		t.Errorf("an expired certificate: got error %v", err)
 	}
@@ -96,8 +96,8 @@
 
 // Guards against a panic, a result that is neither a configuration nor an error, and an error of several lines.
 func FuzzParse(f *testing.F) {
-	path := files(f)
-	f.Add(good1)
+	path := writeFiles(f)
+	f.Add(validFile)
 	f.Add("[[peer]]\n[[peer]]\nname = 1")
 	f.Add("site.name = 'a'\nsite = 3")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -123,7 +123,7 @@
 	}{{request, 200, false, ledger.Done}, {request, 404, false, ledger.Done}, {request, 503, false, ledger.Refused}, {request, 502, false, ledger.Failed},
 		{request, 409, false, ledger.Failed}, {request, 200, true, ledger.Failed}, {"no request", 200, false, ledger.Refused}} {
 		ctx, cancel := context.WithCancel(t.Context())
-		state, answer := Handle(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		state, answer := NewHandler(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("X-Time-Left") != "1.500000" || r.RemoteAddr != "hall-a" {
 				t.Errorf("the handler got header %v from %s", r.Header, r.RemoteAddr)
 			}
@@ -156,7 +156,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	path := files(t)
+	path := writeFiles(t)
 	for from, to := range map[string]string{"a.crt": "hall-a.crt", "a.key": "hall-a.key", "b.roots": "hall-b.roots"} {
 		if err := os.Rename(filepath.Join(filepath.Dir(path), from), filepath.Join(filepath.Dir(path), to)); err != nil {
 			t.Fatal(err)
@@ -166,7 +166,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Out != 256 || c.In != 256 || c.Entries != 10_000 || c.Bytes != 16<<20 || c.SpareShare != 0.5 || len(c.Identity.Peers[0].Addresses) != 2 {
+	if c.MaxHandOffsOut != 256 || c.MaxHandOffsIn != 256 || c.LedgerEntries != 10_000 || c.LedgerBytes != 16<<20 || c.SpareShare != 0.5 || len(c.Identity.Peers[0].Addresses) != 2 {
 		t.Errorf("the example does not show the defaults: %+v", c)
 	}
 }
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -13,26 +13,26 @@
 
 // Error rates of each test.
 const (
-	FalseAlarm = 0.001 // probability that a version which does no worse is judged Worse
-	Missed     = 0.01  // probability that a version which does worse is judged Well
+	FalseAlarmRate = 0.001 // probability that a version which does no worse is judged Worse
+	MissRate       = 0.01  // probability that a version which does worse is judged Well
 )
 
 // Hypotheses that the tests decide between.
 const (
-	fine    = 0.002 // share of bad outcomes that is good, whatever the share of the old version
-	notFine = 0.02  // share of bad outcomes that is bad by itself
-	worse   = 2.0   // times the old version's share that counts as worse
+	goodRate    = 0.002 // share of bad outcomes that is good, whatever the share of the old version
+	badRate     = 0.02  // share of bad outcomes that is bad by itself
+	worseFactor = 2.0   // times the old version's share that counts as worse
 	// A class is ignored if it has less than this share of the new version's requests, and fewer requests than this
 	// count at each of the versions.
-	leastPart  = 0.01
-	leastCount = 50
+	minClassShare = 0.01
+	minClassCount = 50
 )
 
 // ClassCounts are the completed requests of one class. Latencies counts the served ones by latency, one count for
 // each bucket of LatencyBounds; nil if the latencies are not known.
-type Ends struct {
+type ClassCounts struct {
 	Served, Refused, Failed uint64
-	Took                    []uint64
+	Latencies               []uint64
 }
 
 // Verdict is the result of a test.
@@ -53,45 +53,45 @@
 // Thresholds of the log likelihood ratio (worse to well): at least worseThreshold is Worse, at most wellThreshold is
 // Well.
 var (
-	rejects = math.Log((1 - Missed) / FalseAlarm)
-	accepts = math.Log(Missed / (1 - FalseAlarm))
+	worseThreshold = math.Log((1 - MissRate) / FalseAlarmRate)
+	wellThreshold  = math.Log(MissRate / (1 - FalseAlarmRate))
 )
 
 func decide(llr float64) Verdict {
 	switch {
-	case llr >= rejects:
+	case llr >= worseThreshold:
 		return Worse
-	case llr <= accepts:
+	case llr <= wellThreshold:
 		return Well
 	}
 	return Unknown
 }
 
 // JudgeRate tests the share of bad outcomes by itself: at most 0.002 (Well) against at least 0.02 (Worse).
-func Rate(bad, all uint64) Verdict {
-	return decide(float64(bad)*math.Log(notFine/fine) + float64(all-bad)*math.Log((1-notFine)/(1-fine)))
+func JudgeRate(bad, all uint64) Verdict {
+	return decide(float64(bad)*math.Log(badRate/goodRate) + float64(all-bad)*math.Log((1-badRate)/(1-goodRate)))
 }
 
 // CompareRates tests whether the new version's share of bad outcomes equals the old version's (Well) or is twice as
 // large (Worse). It takes the total number of bad outcomes as given: with equal shares, each of them is of the new
 // version with a probability that equals the new version's share of the requests.
-func Against(newBad, newAll, oldBad, oldAll uint64) Verdict {
+func CompareRates(newBad, newAll, oldBad, oldAll uint64) Verdict {
 	if newAll == 0 || oldAll == 0 {
 		return Unknown
 	}
 	alike := float64(newAll) / float64(newAll+oldAll)
-	other := worse * float64(newAll) / (worse*float64(newAll) + float64(oldAll))
+	other := worseFactor * float64(newAll) / (worseFactor*float64(newAll) + float64(oldAll))
 	return decide(float64(newBad)*math.Log(other/alike) + float64(oldBad)*math.Log((1-other)/(1-alike)))
 }
 
 // judgeKind judges one kind of bad outcome of one class. It is Well if either test says so, and Worse only if the
 // share is bad by itself and, where the old version has requests, worse than that of the old version.
-func one(newBad, newAll, oldBad, oldAll uint64) Verdict {
-	alone, beside := Rate(newBad, newAll), Against(newBad, newAll, oldBad, oldAll)
+func judgeKind(newBad, newAll, oldBad, oldAll uint64) Verdict {
+	byRate, compared := JudgeRate(newBad, newAll), CompareRates(newBad, newAll, oldBad, oldAll)
 	switch {
-	case alone == Well || beside == Well:
+	case byRate == Well || compared == Well:
 		return Well
-	case alone == Worse && (beside == Worse || oldAll == 0):
+	case byRate == Worse && (compared == Worse || oldAll == 0):
 		return Worse
 	}
 	return Unknown
@@ -100,9 +100,9 @@
 // Judge compares the new version's counts (fresh) with the old version's by class: the shares of failed, refused and
 // late requests, and then the latencies. A request is late if it was served after its class's aim. why describes the
 // class that is worse, or one that is not known yet.
-func Judge(fresh, old map[string]Ends) (v Verdict, why string) {
+func Judge(fresh, old map[string]ClassCounts) (v Verdict, why string) {
 	total := uint64(0)
-	all := func(e Ends) uint64 { return e.Served + e.Refused + e.Failed }
+	all := func(e ClassCounts) uint64 { return e.Served + e.Refused + e.Failed }
 	for _, e := range fresh {
 		total += all(e)
 	}
@@ -111,16 +111,16 @@
 	}
 	unknown := ""
 	for _, class := range slices.Sorted(maps.Keys(fresh)) {
-		f, o := fresh[class], old[class]
-		if all(f) < leastCount && float64(all(f)) < leastPart*float64(total) && float64(all(o)) < leastCount {
+		freshCounts, oldCounts := fresh[class], old[class]
+		if all(freshCounts) < minClassCount && float64(all(freshCounts)) < minClassShare*float64(total) && float64(all(oldCounts)) < minClassCount {
 			continue
 		}
 		for _, kind := range []struct {
-			name   string
-			nb, ob uint64
-		}{{"failed", f.Failed, o.Failed}, {"refused", f.Refused, o.Refused}, {"late", late(f.Took), late(o.Took)}} {
-			text := fmt.Sprintf("%s: %d of %d %s, %d of %d at the version before", class, kind.nb, all(f), kind.name, kind.ob, all(o))
-			switch one(kind.nb, all(f), kind.ob, all(o)) {
+			name             string
+			freshBad, oldBad uint64
+		}{{"failed", freshCounts.Failed, oldCounts.Failed}, {"refused", freshCounts.Refused, oldCounts.Refused}, {"late", countLate(freshCounts.Latencies), countLate(oldCounts.Latencies)}} {
+			text := fmt.Sprintf("%s: %d of %d %s, %d of %d at the version before", class, kind.freshBad, all(freshCounts), kind.name, kind.oldBad, all(oldCounts))
+			switch judgeKind(kind.freshBad, all(freshCounts), kind.oldBad, all(oldCounts)) {
 			case Worse:
 				return Worse, text
 			case Unknown:
@@ -128,7 +128,7 @@
 			}
 		}
 	}
-	v, why = Slower(fresh, old)
+	v, why = JudgeLatency(fresh, old)
 	if unknown != "" && v != Worse {
 		return Unknown, unknown
 	}
--- a/internal/health/times_test.go
+++ b/internal/health/times_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-const playAim = 600 * time.Millisecond
+const simulatedAim = 600 * time.Millisecond
 
 // simulateLatencies draws batches of 50 answers, of which part is the new version's, until JudgeLatency returns a
 // verdict. The latencies are log-normal around 20 ms, with the given spread, and the new version's are multiplied by
 // times. It returns the verdict and the number of the new version's answers.
-func playTimes(seed uint64, times, spread, part float64) (Verdict, uint64) {
+func simulateLatencies(seed uint64, times, spread, part float64) (Verdict, uint64) {
 	r := rand.New(rand.NewPCG(seed, 5))
-	bounds := Bounds(playAim)
+	bounds := LatencyBounds(simulatedAim)
 	n, o := make([]uint64, Buckets), make([]uint64, Buckets)
 	for range 2000 {
 		for range 50 {
@@ -27,11 +27,11 @@
 			at, _ := slices.BinarySearch(bounds, time.Duration(20e6*factor*math.Exp(spread*r.NormFloat64())))
 			to[at]++
 		}
-		if v, _ := Slower(map[string]Ends{"c": {Took: n}}, map[string]Ends{"c": {Took: o}}); v != Unknown {
-			return v, total(n)
+		if v, _ := JudgeLatency(map[string]ClassCounts{"c": {Latencies: n}}, map[string]ClassCounts{"c": {Latencies: o}}); v != Unknown {
+			return v, sumOf(n)
 		}
 	}
-	return Unknown, total(n)
+	return Unknown, sumOf(n)
 }
 
 // Guards against a version that is 10% slower and passes, one that is not slower and is rejected (both beyond the
@@ -54,30 +54,30 @@
 		"no slower, hardly any are left": {1, 0.4, 0.95, Well, 40000},
 		"10% slower, few are left":       {1.1, 0.4, 0.9, Worse, 15000},
 	} {
-		wrong, open := 0, 0
+		wrong, undecided := 0, 0
 		var counts []uint64
-		const plays = 300
-		for seed := range uint64(plays) {
-			v, n := playTimes(seed, c.times, c.spread, c.part)
+		const runs = 300
+		for seed := range uint64(runs) {
+			v, n := simulateLatencies(seed, c.times, c.spread, c.part)
 			counts = append(counts, n)
 			switch v {
 			case c.want:
 			case Unknown:
-				open++
+				undecided++
 			default:
 				wrong++
 			}
 		}
-		stated := Missed * plays
+		stated := MissRate * runs
 		if c.want == Well {
-			stated = FalseAlarm * plays
+			stated = FalseAlarmRate * runs
 		}
-		if most := stated + 3.5*math.Sqrt(stated) + 1; float64(wrong) > most || open > 0 {
-			t.Errorf("%s: %d wrong and %d undecided of %d, want about %.1f wrong", name, wrong, open, plays, stated)
+		if most := stated + 3.5*math.Sqrt(stated) + 1; float64(wrong) > most || undecided > 0 {
+			t.Errorf("%s: %d wrong and %d undecided of %d, want about %.1f wrong", name, wrong, undecided, runs, stated)
 		}
 		slices.Sort(counts)
-		if middle := counts[plays/2]; middle > c.most {
-			t.Errorf("%s: a verdict after %d requests, want %d", name, middle, c.most)
+		if median := counts[runs/2]; median > c.most {
+			t.Errorf("%s: a verdict after %d requests, want %d", name, median, c.most)
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	well := 0
 	var counts []uint64
 	for seed := range uint64(200) {
-		v, n := playTimes(seed, 1.045, 0.4, 0.5)
+		v, n := simulateLatencies(seed, 1.045, 0.4, 0.5)
 		if counts = append(counts, n); v == Well {
 			well++
 		}
@@ -107,33 +107,33 @@
 		took[bucket], took[bucket+4] = n/2, n-n/2
 		return took
 	}
-	old := map[string]Ends{"a": {Served: 2000, Took: at(20, 2000)}, "b": {Served: 2000, Took: at(30, 2000)}}
+	old := map[string]ClassCounts{"a": {Served: 2000, Latencies: at(20, 2000)}, "b": {Served: 2000, Latencies: at(30, 2000)}}
 	for name, c := range map[string]struct {
-		fresh map[string]Ends
+		fresh map[string]ClassCounts
 		want  Verdict
 		why   string
 	}{
-		"alike":             {map[string]Ends{"a": {Took: at(20, 1000)}, "b": {Took: at(30, 1000)}}, Well, ""},
-		"few":               {map[string]Ends{"a": {Took: at(20, 1)}}, Unknown, "more are wanted"},
-		"few of each":       {map[string]Ends{"a": {Took: at(20, 700)}, "b": {Took: at(30, 700)}}, Well, ""},
-		"one is slower":     {map[string]Ends{"a": {Took: at(20, 1000)}, "b": {Took: at(32, 1000)}}, Worse, "b: 1000 answers take 1.19 times as long as 2000"},
-		"nobody to compare": {map[string]Ends{"c": {Took: at(20, 1000)}}, Well, ""},
+		"alike":             {map[string]ClassCounts{"a": {Latencies: at(20, 1000)}, "b": {Latencies: at(30, 1000)}}, Well, ""},
+		"few":               {map[string]ClassCounts{"a": {Latencies: at(20, 1)}}, Unknown, "more are wanted"},
+		"few of each":       {map[string]ClassCounts{"a": {Latencies: at(20, 700)}, "b": {Latencies: at(30, 700)}}, Well, ""},
+		"one is slower":     {map[string]ClassCounts{"a": {Latencies: at(20, 1000)}, "b": {Latencies: at(32, 1000)}}, Worse, "b: 1000 answers take 1.19 times as long as 2000"},
+		"nobody to compare": {map[string]ClassCounts{"c": {Latencies: at(20, 1000)}}, Well, ""},
 	} {
-		if v, why := Slower(c.fresh, old); v != c.want || !strings.Contains(why, c.why) {
+		if v, why := JudgeLatency(c.fresh, old); v != c.want || !strings.Contains(why, c.why) {
 			t.Errorf("%s: %v, %q; want %v, %q", name, v, why, c.want, c.why)
 		}
 	}
-	much := map[string]Ends{"a": {Served: 1000, Took: at(aimAt+1, 1000)}}
+	much := map[string]ClassCounts{"a": {Served: 1000, Latencies: at(aimBound+1, 1000)}}
 	if v, why := Judge(much, old); v != Worse || !strings.Contains(why, "1000 of 1000 late") {
 		t.Errorf("late answers: %v, %q", v, why)
 	}
-	if n := late(at(aimAt-4, 10)); n != 0 {
+	if n := countLate(at(aimBound-4, 10)); n != 0 {
 		t.Errorf("%d answers below their aim count as late", n)
 	}
-	if fat, _ := Fat(60<<20, 20<<20); !fat {
+	if fat, _ := UsesMoreMemory(60<<20, 20<<20); !fat {
 		t.Error("three times the memory is accepted")
 	}
-	if fat, _ := Fat(40<<20, 20<<20); fat {
+	if fat, _ := UsesMoreMemory(40<<20, 20<<20); fat {
 		t.Error("20 MB more are rejected")
 	}
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -43,10 +43,10 @@
 
 // Limits bounds a ledger. Zero values stand for the defaults.
 type Limits struct {
-	Entries  int           // in all sessions together; default 10,000
-	Bytes    int           // of kept answers; default 16 MiB
-	Sessions int           // sender processes at once; default 64
-	Keep     time.Duration // how long an entry is kept after its deadline, and a session after its last connection; default 10 s
+	Entries   int           // in all sessions together; default 10,000
+	Bytes     int           // of kept answers; default 16 MiB
+	Sessions  int           // sender processes at once; default 64
+	Retention time.Duration // how long an entry is kept after its deadline, and a session after its last connection; default 10 s
 }
 
 // withDefaults returns the limits with the defaults in place of zero or negative values.
@@ -60,8 +60,8 @@
 	if l.Sessions <= 0 {
 		l.Sessions = 64
 	}
-	if l.Keep <= 0 {
-		l.Keep = 10 * time.Second
+	if l.Retention <= 0 {
+		l.Retention = 10 * time.Second
 	}
 	return l
 }
@@ -72,30 +72,30 @@
 	sessions map[string]*Session
 	entries  int
 	bytes    int
-	due      dueHeap // entries by expiry time
+	expiry   expiryHeap // entries by expiry time
 }
 
 // Session holds the hand-offs of one sender process.
 type Session struct {
-	ledger   *Ledger
-	name     string
-	entries  map[uint64]*entry
-	acked    uint64 // the sender has acknowledged all lower numbers and queries none of them
-	blurred  uint64 // lower numbers without an entry may have had one
-	attached int    // number of connections
-	running  int    // number of Running entries
-	idleAt   time.Duration // when a connection was last detached
+	ledger       *Ledger
+	name         string
+	entries      map[uint64]*entry
+	ackedBelow   uint64        // the sender has acknowledged all lower numbers and queries none of them
+	unknownBelow uint64        // lower numbers without an entry may have had one
+	attached     int           // number of connections
+	running      int           // number of Running entries
+	detachedAt   time.Duration // when a connection was last detached
 }
 
 // entry is what is recorded of one hand-off.
 type entry struct {
-	session *Session
-	number  uint64
-	state   State
-	answer  []byte
-	kept    bool // the state is Done and answer holds the answer, which may be empty
-	until   time.Duration
-	slot    int // index in the expiry heap
+	session    *Session
+	number     uint64
+	state      State
+	answer     []byte
+	answerKept bool // the state is Done and answer holds the answer, which may be empty
+	expiresAt  time.Duration
+	heapIndex  int // index in the expiry heap
 }
 
 // New returns an empty ledger.
@@ -114,7 +114,7 @@
 		if len(l.sessions) >= l.limits.Sessions {
 			return nil
 		}
-		s = &Session{ledger: l, name: name, entries: map[uint64]*entry{}, blurred: next}
+		s = &Session{ledger: l, name: name, entries: map[uint64]*entry{}, unknownBelow: next}
 		l.sessions[name] = s
 	}
 	s.attached++
@@ -125,24 +125,24 @@
 // by then no delayed hand-off of a closed connection can arrive any more.
 func (s *Session) Detach(now time.Duration) {
 	s.attached--
-	s.idleAt = now
+	s.detachedAt = now
 }
 
 // Accept enters a hand-off that has arrived. deadline is the time after which its answer is useless. ok tells whether
 // the hand-off may be run. If not, state tells why: Refused if the ledger is full (nothing is entered then),
 // otherwise the state of that number.
-func (s *Session) Take(now time.Duration, number uint64, deadline time.Duration) (ok bool, state State) {
+func (s *Session) Accept(now time.Duration, number uint64, deadline time.Duration) (ok bool, state State) {
 	s.ledger.Expire(now)
 	if e := s.entries[number]; e != nil {
 		return false, e.state
 	}
-	if number == 0 || number < s.acked || number < s.blurred {
+	if number == 0 || number < s.ackedBelow || number < s.unknownBelow {
 		return false, Unknown
 	}
 	if s.ledger.entries >= s.ledger.limits.Entries {
 		return false, Refused
 	}
-	s.enter(number, Running, deadline+s.ledger.limits.Keep)
+	s.add(number, Running, deadline+s.ledger.limits.Retention)
 	s.running++
 	return true, Running
 }
@@ -157,59 +157,59 @@
 	e.state = state
 	s.running--
 	if state == Done && s.ledger.bytes+len(answer) <= s.ledger.limits.Bytes {
-		e.answer, e.kept = answer, true
+		e.answer, e.answerKept = answer, true
 		s.ledger.bytes += len(answer)
 	}
 }
 
 // Query returns the state of a hand-off, and its answer if answerKept is true. A hand-off that has not arrived is
 // fenced, for longer than it could still be in transit; if the ledger has no free entry for the fence, it is Unknown.
-func (s *Session) Ask(now time.Duration, number uint64) (state State, answer []byte, kept bool) {
+func (s *Session) Query(now time.Duration, number uint64) (state State, answer []byte, kept bool) {
 	s.ledger.Expire(now)
 	if e := s.entries[number]; e != nil {
-		return e.state, e.answer, e.kept
+		return e.state, e.answer, e.answerKept
 	}
-	if number == 0 || number < s.acked || number < s.blurred || s.ledger.entries >= s.ledger.limits.Entries {
+	if number == 0 || number < s.ackedBelow || number < s.unknownBelow || s.ledger.entries >= s.ledger.limits.Entries {
 		return Unknown, nil, false
 	}
-	s.enter(number, Fenced, now+s.ledger.limits.Keep)
+	s.add(number, Fenced, now+s.ledger.limits.Retention)
 	return Fenced, nil, false
 }
 
 // Ack removes the ended hand-offs with numbers lower than below, which the sender will not query any more. None of
 // these numbers is accepted again.
 func (s *Session) Ack(below uint64) {
-	if below <= s.acked {
+	if below <= s.ackedBelow {
 		return
 	}
 	// Loop over the numbers or over the entries, whichever are fewer: a sender may acknowledge numbers far ahead.
-	if below-s.acked <= uint64(len(s.entries)) {
-		for n := s.acked; n < below; n++ {
+	if below-s.ackedBelow <= uint64(len(s.entries)) {
+		for n := s.ackedBelow; n < below; n++ {
 			if e := s.entries[n]; e != nil && e.state != Running {
-				s.drop(e)
+				s.remove(e)
 			}
 		}
 	} else {
 		for n, e := range s.entries {
 			if n < below && e.state != Running {
-				s.drop(e)
+				s.remove(e)
 			}
 		}
 	}
-	s.acked = below
+	s.ackedBelow = below
 }
 
 // Expire removes entries whose time is over and, if all sessions are in use, those that have been without connections
 // and entries for Limits.Retention.
 func (l *Ledger) Expire(now time.Duration) {
-	for len(l.due) > 0 && l.due[0].until <= now {
-		e := l.due[0]
-		e.session.blurred = max(e.session.blurred, e.number+1)
-		e.session.drop(e)
+	for len(l.expiry) > 0 && l.expiry[0].expiresAt <= now {
+		e := l.expiry[0]
+		e.session.unknownBelow = max(e.session.unknownBelow, e.number+1)
+		e.session.remove(e)
 	}
 	if len(l.sessions) >= l.limits.Sessions {
 		for name, s := range l.sessions {
-			if s.attached == 0 && len(s.entries) == 0 && now-s.idleAt >= l.limits.Keep {
+			if s.attached == 0 && len(s.entries) == 0 && now-s.detachedAt >= l.limits.Retention {
 				delete(l.sessions, name)
 			}
 		}
@@ -221,7 +221,7 @@
 
 // Unacknowledged returns the number of hand-offs that have ended and whose sender has not acknowledged the answer.
 // Senders without a connection are not counted.
-func (l *Ledger) Owed() (n int) {
+func (l *Ledger) Unacknowledged() (n int) {
 	for _, s := range l.sessions {
 		if s.attached == 0 {
 			continue
@@ -239,46 +239,46 @@
 func (l *Ledger) Size() (entries, bytes, sessions int) { return l.entries, l.bytes, len(l.sessions) }
 
 // add adds an entry that expires at expiresAt.
-func (s *Session) enter(number uint64, state State, until time.Duration) {
-	e := &entry{session: s, number: number, state: state, until: until}
+func (s *Session) add(number uint64, state State, expiresAt time.Duration) {
+	e := &entry{session: s, number: number, state: state, expiresAt: expiresAt}
 	s.entries[number] = e
 	s.ledger.entries++
-	heap.Push(&s.ledger.due, e)
+	heap.Push(&s.ledger.expiry, e)
 }
 
 // remove removes an entry, with its answer.
-func (s *Session) drop(e *entry) {
+func (s *Session) remove(e *entry) {
 	if e.state == Running {
 		s.running--
 	}
 	delete(s.entries, e.number)
 	s.ledger.entries--
-	if e.kept {
+	if e.answerKept {
 		s.ledger.bytes -= len(e.answer)
 	}
-	heap.Remove(&s.ledger.due, e.slot)
+	heap.Remove(&s.ledger.expiry, e.heapIndex)
 }
 
 // expiryHeap is a heap of entries by expiry time.
-type dueHeap []*entry
+type expiryHeap []*entry
 
 // Len returns the number of entries, for container/heap.
-func (h dueHeap) Len() int { return len(h) }
+func (h expiryHeap) Len() int { return len(h) }
 
 // Less orders entries by expiry time, for container/heap.
-func (h dueHeap) Less(i, j int) bool { return h[i].until < h[j].until }
+func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
 
 // Swap swaps two entries and updates their indices, for container/heap.
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].slot, h[j].slot = i, j }
+func (h expiryHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
 
 // Push appends an *entry and sets its index, for container/heap.
-func (h *dueHeap) Push(e any) {
-	e.(*entry).slot = len(*h)
+func (h *expiryHeap) Push(e any) {
+	e.(*entry).heapIndex = len(*h)
 	*h = append(*h, e.(*entry))
 }
 
 // Pop removes and returns the last *entry, for container/heap.
-func (h *dueHeap) Pop() any {
+func (h *expiryHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 // that its limits are reached all the time; each reply is checked against what has run.
 func TestNeverSeenStaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(Limits{Entries: 6, Bytes: 40, Sessions: 2, Keep: time.Second})
+		l := New(Limits{Entries: 6, Bytes: 40, Sessions: 2, Retention: time.Second})
 		now := time.Duration(0)
 		type near struct {
 			name     string
@@ -56,7 +56,7 @@
 				if n.s == nil || number >= n.next && number != 0 {
 					break
 				}
-				if ok, _ := n.s.Take(now, number, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "left"))*time.Millisecond); ok {
+				if ok, _ := n.s.Accept(now, number, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "left"))*time.Millisecond); ok {
 					if n.never[number] {
 						t.Fatalf("hand-off %d runs, though the sender was assured that it never will", number)
 					}
@@ -74,7 +74,7 @@
 				if n.s == nil || number == 0 || number >= n.next {
 					break
 				}
-				switch state, answer, kept := n.s.Ask(now, number); state {
+				switch state, answer, kept := n.s.Query(now, number); state {
 				case Fenced, Refused:
 					if n.ran[number] {
 						t.Fatalf("hand-off %d has run, but is reported as %v", number, state)
@@ -108,8 +108,8 @@
 				}
 				running += count
 			}
-			if entries > 6 || bytes > 40 || sessions > 2 || entries != held || entries != len(l.due) {
-				t.Fatalf("%d entries counted (%d in sessions, %d in the heap), %d bytes, %d sessions", entries, held, len(l.due), bytes, sessions)
+			if entries > 6 || bytes > 40 || sessions > 2 || entries != held || entries != len(l.expiry) {
+				t.Fatalf("%d entries counted (%d in sessions, %d in the heap), %d bytes, %d sessions", entries, held, len(l.expiry), bytes, sessions)
 			}
 		}
 	})
@@ -118,9 +118,9 @@
 // Guards against a false assurance after a session was removed: its earlier numbers are Unknown, and not fenced, as
 // they may have run.
 func TestForgottenSessionIsUnknown(t *testing.T) {
-	l := New(Limits{Sessions: 1, Keep: time.Second})
+	l := New(Limits{Sessions: 1, Retention: time.Second})
 	s := l.Attach(0, "a", 1)
-	if ok, _ := s.Take(0, 1, 0); !ok {
+	if ok, _ := s.Accept(0, 1, 0); !ok {
 		t.Fatal("the first hand-off was not accepted")
 	}
 	s.Finish(0, 1, Done, nil)
@@ -134,10 +134,10 @@
 	}
 	other.Detach(3 * time.Second)
 	s = l.Attach(6*time.Second, "a", 2)
-	if state, _, _ := s.Ask(6*time.Second, 1); state != Unknown {
+	if state, _, _ := s.Query(6*time.Second, 1); state != Unknown {
 		t.Errorf("number from before the removal: got %v, want unknown", state)
 	}
-	if state, _, _ := s.Ask(6*time.Second, 2); state != Fenced {
+	if state, _, _ := s.Query(6*time.Second, 2); state != Fenced {
 		t.Errorf("number not used yet: got %v, want fenced", state)
 	}
 }
@@ -147,13 +147,13 @@
 	l := New(Limits{Bytes: 10})
 	s := l.Attach(0, "a", 1)
 	for n := uint64(1); n <= 2; n++ {
-		s.Take(0, n, time.Second)
+		s.Accept(0, n, time.Second)
 		s.Finish(0, n, Done, make([]byte, 6))
 	}
-	if state, answer, kept := s.Ask(0, 1); state != Done || !kept || len(answer) != 6 {
+	if state, answer, kept := s.Query(0, 1); state != Done || !kept || len(answer) != 6 {
 		t.Error("the first answer was not kept")
 	}
-	if state, _, kept := s.Ask(0, 2); state != Done || kept {
+	if state, _, kept := s.Query(0, 2); state != Done || kept {
 		t.Error("the second answer was kept beyond the limit")
 	}
 	s.Ack(2)
@@ -171,7 +171,7 @@
 	n := uint64(0)
 	for b.Loop() {
 		n++
-		s.Take(0, n, time.Second)
+		s.Accept(0, n, time.Second)
 		s.Finish(0, n, Done, answer)
 		if n%100 == 0 {
 			s.Ack(n - 50)
@@ -188,7 +188,7 @@
 		l := New(Limits{})
 		s := l.Attach(0, "a", 1)
 		for n := uint64(1); n <= 10_000; n++ {
-			s.Take(0, n, time.Minute)
+			s.Accept(0, n, time.Minute)
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
--- a/internal/ledger/owed_test.go
+++ b/internal/ledger/owed_test.go
@@ -4,12 +4,12 @@
 
 // Guards against a wrong count of unacknowledged hand-offs, by which a node decides at shutdown whether to wait:
 // those that have ended and whose sender is connected.
-func TestOwed(t *testing.T) {
+func TestUnacknowledged(t *testing.T) {
 	l := New(Limits{})
 	s := l.Attach(0, "near", 1)
-	s.Take(0, 1, 10)
-	s.Take(0, 2, 10)
-	s.Ask(0, 3) // fenced: not counted
+	s.Accept(0, 1, 10)
+	s.Accept(0, 2, 10)
+	s.Query(0, 3) // fenced: not counted
 	steps := []struct {
 		name string
 		do   func()
@@ -25,7 +25,7 @@
 	}
 	for _, step := range steps {
 		step.do()
-		if got := l.Owed(); got != step.want {
+		if got := l.Unacknowledged(); got != step.want {
 			t.Errorf("%s: %d unacknowledged, want %d", step.name, got, step.want)
 		}
 	}
