--- a/internal/link/dialer.go
+++ b/internal/link/dialer.go
@@ -23,53 +23,53 @@
 )
 
 const (
-	silence      = time.Second            // a connection is closed when a beat has not been answered within this time
-	redialFirst  = 100 * time.Millisecond // before a path is dialed again; doubles up to maxRedialWait, with jitter
-	redialLast   = 2 * time.Second
-	answerMargin = 15 * time.Millisecond // taken off the time left, for the answer's way from here to the client
-	askWait      = 500 * time.Millisecond // longest time that the receiver holds a query about a running hand-off
-	askPause     = 20 * time.Millisecond  // before the next query, after one that failed or found the hand-off running
+	beatTimeout     = time.Second            // a connection is closed when a beat has not been answered within this time
+	minRedialWait   = 100 * time.Millisecond // before a path is dialed again; doubles up to maxRedialWait, with jitter
+	maxRedialWait   = 2 * time.Second
+	answerMargin    = 15 * time.Millisecond  // taken off the time left, for the answer's way from here to the client
+	queryWait       = 500 * time.Millisecond // longest time that the receiver holds a query about a running hand-off
+	queryRetryPause = 20 * time.Millisecond  // before the next query, after one that failed or found the hand-off running
 )
 
 // DialerOptions configures a Dialer.
 type DialerOptions struct {
-	Keeper *Keeper
-	Most   int    // hand-offs in flight at once to each site; default 256
-	Seed   uint64 // of the random jitter of the circuit breakers
-	Log    *slog.Logger
+	Identities  *IdentityStore
+	MaxHandOffs int    // hand-offs in flight at once to each site; default 256
+	Seed        uint64 // of the random jitter of the circuit breakers
+	Log         *slog.Logger
 }
 
 // Dialer hands requests off to nodes of other sites, over connections that it keeps open to all their addresses. It
 // implements core.Remote and is safe for concurrent use.
 type Dialer struct {
-	o     DialerOptions
-	epoch uint64
-	began time.Time
-	udp   net.PacketConn
-	tr    *quic.Transport
-	ctx   context.Context
-	stop  context.CancelFunc
-	work  sync.WaitGroup
+	options   DialerOptions
+	epoch     uint64
+	startedAt time.Time
+	udp       net.PacketConn
+	transport *quic.Transport
+	ctx       context.Context
+	stop      context.CancelFunc
+	wg        sync.WaitGroup
 
-	mu      sync.Mutex
-	decider *cross.Decider
-	sites   []*farSite
-	next    uint64              // number of the next hand-off
-	settled uint64              // all hand-offs with lower numbers have ended at this side
-	open    map[uint64]struct{} // numbers of hand-offs that have not ended
-	changed chan struct{}       // closed and replaced whenever a connection is set up or lost
+	mu              sync.Mutex
+	decider         *cross.Decider
+	sites           []*remoteSite
+	nextNumber      uint64              // number of the next hand-off
+	settledBelow    uint64              // all hand-offs with lower numbers have ended at this side
+	unsettled       map[uint64]struct{} // numbers of hand-offs that have not ended
+	sessionsChanged chan struct{}       // closed and replaced whenever a connection is set up or lost
 }
 
 // remoteSite is one other site.
-type farSite struct {
-	place int // in Identity.Peers at the start, and in the decider
+type remoteSite struct {
+	index int // in Identity.Peers at the start, and in the decider
 	name  string
 	paths []*path
 }
 
 // path is one address of a site, with its connection.
 type path struct {
-	site    *farSite
+	site    *remoteSite
 	addr    string
 	session *session // nil while there is no connection
 	epoch   uint64   // of the process that was last reached at this address; 0: none yet
@@ -77,51 +77,51 @@
 
 // session is one connection to a node of another site.
 type session struct {
-	path    *path
-	conn    *quic.Conn
-	epoch   uint64        // of the process at the other end
-	credit  int           // hand-offs that this connection may have in flight at once
-	at      time.Duration // when that credit was received
-	rtt     time.Duration // lowest of the last 16 beats
-	out     int           // hand-offs in flight
-	closing bool          // the node at the other end drains, or its site has been removed here
+	path     *path
+	conn     *quic.Conn
+	epoch    uint64        // of the process at the other end
+	credit   int           // hand-offs that this connection may have in flight at once
+	creditAt time.Duration // when that credit was received
+	rtt      time.Duration // lowest of the last 16 beats
+	inFlight int           // hand-offs in flight
+	closing  bool          // the node at the other end drains, or its site has been removed here
 }
 
 // NewDialer starts to connect to all addresses of all peers. Sites that a later identity adds are not connected to;
 // sites that it removes get no new hand-offs. Close ends it.
-func NewDialer(o DialerOptions) (*Dialer, error) {
-	if o.Most <= 0 {
-		o.Most = 256
+func NewDialer(options DialerOptions) (*Dialer, error) {
+	if options.MaxHandOffs <= 0 {
+		options.MaxHandOffs = 256
 	}
 	udp, err := net.ListenUDP("udp", nil)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	d := &Dialer{o: o, epoch: newEpoch(), began: time.Now(), udp: udp, tr: &quic.Transport{Conn: udp}, next: 1, settled: 1, open: map[uint64]struct{}{}, changed: make(chan struct{})}
-	d.ctx, d.stop = context.WithCancel(context.Background())
+	dialer := &Dialer{options: options, epoch: newEpoch(), startedAt: time.Now(), udp: udp, transport: &quic.Transport{Conn: udp}, nextNumber: 1, settledBelow: 1, unsettled: map[uint64]struct{}{}, sessionsChanged: make(chan struct{})}
+	dialer.ctx, dialer.stop = context.WithCancel(context.Background())
 	var names []string
-	for i, p := range o.Keeper.Get().Peers {
-		site := &farSite{place: i, name: p.Name}
+	for i, p := range options.Identities.Get().Peers {
+		site := &remoteSite{index: i, name: p.Name}
 		names = append(names, p.Name)
 		for _, a := range p.Addresses {
 			site.paths = append(site.paths, &path{site: site, addr: a})
 		}
-		d.sites = append(d.sites, site)
+		dialer.sites = append(dialer.sites, site)
 	}
-	d.decider = cross.New(names, o.Most, o.Seed)
-	for _, s := range d.sites {
+	dialer.decider = cross.New(names, options.MaxHandOffs, options.Seed)
+	for _, s := range dialer.sites {
 		for _, p := range s.paths {
-			d.work.Go(func() { d.keep(p) })
+			dialer.wg.Go(func() { dialer.maintain(p) })
 		}
 	}
-	return d, nil
+	return dialer, nil
 }
 
 // Close closes all connections, and ends the hand-offs that are in flight.
 func (d *Dialer) Close() {
 	d.stop()
-	d.work.Wait()
-	d.tr.Close()
+	d.wg.Wait()
+	d.transport.Close()
 	d.udp.Close()
 }
 
@@ -133,140 +133,140 @@
 }
 
 // now is the time since the start, as package cross takes it.
-func (d *Dialer) now() time.Duration { return time.Since(d.began) }
+func (d *Dialer) now() time.Duration { return time.Since(d.startedAt) }
 
 // maintain keeps a path connected until Close: it dials again, with backoff, whenever the connection is lost.
-func (d *Dialer) keep(p *path) {
-	wait := redialFirst
+func (d *Dialer) maintain(path *path) {
+	wait := minRedialWait
 	for d.ctx.Err() == nil {
-		began := time.Now()
-		err := d.connect(p)
-		if time.Since(began) > 2*redialLast {
-			wait = redialFirst // the connection was up for a while, so the backoff starts again
+		startedAt := time.Now()
+		err := d.connect(path)
+		if time.Since(startedAt) > 2*maxRedialWait {
+			wait = minRedialWait // the connection was up for a while, so the backoff starts again
 		}
-		d.o.Log.Debug("link", "site", p.site.name, "addr", p.addr, "err", err)
+		d.options.Log.Debug("link", "site", path.site.name, "addr", path.addr, "err", err)
 		select {
 		case <-d.ctx.Done():
 		case <-time.After(time.Duration(float64(wait) * (0.5 + rand.Float64()))):
 		}
-		wait = min(2*wait, redialLast)
+		wait = min(2*wait, maxRedialWait)
 	}
 }
 
 // connect dials a path and uses the connection until it is lost or the site is removed. It returns why it ended.
-func (d *Dialer) connect(p *path) error {
-	if d.o.Keeper.Get().peer(p.site.name) == nil {
+func (d *Dialer) connect(path *path) error {
+	if d.options.Identities.Get().peerFor(path.site.name) == nil {
 		return errors.New("the site has been removed from the configuration")
 	}
-	addr, err := net.ResolveUDPAddr("udp", p.addr)
+	addr, err := net.ResolveUDPAddr("udp", path.addr)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(d.ctx, handshakeWait)
+	ctx, cancel := context.WithTimeout(d.ctx, handshakeTimeout)
 	defer cancel()
-	c, err := d.tr.Dial(ctx, addr, d.o.Keeper.clientTLS(p.site.name), quicConfig(-1))
+	conn, err := d.transport.Dial(ctx, addr, d.options.Identities.clientTLS(path.site.name), quicConfig(-1))
 	if err != nil {
 		return err
 	}
-	defer c.CloseWithError(codeDone, "")
-	control, err := c.OpenStreamSync(ctx)
+	defer conn.CloseWithError(codeDone, "")
+	control, err := conn.OpenStreamSync(ctx)
 	if err != nil {
 		return err
 	}
 	d.mu.Lock()
-	next := d.next
+	nextNumber := d.nextNumber
 	d.mu.Unlock()
-	control.SetDeadline(time.Now().Add(handshakeWait))
-	if _, err := control.Write(appendFrame(nil, typeHello, []uint64{version, d.epoch, next}, nil)); err != nil {
+	control.SetDeadline(time.Now().Add(handshakeTimeout))
+	if _, err := control.Write(appendFrame(nil, typeHello, []uint64{version, d.epoch, nextNumber}, nil)); err != nil {
 		return err
 	}
-	r := bufio.NewReaderSize(control, controlLimit)
-	_, welcome, _, err := readFrame(r, controlLimit, 2, typeWelcome)
+	reader := bufio.NewReaderSize(control, controlLimit)
+	_, welcome, _, err := readFrame(reader, controlLimit, 2, typeWelcome)
 	if err != nil {
 		return err
 	}
-	s := &session{path: p, conn: c, epoch: welcome[1]}
+	current := &session{path: path, conn: conn, epoch: welcome[1]}
 	d.mu.Lock()
-	p.session, p.epoch = s, s.epoch
-	d.news()
+	path.session, path.epoch = current, current.epoch
+	d.notifySessionsChanged()
 	d.mu.Unlock()
-	d.o.Log.Info("link up", "site", p.site.name, "addr", p.addr)
-	err = d.beat(s, control, r)
+	d.options.Log.Info("link up", "site", path.site.name, "addr", path.addr)
+	err = d.exchangeBeats(current, control, reader)
 	d.mu.Lock()
-	p.session = nil
-	d.news()
+	path.session = nil
+	d.notifySessionsChanged()
 	up := false
-	for _, other := range p.site.paths {
+	for _, other := range path.site.paths {
 		up = up || other.session != nil
 	}
 	if !up {
-		d.decider.Link(d.now(), p.site.place, false)
+		d.decider.SetLink(d.now(), path.site.index, false)
 	}
 	d.mu.Unlock()
-	d.o.Log.Info("link down", "site", p.site.name, "addr", p.addr, "err", err)
+	d.options.Log.Info("link down", "site", path.site.name, "addr", path.addr, "err", err)
 	return err
 }
 
 // notifySessionsChanged wakes the hand-offs that wait for a connection. The caller holds d.mu.
-func (d *Dialer) news() {
-	close(d.changed)
-	d.changed = make(chan struct{})
+func (d *Dialer) notifySessionsChanged() {
+	close(d.sessionsChanged)
+	d.sessionsChanged = make(chan struct{})
 }
 
 // exchangeBeats sends a BEAT every beatInterval and takes the credit from the answer, until the connection fails, an
 // answer takes longer than beatTimeout, or the site is removed. The time from a BEAT to its CREDIT is a round trip.
-func (d *Dialer) beat(s *session, control *quic.Stream, r *bufio.Reader) error {
+func (d *Dialer) exchangeBeats(current *session, control *quic.Stream, reader *bufio.Reader) error {
 	var recent [16]time.Duration
 	for seq := uint64(1); ; seq++ {
-		if d.o.Keeper.Get().peer(s.path.site.name) == nil {
-			return d.letGo(s)
+		if d.options.Identities.Get().peerFor(current.path.site.name) == nil {
+			return d.awaitInFlight(current)
 		}
 		d.mu.Lock()
-		ack := d.settled
+		ack := d.settledBelow
 		d.mu.Unlock()
 		sent := time.Now()
-		control.SetDeadline(sent.Add(silence))
+		control.SetDeadline(sent.Add(beatTimeout))
 		if _, err := control.Write(appendFrame(nil, typeBeat, []uint64{seq, ack}, nil)); err != nil {
 			return err
 		}
-		_, credit, _, err := readFrame(r, controlLimit, 3, typeCredit)
+		_, credit, _, err := readFrame(reader, controlLimit, 3, typeCredit)
 		if err != nil {
 			return err
 		}
 		if credit[0] != seq {
 			return fmt.Errorf("%w: got the CREDIT for beat %d, want beat %d", errFrame, credit[0], seq)
 		}
-		trip := time.Since(sent)
-		recent[seq%uint64(len(recent))] = trip
+		roundTrip := time.Since(sent)
+		recent[seq%uint64(len(recent))] = roundTrip
 		for _, t := range recent {
 			if t > 0 {
-				trip = min(trip, t)
+				roundTrip = min(roundTrip, t)
 			}
 		}
 		d.mu.Lock()
-		s.credit, s.at, s.rtt, s.closing = int(min(credit[1], 1<<20)), d.now(), trip, credit[2] != 0
-		d.tell(s.path.site)
+		current.credit, current.creditAt, current.rtt, current.closing = int(min(credit[1], 1<<20)), d.now(), roundTrip, credit[2] != 0
+		d.updateDecider(current.path.site)
 		d.mu.Unlock()
 		select {
 		case <-d.ctx.Done():
 			return d.ctx.Err()
-		case <-s.conn.Context().Done():
-			return context.Cause(s.conn.Context())
-		case <-time.After(beatEvery):
+		case <-current.conn.Context().Done():
+			return context.Cause(current.conn.Context())
+		case <-time.After(beatInterval):
 		}
 	}
 }
 
 // awaitInFlight gives the connection to a removed site no new hand-offs, and waits up to idleTimeout for those in
 // flight.
-func (d *Dialer) letGo(s *session) error {
+func (d *Dialer) awaitInFlight(current *session) error {
 	d.mu.Lock()
-	s.closing = true
-	d.tell(s.path.site)
+	current.closing = true
+	d.updateDecider(current.path.site)
 	d.mu.Unlock()
-	for end := time.Now().Add(idleTimeout); time.Now().Before(end) && d.ctx.Err() == nil; time.Sleep(beatEvery) {
+	for deadline := time.Now().Add(idleTimeout); time.Now().Before(deadline) && d.ctx.Err() == nil; time.Sleep(beatInterval) {
 		d.mu.Lock()
-		left := s.out
+		left := current.inFlight
 		d.mu.Unlock()
 		if left == 0 {
 			break
@@ -277,29 +277,29 @@
 
 // updateDecider passes the total credit of a site's nodes to the decider, from all connections whose credit is current.
 // The caller holds d.mu.
-func (d *Dialer) tell(site *farSite) {
+func (d *Dialer) updateDecider(site *remoteSite) {
 	credit, rtt, up, at := 0, time.Duration(0), false, time.Duration(0)
 	seen := map[uint64]bool{} // epochs; two paths may lead to the same node, which counts once
 	for _, p := range site.paths {
-		if s := p.session; s != nil && !s.closing && !seen[s.epoch] && d.now()-s.at <= cross.CreditLife {
+		if s := p.session; s != nil && !s.closing && !seen[s.epoch] && d.now()-s.creditAt <= cross.CreditLifetime {
 			seen[s.epoch], up = true, true
-			credit, rtt, at = credit+s.credit, max(rtt, s.rtt), max(at, s.at)
+			credit, rtt, at = credit+s.credit, max(rtt, s.rtt), max(at, s.creditAt)
 		}
 	}
-	d.decider.Link(d.now(), site.place, up)
+	d.decider.SetLink(d.now(), site.index, up)
 	if up {
-		d.decider.Credit(at, site.place, credit, rtt)
+		d.decider.SetCredit(at, site.index, credit, rtt)
 	}
 }
 
 // bestSession returns the session of a site with the most unused credit, or nil if none has any. The caller holds d.mu.
-func (d *Dialer) best(site *farSite) (best *session) {
+func (d *Dialer) bestSession(site *remoteSite) (best *session) {
 	for _, p := range site.paths {
 		s := p.session
-		if s == nil || s.closing || d.now()-s.at > cross.CreditLife {
+		if s == nil || s.closing || d.now()-s.creditAt > cross.CreditLifetime {
 			continue
 		}
-		if s.credit > s.out && (best == nil || s.credit-s.out > best.credit-best.out) {
+		if s.credit > s.inFlight && (best == nil || s.credit-s.inFlight > best.credit-best.inFlight) {
 			best = s
 		}
 	}
@@ -307,14 +307,14 @@
 }
 
 // outgoing is one hand-off at the sender. It implements core.HandOff.
-type handed struct {
-	d      *Dialer
-	r      *core.Request
-	site   *farSite
-	on     *session // on which it is sent
-	epoch  uint64   // of the receiving process; only that process knows what became of the hand-off
-	number uint64
-	sent   time.Time
+type outgoing struct {
+	dialer  *Dialer
+	request *core.Request
+	site    *remoteSite
+	session *session // on which it is sent
+	epoch   uint64   // of the receiving process; only that process knows what became of the hand-off
+	number  uint64
+	sentAt  time.Time
 }
 
 // Offer chooses a site for a request that this site's servers refuse, as core.Remote says; ran means that an attempt
@@ -323,144 +323,144 @@
 func (d *Dialer) Offer(r *core.Request, effect decide.Effect, ran bool) core.HandOff {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	at := d.decider.Offer(d.now(), cross.Request{Effect: effect, Left: time.Until(r.Deadline) - answerMargin, Ran: ran, Came: r.Arrived.HandedOff})
-	if at < 0 {
+	index := d.decider.ChooseSite(d.now(), cross.Request{Effect: effect, TimeLeft: time.Until(r.Deadline) - answerMargin, MayHaveRun: ran, HandedOff: r.Arrived.HandedOff})
+	if index < 0 {
 		return nil
 	}
-	s := d.best(d.sites[at])
-	if s == nil {
-		d.decider.Ended(d.now(), at, cross.Withdrawn, 0)
+	chosen := d.bestSession(d.sites[index])
+	if chosen == nil {
+		d.decider.HandOffEnded(d.now(), index, cross.ClientGone, 0)
 		return nil
 	}
-	h := &handed{d: d, r: r, site: d.sites[at], on: s, epoch: s.epoch, number: d.next}
-	d.next++
-	d.open[h.number] = struct{}{}
-	s.out++
-	return h
+	handOff := &outgoing{dialer: d, request: r, site: d.sites[index], session: chosen, epoch: chosen.epoch, number: d.nextNumber}
+	d.nextNumber++
+	d.unsettled[handOff.number] = struct{}{}
+	chosen.inFlight++
+	return handOff
 }
 
 // Run makes the hand-off and returns its answer, as core.HandOff says: answerMargin before the request's deadline at
 // the latest. If it is not known by then whether the request ran, the result is HandOffUncertain.
-func (h *handed) Run(ctx context.Context) (core.Answer, core.HandOffResult) {
-	h.sent = time.Now()
-	a, o := h.do(ctx)
-	d := h.d
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	h.on.out--
-	delete(d.open, h.number)
-	for d.settled < d.next {
-		if _, open := d.open[d.settled]; open {
+func (h *outgoing) Run(ctx context.Context) (core.Answer, core.HandOffResult) {
+	h.sentAt = time.Now()
+	answer, outcome := h.exchange(ctx)
+	dialer := h.dialer
+	dialer.mu.Lock()
+	defer dialer.mu.Unlock()
+	h.session.inFlight--
+	delete(dialer.unsettled, h.number)
+	for dialer.settledBelow < dialer.nextNumber {
+		if _, open := dialer.unsettled[dialer.settledBelow]; open {
 			break
 		}
-		d.settled++
+		dialer.settledBelow++
 	}
-	d.decider.Ended(d.now(), h.site.place, o, time.Since(h.sent))
-	switch o {
+	dialer.decider.HandOffEnded(dialer.now(), h.site.index, outcome, time.Since(h.sentAt))
+	switch outcome {
 	case cross.Served:
-		return a, core.HandOffServed
-	case cross.TurnedAway, cross.Unseen:
-		return a, core.HandOffNotRun
+		return answer, core.HandOffServed
+	case cross.Rejected, cross.NotReceived:
+		return answer, core.HandOffNotRun
 	}
-	return a, core.HandOffUncertain
+	return answer, core.HandOffUncertain
 }
 
 // exchange sends the request and reads the answer. If the stream breaks, it queries the receiver for the outcome.
-func (h *handed) do(ctx context.Context) (core.Answer, cross.Outcome) {
-	deadline := h.r.Deadline.Add(-answerMargin)
+func (h *outgoing) exchange(ctx context.Context) (core.Answer, cross.Outcome) {
+	deadline := h.request.Deadline.Add(-answerMargin)
 	if ctx.Err() != nil {
-		return core.Answer{}, cross.Unseen // the client left before anything was given to QUIC
+		return core.Answer{}, cross.NotReceived // the client left before anything was given to QUIC
 	}
-	st, err := h.on.conn.OpenStream()
+	stream, err := h.session.conn.OpenStream()
 	if err != nil {
-		return core.Answer{}, cross.Unseen // nothing was given to QUIC
+		return core.Answer{}, cross.NotReceived // nothing was given to QUIC
 	}
 	stop := context.AfterFunc(ctx, func() {
-		st.CancelRead(codeWithdrawn)
-		st.CancelWrite(codeWithdrawn)
+		stream.CancelRead(codeCancelled)
+		stream.CancelWrite(codeCancelled)
 	})
 	defer stop()
-	x := core.Exchange{Method: h.r.Method, URL: h.r.URL, Header: h.r.Header, Body: h.r.Body, Deadline: deadline}
+	httpRequest := core.Exchange{Method: h.request.Method, URL: h.request.URL, Header: h.request.Header, Body: h.request.Body, Deadline: deadline}
 	var text bytes.Buffer
-	x.WriteHTTP(&text)
-	h.d.mu.Lock()
-	ack, rtt := h.d.settled, h.on.rtt
-	h.d.mu.Unlock()
-	left := max(0, time.Until(deadline)-(rtt+1)/2)
-	rest := appendInt(nil, uint64(left.Microseconds()))
-	st.SetDeadline(deadline)
-	_, err = st.Write(appendFrame(nil, typeHandoff, []uint64{h.number, ack}, append(rest, text.Bytes()...)))
+	httpRequest.WriteHTTP(&text)
+	h.dialer.mu.Lock()
+	ack, rtt := h.dialer.settledBelow, h.session.rtt
+	h.dialer.mu.Unlock()
+	timeLeft := max(0, time.Until(deadline)-(rtt+1)/2)
+	payload := appendInt(nil, uint64(timeLeft.Microseconds()))
+	stream.SetDeadline(deadline)
+	_, err = stream.Write(appendFrame(nil, typeHandoff, []uint64{h.number, ack}, append(payload, text.Bytes()...)))
 	if err == nil {
-		st.Close()
-		state, a, err := h.answer(st)
+		stream.Close()
+		state, response, err := h.readAnswer(stream)
 		if err == nil {
-			return h.judge(state, a)
+			return h.outcomeOf(state, response)
 		}
 	}
 	if ctx.Err() != nil {
-		return core.Answer{}, cross.Withdrawn
+		return core.Answer{}, cross.ClientGone
 	}
-	st.CancelRead(codeDone)
-	st.CancelWrite(codeDone) // if the request was not sent completely, the receiver never sees the rest
-	return h.ask(ctx, deadline)
+	stream.CancelRead(codeDone)
+	stream.CancelWrite(codeDone) // if the request was not sent completely, the receiver never sees the rest
+	return h.resolve(ctx, deadline)
 }
 
 // readAnswer reads an ANSWER frame, of the hand-off or of a query: the state of the hand-off and, if it is Done, the
 // response.
-func (h *handed) answer(st *quic.Stream) (ledger.State, core.Answer, error) {
-	_, f, text, err := readFrame(bufio.NewReader(st), answerLimit, 2, typeAnswer)
+func (h *outgoing) readAnswer(stream *quic.Stream) (ledger.State, core.Answer, error) {
+	_, fields, text, err := readFrame(bufio.NewReader(stream), answerLimit, 2, typeAnswer)
 	if err != nil {
 		return 0, core.Answer{}, err
 	}
-	if f[0] != h.number || f[1] > uint64(ledger.Failed) {
-		return 0, core.Answer{}, fmt.Errorf("%w: ANSWER for hand-off %d in state %d, want hand-off %d", errFrame, f[0], f[1], h.number)
+	if fields[0] != h.number || fields[1] > uint64(ledger.Failed) {
+		return 0, core.Answer{}, fmt.Errorf("%w: ANSWER for hand-off %d in state %d, want hand-off %d", errFrame, fields[0], fields[1], h.number)
 	}
-	state := ledger.State(f[1])
+	state := ledger.State(fields[1])
 	if state != ledger.Done {
 		return state, core.Answer{}, nil
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
+	response, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(text)), nil)
 	if err != nil {
 		return 0, core.Answer{}, fmt.Errorf("%w: %w", errFrame, err)
 	}
-	defer resp.Body.Close()
+	defer response.Body.Close()
 	var body bytes.Buffer
-	if _, err := body.ReadFrom(resp.Body); err != nil || resp.ContentLength < 0 {
+	if _, err := body.ReadFrom(response.Body); err != nil || response.ContentLength < 0 {
 		return 0, core.Answer{}, fmt.Errorf("%w: incomplete response body", errFrame)
 	}
-	return state, core.Answer{Status: resp.StatusCode, Header: resp.Header, Body: body.Bytes()}, nil
+	return state, core.Answer{Status: response.StatusCode, Header: response.Header, Body: body.Bytes()}, nil
 }
 
 // outcomeOf returns the outcome of a hand-off from its final state at the receiver, with the answer if it was served.
-func (h *handed) judge(state ledger.State, a core.Answer) (core.Answer, cross.Outcome) {
+func (h *outgoing) outcomeOf(state ledger.State, answer core.Answer) (core.Answer, cross.Outcome) {
 	switch state {
 	case ledger.Done:
-		return a, cross.Served
+		return answer, cross.Served
 	case ledger.Refused:
-		return a, cross.TurnedAway
+		return answer, cross.Rejected
 	case ledger.Fenced:
-		return a, cross.Unseen
+		return answer, cross.NotReceived
 	}
-	return a, cross.Doubt
+	return answer, cross.Uncertain
 }
 
 // resolve finds out what became of a hand-off whose stream broke. It queries the receiving process, over any path to
 // it, until the outcome is known or the deadline has passed. Another process has another ledger and knows nothing of
 // it.
-func (h *handed) ask(ctx context.Context, deadline time.Time) (core.Answer, cross.Outcome) {
+func (h *outgoing) resolve(ctx context.Context, deadline time.Time) (core.Answer, cross.Outcome) {
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		s, changed, hope := h.d.reach(h.site, h.epoch)
-		if !hope {
-			return core.Answer{}, cross.Doubt
+		current, changed, mayReturn := h.dialer.sessionTo(h.site, h.epoch)
+		if !mayReturn {
+			return core.Answer{}, cross.Uncertain
 		}
-		if s != nil {
-			state, a, err := h.question(ctx, s, deadline)
+		if current != nil {
+			state, answer, err := h.query(ctx, current, deadline)
 			if err == nil && state != ledger.Running {
-				return h.judge(state, a)
+				return h.outcomeOf(state, answer)
 			}
 		}
-		timer := time.NewTimer(min(time.Until(deadline), askPause))
-		if s == nil {
+		timer := time.NewTimer(min(time.Until(deadline), queryRetryPause))
+		if current == nil {
 			timer.Reset(time.Until(deadline))
 		}
 		select {
@@ -471,46 +471,46 @@
 		timer.Stop()
 	}
 	if ctx.Err() != nil {
-		return core.Answer{}, cross.Withdrawn
+		return core.Answer{}, cross.ClientGone
 	}
-	return core.Answer{}, cross.Doubt
+	return core.Answer{}, cross.Uncertain
 }
 
 // query sends one ASK for the hand-off and returns the answer. The receiver holds it while the hand-off is running, for
 // queryWait at most.
-func (h *handed) question(ctx context.Context, s *session, deadline time.Time) (ledger.State, core.Answer, error) {
-	st, err := s.conn.OpenStream()
+func (h *outgoing) query(ctx context.Context, current *session, deadline time.Time) (ledger.State, core.Answer, error) {
+	stream, err := current.conn.OpenStream()
 	if err != nil {
 		return 0, core.Answer{}, err
 	}
-	stop := context.AfterFunc(ctx, func() { st.CancelRead(codeWithdrawn) })
+	stop := context.AfterFunc(ctx, func() { stream.CancelRead(codeCancelled) })
 	defer stop()
-	wait := max(0, min(askWait, time.Until(deadline)-s.rtt))
-	st.SetDeadline(deadline)
-	if _, err := st.Write(appendFrame(nil, typeAsk, []uint64{h.number, uint64(wait.Microseconds())}, nil)); err != nil {
-		st.CancelWrite(codeDone)
-		st.CancelRead(codeDone)
+	wait := max(0, min(queryWait, time.Until(deadline)-current.rtt))
+	stream.SetDeadline(deadline)
+	if _, err := stream.Write(appendFrame(nil, typeAsk, []uint64{h.number, uint64(wait.Microseconds())}, nil)); err != nil {
+		stream.CancelWrite(codeDone)
+		stream.CancelRead(codeDone)
 		return 0, core.Answer{}, err
 	}
-	st.Close()
-	state, a, err := h.answer(st)
+	stream.Close()
+	state, answer, err := h.readAnswer(stream)
 	if err != nil {
-		st.CancelRead(codeDone)
+		stream.CancelRead(codeDone)
 	}
-	return state, a, err
+	return state, answer, err
 }
 
 // sessionTo returns a connection to the process of a site with that epoch. If there is none, changed is closed on the
 // next change of connections, and mayReturn tells whether to wait for it: it is false once every path of the site has
 // reached another process, as the process with that epoch has then ended and its ledger is lost.
-func (d *Dialer) reach(site *farSite, epoch uint64) (s *session, changed chan struct{}, hope bool) {
+func (d *Dialer) sessionTo(site *remoteSite, epoch uint64) (s *session, changed chan struct{}, mayReturn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range site.paths {
 		if p.session != nil && p.session.epoch == epoch {
-			return p.session, d.changed, true
+			return p.session, d.sessionsChanged, true
 		}
-		hope = hope || p.epoch == epoch || p.epoch == 0
+		mayReturn = mayReturn || p.epoch == epoch || p.epoch == 0
 	}
-	return nil, d.changed, hope && d.ctx.Err() == nil
+	return nil, d.sessionsChanged, mayReturn && d.ctx.Err() == nil
 }
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -53,8 +53,8 @@
 )
 
 const (
-	controlLimit = 64              // bytes of a control frame's payload
-	requestLimit = (64 + 32) << 10 // of HANDOFF: a request body and its head
+	controlLimit = 64                // bytes of a control frame's payload
+	requestLimit = (64 + 32) << 10   // of HANDOFF: a request body and its head
 	answerLimit  = (1024 + 96) << 10 // of ANSWER: a response body and its head
 )
 
@@ -76,8 +76,8 @@
 // readFrame reads one frame. Its type must be one of types, and its payload at most limit bytes long. It returns the
 // type, the given number of integer fields from the start of the payload, and the rest of the payload. A frame that
 // violates the protocol gives an error that wraps errFrame.
-func readFrame(r *bufio.Reader, limit int, fields int, types ...uint64) (typ uint64, values []uint64, rest []byte, err error) {
-	if typ, err = quicvarint.Read(r); err != nil {
+func readFrame(reader *bufio.Reader, limit int, fields int, types ...uint64) (typ uint64, values []uint64, rest []byte, err error) {
+	if typ, err = quicvarint.Read(reader); err != nil {
 		return 0, nil, nil, err
 	}
 	known := false
@@ -87,14 +87,14 @@
 	if !known {
 		return typ, nil, nil, fmt.Errorf("%w: unexpected type %d", errFrame, typ)
 	}
-	length, err := quicvarint.Read(r)
+	length, err := quicvarint.Read(reader)
 	if err != nil {
 		return typ, nil, nil, err
 	}
 	if length > uint64(limit) {
 		return typ, nil, nil, fmt.Errorf("%w: type %d has a payload of %d bytes, limit %d", errFrame, typ, length, limit)
 	}
-	payload, err := io.ReadAll(io.LimitReader(r, int64(length))) // allocates for the bytes received, not for the length that the peer claims
+	payload, err := io.ReadAll(io.LimitReader(reader, int64(length))) // allocates for the bytes received, not for the length that the peer claims
 	if err == nil && uint64(len(payload)) < length {
 		err = io.ErrUnexpectedEOF
 	}
@@ -115,7 +115,7 @@
 }
 
 // readInt returns the integer at the start of a payload, and what follows it.
-func cutInt(payload []byte) (uint64, []byte, error) {
+func readInt(payload []byte) (uint64, []byte, error) {
 	v, n, err := quicvarint.Parse(payload)
 	if err != nil {
 		return 0, nil, fmt.Errorf("%w: the payload is too short", errFrame)
--- a/internal/link/limiter.go
+++ b/internal/link/limiter.go
@@ -9,12 +9,12 @@
 // limiter bounds how many connections are served at once, and closes further ones with codeFull.
 type limiter struct {
 	slots chan struct{}
-	work  *sync.WaitGroup // counts the goroutines that serve connections
+	wg    *sync.WaitGroup // counts the goroutines that serve connections
 }
 
 // newLimiter returns a limiter for at most limit connections at once. Each serving goroutine is counted in wg.
-func newLimiter(most int, work *sync.WaitGroup) limiter {
-	return limiter{slots: make(chan struct{}, most), work: work}
+func newLimiter(limit int, wg *sync.WaitGroup) limiter {
+	return limiter{slots: make(chan struct{}, limit), wg: wg}
 }
 
 // serve runs handle in a goroutine of its own; at the limit it closes the connection instead. It does not block.
@@ -25,7 +25,7 @@
 		conn.CloseWithError(codeFull, "too many connections")
 		return
 	}
-	l.work.Go(func() {
+	l.wg.Go(func() {
 		defer func() { <-l.slots }()
 		handle()
 	})
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -31,34 +31,34 @@
 }
 
 // sitePair is a sending and a receiving site in one process. The wire between them can delay, lose or cut datagrams.
-type sites struct {
-	t          testing.TB
-	a, b       *standin.Authority
-	near, far  *Keeper
-	server     *Server
-	wire       *standin.Wire
-	dialer     *Dialer
-	runs       atomic.Int64 // hand-offs that the receiving site has started to handle
-	handle     atomic.Pointer[Handle]
-	serverDone chan error
+type sitePair struct {
+	t                                    testing.TB
+	a, b                                 *standin.Authority
+	senderIdentities, receiverIdentities *IdentityStore
+	server                               *Server
+	wire                                 *standin.Wire
+	dialer                               *Dialer
+	runs                                 atomic.Int64 // hand-offs that the receiving site has started to handle
+	handler                              atomic.Pointer[Handler]
+	serverDone                           chan error
 }
 
 // blockHandler has the receiving site handle one request. started is closed when it begins; it ends once the test
 // closes release.
-func (s *sites) stall() (began, let chan struct{}) {
-	began, let = make(chan struct{}), make(chan struct{})
-	s.answer(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
-		close(began)
-		<-let
+func (s *sitePair) blockHandler() (started, release chan struct{}) {
+	started, release = make(chan struct{}), make(chan struct{})
+	s.setHandler(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
+		close(started)
+		<-release
 		return ledger.Done, okText
 	})
-	return began, let
+	return started, release
 }
 
 // newSitePair starts both sites, with certificates from two authorities.
-func newSites(t testing.TB) *sites {
+func newSitePair(t testing.TB) *sitePair {
 	t.Helper()
-	s := &sites{t: t}
+	s := &sitePair{t: t}
 	var err error
 	must := func(err error) {
 		t.Helper()
@@ -75,14 +75,14 @@
 	must(err)
 	certB, _, _, err := s.b.Issue("hall-b.example.org", later)
 	must(err)
-	s.far = NewKeeper(&Identity{Site: "hall-b.example.org", Certificate: certB, Peers: []Peer{{Name: "hall-a.example.org", Roots: s.a.Roots()}}})
-	s.answer(answerOK)
+	s.receiverIdentities = NewIdentityStore(&Identity{Site: "hall-b.example.org", Certificate: certB, Peers: []Peer{{Name: "hall-a.example.org", Roots: s.a.Roots()}}})
+	s.setHandler(answerOK)
 	s.start("127.0.0.1:0")
-	s.wire, err = standin.NewWire(s.server.tr.Conn.LocalAddr().String())
+	s.wire, err = standin.NewWire(s.server.transport.Conn.LocalAddr().String())
 	must(err)
-	s.near = NewKeeper(&Identity{Site: "hall-a.example.org", Certificate: certA,
+	s.senderIdentities = NewIdentityStore(&Identity{Site: "hall-a.example.org", Certificate: certA,
 		Peers: []Peer{{Name: "hall-b.example.org", Roots: s.b.Roots(), Addresses: []string{s.wire.Addr}}}})
-	s.dialer, err = NewDialer(DialerOptions{Keeper: s.near, Log: testkit.Quiet})
+	s.dialer, err = NewDialer(DialerOptions{Identities: s.senderIdentities, Log: testkit.Quiet})
 	must(err)
 	t.Cleanup(func() {
 		s.dialer.Close()
@@ -93,19 +93,19 @@
 }
 
 // setHandler sets how the receiving site handles the hand-offs to come.
-func (s *sites) answer(h Handle) { s.handle.Store(&h) }
+func (s *sitePair) setHandler(h Handler) { s.handler.Store(&h) }
 
 // start starts the receiving site at a UDP address.
-func (s *sites) start(addr string) {
+func (s *sitePair) start(addr string) {
 	s.t.Helper()
 	udp, err := net.ListenPacket("udp", addr)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.server, err = NewServer(udp, ServerOptions{Keeper: s.far, Credit: func() int { return 100 }, Log: testkit.Quiet,
+	s.server, err = NewServer(udp, ServerOptions{Identities: s.receiverIdentities, Headroom: func() int { return 100 }, Log: testkit.Quiet,
 		Handle: func(ctx context.Context, site string, request []byte, left time.Duration) (ledger.State, []byte) {
 			s.runs.Add(1)
-			return (*s.handle.Load())(ctx, site, request, left)
+			return (*s.handler.Load())(ctx, site, request, left)
 		}})
 	if err != nil {
 		s.t.Fatal(err)
@@ -117,14 +117,14 @@
 }
 
 // stop closes the receiving site.
-func (s *sites) stop() {
+func (s *sitePair) stop() {
 	s.server.Close()
 	<-s.serverDone
 }
 
 // schedulingMargin is how late a goroutine of a test may run on a busy machine. The strict check of clients'
 // deadlines is in rig gateway, by the clients' clocks.
-const noise = 500 * time.Millisecond
+const schedulingMargin = 500 * time.Millisecond
 
 // request returns a request that has to be answered within left.
 func request(class string, left time.Duration) *core.Request {
@@ -133,7 +133,7 @@
 }
 
 // offer offers a request until there is credit for it, and returns the hand-off.
-func (s *sites) offer(r *core.Request, effect decide.Effect) core.HandOff {
+func (s *sitePair) offer(r *core.Request, effect decide.Effect) core.HandOff {
 	s.t.Helper()
 	for end := time.Now().Add(testkit.Patient); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if c := s.dialer.Offer(r, effect, false); c != nil {
@@ -145,19 +145,19 @@
 }
 
 // allSettled reports whether all hand-offs have ended at the sending site.
-func (s *sites) settled() bool {
+func (s *sitePair) allSettled() bool {
 	s.dialer.mu.Lock()
 	defer s.dialer.mu.Unlock()
-	return len(s.dialer.open) == 0 && s.dialer.settled == s.dialer.next
+	return len(s.dialer.unsettled) == 0 && s.dialer.settledBelow == s.dialer.nextNumber
 }
 
 // Guards against hand-offs that change on the way: method, path, headers, body and time left arrive at the receiver,
 // and the answer with its header comes back.
 func TestHandoff(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
+	s := newSitePair(t)
 	got := make(chan string, 1)
-	s.answer(func(_ context.Context, site string, text []byte, left time.Duration) (ledger.State, []byte) {
+	s.setHandler(func(_ context.Context, site string, text []byte, left time.Duration) (ledger.State, []byte) {
 		r, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(text)))
 		if err != nil {
 			t.Error(err)
@@ -175,7 +175,7 @@
 	if text := <-got; text != "hall-a.example.org POST /order q body true" {
 		t.Errorf("the receiver got %q", text)
 	}
-	if !s.settled() {
+	if !s.allSettled() {
 		t.Error("the hand-off is still listed as unsettled after its end")
 	}
 }
@@ -184,13 +184,13 @@
 // link is back, the sender queries for the answer.
 func TestAnswerAfterSilence(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
-	began, let := s.stall()
+	s := newSitePair(t)
+	started, release := s.blockHandler()
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
 	go func() {
-		<-began
+		<-started
 		s.wire.Cut(true, true)
-		close(let)
+		close(release)
 		for up := true; up; time.Sleep(10 * time.Millisecond) { // until the sender has closed the connection
 			s.dialer.mu.Lock()
 			up = s.dialer.sites[0].paths[0].session != nil
@@ -208,15 +208,15 @@
 // acknowledgement.
 func TestDrainDeliversAnswers(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
-	began, let := s.stall()
+	s := newSitePair(t)
+	started, release := s.blockHandler()
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
 	served := make(chan core.HandOffResult, 1)
 	go func() {
 		_, how := c.Run(t.Context())
 		served <- how
 	}()
-	<-began
+	<-started
 	s.wire.Cut(false, true)
 	drained := make(chan struct{})
 	go func() {
@@ -224,12 +224,12 @@
 		s.server.Drain(time.Now().Add(testkit.Patient))
 		s.server.Close()
 	}()
-	close(let)
+	close(release)
 	testkit.Until(t, "the hand-off did not end in time", func() bool { _, _, _, running := s.server.Size(); return running == 0 })
 	select {
 	case <-drained:
 		t.Error("Drain returned before the sender had the answer")
-	case <-time.After(10 * drainLook): // meanwhile the path loses everything that the receiver sends
+	case <-time.After(10 * drainPollInterval): // meanwhile the path loses everything that the receiver sends
 	}
 	s.wire.Cut(false, false)
 	if how := <-served; how != core.HandOffServed {
@@ -240,21 +240,21 @@
 
 // Guards against a shutdown that hangs: when the sender is unreachable and can't acknowledge, Drain gives up after
 // maxAckWait.
-func TestDrainWithoutNearSide(t *testing.T) {
+func TestDrainWithoutSender(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
-	began, let := s.stall()
+	s := newSitePair(t)
+	started, release := s.blockHandler()
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
 	ctx, leave := context.WithCancel(t.Context())
 	crossing := make(chan struct{})
 	go func() { defer close(crossing); c.Run(ctx) }()
-	<-began
+	<-started
 	s.wire.Cut(true, true)
-	close(let)
+	close(release)
 	from := time.Now()
 	s.server.Drain(from.Add(testkit.Patient))
 	if took := time.Since(from); took > testkit.Patient/2 {
-		t.Errorf("Drain took %v, want about %v", took, ackWait)
+		t.Errorf("Drain took %v, want about %v", took, maxAckWait)
 	}
 	leave()
 	<-crossing
@@ -264,10 +264,10 @@
 // result is that it has not run.
 func TestNeverArrived(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
+	s := newSitePair(t)
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
 	s.wire.Cut(true, false)
-	back := time.AfterFunc(2*silence, func() { s.wire.Cut(false, false) })
+	back := time.AfterFunc(2*beatTimeout, func() { s.wire.Cut(false, false) })
 	defer back.Stop()
 	if _, how := c.Run(t.Context()); how != core.HandOffNotRun || s.runs.Load() != 0 {
 		t.Errorf("got result %v, %d runs; want HandOffNotRun, 0 runs", how, s.runs.Load())
@@ -278,16 +278,16 @@
 // uncertain, by the client's deadline, and is not reported as a refusal.
 func TestCutForGood(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
+	s := newSitePair(t)
 	began := make(chan struct{})
-	s.answer(func(ctx context.Context, _ string, _ []byte, _ time.Duration) (ledger.State, []byte) {
+	s.setHandler(func(ctx context.Context, _ string, _ []byte, _ time.Duration) (ledger.State, []byte) {
 		close(began)
 		s.wire.Cut(true, true)
 		<-ctx.Done()
 		return ledger.Failed, nil
 	})
 	r := request("order", 1500*time.Millisecond)
-	if _, how := s.offer(r, decide.Unsafe).Run(t.Context()); how != core.HandOffUncertain || time.Now().After(r.Deadline.Add(noise)) {
+	if _, how := s.offer(r, decide.Unsafe).Run(t.Context()); how != core.HandOffUncertain || time.Now().After(r.Deadline.Add(schedulingMargin)) {
 		t.Errorf("got result %v, %v after the client's deadline; want HandOffUncertain by the deadline", how, time.Since(r.Deadline))
 	}
 	<-began
@@ -295,11 +295,11 @@
 
 // Guards against a wait until the deadline when the receiver crashes and restarts with an empty ledger. What became
 // of the hand-off can't be known any more, so the result is uncertain, as soon as the new process has been reached.
-func TestFarNodeRestarts(t *testing.T) {
+func TestReceiverRestarts(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
-	addr := s.server.tr.Conn.LocalAddr().String()
-	s.answer(func(ctx context.Context, _ string, _ []byte, _ time.Duration) (ledger.State, []byte) {
+	s := newSitePair(t)
+	addr := s.server.transport.Conn.LocalAddr().String()
+	s.setHandler(func(ctx context.Context, _ string, _ []byte, _ time.Duration) (ledger.State, []byte) {
 		<-ctx.Done()
 		return ledger.Failed, nil
 	})
@@ -328,22 +328,22 @@
 func TestCutAtEveryMoment(t *testing.T) {
 	t.Parallel()
 	answer := []byte(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 100<<10, strings.Repeat("x", 100<<10)))
-	for _, way := range []struct {
+	for _, direction := range []struct {
 		name          string
 		toFar, toNear bool
 	}{{"both", true, true}, {"to far", true, false}, {"to near", false, true}} {
 		for _, moment := range []string{"before", "within the request", "running", "within the answer", "after the answer"} {
-			for _, back := range []bool{true, false} {
-				t.Run(fmt.Sprintf("%s/%s/back=%v", way.name, moment, back), func(t *testing.T) {
+			for _, restored := range []bool{true, false} {
+				t.Run(fmt.Sprintf("%s/%s/back=%v", direction.name, moment, restored), func(t *testing.T) {
 					t.Parallel()
-					s := newSites(t)
+					s := newSitePair(t)
 					cut := func(after int) {
-						s.wire.CutAfter(after, way.toFar, way.toNear)
-						if back {
+						s.wire.CutAfter(after, direction.toFar, direction.toNear)
+						if restored {
 							time.AfterFunc(300*time.Millisecond, func() { s.wire.Cut(false, false) })
 						}
 					}
-					s.answer(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
+					s.setHandler(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
 						switch moment {
 						case "running":
 							cut(0)
@@ -356,7 +356,7 @@
 						return ledger.Done, answer
 					})
 					left := testkit.Patient
-					if !back {
+					if !restored {
 						left = 1500 * time.Millisecond
 					}
 					r := request("order", left)
@@ -370,13 +370,13 @@
 					}
 					a, how := c.Run(t.Context())
 					runs := s.runs.Load()
-					if time.Now().After(r.Deadline.Add(noise)) {
+					if time.Now().After(r.Deadline.Add(schedulingMargin)) {
 						t.Errorf("the hand-off ended %v after the client's deadline", time.Since(r.Deadline))
 					}
 					switch {
 					case runs > 1, how == core.HandOffNotRun && runs > 0, how == core.HandOffServed && (runs != 1 || len(a.Body) != 100<<10):
 						t.Errorf("result %v contradicts %d runs and an answer of %d bytes", how, runs, len(a.Body))
-					case back && how == core.HandOffUncertain:
+					case restored && how == core.HandOffUncertain:
 						t.Errorf("the result is uncertain although the link was restored")
 					}
 					// Delayed datagrams may still arrive. A hand-off that was reported as not run must not run then.
@@ -397,13 +397,13 @@
 // are not affected.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
+	s := newSitePair(t)
 	s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context())
 	before := s.runs.Load()
 	dial := func() *quic.Conn {
 		t.Helper()
-		addr := s.server.tr.Conn.LocalAddr().(*net.UDPAddr)
-		c, err := quic.DialAddr(t.Context(), addr.String(), s.near.clientTLS("hall-b.example.org"), quicConfig(-1))
+		addr := s.server.transport.Conn.LocalAddr().(*net.UDPAddr)
+		c, err := quic.DialAddr(t.Context(), addr.String(), s.senderIdentities.clientTLS("hall-b.example.org"), quicConfig(-1))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -412,12 +412,12 @@
 	}
 	hello := appendFrame(nil, typeHello, []uint64{version, 99, 1}, nil)
 	send := func(c *quic.Conn, raw []byte) *quic.Stream {
-		st, err := c.OpenStream()
+		stream, err := c.OpenStream()
 		if err != nil {
 			t.Fatal(err)
 		}
-		st.Write(raw)
-		return st
+		stream.Write(raw)
+		return stream
 	}
 	for name, raw := range map[string][]byte{"noise": {0xff, 0x00, 0x13}, "a beat first": appendFrame(nil, typeBeat, []uint64{1, 1}, nil),
 		"another version": appendFrame(nil, typeHello, []uint64{version + 1, 99, 1}, nil), "oversized": appendFrame(nil, typeHello, []uint64{version, 99, 1}, make([]byte, 1<<12))} {
@@ -433,17 +433,17 @@
 	send(c, hello)
 	for name, raw := range map[string][]byte{"noise": {0x3f, 0x01}, "a hello": hello, "a hand-off without its time": appendFrame(nil, typeHandoff, []uint64{1, 1}, nil),
 		"an oversized one": appendFrame(nil, typeHandoff, []uint64{1, 1, 9}, make([]byte, requestLimit))} {
-		st := send(c, raw)
-		st.SetReadDeadline(time.Now().Add(testkit.Patient))
+		stream := send(c, raw)
+		stream.SetReadDeadline(time.Now().Add(testkit.Patient))
 		var broken *quic.StreamError
-		if _, err := st.Read(make([]byte, 1)); !errors.As(err, &broken) {
+		if _, err := stream.Read(make([]byte, 1)); !errors.As(err, &broken) {
 			t.Errorf("%s: got error %v, want a stream error", name, err)
 		}
 	}
 	// It queries a number that another sender has used. It learns nothing about that hand-off, and fences only its
 	// own number.
-	st := send(c, appendFrame(nil, typeAsk, []uint64{1, 0}, nil))
-	_, f, text, err := readFrame(bufio.NewReader(st), answerLimit, 2, typeAnswer)
+	stream := send(c, appendFrame(nil, typeAsk, []uint64{1, 0}, nil))
+	_, f, text, err := readFrame(bufio.NewReader(stream), answerLimit, 2, typeAnswer)
 	if err != nil || ledger.State(f[1]) != ledger.Fenced || len(text) > 0 {
 		t.Errorf("query for another sender's number: got fields %v, text %q, error %v; want fenced and no text", f, text, err)
 	}
@@ -458,13 +458,13 @@
 // Guards against one slow hand-off that blocks others on the same connection: each has a stream of its own.
 func TestStalledBlocksNone(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
-	began, let := s.stall()
+	s := newSitePair(t)
+	started, release := s.blockHandler()
 	first := s.offer(request("order", testkit.Patient), decide.Unsafe)
 	ended := make(chan core.HandOffResult, 1)
 	go func() { _, how := first.Run(t.Context()); ended <- how }()
-	<-began
-	s.answer(answerOK)
+	<-started
+	s.setHandler(answerOK)
 	for range 20 {
 		if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
 			t.Errorf("got result %v beside a blocked hand-off, want HandOffServed", how)
@@ -473,7 +473,7 @@
 	if len(ended) > 0 {
 		t.Error("the blocked hand-off ended before its handler was released")
 	}
-	close(let)
+	close(release)
 	if how := <-ended; how != core.HandOffServed {
 		t.Errorf("the blocked hand-off: got result %v, want HandOffServed", how)
 	}
@@ -483,21 +483,21 @@
 // new one is offered to the site.
 func TestRemovedWithOneOut(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
-	began, let := s.stall()
+	s := newSitePair(t)
+	started, release := s.blockHandler()
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
 	go func() {
-		<-began
-		none := *s.near.Get()
+		<-started
+		none := *s.senderIdentities.Get()
 		none.Peers = nil
-		s.near.Set(&none)
+		s.senderIdentities.Set(&none)
 		for s.dialer.Views()[0].Up {
 			time.Sleep(time.Millisecond)
 		}
 		if s.dialer.Offer(request("order", testkit.Patient), decide.Unsafe, false) != nil {
 			t.Error("a new hand-off was accepted for a removed site")
 		}
-		close(let)
+		close(release)
 	}()
 	if _, how := c.Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("got result %v, want HandOffServed", how)
@@ -507,9 +507,9 @@
 // Guards against wasted work: when a client disconnects, its hand-off is cancelled at the receiver.
 func TestClientGone(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
+	s := newSitePair(t)
 	began, gone := make(chan struct{}), make(chan struct{})
-	s.answer(func(ctx context.Context, _ string, _ []byte, _ time.Duration) (ledger.State, []byte) {
+	s.setHandler(func(ctx context.Context, _ string, _ []byte, _ time.Duration) (ledger.State, []byte) {
 		close(began)
 		<-ctx.Done()
 		close(gone)
@@ -529,7 +529,7 @@
 // the datagrams, are each run and answered once.
 func TestManyAtOnce(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
+	s := newSitePair(t)
 	s.wire.Delay(2 * time.Millisecond)
 	s.wire.Loss(50)
 	var work sync.WaitGroup
@@ -543,7 +543,7 @@
 		})
 	}
 	work.Wait()
-	if served.Load() != 60 || s.runs.Load() != 60 || !s.settled() {
+	if served.Load() != 60 || s.runs.Load() != 60 || !s.allSettled() {
 		t.Errorf("%d served, %d runs, want 60 each and all settled", served.Load(), s.runs.Load())
 	}
 }
@@ -553,26 +553,26 @@
 // site that is removed afterwards is disconnected.
 func TestReplacedIdentity(t *testing.T) {
 	t.Parallel()
-	s := newSites(t)
-	began, let := s.stall()
+	s := newSitePair(t)
+	started, release := s.blockHandler()
 	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
-	old := *s.near.Get()
+	old := *s.senderIdentities.Get()
 	go func() {
-		<-began
+		<-started
 		a, _ := standin.NewAuthority()
 		certA, _, _, _ := a.Issue("hall-a.example.org", time.Now().Add(time.Hour))
-		near, far := *s.near.Get(), *s.far.Get()
+		near, far := *s.senderIdentities.Get(), *s.receiverIdentities.Get()
 		near.Certificate, far.Peers = certA, []Peer{{Name: "hall-a.example.org", Roots: a.Roots()}}
-		s.near.Set(&near)
-		s.far.Set(&far)
-		close(let)
+		s.senderIdentities.Set(&near)
+		s.receiverIdentities.Set(&far)
+		close(release)
 	}()
 	if _, how := c.Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("got result %v, want HandOffServed", how)
 	}
-	s.answer(answerOK)
-	for keeper, good := range map[*Keeper]bool{s.near: true, NewKeeper(&old): false} {
-		d, err := NewDialer(DialerOptions{Keeper: keeper, Log: testkit.Quiet})
+	s.setHandler(answerOK)
+	for keeper, good := range map[*IdentityStore]bool{s.senderIdentities: true, NewIdentityStore(&old): false} {
+		d, err := NewDialer(DialerOptions{Identities: keeper, Log: testkit.Quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -588,9 +588,9 @@
 		}
 		d.Close()
 	}
-	none := *s.far.Get()
+	none := *s.receiverIdentities.Get()
 	none.Peers = nil
-	s.far.Set(&none)
+	s.receiverIdentities.Set(&none)
 	for s.dialer.Views()[0].Up {
 		time.Sleep(time.Millisecond)
 	}
@@ -600,32 +600,32 @@
 // authority.
 func TestCertificates(t *testing.T) {
 	t.Parallel()
-	for name, change := range map[string]func(s *sites) (id Identity){
-		"expired": func(s *sites) Identity {
-			id := *s.near.Get()
+	for name, change := range map[string]func(s *sitePair) (id Identity){
+		"expired": func(s *sitePair) Identity {
+			id := *s.senderIdentities.Get()
 			id.Certificate, _, _, _ = s.a.Issue("hall-a.example.org", time.Now().Add(-time.Hour))
 			return id
 		},
-		"another name": func(s *sites) Identity {
-			id := *s.near.Get()
+		"another name": func(s *sitePair) Identity {
+			id := *s.senderIdentities.Get()
 			id.Certificate, _, _, _ = s.a.Issue("hall-c.example.org", time.Now().Add(time.Hour))
 			return id
 		},
-		"another authority": func(s *sites) Identity {
-			id := *s.near.Get()
+		"another authority": func(s *sitePair) Identity {
+			id := *s.senderIdentities.Get()
 			id.Certificate, _, _, _ = s.b.Issue("hall-a.example.org", time.Now().Add(time.Hour))
 			return id
 		},
-		"the receiver by another authority": func(s *sites) Identity {
-			id := *s.near.Get()
+		"the receiver by another authority": func(s *sitePair) Identity {
+			id := *s.senderIdentities.Get()
 			id.Peers = []Peer{{Name: "hall-b.example.org", Roots: s.a.Roots(), Addresses: id.Peers[0].Addresses}}
 			return id
 		},
 	} {
-		s := newSites(t)
+		s := newSitePair(t)
 		s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()) // the first sender is connected
 		id := change(s)
-		d, err := NewDialer(DialerOptions{Keeper: NewKeeper(&id), Log: testkit.Quiet})
+		d, err := NewDialer(DialerOptions{Identities: NewIdentityStore(&id), Log: testkit.Quiet})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -645,7 +645,7 @@
 func BenchmarkHandoff(b *testing.B) {
 	for _, at := range []int{1, 64} {
 		b.Run(fmt.Sprint(at), func(b *testing.B) {
-			s := newSites(b)
+			s := newSitePair(b)
 			s.offer(request("order", testkit.Patient), decide.Unsafe).Run(b.Context())
 			var work sync.WaitGroup
 			var left atomic.Int64
--- a/internal/link/traffic.go
+++ b/internal/link/traffic.go
@@ -23,11 +23,11 @@
 type traffic struct {
 	mu    sync.Mutex
 	conns map[*quic.Conn]struct{}
-	past  Traffic // sums over the connections that have ended; and all calls
+	ended Traffic // sums over the connections that have ended; and all calls
 }
 
 // track includes a connection, and adds its final counters to the sums when it ends.
-func (t *traffic) follow(conn *quic.Conn) {
+func (t *traffic) track(conn *quic.Conn) {
 	t.mu.Lock()
 	if t.conns == nil {
 		t.conns = map[*quic.Conn]struct{}{}
@@ -38,26 +38,26 @@
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		delete(t.conns, conn)
-		t.past.add(conn)
+		t.ended.add(conn)
 	})
 }
 
 // countCall counts an answered call.
-func (t *traffic) called(kind uint64) {
+func (t *traffic) countCall(kind uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.past.Calls == nil {
-		t.past.Calls = map[uint64]uint64{}
+	if t.ended.Calls == nil {
+		t.ended.Calls = map[uint64]uint64{}
 	}
-	t.past.Calls[kind]++
+	t.ended.Calls[kind]++
 }
 
 // sum returns the totals so far.
 func (t *traffic) sum() Traffic {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	all := t.past
-	all.Calls = maps.Clone(t.past.Calls)
+	all := t.ended
+	all.Calls = maps.Clone(t.ended.Calls)
 	for conn := range t.conns {
 		all.add(conn)
 	}
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -18,27 +18,27 @@
 )
 
 // newConfig returns settings that record everything, in a temporary folder.
-func config(t *testing.T) *Config {
+func newConfig(t *testing.T) *Config {
 	return &Config{Path: filepath.Join(t.TempDir(), "traffic"), FileBytes: 1 << 20, Files: 3, Sample: 1, PerSecond: 100_000, Key: []byte("0123456789abcdef")}
 }
 
 // runRecorder calls feed while the recorder runs, and returns once the recorder has written all and ended.
-func record(r *Recorder, play func()) {
+func runRecorder(r *Recorder, feed func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() { r.Run(ctx) })
-	play()
+	feed()
 	cancel()
 	work.Wait()
 }
 
 // newTry returns try number i. Each two in a row belong to one order; the second is marked as a repeat.
-func try(i int) *Try {
-	return &Try{Began: time.Now(), Class: "read", Tenant: "acme", Order: fmt.Sprint("order ", i/2), Repeat: i%2 == 1, Outcome: trace.Served, Took: time.Millisecond}
+func newTry(i int) *Try {
+	return &Try{StartedAt: time.Now(), Class: "read", Tenant: "acme", Order: fmt.Sprint("order ", i/2), Repeat: i%2 == 1, Outcome: trace.Served, Duration: time.Millisecond}
 }
 
 // readTrace returns the records of a trace file.
-func read(t *testing.T, path string) (records []trace.Record) {
+func readTrace(t *testing.T, path string) (records []trace.Record) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -54,14 +54,14 @@
 // Guards against lost tries, and against names of tenants in the file. The tries of an order have the same hash,
 // which depends on the key.
 func TestRecords(t *testing.T) {
-	c := config(t)
+	c := newConfig(t)
 	r := New(c, slog.New(slog.DiscardHandler))
-	record(r, func() {
+	runRecorder(r, func() {
 		for i := range 1000 {
-			r.Take(try(i))
+			r.Record(newTry(i))
 		}
 	})
-	records := read(t, c.Path)
+	records := readTrace(t, c.Path)
 	if written, lost := r.Counts(); len(records) != 1000 || written != 1000 || lost != 0 {
 		t.Fatalf("%d records read, %d counted as written, %d as lost; want 1000, 1000, 0", len(records), written, lost)
 	}
@@ -79,21 +79,21 @@
 	if New(&other, nil).hash("acme") == r.hash("acme") {
 		t.Error("the hash does not depend on the key")
 	}
-	(*Recorder)(nil).Take(try(0))
+	(*Recorder)(nil).Record(newTry(0))
 }
 
 // Guards against orders that are recorded with only some of their tries when sampled, and against more tries per
 // second than the limit, or lost ones that are not counted.
 func TestSampledByOrder(t *testing.T) {
-	c := config(t)
+	c := newConfig(t)
 	c.Sample = 0.25
 	r := New(c, slog.New(slog.DiscardHandler))
-	record(r, func() {
+	runRecorder(r, func() {
 		for i := range 3000 {
-			r.Take(try(i))
+			r.Record(newTry(i))
 		}
 	})
-	records := read(t, c.Path)
+	records := readTrace(t, c.Path)
 	tries := map[uint64]int{}
 	for _, x := range records {
 		tries[x.Order]++
@@ -101,15 +101,15 @@
 	if len(records) < 600 || len(records) > 900 || len(tries)*2 != len(records) {
 		t.Errorf("recorded %d tries of %d orders, out of 3000 and 1500, with a sample of a quarter", len(records), len(tries))
 	}
-	c = config(t)
+	c = newConfig(t)
 	c.PerSecond = 10
 	r = New(c, slog.New(slog.DiscardHandler))
 	began := time.Now()
-	record(r, func() {
+	runRecorder(r, func() {
 		for i := range 1000 {
-			x := try(i)
-			x.Began = began // so that all fall into one moment, however slow the machine is
-			r.Take(x)
+			x := newTry(i)
+			x.StartedAt = began // so that all fall into one moment, however slow the machine is
+			r.Record(x)
 		}
 	})
 	if written, lost := r.Counts(); written != 10 || lost != 990 {
@@ -119,15 +119,15 @@
 
 // Guards against a rotation that keeps too many files, or loses or damages records of the files that it keeps.
 func TestRotates(t *testing.T) {
-	c := config(t)
+	c := newConfig(t)
 	c.FileBytes = 4000
 	r := New(c, slog.New(slog.DiscardHandler))
-	record(r, func() {
+	runRecorder(r, func() {
 		for i := range 20_000 {
-			for before := len(r.tries); before > queue/2; before = len(r.tries) {
+			for before := len(r.tries); before > queueLength/2; before = len(r.tries) {
 				time.Sleep(time.Millisecond)
 			}
-			r.Take(try(i))
+			r.Record(newTry(i))
 		}
 	})
 	files, err := filepath.Glob(c.Path + "*")
@@ -135,7 +135,7 @@
 		t.Fatalf("got files %v, error %v; want 3 files", files, err)
 	}
 	for _, f := range files {
-		if len(read(t, f)) == 0 {
+		if len(readTrace(t, f)) == 0 {
 			t.Errorf("%s is empty", f)
 		}
 	}
@@ -145,32 +145,32 @@
 }
 
 // failingFile is a file on a disk that is full.
-type badDisk struct{ io.WriteCloser }
+type failingFile struct{ io.WriteCloser }
 
-func (badDisk) Write([]byte) (int, error) { return 0, errors.New("no space left on device") }
-func (badDisk) Close() error              { return nil }
+func (failingFile) Write([]byte) (int, error) { return 0, errors.New("no space left on device") }
+func (failingFile) Close() error              { return nil }
 
 // Guards against requests that are blocked by a full disk, by a file that can't be created or by a recorder that does
 // not run: the tries are lost, and counted.
 func TestFullDiskHoldsUpNobody(t *testing.T) {
 	for name, create := range map[string]func(string) (io.WriteCloser, error){
-		"full disk": func(string) (io.WriteCloser, error) { return badDisk{}, nil },
-		"no file": func(string) (io.WriteCloser, error) { return nil, errors.New("read-only file system") },
+		"full disk": func(string) (io.WriteCloser, error) { return failingFile{}, nil },
+		"no file":   func(string) (io.WriteCloser, error) { return nil, errors.New("read-only file system") },
 	} {
-		r := New(config(t), slog.New(slog.DiscardHandler))
+		r := New(newConfig(t), slog.New(slog.DiscardHandler))
 		r.create = create
-		record(r, func() {
+		runRecorder(r, func() {
 			for i := range 10_000 {
-				r.Take(try(i))
+				r.Record(newTry(i))
 			}
 		})
 		if written, lost := r.Counts(); written != 0 || lost != 10_000 {
 			t.Errorf("%s: %d written, %d lost, want 0 and all 10,000", name, written, lost)
 		}
 	}
-	r := New(config(t), slog.New(slog.DiscardHandler)) // Run is not called
-	for i := range queue + 100 {
-		r.Take(try(i))
+	r := New(newConfig(t), slog.New(slog.DiscardHandler)) // Run is not called
+	for i := range queueLength + 100 {
+		r.Record(newTry(i))
 	}
 	if _, lost := r.Counts(); lost != 100 {
 		t.Errorf("%d lost, want the 100 that the queue can't hold", lost)
@@ -194,11 +194,11 @@
 
 // BenchmarkTake measures Record while nothing writes: almost all calls find the queue full.
 func BenchmarkTake(b *testing.B) {
-	c := &Config{Path: filepath.Join(b.TempDir(), "t"), FileBytes: 1 << 30, Files: 1, Sample: 1, PerSecond: mostPerSecond, Key: []byte("0123456789abcdef")}
+	c := &Config{Path: filepath.Join(b.TempDir(), "t"), FileBytes: 1 << 30, Files: 1, Sample: 1, PerSecond: maxPerSecond, Key: []byte("0123456789abcdef")}
 	r := New(c, slog.New(slog.DiscardHandler))
-	x := try(1)
+	x := newTry(1)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Take(x)
+		r.Record(x)
 	}
 }
--- a/internal/rig/capacity/bursts.go
+++ b/internal/rig/capacity/bursts.go
@@ -133,6 +133,6 @@
 func (s *site) giveBack(ctx context.Context, backend string, through int) error {
 	e := returnEntry(fleet.ServerTarget(backend))
 	e.Ask = rand.Text()
-	_, err := s.voters[through].door.Ask(ctx, e)
+	_, err := s.voters[through].door.Propose(ctx, e)
 	return err
 }
--- a/internal/rig/capacity/calibrate.go
+++ b/internal/rig/capacity/calibrate.go
@@ -32,7 +32,7 @@
 		if !inFleet {
 			continue
 		}
-		h, err := m.door.Here(ctx)
+		h, err := m.door.Status(ctx)
 		if err != nil {
 			return all, fmt.Errorf("%s: %w", m.name, err)
 		}
@@ -211,7 +211,7 @@
 	defer cancel()
 	for _, m := range list {
 		for {
-			h, err := m.door.Here(ctx)
+			h, err := m.door.Status(ctx)
 			if err == nil && h.Session > 0 {
 				break
 			}
--- a/internal/rig/capacity/drains.go
+++ b/internal/rig/capacity/drains.go
@@ -24,9 +24,9 @@
 }
 
 // entry hands in an entry under a number of its own.
-func ask(ctx context.Context, d *control.Door, e *fleetpb.Entry) error {
+func ask(ctx context.Context, d *control.APIClient, e *fleetpb.Entry) error {
 	e.Ask = rand.Text()
-	res, err := d.Ask(ctx, e)
+	res, err := d.Propose(ctx, e)
 	if err != nil {
 		return err
 	}
--- a/internal/rig/capacity/faults.go
+++ b/internal/rig/capacity/faults.go
@@ -95,14 +95,14 @@
 	if err != nil {
 		return err
 	}
-	want, err := s.voters[at].door.Here(ctx)
+	want, err := s.voters[at].door.Status(ctx)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaderWait)
 	defer cancel()
 	for {
-		h, err := m.door.Here(ctx)
+		h, err := m.door.Status(ctx)
 		if err == nil && h.Applied >= want.Applied && h.Leader != "" {
 			return nil
 		}
--- a/internal/rig/capacity/hollow/hollow.go
+++ b/internal/rig/capacity/hollow/hollow.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctl.Begin()
+	ctl.ApplySavedOrders()
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &node{name: name, file: file, control: ctl, stop: cancel, work: &sync.WaitGroup{}}
 	n.work.Go(ctl.Run)
@@ -172,7 +172,7 @@
 	nodes := append([]*node(nil), s.nodes...)
 	s.mu.Unlock()
 	for _, n := range nodes {
-		h := n.control.Here()
+		h := n.control.Status()
 		add(&c.Traffic, h.Traffic)
 		if h.Session > 0 {
 			c.Live++
@@ -209,7 +209,7 @@
 	var work sync.WaitGroup
 	for _, i := range places {
 		work.Go(func() {
-			carried := nodes[i].control.Here().Traffic
+			carried := nodes[i].control.Status().Traffic
 			nodes[i].end()
 			s.carried(carried)
 		})
@@ -273,11 +273,11 @@
 // ServerList is an empty list.
 func (idlePlane) ServerList() core.List { return core.List{} }
 
-// Away does nothing.
-func (idlePlane) Away(bool) {}
+// SetDrained does nothing.
+func (idlePlane) SetDrained(bool) {}
 
-// Ends has no finished requests.
-func (idlePlane) Ends() map[string]health.Ends { return nil }
+// ClassCounts has no finished requests.
+func (idlePlane) ClassCounts() map[string]health.ClassCounts { return nil }
 
-// Resident is 0: a hollow node's memory is not its own.
-func (idlePlane) Resident() uint64 { return 0 }
+// ResidentBytes is 0: a hollow node's memory is not its own.
+func (idlePlane) ResidentBytes() uint64 { return 0 }
--- a/internal/rig/capacity/hollow/hollow_test.go
+++ b/internal/rig/capacity/hollow/hollow_test.go
@@ -33,14 +33,14 @@
 // listing is the data plane of a voter that lists one backend.
 type listing struct{}
 
-func (listing) SetCordon(core.Cordon)                  {}
-func (listing) OpenAttemptsAt(core.Cordon) (int, bool) { return 0, true }
-func (listing) OpenRequests() (int, bool)              { return 0, true }
-func (listing) EjectedServers() []string               { return nil }
-func (listing) Away(bool)                              {}
-func (listing) Ends() map[string]health.Ends           { return nil }
-func (listing) Resident() uint64                       { return 0 }
-func (listing) CanServe() bool                         { return true }
+func (listing) SetCordon(core.Cordon)                      {}
+func (listing) OpenAttemptsAt(core.Cordon) (int, bool)     { return 0, true }
+func (listing) OpenRequests() (int, bool)                  { return 0, true }
+func (listing) EjectedServers() []string                   { return nil }
+func (listing) SetDrained(bool)                            {}
+func (listing) ClassCounts() map[string]health.ClassCounts { return nil }
+func (listing) ResidentBytes() uint64                      { return 0 }
+func (listing) CanServe() bool                             { return true }
 func (listing) ServerList() core.List {
 	return core.List{Full: true, Entries: []core.Entry{{Name: backend,
 		Server: decide.Server{ID: registry.ServerID(backend), Zone: "a", State: decide.Ready, Size: 1}}}}
@@ -76,7 +76,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Begin()
+		n.ApplySavedOrders()
 		done := make(chan struct{})
 		go func() { n.Run(); close(done) }()
 		t.Cleanup(func() { n.Stop(); <-done })
@@ -100,7 +100,7 @@
 	asked := 0
 	until(t, "a drain is granted", func() bool {
 		asked++ // a repeated question gets the answer of the first time, also if that was a refusal
-		r, err := n.Ask(t.Context(), &fleetpb.Entry{Ask: fmt.Sprint(asked),
+		r, err := n.Propose(t.Context(), &fleetpb.Entry{Ask: fmt.Sprint(asked),
 			What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: fleet.ServerTarget(backend), By: "eva"}}})
 		return err == nil && r.Code == fleetpb.Result_DONE
 	})
@@ -132,7 +132,7 @@
 	until(t, "all follow", func() bool { return s.Known(what).Nodes == len(o.Names) })
 	until(t, "the leader has heard of it", func() bool {
 		state, err := control[1].State(t.Context())
-		return err == nil && fleet.From(state).Proof(fleet.ServerTarget(backend)).Proven
+		return err == nil && fleet.FromState(state).Proof(fleet.ServerTarget(backend)).Proven
 	})
 	c := s.Counts()
 	if tr := c.Traffic; c.Nodes != 6 || tr.BytesIn == 0 || tr.BytesOut == 0 || tr.DatagramsIn == 0 || tr.DatagramsOut == 0 || len(tr.Calls) < 1 || c.Processor == 0 || c.Resident == 0 {
--- a/internal/rig/capacity/machines.go
+++ b/internal/rig/capacity/machines.go
@@ -26,7 +26,7 @@
 	*process
 	name   string
 	listen string // for clients
-	door   *control.Door
+	door   *control.APIClient
 }
 
 // site is what a run needs: a folder, a registry, the fleet's files, and the processes.
@@ -206,7 +206,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &machine{process: p, name: name, listen: listen, door: control.Knock(hollow.Socket(folder, name))}, nil
+	return &machine{process: p, name: name, listen: listen, door: control.NewAPIClient(hollow.Socket(folder, name))}, nil
 }
 
 const leaderWait = 30 * time.Second
@@ -224,7 +224,7 @@
 			default:
 			}
 			one, cancel := context.WithTimeout(ctx, time.Second)
-			h, err := m.door.Here(one)
+			h, err := m.door.Status(one)
 			cancel()
 			if err == nil && h.Voter == "leads" && h.Term > term {
 				best, term = i, h.Term
--- a/internal/rig/capacity/reading.go
+++ b/internal/rig/capacity/reading.go
@@ -29,7 +29,7 @@
 	}
 	now.at = time.Now()
 	for i, m := range s.voters {
-		h, err := m.door.Here(ctx)
+		h, err := m.door.Status(ctx)
 		if err != nil {
 			return now, fmt.Errorf("%s: %w", m.name, err)
 		}
--- a/internal/supervise/programs.go
+++ b/internal/supervise/programs.go
@@ -26,8 +26,8 @@
 
 // Chosen records which program the node runs.
 type Chosen struct {
-	Version string `json:"version"`
-	Well    string `json:"well"` // the last version whose process was ready
+	Version   string `json:"version"`
+	LastReady string `json:"well"` // the last version whose process was ready
 }
 
 var versionName = regexp.MustCompile(`^[0-9a-f]{32}$`)
@@ -88,20 +88,20 @@
 }
 
 // SetChosen stores atomically which program the node runs.
-func (p *Programs) Choose(c Chosen) error { return wholefile.WriteJSON(p.chosenFile(), c) }
+func (p *Programs) SetChosen(c Chosen) error { return wholefile.WriteJSON(p.chosenFile(), c) }
 
-// startedProcess identifies a process that a supervisor has started. The start time is part of it, since the kernel
+// startedProcess identifies a process that a supervisor has startedProcess. The start time is part of it, since the kernel
 // may have given the process ID to another process meanwhile.
-type started struct {
-	Pid   int    `json:"pid"`
-	Began string `json:"began"` // start time in the kernel's clock ticks since boot
+type startedProcess struct {
+	Pid        int    `json:"pid"`
+	StartTicks string `json:"began"` // start time in the kernel's clock ticks since boot
 }
 
 func (p *Programs) startedFile() string { return filepath.Join(p.folder, "started.json") }
 
 // startTicks returns the start time of a process (proc(5), field 22 of stat); empty if there is no such process or it
 // is a zombie.
-func beganOf(pid int) string {
+func startTicks(pid int) string {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return ""
@@ -114,19 +114,19 @@
 }
 
 // Running returns the processes that supervisors of this node have started and that still run.
-func (p *Programs) Left() (left []started, err error) {
+func (p *Programs) Running() (left []startedProcess, err error) {
 	err = wholefile.ReadJSON(p.startedFile(), &left)
-	return slices.DeleteFunc(left, func(x started) bool { return x.Began == "" || beganOf(x.Pid) != x.Began }), err
+	return slices.DeleteFunc(left, func(x startedProcess) bool { return x.StartTicks == "" || startTicks(x.Pid) != x.StartTicks }), err
 }
 
 // RecordStarted adds a process to the stored list of started processes.
-func (p *Programs) Note(pid int) error {
-	left, err := p.Left()
-	return errors.Join(err, wholefile.WriteJSON(p.startedFile(), append(left, started{pid, beganOf(pid)})))
+func (p *Programs) RecordStarted(pid int) error {
+	left, err := p.Running()
+	return errors.Join(err, wholefile.WriteJSON(p.startedFile(), append(left, startedProcess{pid, startTicks(pid)})))
 }
 
 // Lock waits until no other supervisor runs for this node, and takes the lock. The lock lasts until the returned file
 // is closed or this process ends. onWait is called once if Lock has to wait.
-func (p *Programs) Lock(ctx context.Context, waits func()) (*os.File, error) {
-	return wholefile.Lock(ctx, filepath.Join(p.folder, "lock"), lookEvery, sync.OnceFunc(waits))
+func (p *Programs) Lock(ctx context.Context, onWait func()) (*os.File, error) {
+	return wholefile.Lock(ctx, filepath.Join(p.folder, "lock"), pollInterval, sync.OnceFunc(onWait))
 }
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -18,40 +18,42 @@
 )
 
 const (
-	lookEvery  = 50 * time.Millisecond
-	doorWait   = time.Second            // for an answer of the node on its control socket
-	againFirst = 200 * time.Millisecond // before a crashed node is started again; doubles with each crash in a row
-	againLast  = 5 * time.Second
-	tellAgain  = 3 * time.Second // until a report is sent again, since the voters may have lost it
-	tellWait   = 2 * time.Second // for the result of a report
+	pollInterval    = 50 * time.Millisecond
+	socketTimeout   = time.Second            // for an answer of the node on its control socket
+	minRestartDelay = 200 * time.Millisecond // before a crashed node is started again; doubles with each crash in a row
+	maxRestartDelay = 5 * time.Second
+	reportInterval  = 3 * time.Second // until a report is sent again, since the voters may have lost it
+	reportTimeout   = 2 * time.Second // for the result of a report
 )
 
 // Supervisor keeps the process of one node running in the version that the fleet orders.
 type Supervisor struct {
-	c        *Config
+	config   *Config
 	programs *Programs
 	client   *control.Control
-	door     *control.Door
+	control  *control.APIClient
 	log      *slog.Logger
 
-	mu     sync.Mutex
-	chosen Chosen
-	turn   *fleetpb.Turn // order to change the version that is not begun yet; nil if there is none
-	made   uint64        // epoch of the last turn that was begun
-	word   *fleetpb.Supervised // newest report on the node
-	said   bool          // the voters have accepted that report
-	reach  time.Time     // when the voters last answered
-	news   chan struct{} // has capacity 1; signals a new turn
+	mu           sync.Mutex
+	chosen       Chosen
+	turn         *fleetpb.Turn       // order to change the version that is not begun yet; nil if there is none
+	lastTurn     uint64              // epoch of the last turn that was begun
+	report       *fleetpb.Supervised // newest report on the node
+	reported     bool                // the voters have accepted that report
+	lastAnswerAt time.Time           // when the voters last answered
+	changed      chan struct{}       // has capacity 1; signals a new turn
 }
 
 // Run supervises the node until ctx ends, and then ends the node. If the supervisor itself is killed, the node keeps
 // running and the next supervisor adopts it.
 func Run(ctx context.Context, c *Config, log *slog.Logger) error {
-	programs, err := OpenPrograms(c.Folder)
+	programs, err := OpenPrograms(c.ProgramFolder)
 	if err != nil {
 		return fmt.Errorf("%s: supervise.folder: %w", c.Path, err)
 	}
-	lock, err := programs.Lock(ctx, func() { log.Warn("supervise: another supervisor keeps this node; this one waits", "folder", c.Folder) })
+	lock, err := programs.Lock(ctx, func() {
+		log.Warn("supervise: another supervisor keeps this node; this one waits", "folder", c.ProgramFolder)
+	})
 	if err != nil {
 		if ctx.Err() != nil {
 			return nil
@@ -59,9 +61,9 @@
 		return fmt.Errorf("%s: %w", c.Path, err)
 	}
 	defer lock.Close()
-	s := &Supervisor{c: c, programs: programs, door: control.Knock(c.Fleet.Socket), log: log, news: make(chan struct{}, 1), reach: time.Now()}
+	s := &Supervisor{config: c, programs: programs, control: control.NewAPIClient(c.Fleet.Socket), log: log, changed: make(chan struct{}, 1), lastAnswerAt: time.Now()}
 	if s.chosen, err = programs.Chosen(); err != nil {
-		return fmt.Errorf("%s: %w", c.Folder, err)
+		return fmt.Errorf("%s: %w", c.ProgramFolder, err)
 	}
 	if s.chosen.Version == "" { // first start: the node runs the program of this process
 		self, err := os.Executable()
@@ -71,8 +73,8 @@
 		if s.chosen.Version, err = programs.Add(self); err != nil {
 			return err
 		}
-		s.chosen.Well = s.chosen.Version
-		if err := programs.Choose(s.chosen); err != nil {
+		s.chosen.LastReady = s.chosen.Version
+		if err := programs.SetChosen(s.chosen); err != nil {
 			return err
 		}
 	}
@@ -82,35 +84,35 @@
 	defer s.client.CloseClient()
 	var work sync.WaitGroup
 	defer work.Wait()
-	work.Go(func() { s.follow(ctx) })
-	work.Go(func() { s.speak(ctx) })
-	s.keep(ctx)
+	work.Go(func() { s.followOrders(ctx) })
+	work.Go(func() { s.sendReports(ctx) })
+	s.runNode(ctx)
 	return nil
 }
 
 // followOrders receives the fleet's orders and stores new turns of this node.
-func (s *Supervisor) follow(ctx context.Context) {
+func (s *Supervisor) followOrders(ctx context.Context) {
 	version, log := uint64(0), ""
 	for ctx.Err() == nil {
-		o, err := s.client.Orders(ctx, version, log)
+		o, err := s.client.AwaitOrders(ctx, version, log)
 		if err != nil {
 			continue
 		}
 		s.mu.Lock()
-		s.reach = time.Now()
+		s.lastAnswerAt = time.Now()
 		s.mu.Unlock()
 		if o == nil {
 			continue
 		}
 		version, log = o.Version, o.Log
 		for _, t := range o.Turns {
-			if t.Node != s.c.Fleet.Name {
+			if t.Node != s.config.Fleet.Name {
 				continue
 			}
 			s.mu.Lock()
-			if t.Epoch > s.made {
+			if t.Epoch > s.lastTurn {
 				s.turn = t
-				s.wake()
+				s.notifyChanged()
 			}
 			s.mu.Unlock()
 		}
@@ -118,131 +120,131 @@
 }
 
 // notifyChanged signals a new turn. The caller holds the lock.
-func (s *Supervisor) wake() {
+func (s *Supervisor) notifyChanged() {
 	select {
-	case s.news <- struct{}{}:
+	case s.changed <- struct{}{}:
 	default:
 	}
 }
 
 // setReport sets and logs the newest report on the node, which sendReports sends.
-func (s *Supervisor) tell(version, state, why string) {
+func (s *Supervisor) setReport(version, state, why string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.word, s.said = &fleetpb.Supervised{Node: s.c.Fleet.Name, Version: version, State: state, Turn: s.made, Why: why}, false
-	s.log.Info("supervise: node", "version", version, "state", state, "turn", s.made, "why", why)
+	s.report, s.reported = &fleetpb.Supervised{Node: s.config.Fleet.Name, Version: version, State: state, Turn: s.lastTurn, Why: why}, false
+	s.log.Info("supervise: node", "version", version, "state", state, "turn", s.lastTurn, "why", why)
 }
 
 // sendReports sends the newest report to the voters until they accept it, and then again every reportInterval. A
 // crash is counted by the release, so its report is not sent again once accepted.
-func (s *Supervisor) speak(ctx context.Context) {
-	var at time.Time
+func (s *Supervisor) sendReports(ctx context.Context) {
+	var lastSentAt time.Time
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		word, said := s.word, s.said
+		report, reported := s.report, s.reported
 		s.mu.Unlock()
-		if word != nil && (!said || word.State != fleet.UnitCrashed && time.Since(at) > tellAgain) {
-			once, cancel := context.WithTimeout(ctx, tellWait)
-			r, err := s.client.Ask(once, &fleetpb.Entry{What: &fleetpb.Entry_Supervised{Supervised: word}})
+		if report != nil && (!reported || report.State != fleet.UnitCrashed && time.Since(lastSentAt) > reportInterval) {
+			once, cancel := context.WithTimeout(ctx, reportTimeout)
+			r, err := s.client.Propose(once, &fleetpb.Entry{What: &fleetpb.Entry_Supervised{Supervised: report}})
 			cancel()
 			s.mu.Lock()
 			if err == nil {
-				at, s.reach = time.Now(), time.Now()
-				s.said = s.said || s.word == word
+				lastSentAt, s.lastAnswerAt = time.Now(), time.Now()
+				s.reported = s.reported || s.report == report
 				if r.Code != fleetpb.Result_DONE {
-					s.log.Warn("supervise: a report was not accepted", "word", word, "result", r)
+					s.log.Warn("supervise: a report was not accepted", "word", report, "result", r)
 				}
 			}
 			s.mu.Unlock()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
 // takeTurn returns the turn that is to be begun and marks it as begun; nil if there is none.
-func (s *Supervisor) next() *fleetpb.Turn {
+func (s *Supervisor) takeTurn() *fleetpb.Turn {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.turn
 	if s.turn = nil; t != nil {
-		s.made = t.Epoch
+		s.lastTurn = t.Epoch
 	}
 	return t
 }
 
 // unreachable reports whether the voters have not answered for twice the lifetime of a session.
-func (s *Supervisor) unreached() bool {
+func (s *Supervisor) unreachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return time.Since(s.reach) > 2*s.c.Fleet.Life
+	return time.Since(s.lastAnswerAt) > 2*s.config.Fleet.SessionTimeout
 }
 
 // process is a process of the node, which this or an earlier supervisor started.
 type process struct {
 	*os.Process
-	ended chan struct{} // closed once it has ended
-	err   error         // how it ended
+	ended   chan struct{} // closed once it has ended
+	exitErr error         // how it ended
 }
 
 // runNode keeps the node running in the ordered version until ctx ends, and then ends it.
-func (s *Supervisor) keep(ctx context.Context) {
-	p := s.takeUp(ctx)
-	wait := againFirst
+func (s *Supervisor) runNode(ctx context.Context) {
+	p := s.adoptOrEnd(ctx)
+	wait := minRestartDelay
 	for ctx.Err() == nil {
 		if p == nil {
 			var err error
 			if p, err = s.start(s.chosen.Version); err != nil {
-				s.tell(s.chosen.Version, fleet.UnitCrashed, err.Error())
-				wait = s.back(ctx, wait)
+				s.setReport(s.chosen.Version, fleet.UnitCrashed, err.Error())
+				wait = s.awaitRestart(ctx, wait)
 				continue
 			}
-			s.tell(s.chosen.Version, fleet.UnitStarting, "")
+			s.setReport(s.chosen.Version, fleet.UnitStarting, "")
 		}
-		want, failed := s.watch(ctx, p)
+		want, failed := s.watchProcess(ctx, p)
 		switch {
 		case ctx.Err() != nil:
 		case want != "":
 			p = s.replace(ctx, p, want)
-			wait = againFirst
+			wait = minRestartDelay
 		default:
-			s.tell(s.chosen.Version, fleet.UnitCrashed, failed)
-			s.end(p)
+			s.setReport(s.chosen.Version, fleet.UnitCrashed, failed)
+			s.endProcess(p)
 			p = nil
-			wait = s.back(ctx, wait)
+			wait = s.awaitRestart(ctx, wait)
 		}
 	}
 	if p != nil {
-		s.end(p)
+		s.endProcess(p)
 	}
 }
 
 // watchProcess waits until another version is ordered or the process has failed. It returns the version or a
 // description of the failure; both are empty if ctx ended.
-func (s *Supervisor) watch(ctx context.Context, p *process) (want, failed string) {
-	began, ready := time.Now(), false
+func (s *Supervisor) watchProcess(ctx context.Context, p *process) (want, failed string) {
+	startedAt, ready := time.Now(), false
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-p.ended:
-			return "", fmt.Sprintf("it ended after %v: %v", time.Since(began).Round(time.Millisecond), p.err)
-		case <-s.news:
-		case <-time.After(lookEvery):
+			return "", fmt.Sprintf("it ended after %v: %v", time.Since(startedAt).Round(time.Millisecond), p.exitErr)
+		case <-s.changed:
+		case <-time.After(pollInterval):
 		}
 		if !ready && s.isReady(ctx, p) {
 			ready = true
-			s.well()
-			s.tell(s.chosen.Version, fleet.UnitReady, "")
+			s.markReady()
+			s.setReport(s.chosen.Version, fleet.UnitReady, "")
 		}
-		if t := s.next(); t != nil && t.Version != s.chosen.Version {
+		if t := s.takeTurn(); t != nil && t.Version != s.chosen.Version {
 			return t.Version, ""
 		} else if t != nil && ready {
-			s.tell(t.Version, fleet.UnitReady, "")
+			s.setReport(t.Version, fleet.UnitReady, "")
 		}
-		if !ready && time.Since(began) > s.c.Ready {
-			return "", fmt.Sprintf("it is not ready after %v", s.c.Ready)
+		if !ready && time.Since(startedAt) > s.config.ReadyTimeout {
+			return "", fmt.Sprintf("it is not ready after %v", s.config.ReadyTimeout)
 		}
 	}
 	return "", ""
@@ -254,36 +256,36 @@
 // another version is ordered. It returns the process that is the node's afterwards; nil if there is none.
 func (s *Supervisor) replace(ctx context.Context, old *process, want string) *process {
 	s.log.Info("supervise: turn", "from", s.chosen.Version, "to", want)
-	for wait := againFirst; ; wait = min(2*wait, againLast) {
-		began := time.Now()
+	for delay := minRestartDelay; ; delay = min(2*delay, maxRestartDelay) {
+		startedAt := time.Now()
 		p, err := s.start(want)
 		failed := ""
 		if err != nil {
 			failed = err.Error()
 		} else {
-			s.tell(want, fleet.UnitStarting, "")
+			s.setReport(want, fleet.UnitStarting, "")
 		}
-		changed, told := "", false
+		changed, endRequested := "", false
 		for failed == "" && changed == "" && ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
 			case <-p.ended:
-				failed = fmt.Sprintf("it ended after %v: %v", time.Since(began).Round(time.Millisecond), p.err)
+				failed = fmt.Sprintf("it ended after %v: %v", time.Since(startedAt).Round(time.Millisecond), p.exitErr)
 				continue
-			case <-s.news:
-			case <-time.After(lookEvery):
+			case <-s.changed:
+			case <-time.After(pollInterval):
 			}
-			h, err := s.here(ctx)
+			status, err := s.nodeStatus(ctx)
 			switch {
 			case err != nil:
-			case h.Pid == old.Pid && h.Succeeded && !told:
-				told = true
+			case status.Pid == old.Pid && status.Succeeded && !endRequested:
+				endRequested = true
 				old.Signal(syscall.SIGTERM) // it answers the requests that it has before it ends
-			case h.Pid != old.Pid && h.Pid != p.Pid && h.Node == s.c.Fleet.Name:
+			case status.Pid != old.Pid && status.Pid != p.Pid && status.Node == s.config.Fleet.Name:
 				// An earlier supervisor had begun the turn, and the process that it started has taken over.
 				if other := s.adopt(ctx); other != nil {
-					s.end(p)
-					s.end(old)
+					s.endProcess(p)
+					s.endProcess(old)
 					if s.chosen.Version != want {
 						return s.replace(ctx, other, want)
 					}
@@ -291,53 +293,53 @@
 				}
 			}
 			if s.isReady(ctx, p) {
-				s.end(old) // normally it has ended already
-				s.choose(want)
-				s.well()
-				s.tell(want, fleet.UnitReady, "")
+				s.endProcess(old) // normally it has ended already
+				s.setVersion(want)
+				s.markReady()
+				s.setReport(want, fleet.UnitReady, "")
 				return p
 			}
-			if t := s.next(); t != nil && t.Version != want {
+			if t := s.takeTurn(); t != nil && t.Version != want {
 				changed = t.Version
 			}
-			if time.Since(began) > s.c.Ready {
-				failed = fmt.Sprintf("it is not ready after %v", s.c.Ready)
+			if time.Since(startedAt) > s.config.ReadyTimeout {
+				failed = fmt.Sprintf("it is not ready after %v", s.config.ReadyTimeout)
 			}
 		}
 		if p != nil {
-			s.end(p)
+			s.endProcess(p)
 		}
-		gone := false
+		oldEnded := false
 		select {
 		case <-old.ended: // possible if it had handed over already
-			gone = true
+			oldEnded = true
 		default:
 		}
 		if failed != "" {
-			s.tell(want, fleet.UnitCrashed, failed)
-			timer := time.NewTimer(wait)
+			s.setReport(want, fleet.UnitCrashed, failed)
+			timer := time.NewTimer(delay)
 			for waiting := true; waiting; {
 				select {
 				case <-ctx.Done():
 					waiting = false
 				case <-timer.C:
 					waiting = false
-				case <-s.news:
-					if t := s.next(); t != nil && t.Version != want {
+				case <-s.changed:
+					if t := s.takeTurn(); t != nil && t.Version != want {
 						changed, waiting = t.Version, false
 					}
 				}
 			}
 			timer.Stop()
-			if changed == "" && s.unreached() {
-				s.log.Warn("supervise: the voters can't be reached; returns to the last version that was ready", "version", s.chosen.Well)
-				changed = s.chosen.Well
+			if changed == "" && s.unreachable() {
+				s.log.Warn("supervise: the voters can't be reached; returns to the last version that was ready", "version", s.chosen.LastReady)
+				changed = s.chosen.LastReady
 			}
 		}
 		switch {
-		case gone:
+		case oldEnded:
 			if changed != "" {
-				s.choose(changed)
+				s.setVersion(changed)
 			}
 			return nil
 		case ctx.Err() != nil:
@@ -353,55 +355,55 @@
 
 // awaitRestart waits before a restart, or until a turn arrives, and returns the next delay. If the voters can't be
 // reached, a version that was never ready is replaced by the last one that was.
-func (s *Supervisor) back(ctx context.Context, wait time.Duration) time.Duration {
+func (s *Supervisor) awaitRestart(ctx context.Context, wait time.Duration) time.Duration {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return wait
 	case <-timer.C:
-	case <-s.news:
+	case <-s.changed:
 	}
-	if t := s.next(); t != nil {
-		s.choose(t.Version)
-		return againFirst
+	if t := s.takeTurn(); t != nil {
+		s.setVersion(t.Version)
+		return minRestartDelay
 	}
-	if s.unreached() && s.chosen.Version != s.chosen.Well {
-		s.log.Warn("supervise: the voters can't be reached; returns to the last version that was ready", "version", s.chosen.Well)
-		s.choose(s.chosen.Well)
+	if s.unreachable() && s.chosen.Version != s.chosen.LastReady {
+		s.log.Warn("supervise: the voters can't be reached; returns to the last version that was ready", "version", s.chosen.LastReady)
+		s.setVersion(s.chosen.LastReady)
 	}
-	return min(2*wait, againLast)
+	return min(2*wait, maxRestartDelay)
 }
 
 // setVersion sets the version that the next start runs.
-func (s *Supervisor) choose(version string) {
+func (s *Supervisor) setVersion(version string) {
 	s.chosen.Version = version
-	s.note()
+	s.saveChosen()
 }
 
 // markReady records that the version that runs has been ready.
-func (s *Supervisor) well() {
-	s.chosen.Well = s.chosen.Version
-	s.note()
+func (s *Supervisor) markReady() {
+	s.chosen.LastReady = s.chosen.Version
+	s.saveChosen()
 }
 
-func (s *Supervisor) note() {
-	if err := s.programs.Choose(s.chosen); err != nil {
+func (s *Supervisor) saveChosen() {
+	if err := s.programs.SetChosen(s.chosen); err != nil {
 		s.log.Error("supervise: the chosen version can't be stored", "err", err)
 	}
 }
 
-func (s *Supervisor) here(ctx context.Context) (control.Here, error) {
-	ctx, cancel := context.WithTimeout(ctx, doorWait)
+func (s *Supervisor) nodeStatus(ctx context.Context) (control.NodeStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, socketTimeout)
 	defer cancel()
-	return s.door.Here(ctx)
+	return s.control.Status(ctx)
 }
 
 // isReady reports whether the process is the node's, can serve requests, and has a session with the fleet. No session
 // is needed while the voters can't be reached.
 func (s *Supervisor) isReady(ctx context.Context, p *process) bool {
-	h, err := s.here(ctx)
-	return err == nil && h.Pid == p.Pid && h.Able && (h.Session > 0 || s.unreached())
+	h, err := s.nodeStatus(ctx)
+	return err == nil && h.Pid == p.Pid && h.CanServe && (h.Session > 0 || s.unreachable())
 }
 
 // start starts a process of the node, in its own process group, so that it does not end with the supervisor.
@@ -410,32 +412,32 @@
 	if err != nil {
 		return nil, err
 	}
-	cmd := exec.Command(path, s.c.Args...)
+	cmd := exec.Command(path, s.config.Args...)
 	cmd.Stdout, cmd.Stderr = os.Stdout, os.Stderr
 	if os.Getenv("TMPDIR") == "" { // the node's processes find each other there for a handover
-		cmd.Env = append(os.Environ(), "TMPDIR="+s.c.Folder)
+		cmd.Env = append(os.Environ(), "TMPDIR="+s.config.ProgramFolder)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	if err := s.programs.Note(cmd.Process.Pid); err != nil {
+	if err := s.programs.RecordStarted(cmd.Process.Pid); err != nil {
 		s.log.Error("supervise: a started process can't be recorded; a later supervisor may not find it", "pid", cmd.Process.Pid, "err", err)
 	}
 	p := &process{Process: cmd.Process, ended: make(chan struct{})}
 	go func() {
-		p.err = cmd.Wait()
+		p.exitErr = cmd.Wait()
 		close(p.ended)
 	}()
 	return p, nil
 }
 
 // foreignProcess wraps a process that this supervisor has not started, and polls whether it has ended.
-func another(found *os.Process) *process {
-	p := &process{Process: found, ended: make(chan struct{}), err: errors.New("it was not started by this supervisor: how it ended is not known")}
+func foreignProcess(found *os.Process) *process {
+	p := &process{Process: found, ended: make(chan struct{}), exitErr: errors.New("it was not started by this supervisor: how it ended is not known")}
 	go func() {
 		for found.Signal(syscall.Signal(0)) == nil {
-			time.Sleep(lookEvery)
+			time.Sleep(pollInterval)
 		}
 		close(p.ended)
 	}()
@@ -445,30 +447,30 @@
 // adoptOrEnd adopts the node that an earlier supervisor left running, and returns nil if there is none. It ends all
 // other processes that earlier supervisors started: a supervisor that is killed during a replacement leaves two. If
 // one process has handed its sockets over, its successor is adopted.
-func (s *Supervisor) takeUp(ctx context.Context) (p *process) {
-	for end := time.Now().Add(s.c.Ready); ctx.Err() == nil; {
-		h, err := s.here(ctx)
+func (s *Supervisor) adoptOrEnd(ctx context.Context) (p *process) {
+	for deadline := time.Now().Add(s.config.ReadyTimeout); ctx.Err() == nil; {
+		h, err := s.nodeStatus(ctx)
 		if err == nil && !h.Succeeded {
 			p = s.adopt(ctx)
 			break
 		}
-		left, err := s.programs.Left()
+		running, err := s.programs.Running()
 		if err != nil {
 			s.log.Error("supervise: the list of processes that earlier supervisors started can't be read", "err", err)
 		}
-		if len(left) == 0 || time.Now().After(end) {
+		if len(running) == 0 || time.Now().After(deadline) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(lookEvery):
+		case <-time.After(pollInterval):
 		}
 	}
-	left, _ := s.programs.Left()
-	for _, x := range left {
+	running, _ := s.programs.Running()
+	for _, x := range running {
 		if found, err := os.FindProcess(x.Pid); err == nil && (p == nil || x.Pid != p.Pid) {
 			s.log.Warn("supervise: ends a process that a supervisor before this one has left", "pid", x.Pid)
-			s.end(another(found))
+			s.endProcess(foreignProcess(found))
 		}
 	}
 	return p
@@ -478,29 +480,29 @@
 // process. It returns nil if no node of this name answers on the control socket. A node whose program is not in the
 // folder is ended.
 func (s *Supervisor) adopt(ctx context.Context) *process {
-	h, err := s.here(ctx)
-	if err != nil || h.Node != s.c.Fleet.Name {
+	h, err := s.nodeStatus(ctx)
+	if err != nil || h.Node != s.config.Fleet.Name {
 		return nil
 	}
 	found, err := os.FindProcess(h.Pid) // a handle, which stays valid if the process ID is reused
 	if err != nil {
 		return nil
 	}
-	p := another(found)
+	p := foreignProcess(found)
 	exe, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", h.Pid))
 	version := filepath.Base(exe)
-	if _, unknown := s.programs.Path(version); err == nil && unknown == nil && filepath.Dir(exe) == s.c.Folder {
+	if _, unknown := s.programs.Path(version); err == nil && unknown == nil && filepath.Dir(exe) == s.config.ProgramFolder {
 		s.log.Info("supervise: takes up the node that runs", "pid", h.Pid, "version", version)
-		s.choose(version)
+		s.setVersion(version)
 		return p
 	}
 	s.log.Warn("supervise: ends the node that runs, since its program is not in the folder", "pid", h.Pid, "program", exe)
-	s.end(p)
+	s.endProcess(p)
 	return nil
 }
 
 // endProcess ends a process with SIGTERM, and with SIGKILL if it has not ended after EndTimeout.
-func (s *Supervisor) end(p *process) {
+func (s *Supervisor) endProcess(p *process) {
 	select {
 	case <-p.ended:
 		return
@@ -510,12 +512,12 @@
 	select {
 	case <-p.ended:
 		return
-	case <-time.After(s.c.End):
+	case <-time.After(s.config.EndTimeout):
 	}
 	p.Kill()
 	select {
 	case <-p.ended:
-	case <-time.After(s.c.End):
+	case <-time.After(s.config.EndTimeout):
 		s.log.Error("supervise: the node does not end", "pid", p.Pid)
 	}
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -61,7 +61,7 @@
 		from = min(from, x.AtMs)
 	}
 	until = max(until, from+1)
-	at := func(ms int64) float64 { return left + (right-left)*float64(ms-from)/float64(until-from) }
+	xOf := func(ms int64) float64 { return left + (right-left)*float64(ms-from)/float64(until-from) }
 	data := struct {
 		S            *fleetpb.State
 		R            *fleetpb.Release
@@ -82,11 +82,11 @@
 	}
 	top := gap
 	for _, key := range order {
-		data.Rows = append(data.Rows, draw(key, groups[key], top, at, until))
+		data.Rows = append(data.Rows, drawGroup(key, groups[key], top, xOf, until))
 		top += height + gap
 	}
 	for _, e := range steps {
-		data.Marks = append(data.Marks, mark{at(e.AtMs), clock(e.AtMs) + " " + e.What})
+		data.Marks = append(data.Marks, mark{xOf(e.AtMs), clock(e.AtMs) + " " + e.What})
 	}
 	data.Depth = top
 	t, err := template.New("release").Funcs(template.FuncMap{"clock": clock}).Parse(page) // parsed here and not at start, since nodes write no pages
@@ -98,28 +98,28 @@
 
 // drawGroup draws the samples of a group as one filled step path. top is the y coordinate of the graph, xOf maps a
 // time in ms to an x coordinate, and until is the end of the time axis in ms.
-func draw(key string, list []*fleetpb.Sample, top float64, at func(int64) float64, until int64) *row {
-	w := &row{Label: key, Top: top, Base: top + height, Most: list[len(list)-1].Most, Line: -1}
-	scale := float64(max(1, w.Most+1))
+func drawGroup(key string, list []*fleetpb.Sample, top float64, xOf func(int64) float64, until int64) *row {
+	drawn := &row{Label: key, Top: top, Base: top + height, Most: list[len(list)-1].Most, Line: -1}
+	scale := float64(max(1, drawn.Most+1))
 	for _, x := range list {
-		w.Worst = max(w.Worst, x.Out)
-		w.Over = w.Over || x.Most >= 0 && x.Out > uint32(x.Most)
+		drawn.Worst = max(drawn.Worst, x.Out)
+		drawn.Over = drawn.Over || x.Most >= 0 && x.Out > uint32(x.Most)
 	}
-	scale = max(scale, float64(w.Worst))
-	y := func(n float64) float64 { return w.Base - height*n/scale }
-	var b strings.Builder
-	fmt.Fprintf(&b, "M%.1f %.1f", at(list[0].AtMs), w.Base)
+	scale = max(scale, float64(drawn.Worst))
+	y := func(n float64) float64 { return drawn.Base - height*n/scale }
+	var path strings.Builder
+	fmt.Fprintf(&path, "M%.1f %.1f", xOf(list[0].AtMs), drawn.Base)
 	for i, x := range list {
 		end := until
 		if i+1 < len(list) {
 			end = list[i+1].AtMs
 		}
-		fmt.Fprintf(&b, "V%.1fH%.1f", y(float64(x.Out)), at(max(end, x.AtMs)))
+		fmt.Fprintf(&path, "V%.1fH%.1f", y(float64(x.Out)), xOf(max(end, x.AtMs)))
 	}
-	fmt.Fprintf(&b, "V%.1fZ", w.Base)
-	w.Path = b.String()
-	if w.Most >= 0 {
-		w.Line = y(float64(w.Most))
+	fmt.Fprintf(&path, "V%.1fZ", drawn.Base)
+	drawn.Path = path.String()
+	if drawn.Most >= 0 {
+		drawn.Line = y(float64(drawn.Most))
 	}
-	return w
+	return drawn
 }
--- a/internal/trace/synth.go
+++ b/internal/trace/synth.go
@@ -26,7 +26,7 @@
 var Shapes = []Shape{Steady, Bursts, Daily, Flash}
 
 // rateAt returns the rate at time t of a trace of that length, as a multiple of the mean rate.
-func (s Shape) at(t, length time.Duration) float64 {
+func (s Shape) rateAt(t, length time.Duration) float64 {
 	x := t.Seconds() / length.Seconds()
 	switch s {
 	case Bursts:
@@ -43,7 +43,7 @@
 	return 1
 }
 
-const shapeMost = 4.0 // upper bound of rateAt for all shapes
+const maxShapeRate = 4.0 // upper bound of rateAt for all shapes
 
 // SynthClass is a class of requests in a generated trace.
 type SynthClass struct {
@@ -63,78 +63,78 @@
 	// OrdersPerSession, if over 0, is the mean number of orders in a session. A session is a series of orders of one
 	// tenant, with a mean pause of ThinkTime between them. The mean rate of orders stays the same; they come in
 	// clusters.
-	Sessions float64
-	Think    time.Duration
-	Seed     uint64
+	OrdersPerSession float64
+	ThinkTime        time.Duration
+	Seed             uint64
 }
 
 // Generate calls each with the records of a trace, ordered by time, until it returns an error. All records are first
 // tries with an unknown outcome: the model that replays the trace computes what becomes of them.
 func (s *Synth) Generate(each func(*Record) error) error {
-	share := 0.0
-	for _, c := range s.Classes {
-		share += c.Share
+	totalShare := 0.0
+	for _, class := range s.Classes {
+		totalShare += class.Share
 	}
 	switch {
-	case s.Length <= 0 || !(s.Rate > 0) || !(share > 0):
+	case s.Length <= 0 || !(s.Rate > 0) || !(totalShare > 0):
 		return fmt.Errorf("trace: want a length, a rate and classes over 0, have length %v, rate %v, %d classes", s.Length, s.Rate, len(s.Classes))
 	case s.Length.Seconds()*s.Rate > 1e8:
 		return fmt.Errorf("trace: %.0f orders, at most 100,000,000 are allowed", s.Length.Seconds()*s.Rate)
 	}
-	r := rand.New(rand.NewPCG(s.Seed, 0x73796e7468))
-	var waiting []Record // of sessions that have started; they are few, so a linear search is enough
+	random := rand.New(rand.NewPCG(s.Seed, 0x73796e7468))
+	var pending []Record // of sessions that have started; they are few, so a linear search is enough
 	emit := func(until time.Duration) error {
 		for {
 			first := -1
-			for i := range waiting {
-				if waiting[i].At <= until && (first < 0 || waiting[i].At < waiting[first].At) {
+			for i := range pending {
+				if pending[i].At <= until && (first < 0 || pending[i].At < pending[first].At) {
 					first = i
 				}
 			}
 			if first < 0 {
 				return nil
 			}
-			record := waiting[first]
-			waiting[first] = waiting[len(waiting)-1]
-			waiting = waiting[:len(waiting)-1]
+			record := pending[first]
+			pending[first] = pending[len(pending)-1]
+			pending = pending[:len(pending)-1]
 			if err := each(&record); err != nil {
 				return err
 			}
 		}
 	}
-	order := func(at time.Duration, tenant uint64) Record {
-		x := r.Float64() * share
-		c := s.Classes[len(s.Classes)-1]
-		for _, k := range s.Classes {
-			if x -= k.Share; x < 0 {
-				c = k
+	newOrder := func(at time.Duration, tenant uint64) Record {
+		x := random.Float64() * totalShare
+		class := s.Classes[len(s.Classes)-1]
+		for _, candidate := range s.Classes {
+			if x -= candidate.Share; x < 0 {
+				class = candidate
 				break
 			}
 		}
-		variance := math.Log(1 + c.WorkCV*c.WorkCV)
-		work := time.Duration(float64(c.Work) * math.Exp(math.Sqrt(variance)*r.NormFloat64()-variance/2))
-		return Record{At: at.Truncate(time.Microsecond), Class: c.Name, Tenant: tenant, Order: r.Uint64() | 1, Work: min(work.Truncate(time.Microsecond), longest), Patience: c.Patience}
+		variance := math.Log(1 + class.WorkCV*class.WorkCV)
+		work := time.Duration(float64(class.Work) * math.Exp(math.Sqrt(variance)*random.NormFloat64()-variance/2))
+		return Record{At: at.Truncate(time.Microsecond), Class: class.Name, Tenant: tenant, Order: random.Uint64() | 1, Work: min(work.Truncate(time.Microsecond), maxDuration), Patience: class.Patience}
 	}
-	per := max(1, s.Sessions)
-	for t := time.Duration(0); ; {
-		t += time.Duration(r.ExpFloat64() / (s.Rate / per * shapeMost) * float64(time.Second))
-		if t >= s.Length {
+	perSession := max(1, s.OrdersPerSession)
+	for sessionStart := time.Duration(0); ; {
+		sessionStart += time.Duration(random.ExpFloat64() / (s.Rate / perSession * maxShapeRate) * float64(time.Second))
+		if sessionStart >= s.Length {
 			return emit(s.Length)
 		}
-		if r.Float64()*shapeMost >= s.Shape.at(t, s.Length) {
+		if random.Float64()*maxShapeRate >= s.Shape.rateAt(sessionStart, s.Length) {
 			continue
 		}
-		if err := emit(t); err != nil {
+		if err := emit(sessionStart); err != nil {
 			return err
 		}
-		tenant := r.Uint64() | 1
-		at := t
+		tenant := random.Uint64() | 1
+		at := sessionStart
 		for {
-			waiting = append(waiting, order(at, tenant))
-			if r.Float64()*per >= per-1 { // the number of orders is geometric, with mean perSession
+			pending = append(pending, newOrder(at, tenant))
+			if random.Float64()*perSession >= perSession-1 { // the number of orders is geometric, with mean perSession
 				break
 			}
-			if at += time.Duration(r.ExpFloat64() * float64(s.Think)); at >= s.Length {
+			if at += time.Duration(random.ExpFloat64() * float64(s.ThinkTime)); at >= s.Length {
 				break
 			}
 		}
--- a/internal/trace/synth_test.go
+++ b/internal/trace/synth_test.go
@@ -7,7 +7,7 @@
 )
 
 // generate returns a trace with 3 reads to 1 write.
-func generated(t *testing.T, s Synth) (records []Record) {
+func generate(t *testing.T, s Synth) (records []Record) {
 	t.Helper()
 	s.Classes = []SynthClass{{Name: "read", Share: 3, Work: 20 * time.Millisecond, WorkCV: 0.5, Patience: time.Second}, {Name: "write", Share: 1, Work: 60 * time.Millisecond, WorkCV: 0.5}}
 	if err := s.Generate(func(r *Record) error { records = append(records, *r); return nil }); err != nil {
@@ -22,7 +22,7 @@
 	const length, rate = 100 * time.Second, 200.0
 	for _, shape := range Shapes {
 		for _, sessions := range []float64{0, 5} {
-			records := generated(t, Synth{Length: length, Rate: rate, Shape: shape, Seed: 5, Sessions: sessions, Think: 200 * time.Millisecond})
+			records := generate(t, Synth{Length: length, Rate: rate, Shape: shape, Seed: 5, OrdersPerSession: sessions, ThinkTime: 200 * time.Millisecond})
 			if n, want := float64(len(records)), rate*length.Seconds(); math.Abs(n-want) > 0.06*want {
 				t.Errorf("%s, %v orders per session: %v orders, want about %v", shape, sessions, n, want)
 			}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -34,7 +34,7 @@
 	// Failed: any other status.
 	Failed
 	// ClientGone: the client disconnected before the answer.
-	Gone
+	ClientGone
 )
 
 var outcomes = [...]string{"unknown", "served", "refused", "failed", "gone"}
@@ -50,26 +50,26 @@
 // Record is one try of an order. An order is one thing that a client wants done; it takes further tries (requests) if
 // the first ones are refused or fail. Durations are recorded in whole microseconds.
 type Record struct {
-	At       time.Duration `json:"at_ns"`       // arrival, since the start of the trace
-	Class    string        `json:"class"`       // name of the request class
-	Tenant   uint64        `json:"tenant"`      // keyed hash of the tenant; 0: none
-	Order    uint64        `json:"order"`       // keyed hash of what the tries of an order share, such as a key
-	Size     int           `json:"size"`        // bytes of the request body
-	Answer   int           `json:"answer"`      // bytes of the response body
-	Repeat   bool          `json:"repeat"`      // the client marks it as a further try
-	Outcome  Outcome       `json:"outcome"`     // how it ended
-	Took     time.Duration `json:"took_ns"`     // from arrival to the final answer, at the node
-	Work     time.Duration `json:"work_ns"`     // of the attempt that served it, with the network; 0: none did
-	Patience time.Duration `json:"patience_ns"` // how long the client waits for this try
+	At         time.Duration `json:"at_ns"`       // arrival, since the start of the trace
+	Class      string        `json:"class"`       // name of the request class
+	Tenant     uint64        `json:"tenant"`      // keyed hash of the tenant; 0: none
+	Order      uint64        `json:"order"`       // keyed hash of what the tries of an order share, such as a key
+	BodySize   int           `json:"size"`        // bytes of the request body
+	AnswerSize int           `json:"answer"`      // bytes of the response body
+	Repeat     bool          `json:"repeat"`      // the client marks it as a further try
+	Outcome    Outcome       `json:"outcome"`     // how it ended
+	Duration   time.Duration `json:"took_ns"`     // from arrival to the final answer, at the node
+	Work       time.Duration `json:"work_ns"`     // of the attempt that served it, with the network; 0: none did
+	Patience   time.Duration `json:"patience_ns"` // how long the client waits for this try
 }
 
 const (
-	magic     = "SLVTRC\x00\x01" // the last byte is the version
-	blockRaw  = 64 << 10         // bytes of records after which a block is written
-	blockMost = 1 << 20          // bytes of a block's data, compressed or not; a block with a larger length is damaged
-	classMost = 256              // bytes of a class name
-	longest   = 24 * time.Hour   // of any duration in a record except At
-	lastAt    = 366 * 24 * time.Hour // of At
+	fileMagic      = "SLVTRC\x00\x01"     // the last byte is the version
+	blockSize      = 64 << 10             // bytes of records after which a block is written
+	maxBlockSize   = 1 << 20              // bytes of a block's data, compressed or not; a block with a larger length is damaged
+	maxClassLength = 256                  // bytes of a class name
+	maxDuration    = 24 * time.Hour       // of any duration in a record except At
+	maxAt          = 366 * 24 * time.Hour // of At
 )
 
 // Protobuf field numbers of a record. Durations are in microseconds.
@@ -88,7 +88,7 @@
 )
 
 // appendTo appends the record as a protobuf message. Fields that are zero are left out, except the class.
-func (r *Record) append(to []byte) []byte {
+func (r *Record) appendTo(to []byte) []byte {
 	number := func(field protowire.Number, v uint64) {
 		if v != 0 {
 			to = protowire.AppendVarint(protowire.AppendTag(to, field, protowire.VarintType), v)
@@ -103,32 +103,32 @@
 	to = protowire.AppendString(protowire.AppendTag(to, fieldClass, protowire.BytesType), r.Class)
 	fixed(fieldTenant, r.Tenant)
 	fixed(fieldOrder, r.Order)
-	number(fieldSize, uint64(r.Size))
-	number(fieldAnswer, uint64(r.Answer))
+	number(fieldSize, uint64(r.BodySize))
+	number(fieldAnswer, uint64(r.AnswerSize))
 	if r.Repeat {
 		number(fieldRepeat, 1)
 	}
 	number(fieldOutcome, uint64(r.Outcome))
-	number(fieldTook, uint64(r.Took/time.Microsecond))
+	number(fieldTook, uint64(r.Duration/time.Microsecond))
 	number(fieldWork, uint64(r.Work/time.Microsecond))
 	number(fieldPatience, uint64(r.Patience/time.Microsecond))
 	return to
 }
 
-var errRecord = errors.New("malformed record")
+var errMalformedRecord = errors.New("malformed record")
 
 // parse sets the record from a protobuf message. A value out of range is an error.
 func (r *Record) parse(raw []byte) error {
 	duration := func(v uint64, most time.Duration) (time.Duration, error) {
 		if v > uint64(most/time.Microsecond) {
-			return 0, errRecord
+			return 0, errMalformedRecord
 		}
 		return time.Duration(v) * time.Microsecond, nil
 	}
 	for len(raw) > 0 {
 		field, kind, n := protowire.ConsumeTag(raw)
 		if n < 0 {
-			return errRecord
+			return errMalformedRecord
 		}
 		raw = raw[n:]
 		var v uint64
@@ -144,35 +144,35 @@
 			n = protowire.ConsumeFieldValue(field, kind, raw)
 		}
 		if n < 0 {
-			return errRecord
+			return errMalformedRecord
 		}
 		raw = raw[n:]
 		var err error
 		switch {
 		case field == fieldAt && kind == protowire.VarintType:
-			r.At, err = duration(v, lastAt)
+			r.At, err = duration(v, maxAt)
 		case field == fieldClass && kind == protowire.BytesType:
-			if r.Class = string(text); len(text) > classMost {
-				err = errRecord
+			if r.Class = string(text); len(text) > maxClassLength {
+				err = errMalformedRecord
 			}
 		case field == fieldTenant && kind == protowire.Fixed64Type:
 			r.Tenant = v
 		case field == fieldOrder && kind == protowire.Fixed64Type:
 			r.Order = v
 		case field == fieldSize && kind == protowire.VarintType:
-			r.Size = int(min(v, 1<<40))
+			r.BodySize = int(min(v, 1<<40))
 		case field == fieldAnswer && kind == protowire.VarintType:
-			r.Answer = int(min(v, 1<<40))
+			r.AnswerSize = int(min(v, 1<<40))
 		case field == fieldRepeat && kind == protowire.VarintType:
 			r.Repeat = v != 0
 		case field == fieldOutcome && kind == protowire.VarintType:
 			r.Outcome = Outcome(v)
 		case field == fieldTook && kind == protowire.VarintType:
-			r.Took, err = duration(v, longest)
+			r.Duration, err = duration(v, maxDuration)
 		case field == fieldWork && kind == protowire.VarintType:
-			r.Work, err = duration(v, longest)
+			r.Work, err = duration(v, maxDuration)
 		case field == fieldPatience && kind == protowire.VarintType:
-			r.Patience, err = duration(v, longest)
+			r.Patience, err = duration(v, maxDuration)
 		} // unknown fields, which a later version may add, are ignored
 		if err != nil {
 			return err
@@ -183,15 +183,15 @@
 
 // Writer writes a trace. It is not safe for concurrent use.
 type Writer struct {
-	to      io.Writer
-	zip     *zstd.Encoder
-	raw     []byte // records that wait to be written as a block
-	one     []byte // the last record, kept to reuse its memory
-	data    []byte // compressed data of the last block, kept to reuse its memory
-	begun   bool
-	Records int   // number of records in the blocks that have been written
-	Bytes   int64 // number of bytes that have been written
-	held    int   // number of records that wait to be written
+	out            io.Writer
+	encoder        *zstd.Encoder
+	pending        []byte // records that wait to be written as a block
+	encoded        []byte // the last record, kept to reuse its memory
+	compressed     []byte // compressed data of the last block, kept to reuse its memory
+	headerWritten  bool
+	Records        int   // number of records in the blocks that have been written
+	Bytes          int64 // number of bytes that have been written
+	pendingRecords int   // number of records that wait to be written
 }
 
 // NewWriter returns a writer of a new trace.
@@ -200,16 +200,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Writer{to: to, zip: zip}, nil
+	return &Writer{out: to, encoder: zip}, nil
 }
 
 // Write adds a record. Records should come roughly in the order of At. When a block is full, it is written; an error
 // means that this block is lost. The writer can still be used, and tries to write the next block.
 func (w *Writer) Write(r *Record) error {
-	w.one = r.append(w.one[:0])
-	w.raw = protowire.AppendBytes(w.raw, w.one)
-	w.held++
-	if len(w.raw) < blockRaw {
+	w.encoded = r.appendTo(w.encoded[:0])
+	w.pending = protowire.AppendBytes(w.pending, w.encoded)
+	w.pendingRecords++
+	if len(w.pending) < blockSize {
 		return nil
 	}
 	return w.Flush()
@@ -217,46 +217,46 @@
 
 // Flush writes the pending records as a block. The first Flush writes the start of the file, even without records.
 func (w *Writer) Flush() error {
-	if w.held == 0 && w.begun {
+	if w.pendingRecords == 0 && w.headerWritten {
 		return nil
 	}
 	var out []byte
-	if !w.begun {
-		out = append(out, magic...)
+	if !w.headerWritten {
+		out = append(out, fileMagic...)
 	}
-	n := w.held
+	n := w.pendingRecords
 	if n > 0 {
-		w.data = w.zip.EncodeAll(w.raw, w.data[:0])
-		data := w.data
+		w.compressed = w.encoder.EncodeAll(w.pending, w.compressed[:0])
+		data := w.compressed
 		out = binary.AppendUvarint(out, uint64(len(data)))
 		out = binary.LittleEndian.AppendUint64(out, xxhash.Sum64(data))
 		out = append(out, data...)
 	}
-	w.raw, w.held = w.raw[:0], 0
-	written, err := w.to.Write(out)
+	w.pending, w.pendingRecords = w.pending[:0], 0
+	written, err := w.out.Write(out)
 	w.Bytes += int64(written)
 	if err != nil {
 		return err
 	}
-	w.begun = true
+	w.headerWritten = true
 	w.Records += n
 	return nil
 }
 
 // Damage is the error of a file of which some blocks could not be read.
 type Damage struct {
-	Blocks int    // number of blocks that were skipped
-	From   int64  // offset in bytes of the first of them
-	Cut    bool   // the file ends within a block
-	What   string // the reason for the first of them
+	Blocks    int    // number of blocks that were skipped
+	Offset    int64  // offset in bytes of the first of them
+	Truncated bool   // the file ends within a block
+	Reason    string // the reason for the first of them
 }
 
 // Error tells where the file is truncated, or how many blocks are damaged and where the first one begins.
 func (d *Damage) Error() string {
-	if d.Cut {
-		return fmt.Sprintf("cut within the block at byte %d", d.From)
+	if d.Truncated {
+		return fmt.Sprintf("cut within the block at byte %d", d.Offset)
 	}
-	return fmt.Sprintf("%d damaged blocks, the first at byte %d: %s", d.Blocks, d.From, d.What)
+	return fmt.Sprintf("%d damaged blocks, the first at byte %d: %s", d.Blocks, d.Offset, d.Reason)
 }
 
 // Read calls each with every record of all undamaged blocks, in order, until it returns an error. Read returns that
@@ -264,26 +264,26 @@
 // were skipped.
 func Read(from io.Reader, each func(*Record) error) error {
 	in := bufio.NewReader(from)
-	var head [len(magic)]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil || string(head[:len(magic)-1]) != magic[:len(magic)-1] {
+	var head [len(fileMagic)]byte
+	if _, err := io.ReadFull(in, head[:]); err != nil || string(head[:len(fileMagic)-1]) != fileMagic[:len(fileMagic)-1] {
 		return errors.New("this is no trace")
 	}
-	if head[len(magic)-1] != magic[len(magic)-1] {
-		return fmt.Errorf("the trace has version %d, but this program reads version %d", head[len(magic)-1], magic[len(magic)-1])
+	if head[len(fileMagic)-1] != fileMagic[len(fileMagic)-1] {
+		return fmt.Errorf("the trace has version %d, but this program reads version %d", head[len(fileMagic)-1], fileMagic[len(fileMagic)-1])
 	}
-	unzip, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(blockMost))
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBlockSize))
 	if err != nil {
 		return err
 	}
-	defer unzip.Close()
+	defer decoder.Close()
 	damage := (*Damage)(nil)
-	note := func(at int64, what string) {
+	addDamage := func(offset int64, what string) {
 		if damage == nil {
-			damage = &Damage{From: at, What: what}
+			damage = &Damage{Offset: offset, Reason: what}
 		}
 		damage.Blocks++
 	}
-	at := int64(len(magic))
+	offset := int64(len(fileMagic))
 	for {
 		size, err := binary.ReadUvarint(in)
 		if err == io.EOF {
@@ -293,34 +293,34 @@
 		if err == nil {
 			_, err = io.ReadFull(in, sum[:])
 		}
-		if err != nil || size > blockMost {
+		if err != nil || size > maxBlockSize {
 			// Without a valid length the start of the next block is unknown.
-			if note(at, "its length is invalid or incomplete"); err != nil && damage.Blocks == 1 {
-				damage.Cut = true
+			if addDamage(offset, "its length is invalid or incomplete"); err != nil && damage.Blocks == 1 {
+				damage.Truncated = true
 			}
 			break
 		}
 		data := make([]byte, size)
 		if _, err := io.ReadFull(in, data); err != nil {
-			if note(at, "the file ends within it"); damage.Blocks == 1 {
-				damage.Cut = true
+			if addDamage(offset, "the file ends within it"); damage.Blocks == 1 {
+				damage.Truncated = true
 			}
 			break
 		}
-		began := at
-		at += int64(len(binary.AppendUvarint(nil, size))) + 8 + int64(size)
+		blockStart := offset
+		offset += int64(len(binary.AppendUvarint(nil, size))) + 8 + int64(size)
 		if binary.LittleEndian.Uint64(sum[:]) != xxhash.Sum64(data) {
-			note(began, "its checksum is wrong")
+			addDamage(blockStart, "its checksum is wrong")
 			continue
 		}
-		raw, err := unzip.DecodeAll(data, nil)
+		raw, err := decoder.DecodeAll(data, nil)
 		if err != nil {
-			note(began, "its data can't be decompressed")
+			addDamage(blockStart, "its data can't be decompressed")
 			continue
 		}
 		records, err := parseBlock(raw)
 		if err != nil {
-			note(began, err.Error())
+			addDamage(blockStart, err.Error())
 			continue
 		}
 		for i := range records {
@@ -340,7 +340,7 @@
 	for len(raw) > 0 {
 		one, n := protowire.ConsumeBytes(raw)
 		if n < 0 {
-			return nil, errRecord
+			return nil, errMalformedRecord
 		}
 		raw = raw[n:]
 		var r Record
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -13,7 +13,7 @@
 )
 
 // encode returns records as a trace.
-func written(t testing.TB, records []Record) []byte {
+func encode(t testing.TB, records []Record) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	w, err := NewWriter(&out)
@@ -39,11 +39,11 @@
 		}
 		var want []Record
 		for range rapid.IntRange(0, 50).Draw(rt, "records") {
-			want = append(want, Record{At: us("at"), Class: rapid.StringN(0, 20, classMost).Draw(rt, "class"), Tenant: rapid.Uint64().Draw(rt, "tenant"),
-				Order: rapid.Uint64().Draw(rt, "order"), Size: rapid.IntRange(0, 1<<20).Draw(rt, "size"), Answer: rapid.IntRange(0, 1<<20).Draw(rt, "answer"),
-				Repeat: rapid.Bool().Draw(rt, "repeat"), Outcome: Outcome(rapid.IntRange(0, 4).Draw(rt, "outcome")), Took: us("took"), Work: us("work"), Patience: us("patience")})
+			want = append(want, Record{At: us("at"), Class: rapid.StringN(0, 20, maxClassLength).Draw(rt, "class"), Tenant: rapid.Uint64().Draw(rt, "tenant"),
+				Order: rapid.Uint64().Draw(rt, "order"), BodySize: rapid.IntRange(0, 1<<20).Draw(rt, "size"), AnswerSize: rapid.IntRange(0, 1<<20).Draw(rt, "answer"),
+				Repeat: rapid.Bool().Draw(rt, "repeat"), Outcome: Outcome(rapid.IntRange(0, 4).Draw(rt, "outcome")), Duration: us("took"), Work: us("work"), Patience: us("patience")})
 		}
-		got, err := ReadAll(written(t, want))
+		got, err := ReadAll(encode(t, want))
 		if err != nil || !reflect.DeepEqual(got, want) {
 			rt.Fatalf("read %v, error %v, want %v", got, err, want)
 		}
@@ -51,9 +51,9 @@
 }
 
 // makeRecords returns n records, one every millisecond.
-func many(n int) (records []Record) {
+func makeRecords(n int) (records []Record) {
 	for i := range n {
-		records = append(records, Record{At: time.Duration(i) * time.Millisecond, Class: "read", Order: uint64(i) * 0x9e3779b97f4a7c15, Size: 200, Outcome: Served, Took: 40 * time.Millisecond})
+		records = append(records, Record{At: time.Duration(i) * time.Millisecond, Class: "read", Order: uint64(i) * 0x9e3779b97f4a7c15, BodySize: 200, Outcome: Served, Duration: 40 * time.Millisecond})
 	}
 	return records
 }
@@ -61,8 +61,8 @@
 // Guards against the loss of more than the damaged part: a damaged block costs only itself, a truncated file only its
 // last block, and the error is one line. Files that are no trace, or of another version, are rejected.
 func TestDamage(t *testing.T) {
-	records := many(20_000)
-	good := written(t, records)
+	records := makeRecords(20_000)
+	good := encode(t, records)
 	if got, err := ReadAll(good); err != nil || len(got) != len(records) {
 		t.Fatal(len(got), err)
 	}
@@ -70,11 +70,11 @@
 	bad[len(bad)/2] ^= 1
 	got, err := ReadAll(bad)
 	var d *Damage
-	if !errors.As(err, &d) || d.Blocks != 1 || d.Cut || len(got) < len(records)*7/10 || len(got) == len(records) || strings.Contains(err.Error(), "\n") {
+	if !errors.As(err, &d) || d.Blocks != 1 || d.Truncated || len(got) < len(records)*7/10 || len(got) == len(records) || strings.Contains(err.Error(), "\n") {
 		t.Errorf("one bit flipped: read %d of %d records, error %v", len(got), len(records), err)
 	}
 	got, err = ReadAll(good[:len(good)-10])
-	if !errors.As(err, &d) || !d.Cut || len(got) < len(records)*7/10 || len(got) == len(records) {
+	if !errors.As(err, &d) || !d.Truncated || len(got) < len(records)*7/10 || len(got) == len(records) {
 		t.Errorf("truncated: read %d of %d records, error %v", len(got), len(records), err)
 	}
 	for text, want := range map[string]string{"": "no trace", "PK\x03\x04 something": "no trace", "SLVTRC\x00\x02": "version 2"} {
@@ -85,13 +85,13 @@
 }
 
 // failingWriter fails all writes after the first failAfter, up to write number failUntil.
-type fullDisk struct {
+type failingWriter struct {
 	bytes.Buffer
-	writes, from, to int
+	writes, failAfter, failUntil int
 }
 
-func (d *fullDisk) Write(p []byte) (int, error) {
-	if d.writes++; d.writes > d.from && d.writes <= d.to {
+func (d *failingWriter) Write(p []byte) (int, error) {
+	if d.writes++; d.writes > d.failAfter && d.writes <= d.failUntil {
 		return 0, io.ErrShortWrite
 	}
 	return d.Buffer.Write(p)
@@ -100,13 +100,13 @@
 // Guards against a trace that is broken for good by a disk that is full for a while: only the blocks of that time are
 // lost.
 func TestFullDisk(t *testing.T) {
-	d := &fullDisk{from: 2, to: 5}
+	d := &failingWriter{failAfter: 2, failUntil: 5}
 	w, err := NewWriter(d)
 	if err != nil {
 		t.Fatal(err)
 	}
 	failed := 0
-	for _, r := range many(40_000) {
+	for _, r := range makeRecords(40_000) {
 		if w.Write(&r) != nil {
 			failed++
 		}
@@ -122,19 +122,19 @@
 
 // Guards against a format that grows: a record takes at most 20 bytes in the file.
 func TestSize(t *testing.T) {
-	if per := float64(len(written(t, many(20_000)))) / 20_000; per > 20 {
+	if per := float64(len(encode(t, makeRecords(20_000)))) / 20_000; per > 20 {
 		t.Errorf("%.1f bytes per record, want at most 20", per)
 	}
 }
 
 // Guards against a panic on arbitrary bytes, and records that are lost when they are written again.
 func FuzzRead(f *testing.F) {
-	f.Add(written(f, many(3)))
-	f.Add([]byte(magic + "\x05\x00\x00\x00"))
+	f.Add(encode(f, makeRecords(3)))
+	f.Add([]byte(fileMagic + "\x05\x00\x00\x00"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		got, err := ReadAll(text)
 		if err == nil && len(got) > 0 {
-			if again, err := ReadAll(written(t, got)); err != nil || len(again) != len(got) {
+			if again, err := ReadAll(encode(t, got)); err != nil || len(again) != len(got) {
 				t.Errorf("read %d records, and %d after writing them again, error %v", len(got), len(again), err)
 			}
 		}
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -17,20 +17,20 @@
 
 // Vitals has the last report of each node. The nodes themselves count from the start of the soak, so that a new
 // leader has the counts of the whole soak with their next reports. The zero value has no reports.
-type Vitals struct{ nodes map[string]*pulse }
+type Vitals struct{ reports map[string]*nodeReport }
 
 // nodeReport is the last report of a node.
-type pulse struct {
-	session  uint64 // epoch of the node's session that reported
-	soak     int64  // soak whose start the counts begin at
-	ends     map[string]health.Ends
-	resident uint64 // resident memory in bytes
+type nodeReport struct {
+	session       uint64 // epoch of the node's session that reported
+	soak          int64  // soak whose start the counts begin at
+	counts        map[string]health.ClassCounts
+	residentBytes uint64 // resident memory in bytes
 }
 
 // ActiveSoak returns the soak that nodes have to count from, as the ms of its start; 0 if no wave has soaked for
 // WarmUp. wanted reports whether nodes have to report their counts, which is while a release with health checks is
 // running.
-func Soak(s *fleetpb.State) (soak int64, tell bool) {
+func ActiveSoak(s *fleetpb.State) (soak int64, wanted bool) {
 	r := s.Release
 	if r == nil || r.State != fleet.Running || !r.Plan.Health {
 		return 0, false
@@ -42,33 +42,33 @@
 }
 
 // SetReport stores the report that a node's session renewal carries. One without counts removes the node's report.
-func (v *Vitals) Tell(node string, session uint64, o *fleetpb.OpenSession) {
+func (v *Vitals) SetReport(node string, session uint64, o *fleetpb.OpenSession) {
 	if len(o.Ends) == 0 {
-		delete(v.nodes, node)
+		delete(v.reports, node)
 		return
 	}
-	if v.nodes == nil {
-		v.nodes = map[string]*pulse{}
+	if v.reports == nil {
+		v.reports = map[string]*nodeReport{}
 	}
-	p := &pulse{session: session, soak: o.Soak, ends: map[string]health.Ends{}, resident: o.Resident}
+	p := &nodeReport{session: session, soak: o.Soak, counts: map[string]health.ClassCounts{}, residentBytes: o.Resident}
 	for _, e := range o.Ends {
-		p.ends[e.Class] = health.Ends{Served: e.Served, Refused: e.Refused, Failed: e.Failed, Took: spread(e)}
+		p.counts[e.Class] = health.ClassCounts{Served: e.Served, Refused: e.Refused, Failed: e.Failed, Latencies: expandLatencies(e)}
 	}
-	v.nodes[node] = p
+	v.reports[node] = p
 }
 
 // Remove drops the report of a node.
-func (v *Vitals) Forget(node string) { delete(v.nodes, node) }
+func (v *Vitals) Remove(node string) { delete(v.reports, node) }
 
 // Subtract returns the counts of now minus those of an earlier time. Both must be of the same process, whose counts
 // only rise.
-func Since(now, before map[string]health.Ends) map[string]health.Ends {
-	since := map[string]health.Ends{}
+func Subtract(now, before map[string]health.ClassCounts) map[string]health.ClassCounts {
+	since := map[string]health.ClassCounts{}
 	for class, e := range now {
 		was := before[class]
-		d := health.Ends{Served: e.Served - was.Served, Refused: e.Refused - was.Refused, Failed: e.Failed - was.Failed, Took: slices.Clone(e.Took)}
-		for i := range min(len(d.Took), len(was.Took)) {
-			d.Took[i] -= was.Took[i]
+		d := health.ClassCounts{Served: e.Served - was.Served, Refused: e.Refused - was.Refused, Failed: e.Failed - was.Failed, Latencies: slices.Clone(e.Latencies)}
+		for i := range min(len(d.Latencies), len(was.Latencies)) {
+			d.Latencies[i] -= was.Latencies[i]
 		}
 		since[class] = d
 	}
@@ -77,7 +77,7 @@
 
 // SetTrimmedLatencies sets the latency counts of a message, without the zeros before the first and after the last
 // other count.
-func Trim(e *fleetpb.Ends, took []uint64) {
+func SetTrimmedLatencies(e *fleetpb.Ends, took []uint64) {
 	from, to := 0, len(took)
 	for from < to && took[from] == 0 {
 		from++
@@ -90,7 +90,7 @@
 
 // expandLatencies is the reverse of SetTrimmedLatencies: it returns the counts of all buckets; nil if the message has
 // none or has buckets that do not exist.
-func spread(e *fleetpb.Ends) []uint64 {
+func expandLatencies(e *fleetpb.Ends) []uint64 {
 	if len(e.Took) == 0 || uint64(e.TookFrom)+uint64(len(e.Took)) > health.Buckets {
 		return nil
 	}
@@ -100,17 +100,17 @@
 }
 
 // addTo adds the counts of a report to sum, by class.
-func (p *pulse) add(sum map[string]health.Ends) {
-	for class, e := range p.ends {
+func (p *nodeReport) addTo(sum map[string]health.ClassCounts) {
+	for class, e := range p.counts {
 		s := sum[class]
 		s.Served += e.Served
 		s.Refused += e.Refused
 		s.Failed += e.Failed
-		if e.Took != nil && s.Took == nil {
-			s.Took = make([]uint64, health.Buckets)
+		if e.Latencies != nil && s.Latencies == nil {
+			s.Latencies = make([]uint64, health.Buckets)
 		}
-		for i, n := range e.Took {
-			s.Took[i] += n
+		for i, n := range e.Latencies {
+			s.Latencies[i] += n
 		}
 		sum[class] = s
 	}
@@ -123,52 +123,52 @@
 // of the time for judging is over.
 func (v *Vitals) Judge(s *fleetpb.State) *fleetpb.Judged {
 	r := s.Release
-	soak, _ := Soak(s)
+	soak, _ := ActiveSoak(s)
 	if soak == 0 || r.Health == fleet.HealthWorse {
 		return nil
 	}
-	fresh, near, all, done := map[string]health.Ends{}, map[string]health.Ends{}, map[string]health.Ends{}, map[string]health.Ends{}
+	fresh, sameZones, allOld, earlierWaves := map[string]health.ClassCounts{}, map[string]health.ClassCounts{}, map[string]health.ClassCounts{}, map[string]health.ClassCounts{}
 	zones := map[string]bool{}
 	// currentReport returns a node's report if it is of the node's present session, else nil.
-	known := func(name string) *pulse {
-		if p, n := v.nodes[name], s.Nodes[name]; p != nil && n != nil && n.Epoch == p.session {
+	currentReport := func(name string) *nodeReport {
+		if p, n := v.reports[name], s.Nodes[name]; p != nil && n != nil && n.Epoch == p.session {
 			return p
 		}
 		return nil
 	}
 	for _, n := range r.Plan.Waves[r.Wave].Nodes {
-		if p := known(n); p != nil && p.soak == soak {
-			p.add(fresh)
+		if p := currentReport(n); p != nil && p.soak == soak {
+			p.addTo(fresh)
 			zones[s.Nodes[n].Zone] = true
 		}
 	}
-	most := map[string]uint64{} // largest resident memory of a node, by version
+	maxMemory := map[string]uint64{} // largest resident memory of a node, by version
 	for name, u := range s.Units {
-		p := known(name)
+		p := currentReport(name)
 		if p == nil || u.State != fleet.UnitReady {
 			continue
 		}
-		most[u.Version] = max(most[u.Version], p.resident)
+		maxMemory[u.Version] = max(maxMemory[u.Version], p.residentBytes)
 		switch {
 		case p.soak != soak || slices.Contains(r.Plan.Waves[r.Wave].Nodes, name):
 		case u.Version == r.Plan.Version:
-			p.add(done) // a node of an earlier wave, which was found well
+			p.addTo(earlierWaves) // a node of an earlier wave, which was found well
 		case u.Version == r.Plan.Before:
-			p.add(all)
+			p.addTo(allOld)
 			if zones[s.Nodes[name].Zone] {
-				p.add(near)
+				p.addTo(sameZones)
 			}
 		}
 	}
-	old := near
-	for _, other := range []map[string]health.Ends{all, done} {
+	old := sameZones
+	for _, other := range []map[string]health.ClassCounts{allOld, earlierWaves} {
 		if len(old) == 0 {
 			old = other
 		}
 	}
 	verdict, why := health.Judge(fresh, old)
-	if fat, much := health.Fat(most[r.Plan.Version], most[r.Plan.Before]); fat {
-		verdict, why = health.Worse, much
+	if moreMemory, memoryWhy := health.UsesMoreMemory(maxMemory[r.Plan.Version], maxMemory[r.Plan.Before]); moreMemory {
+		verdict, why = health.Worse, memoryWhy
 	}
 	j := &fleetpb.Judged{Release: r.Plan.Name, Wave: r.Wave, SoakMs: r.SoakMs}
 	switch {
--- a/internal/vitals/vitals_test.go
+++ b/internal/vitals/vitals_test.go
@@ -11,7 +11,7 @@
 
 // newSoakingState returns a fleet of two zones, nodes a1, a2 and b1, whose first wave, a1, has been soaking since
 // 1000 ms.
-func soaking() *fleetpb.State {
+func newSoakingState() *fleetpb.State {
 	s := &fleetpb.State{NowMs: 5000, Nodes: map[string]*fleetpb.Node{}, Units: map[string]*fleetpb.Unit{},
 		Release: &fleetpb.Release{State: fleet.Running, SoakMs: 1000, Plan: &fleetpb.Plan{Name: "r", Version: "new", Before: "old", Health: true, LimitMs: 60_000, Waves: []*fleetpb.Wave{{Nodes: []string{"a1"}}}}}}
 	for i, n := range []string{"a1", "a2", "b1"} {
@@ -25,11 +25,11 @@
 	return s
 }
 
-func word(served, failed uint64, edit func(*fleetpb.OpenSession)) *fleetpb.OpenSession {
+func newReport(served, failed uint64, edit func(*fleetpb.OpenSession)) *fleetpb.OpenSession {
 	o := &fleetpb.OpenSession{Soak: 1000, Resident: 20 << 20, Ends: []*fleetpb.Ends{{Class: "c", Served: served, Failed: failed}}}
 	took := make([]uint64, health.Buckets)
 	took[20], took[22] = served/2, served-served/2
-	Trim(o.Ends[0], took)
+	SetTrimmedLatencies(o.Ends[0], took)
 	if edit != nil {
 		edit(o)
 	}
@@ -46,31 +46,31 @@
 		edit       func(*fleetpb.State)
 		want, why  string
 	}{
-		"well":                     {word(2000, 0, nil), word(2000, 0, nil), word(2000, 0, nil), 10, plain, fleet.HealthWell, ""},
-		"fails":                    {word(2000, 100, nil), word(2000, 0, nil), word(2000, 0, nil), 10, plain, fleet.HealthWorse, "c: 100 of 2100 failed, 0 of 2000"},
-		"so does its zone":         {word(2000, 200, nil), word(2000, 200, nil), word(200000, 0, nil), 10, plain, fleet.HealthWell, ""},
-		"another zone does so":     {word(2000, 200, nil), word(2000, 0, nil), word(2000, 200, nil), 10, plain, fleet.HealthWorse, "0 of 2000"},
-		"of an earlier soak":       {word(2000, 100, func(o *fleetpb.OpenSession) { o.Soak = 500 }), word(2000, 0, nil), word(2000, 0, nil), 10, plain, "", ""},
-		"of an earlier session":    {word(2000, 100, nil), word(2000, 0, nil), word(2000, 0, nil), 9, plain, "", ""},
-		"too little":               {word(50, 0, nil), word(2000, 0, nil), word(2000, 0, nil), 10, plain, "", ""},
-		"too little for long":      {word(50, 0, nil), word(2000, 0, nil), word(2000, 0, nil), 10, func(s *fleetpb.State) { s.NowMs = 60_000 }, fleet.HealthUnknown, "0 of 50"},
-		"slower":                   {word(2000, 0, func(o *fleetpb.OpenSession) { o.Ends[0].TookFrom += 2 }), word(2000, 0, nil), word(2000, 0, nil), 10, plain, fleet.HealthWorse, "1.19 times as long"},
-		"memory":                   {word(2000, 0, func(o *fleetpb.OpenSession) { o.Resident = 90 << 20 }), word(2000, 0, nil), word(2000, 0, nil), 10, plain, fleet.HealthWorse, "90 MB of memory, 20 MB"},
-		"not warm":                 {word(2000, 100, nil), word(2000, 0, nil), word(2000, 0, nil), 10, func(s *fleetpb.State) { s.NowMs = 3999 }, "", ""},
-		"paused":                   {word(2000, 100, nil), word(2000, 0, nil), word(2000, 0, nil), 10, func(s *fleetpb.State) { s.Release.State = fleet.Paused }, "", ""},
-		"found well, worse since":  {word(2000, 100, nil), word(2000, 0, nil), word(2000, 0, nil), 10, func(s *fleetpb.State) { s.Release.Health = fleet.HealthWell }, fleet.HealthWorse, "failed"},
-		"found well, and so still": {word(2000, 0, nil), word(2000, 0, nil), word(2000, 0, nil), 10, func(s *fleetpb.State) { s.Release.Health = fleet.HealthWell }, "", ""},
+		"well":                     {newReport(2000, 0, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, plain, fleet.HealthWell, ""},
+		"fails":                    {newReport(2000, 100, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, plain, fleet.HealthWorse, "c: 100 of 2100 failed, 0 of 2000"},
+		"so does its zone":         {newReport(2000, 200, nil), newReport(2000, 200, nil), newReport(200000, 0, nil), 10, plain, fleet.HealthWell, ""},
+		"another zone does so":     {newReport(2000, 200, nil), newReport(2000, 0, nil), newReport(2000, 200, nil), 10, plain, fleet.HealthWorse, "0 of 2000"},
+		"of an earlier soak":       {newReport(2000, 100, func(o *fleetpb.OpenSession) { o.Soak = 500 }), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, plain, "", ""},
+		"of an earlier session":    {newReport(2000, 100, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 9, plain, "", ""},
+		"too little":               {newReport(50, 0, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, plain, "", ""},
+		"too little for long":      {newReport(50, 0, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, func(s *fleetpb.State) { s.NowMs = 60_000 }, fleet.HealthUnknown, "0 of 50"},
+		"slower":                   {newReport(2000, 0, func(o *fleetpb.OpenSession) { o.Ends[0].TookFrom += 2 }), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, plain, fleet.HealthWorse, "1.19 times as long"},
+		"memory":                   {newReport(2000, 0, func(o *fleetpb.OpenSession) { o.Resident = 90 << 20 }), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, plain, fleet.HealthWorse, "90 MB of memory, 20 MB"},
+		"not warm":                 {newReport(2000, 100, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, func(s *fleetpb.State) { s.NowMs = 3999 }, "", ""},
+		"paused":                   {newReport(2000, 100, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, func(s *fleetpb.State) { s.Release.State = fleet.Paused }, "", ""},
+		"found well, worse since":  {newReport(2000, 100, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, func(s *fleetpb.State) { s.Release.Health = fleet.HealthWell }, fleet.HealthWorse, "failed"},
+		"found well, and so still": {newReport(2000, 0, nil), newReport(2000, 0, nil), newReport(2000, 0, nil), 10, func(s *fleetpb.State) { s.Release.Health = fleet.HealthWell }, "", ""},
 	} {
-		s, v := soaking(), &Vitals{}
+		s, v := newSoakingState(), &Vitals{}
 		c.edit(s)
-		v.Tell("a1", c.session, c.a1)
-		v.Tell("a2", 11, c.a2)
-		v.Tell("b1", 12, c.b1)
+		v.SetReport("a1", c.session, c.a1)
+		v.SetReport("a2", 11, c.a2)
+		v.SetReport("b1", 12, c.b1)
 		j := v.Judge(s)
 		if j.GetHealth() != c.want || !strings.Contains(j.GetWhy(), c.why) {
 			t.Errorf("%s: %v; want %q, %q", name, j, c.want, c.why)
 		}
-		if v.Forget("a1"); j != nil && c.want != fleet.HealthUnknown && v.Judge(s) != nil {
+		if v.Remove("a1"); j != nil && c.want != fleet.HealthUnknown && v.Judge(s) != nil {
 			t.Errorf("%s: a removed node is judged", name)
 		}
 	}
@@ -78,23 +78,23 @@
 
 // Guards against wrong differences of counts, latency counts that a message changes, and a message with buckets that
 // don't exist.
-func TestWords(t *testing.T) {
+func TestReports(t *testing.T) {
 	took := make([]uint64, health.Buckets)
 	took[3], took[7] = 5, 6
 	e := &fleetpb.Ends{}
-	Trim(e, took)
+	SetTrimmedLatencies(e, took)
 	if e.TookFrom != 3 || len(e.Took) != 5 {
 		t.Errorf("%v", e)
 	}
-	if got := spread(e); got[3] != 5 || got[7] != 6 || len(got) != health.Buckets {
+	if got := expandLatencies(e); got[3] != 5 || got[7] != 6 || len(got) != health.Buckets {
 		t.Errorf("%v", got)
 	}
-	if e.TookFrom = health.Buckets - 4; spread(e) != nil {
+	if e.TookFrom = health.Buckets - 4; expandLatencies(e) != nil {
 		t.Error("a message with too many buckets was accepted")
 	}
-	now := map[string]health.Ends{"c": {Served: 9, Failed: 2, Took: took}, "d": {Refused: 4}}
-	d := Since(now, map[string]health.Ends{"c": {Served: 4, Failed: 1, Took: append([]uint64{0, 0, 0, 2}, make([]uint64, health.Buckets-4)...)}})
-	if c := d["c"]; c.Served != 5 || c.Failed != 1 || c.Took[3] != 3 || c.Took[7] != 6 || d["d"].Refused != 4 || took[3] != 5 {
+	now := map[string]health.ClassCounts{"c": {Served: 9, Failed: 2, Latencies: took}, "d": {Refused: 4}}
+	d := Subtract(now, map[string]health.ClassCounts{"c": {Served: 4, Failed: 1, Latencies: append([]uint64{0, 0, 0, 2}, make([]uint64, health.Buckets-4)...)}})
+	if c := d["c"]; c.Served != 5 || c.Failed != 1 || c.Latencies[3] != 3 || c.Latencies[7] != 6 || d["d"].Refused != 4 || took[3] != 5 {
 		t.Errorf("%v", d)
 	}
 }
--- a/internal/wholefile/lock.go
+++ b/internal/wholefile/lock.go
@@ -12,7 +12,7 @@
 // Lock takes an exclusive flock(2) lock on a file, which it creates if there is none. While another process has the
 // lock, it calls onWait and tries again after pollInterval, until ctx ends. The lock is held until the returned file
 // is closed or the process ends.
-func Lock(ctx context.Context, path string, every time.Duration, waits func()) (*os.File, error) {
+func Lock(ctx context.Context, path string, pollInterval time.Duration, onWait func()) (*os.File, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return nil, err
@@ -25,11 +25,11 @@
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, errors.Join(fmt.Errorf("%s: %w", path, err), f.Close())
 		}
-		waits()
+		onWait()
 		select {
 		case <-ctx.Done():
 			return nil, errors.Join(ctx.Err(), f.Close())
-		case <-time.After(every):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -47,7 +47,7 @@
 
 // InstanceEvent is one event for an instance. Exactly one of its fields is set: Start when the instance starts,
 // Retire when it ends, otherwise Event, for the decision module.
-type Happening struct {
+type InstanceEvent struct {
 	Start  *Start
 	Retire bool
 	Event  decide.Event
@@ -56,7 +56,7 @@
 // Group holds the events of one instance, in order. Node is its id.
 type Group struct {
 	Node   int
-	Events []Happening
+	Events []InstanceEvent
 }
 
 // Batch is one line from the simulator: the events of one moment.
@@ -80,38 +80,38 @@
 	if in.Now == nil {
 		return Batch{}, errors.New("batch: sim_time_ns is missing")
 	}
-	b := Batch{Now: time.Duration(*in.Now)}
+	batch := Batch{Now: time.Duration(*in.Now)}
 	for i, g := range in.Groups {
 		if g.Node == nil {
 			return Batch{}, fmt.Errorf("group %d: node_id is missing", i)
 		}
-		out := Group{Node: *g.Node}
-		for j, ev := range g.Happened {
+		group := Group{Node: *g.Node}
+		for j, event := range g.Happened {
 			where := fmt.Sprintf("node %d, event %d", *g.Node, j)
-			if len(ev) != 1 {
-				return Batch{}, fmt.Errorf("%s: want one key, have %d", where, len(ev))
+			if len(event) != 1 {
+				return Batch{}, fmt.Errorf("%s: want one key, have %d", where, len(event))
 			}
-			for name, raw := range ev {
-				h, err := decodeEvent(name, raw)
+			for name, raw := range event {
+				decoded, err := decodeEvent(name, raw)
 				if err != nil {
 					return Batch{}, fmt.Errorf("%s, %s: %w", where, name, err)
 				}
-				out.Events = append(out.Events, h)
+				group.Events = append(group.Events, decoded)
 			}
 		}
-		b.Groups = append(b.Groups, out)
+		batch.Groups = append(batch.Groups, group)
 	}
-	return b, nil
+	return batch, nil
 }
 
 // missingField is the error for a mandatory field that is not in the JSON.
-type missing string
+type missingField string
 
 // Error returns the name of the field, and that it is missing.
-func (m missing) Error() string { return string(m) + " is missing" }
+func (m missingField) Error() string { return string(m) + " is missing" }
 
 // listEntry is one server in a roster_change event.
-type entry struct {
+type listEntry struct {
 	Backend *uint32 `json:"backend"`
 	Zone    string  `json:"zone"`
 	Model   string  `json:"model"`
@@ -122,7 +122,7 @@
 }
 
 // decodeEvent decodes the event with that name (the key of its JSON object).
-func decodeEvent(name string, raw json.RawMessage) (Happening, error) {
+func decodeEvent(name string, raw json.RawMessage) (InstanceEvent, error) {
 	switch name {
 	case "submit":
 		var e struct {
@@ -135,16 +135,16 @@
 			Flags    int     `json:"flags"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return InstanceEvent{}, missingField("req")
 		}
 		if e.Patience == nil {
-			return Happening{}, missing("patience_left_ns")
+			return InstanceEvent{}, missingField("patience_left_ns")
 		}
 		tenant, _ := e.Group.(string)
-		return Happening{Event: decide.RequestArrived{ID: decide.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
+		return InstanceEvent{Event: decide.RequestArrived{ID: decide.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
 			Key: e.Key, Patience: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
 			HasHint: e.Flags&flagHint != 0, Repeat: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
 	case "attempt_end", "probe_result", "streaming":
@@ -154,47 +154,47 @@
 			Label *int64 `json:"label"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.Label == nil {
-			return Happening{}, missing("label")
+			return InstanceEvent{}, missingField("label")
 		}
-		return Happening{Event: decide.TimerFired{Token: *e.Label}}, nil
+		return InstanceEvent{Event: decide.TimerFired{Token: *e.Label}}, nil
 	case "abandoned":
 		var e struct {
 			Req *string `json:"req"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return InstanceEvent{}, missingField("req")
 		}
-		return Happening{Event: decide.RequestAbandoned{ID: decide.RequestID(*e.Req)}}, nil
+		return InstanceEvent{Event: decide.RequestAbandoned{ID: decide.RequestID(*e.Req)}}, nil
 	case "note_from":
 		var e struct {
 			From  *int   `json:"from"`
 			Bytes []byte `json:"bytes"`
 		}
 		if err := json.Unmarshal(raw, &e); err != nil {
-			return Happening{}, err
+			return InstanceEvent{}, err
 		}
 		if e.From == nil {
-			return Happening{}, missing("from")
+			return InstanceEvent{}, missingField("from")
 		}
-		return Happening{Event: decide.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+		return InstanceEvent{Event: decide.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
 	case "roster_change":
 		return decodeList(raw)
 	case "up":
 		return decodeStart(raw)
 	case "retire":
-		return Happening{Retire: true}, nil
+		return InstanceEvent{Retire: true}, nil
 	}
-	return Happening{}, errors.New("unknown event")
+	return InstanceEvent{}, errors.New("unknown event")
 }
 
 // decodeOutcome decodes the events attempt_end, probe_result and streaming.
-func decodeOutcome(name string, raw json.RawMessage) (Happening, error) {
+func decodeOutcome(name string, raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Req         *string                    `json:"req"`
 		Leg         *int                       `json:"leg"`
@@ -205,37 +205,37 @@
 		Feedback    map[string]json.RawMessage `json:"feedback"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Backend == nil {
-		return Happening{}, missing("backend")
+		return InstanceEvent{}, missingField("backend")
 	}
 	server, took := decide.ServerID(*e.Backend), time.Duration(e.Delay)
 	var id decide.RequestID
 	if name != "probe_result" {
 		if e.Req == nil {
-			return Happening{}, missing("req")
+			return InstanceEvent{}, missingField("req")
 		}
 		if e.Leg == nil {
-			return Happening{}, missing("leg")
+			return InstanceEvent{}, missingField("leg")
 		}
 		id = decide.RequestID(*e.Req)
 	}
 	if name == "streaming" {
-		return Happening{Event: decide.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return InstanceEvent{Event: decide.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
 	}
 	if e.Disposition == nil {
-		return Happening{}, missing("disposition")
+		return InstanceEvent{}, missingField("disposition")
 	}
 	code, ok := outcomes[*e.Disposition]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
+		return InstanceEvent{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
 	}
 	report := decodeReport(e.Feedback)
 	if name == "probe_result" {
-		return Happening{Event: decide.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
+		return InstanceEvent{Event: decide.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return Happening{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, RequestDone: e.Over,
+	return InstanceEvent{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, RequestDone: e.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
@@ -288,32 +288,32 @@
 }
 
 // decodeList decodes a roster_change event: a list of servers, or changes to it.
-func decodeList(raw json.RawMessage) (Happening, error) {
+func decodeList(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
-		How     string  `json:"how"`
-		Version uint64  `json:"version"`
-		Items   []entry `json:"items"`
+		How     string      `json:"how"`
+		Version uint64      `json:"version"`
+		Items   []listEntry `json:"items"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	kind, ok := listKinds[e.How]
 	if !ok {
-		return Happening{}, fmt.Errorf("unknown how %q", e.How)
+		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.How)
 	}
 	l := decide.ListUpdate{Kind: kind, Version: e.Version}
 	for i, it := range e.Items {
 		if it.Backend == nil {
-			return Happening{}, fmt.Errorf("entry %d: %w", i, missing("backend"))
+			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missingField("backend"))
 		}
 		state, ok := states[it.State]
 		if !ok {
-			return Happening{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
 		}
 		l.Entries = append(l.Entries, decide.Server{ID: decide.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
 			Cell: it.Pod, State: state, Size: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
 	}
-	return Happening{Event: l}, nil
+	return InstanceEvent{Event: l}, nil
 }
 
 var effects = map[string]decide.Effect{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
@@ -326,39 +326,39 @@
 
 // decodeStart decodes an up event. A seed that is no unsigned 64-bit integer is taken as a float64, and its bits are
 // the seed.
-func decodeStart(raw json.RawMessage) (Happening, error) {
+func decodeStart(raw json.RawMessage) (InstanceEvent, error) {
 	var e struct {
 		Seed    *json.Number    `json:"seed"`
 		Profile json.RawMessage `json:"profile_data"`
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
 	if e.Seed == nil {
-		return Happening{}, missing("seed")
+		return InstanceEvent{}, missingField("seed")
 	}
 	if e.Profile == nil {
-		return Happening{}, missing("profile_data")
+		return InstanceEvent{}, missingField("profile_data")
 	}
 	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
 	if err != nil {
 		f, ferr := e.Seed.Float64()
 		if ferr != nil {
-			return Happening{}, fmt.Errorf("seed: %w", err)
+			return InstanceEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(f)
 	}
 	s, err := DecodeSettings(e.Profile)
 	if err != nil {
-		return Happening{}, err
+		return InstanceEvent{}, err
 	}
-	return Happening{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
+	return InstanceEvent{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
 }
 
 // DecodeSettings decodes the settings of the decision module from the profile_data object of an up event. A real node
 // has the same object in its configuration.
 func DecodeSettings(raw json.RawMessage) (decide.Settings, error) {
-	var p *struct {
+	var profile *struct {
 		Accounts []struct {
 			Name     string  `json:"name"`
 			Quota    float64 `json:"quota_per_s"`
@@ -444,35 +444,35 @@
 		WorthBy    string   `json:"worth_by"`
 		Zone       string   `json:"zone"`
 	}
-	if err := json.Unmarshal(raw, &p); err != nil {
+	if err := json.Unmarshal(raw, &profile); err != nil {
 		return decide.Settings{}, err
 	}
-	if p == nil {
-		return decide.Settings{}, missing("profile_data")
+	if profile == nil {
+		return decide.Settings{}, missingField("profile_data")
 	}
-	s := decide.Settings{Nodes: p.Balancers, Self: p.Slot, Zone: p.Zone, Zones: p.Domains, Kinds: p.Kinds,
-		MaxAttempts: p.Caps.MaxAttempts, MayOverlap: p.Caps.MayDuplicate, MayCancel: p.Caps.Cancel,
-		MayProbe: p.Caps.Probes, MayMessage: p.Caps.Peers, HoldOffs: p.Caps.RetryAfter,
-		MaxHoldOff: time.Duration(p.Caps.MaxRetryAfter), MarksRepeats: p.Habits.MarksRetry,
-		ConnectTimeout: time.Duration(p.Caps.ConnectTimeout), MinTick: time.Duration(p.Tick),
-		ListOnRequest: p.Membership == "on_request", SizeKnown: p.WeightKind != "none",
-		SizeLive: p.WeightKind == "live", OverShareWorth: p.OverShare, WorthByWork: p.WorthBy == "work",
-		ReportVia: reportVias[p.Report.How], ReportFields: p.Report.Fields,
-		AnswerSlack: time.Duration(p.Invariants.AnswerSlack), MaxListRequestInterval: time.Duration(p.Invariants.AskWithin),
-		DrainGrace: time.Duration(p.Invariants.DrainGrace), ColdFrom: p.Invariants.ColdFrom,
-		ColdTime: time.Duration(p.Invariants.Cold), OverloadFactor: p.Invariants.OverloadFactor,
-		OverloadTime: time.Duration(p.Invariants.TipAfter), Family: p.Family, Tier: p.Tier, Tiers: p.Tiers,
-		WarmKeys: p.Specifics.WarmKeys, PassesDeadline: p.Specifics.PassesDeadline,
-		StreamsPerConn: p.Caps.Multiplex, ConnIdle: time.Duration(p.Caps.ConnIdle), MaxOpen: p.Caps.MostHeld,
-		CPUPerSecond:  time.Duration(p.Caps.CPUPerSecond * float64(time.Microsecond)),
-		CPUPerRequest: time.Duration(p.Caps.CPUPerRequest * float64(time.Microsecond)),
-		Goal: decide.Goal{Whole: p.Goal.Whole, WorstWindow: p.Goal.WorstWindow, WorstClass: p.Goal.WorstClass,
-			WorstTenant: p.Goal.WorstTenant},
-		Prices: decide.Prices{Connection: p.Charges.Connection, Handshake: p.Charges.Handshake,
-			CrossZone: p.Charges.CrossZone, Waste: p.Charges.Waste, LateFail: p.Charges.LateFail,
-			Probe: p.Charges.Probe, Message: p.Charges.Peer, Moves: p.Charges.Moves, Origin: p.Charges.Origin,
-			ListLines: p.Charges.Lines, Fleet: p.Charges.Fleet}}
-	for _, c := range p.Classes {
+	settings := decide.Settings{Nodes: profile.Balancers, Self: profile.Slot, Zone: profile.Zone, Zones: profile.Domains, Kinds: profile.Kinds,
+		MaxAttempts: profile.Caps.MaxAttempts, MayOverlap: profile.Caps.MayDuplicate, MayCancel: profile.Caps.Cancel,
+		MayProbe: profile.Caps.Probes, MayMessage: profile.Caps.Peers, HoldOffs: profile.Caps.RetryAfter,
+		MaxHoldOff: time.Duration(profile.Caps.MaxRetryAfter), MarksRepeats: profile.Habits.MarksRetry,
+		ConnectTimeout: time.Duration(profile.Caps.ConnectTimeout), MinTick: time.Duration(profile.Tick),
+		ListOnRequest: profile.Membership == "on_request", SizeKnown: profile.WeightKind != "none",
+		SizeLive: profile.WeightKind == "live", OverShareWorth: profile.OverShare, WorthByWork: profile.WorthBy == "work",
+		ReportVia: reportVias[profile.Report.How], ReportFields: profile.Report.Fields,
+		AnswerSlack: time.Duration(profile.Invariants.AnswerSlack), MaxListRequestInterval: time.Duration(profile.Invariants.AskWithin),
+		DrainGrace: time.Duration(profile.Invariants.DrainGrace), ColdFrom: profile.Invariants.ColdFrom,
+		ColdTime: time.Duration(profile.Invariants.Cold), OverloadFactor: profile.Invariants.OverloadFactor,
+		OverloadTime: time.Duration(profile.Invariants.TipAfter), Family: profile.Family, Tier: profile.Tier, Tiers: profile.Tiers,
+		WarmKeys: profile.Specifics.WarmKeys, PassesDeadline: profile.Specifics.PassesDeadline,
+		StreamsPerConn: profile.Caps.Multiplex, ConnIdle: time.Duration(profile.Caps.ConnIdle), MaxOpen: profile.Caps.MostHeld,
+		CPUPerSecond:  time.Duration(profile.Caps.CPUPerSecond * float64(time.Microsecond)),
+		CPUPerRequest: time.Duration(profile.Caps.CPUPerRequest * float64(time.Microsecond)),
+		Goal: decide.Goal{Whole: profile.Goal.Whole, WorstWindow: profile.Goal.WorstWindow, WorstClass: profile.Goal.WorstClass,
+			WorstTenant: profile.Goal.WorstTenant},
+		Prices: decide.Prices{Connection: profile.Charges.Connection, Handshake: profile.Charges.Handshake,
+			CrossZone: profile.Charges.CrossZone, Waste: profile.Charges.Waste, LateFail: profile.Charges.LateFail,
+			Probe: profile.Charges.Probe, Message: profile.Charges.Peer, Moves: profile.Charges.Moves, Origin: profile.Charges.Origin,
+			ListLines: profile.Charges.Lines, Fleet: profile.Charges.Fleet}}
+	for _, c := range profile.Classes {
 		effect, ok := effects[c.Effect]
 		if !ok {
 			return decide.Settings{}, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect)
@@ -481,12 +481,12 @@
 		if !ok && effect == decide.Keyed {
 			return decide.Settings{}, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope)
 		}
-		s.Classes = append(s.Classes, decide.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
+		settings.Classes = append(settings.Classes, decide.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
 			AimStretch: c.AimStretch, Deadline: time.Duration(c.GiveUp), LateWorth: c.LateWorth, Effect: effect,
 			KeyScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed})
 	}
-	for _, t := range p.Accounts {
-		s.Tenants = append(s.Tenants, decide.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
+	for _, t := range profile.Accounts {
+		settings.Tenants = append(settings.Tenants, decide.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
 	}
-	return s, nil
+	return settings, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 )
 
 // startEvent has most settings, a seed that a float64 can't hold exactly, and an unknown key.
-const start = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
+const startEvent = `{"up":{"seed":9007199254740993,"profile_data":{"accounts":[{"name":"a","quota_per_s":5,"fraction":0.5}],
 "balancers":3,"caps":{"cancel":true,"connect_timeout_ns":250000000,"cpu_us_per_s":15000,"cpu_us_per_request":2.5,"most_held":9,"multiplex":100,"conn_idle_ns":5,"max_attempts":4,"may_duplicate":true,"peers":true,
 "probes":true,"retry_after":true,"max_retry_after_ns":2000000000},"classes":[{"aim_ns":600000000,"dedup_window_ns":8,
 "effect":"dedup","give_up_ns":1200000000,"importance":12.0,"key_scope":"cell","late_worth":0.5,"name":"x","streamed":true}],
@@ -20,15 +20,15 @@
 "charges":{"cross_zone":0.02,"membership_mode":0.5},"goal":{"whole":0.6,"worst_window":0.4},"family":"proxy","tiers":["a","b"],
 "tier":1,"specifics":{"warm_keys":true},"zone":"n","key_of_tomorrow":[1]}}}`
 
-// batchOf returns a batch with events for one instance.
-func batch(events string) string {
+// batchOf returns a batchOf with events for one instance.
+func batchOf(events string) string {
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
 
 // decodeOne decodes a batch with one event.
-func one(t *testing.T, event string) Happening {
+func decodeOne(t *testing.T, event string) InstanceEvent {
 	t.Helper()
-	b, err := DecodeBatch([]byte(batch(event)))
+	b, err := DecodeBatch([]byte(batchOf(event)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,7 +37,7 @@
 
 // Guards against settings of the simulator that are lost or get into the wrong field, and a seed that is rounded.
 func TestStart(t *testing.T) {
-	h := one(t, strings.ReplaceAll(start, "\n", ""))
+	h := decodeOne(t, strings.ReplaceAll(startEvent, "\n", ""))
 	s := h.Start.Settings
 	if h.Start.Seed != 9007199254740993 || s.Nodes != 3 || s.Self != 2 || !s.ListOnRequest || !s.SizeLive || !s.MayOverlap ||
 		s.ReportVia != decide.ReportAnswers || s.DrainGrace != 500*time.Millisecond || s.OverloadFactor != 2.5 {
@@ -58,7 +58,7 @@
 func TestOutcomeCodes(t *testing.T) {
 	for code, want := range map[string]decide.OutcomeCode{"0": decide.OK, "13": decide.ServerError, "8": decide.Full,
 		"4": decide.TimedOut, "14": decide.ConnectFailed, "10": decide.Reset, "1": decide.Cancelled, "9": decide.Moot} {
-		h := one(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
+		h := decodeOne(t, `{"attempt_end":{"req":"q","leg":1,"backend":7,"delay_seen_ns":5,"disposition":`+code+`,
 			"feedback":{"active":7,"unheard_of":3,"waiting":2}}}`)
 		e := h.Event.(decide.AttemptEnded)
 		if e.Code != want || e.Attempt != 1 || e.Server != 7 || e.RequestDone || e.Report.InFlight != 7 || e.Report.Queue != 2 {
@@ -69,7 +69,7 @@
 
 // Guards against an empty load report that is passed on: without a known key there is none.
 func TestReportWithNoKnownFieldIsNone(t *testing.T) {
-	h := one(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
+	h := decodeOne(t, `{"attempt_end":{"req":"q","leg":0,"backend":7,"disposition":0,"feedback":{"unheard_of":"x"}}}`)
 	if e := h.Event.(decide.AttemptEnded); e.Report != nil {
 		t.Errorf("got report %+v, want none", e.Report)
 	}
@@ -89,18 +89,18 @@
 		`nonsense`:                        "batch",
 		`{"groups":[]}`:                   "sim_time_ns is missing",
 		`{"sim_time_ns":1,"groups":[{}]}`: "node_id is missing",
-		batch(`{"dance":{}}`):             "unknown event",
-		batch(`{}`):                       "want one key",
-		batch(`{"submit":{"patience_left_ns":1}}`):                                                            "node 3, event 0, submit: req is missing",
-		batch(`{"submit":{"req":"q"}}`):                                                                       "patience_left_ns is missing",
-		batch(`{"due":{}}`):                                                                                   "label is missing",
-		batch(`{"roster_change":{"how":"Q"}}`):                                                                "unknown how",
-		batch(`{"up":{"seed":1}}`):                                                                            "profile_data is missing",
-		batch(`{"probe_result":{"disposition":0}}`):                                                           "backend is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                              "disposition is missing",
-		batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                             "unknown disposition 99",
-		batch(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                         "backend is missing",
-		batch(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`): "unknown effect",
+		batchOf(`{"dance":{}}`):           "unknown event",
+		batchOf(`{}`):                     "want one key",
+		batchOf(`{"submit":{"patience_left_ns":1}}`):                                                            "node 3, event 0, submit: req is missing",
+		batchOf(`{"submit":{"req":"q"}}`):                                                                       "patience_left_ns is missing",
+		batchOf(`{"due":{}}`):                                                                                   "label is missing",
+		batchOf(`{"roster_change":{"how":"Q"}}`):                                                                "unknown how",
+		batchOf(`{"up":{"seed":1}}`):                                                                            "profile_data is missing",
+		batchOf(`{"probe_result":{"disposition":0}}`):                                                           "backend is missing",
+		batchOf(`{"attempt_end":{"req":"q","leg":0,"backend":1}}`):                                              "disposition is missing",
+		batchOf(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":99}}`):                             "unknown disposition 99",
+		batchOf(`{"roster_change":{"how":"F","items":[{"zone":"z","state":"ready"}]}}`):                         "backend is missing",
+		batchOf(`{"up":{"seed":1,"profile_data":{"classes":[{"name":"x","effect":"odd","key_scope":"all"}]}}}`): "unknown effect",
 	} {
 		if _, err := DecodeBatch([]byte(in)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %q in it", in, err, want)
@@ -132,9 +132,9 @@
 
 // Guards against a panic on any line, and an empty line that is accepted.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(batch(strings.ReplaceAll(start, "\n", ""))))
-	f.Add([]byte(batch(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
-	f.Add([]byte(batch(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
+	f.Add([]byte(batchOf(strings.ReplaceAll(startEvent, "\n", ""))))
+	f.Add([]byte(batchOf(`{"submit":{"req":"q","patience_left_ns":1}},{"due":{"label":7}},{"retire":{}}`)))
+	f.Add([]byte(batchOf(`{"attempt_end":{"req":"q","leg":0,"backend":1,"disposition":0,"feedback":{"active":1e400}}}`)))
 	f.Add([]byte(`{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[{"subm`))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		if b, err := DecodeBatch(line); err == nil && b.Groups == nil && len(line) == 0 {
