--- a/cmd/rehearse/journal.go
+++ b/cmd/rehearse/journal.go
@@ -13,18 +13,20 @@
 	"starlingvalve/internal/experiment"
 )
 
-// journal keeps pairs as JSON lines behind a first line that says of what plan they are. A last line that is cut is thrown away.
+// journal stores pairs in a file as JSON lines, after a first line that identifies the plan. An incomplete last
+// line is discarded.
 type journal struct {
 	file  *os.File
 	pairs []experiment.Pair
 }
 
 type journalHead struct {
-	Plan     string   `json:"plan"` // a hash of all files and names that the runs depend on
+	Plan     string   `json:"plan"` // hash of all files and names that the runs depend on
 	Measures []string `json:"measures"`
 }
 
-// openJournal opens or makes a journal of a plan that depends on these names and, where they are files, on their texts.
+// openJournal opens or creates the journal of a plan. The plan is identified by these names and, where a name is a
+// file, by the file's content; a journal of another plan is an error.
 func openJournal(path string, names, measures []string) (*journal, error) {
 	h := xxhash.New()
 	for _, n := range names {
@@ -45,7 +47,7 @@
 	for n := 1; lines.Scan(); n++ {
 		end := whole + len(lines.Bytes()) + 1
 		if end > len(raw) {
-			break // cut: it has no end of line
+			break // incomplete: no end of line
 		}
 		if n == 1 {
 			var head journalHead
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,4 +1,5 @@
-// Command rehearse compares two versions of the decisions, of the settings or of the fleet in the model, with error bars.
+// Command rehearse compares two versions of the decisions, of the settings or of the fleet in the model, with
+// confidence intervals.
 package main
 
 import (
@@ -22,8 +23,8 @@
 
 // Exit codes.
 const (
-	exitFault     = 1 // a file, a flag, or the disk
-	exitDifferent = 3 // -gate: b is worse
+	exitFault     = 1 // an invalid file or flag, or an I/O error
+	exitDifferent = 3 // --gate: b is worse
 )
 
 var errWorse = errors.New("b is worse")
@@ -57,23 +58,23 @@
 func command(out, progress io.Writer) *cobra.Command {
 	o := &options{out: out, progress: progress}
 	root := &cobra.Command{Use: "rehearse", Short: "Compare two versions in a model of the fleet, with error bars", SilenceErrors: true, SilenceUsage: true}
-	compare := &cobra.Command{Use: "compare SCENARIO", Short: "Play pairs of runs until the interval is narrow enough", Args: cobra.ExactArgs(1),
-		Long: "Plays SCENARIO with two versions, a and b: each a policy (see rehearse policies) or a version file (*.toml).\n" +
-			"Exit status 0; 1 if a file or a flag is at fault; 3 with --gate if b is worse.",
+	compare := &cobra.Command{Use: "compare SCENARIO", Short: "Run pairs of simulations until the interval is narrow enough", Args: cobra.ExactArgs(1),
+		Long: "Simulates SCENARIO with two versions, a and b: each a policy (see rehearse policies) or a version file (*.toml).\n" +
+			"Exit status 0; 1 if a file or a flag is invalid; 3 with --gate if b is worse.",
 		RunE: func(c *cobra.Command, args []string) error { return o.compare(c.Context(), args[0]) }}
 	f := compare.Flags()
 	f.StringVarP(&o.a, "a", "a", "module", "one version: a `POLICY` or a version file")
 	f.StringVarP(&o.b, "b", "b", "", "the other version")
-	f.Float64Var(&o.width, "width", 0.005, "half-width of the interval of worth that is to be reached")
-	f.IntVar(&o.pairs, "pairs", 400, "pairs at most")
-	f.DurationVar(&o.budget, "budget", 2*time.Minute, "time at most, as foreseen from the first ten pairs; 0: any")
-	f.Uint64Var(&o.seed, "seed", 1, "of the first pair")
-	f.IntVar(&o.workers, "workers", 0, "runs at once; 0: one a core")
+	f.Float64Var(&o.width, "width", 0.005, "wanted half-width of the interval of worth")
+	f.IntVar(&o.pairs, "pairs", 400, "maximum number of pairs")
+	f.DurationVar(&o.budget, "budget", 2*time.Minute, "time limit, as estimated from the first ten pairs; 0: none")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of the first pair")
+	f.IntVar(&o.workers, "workers", 0, "parallel runs; 0: one for each core")
 	f.StringVar(&o.json, "json", "", "write the figures to this `FILE`")
 	f.StringVar(&o.html, "html", "", "write a page with plots to this `FILE`")
-	f.StringVar(&o.resume, "resume", "", "keep the pairs in this `FILE`, and go on from those in it")
-	f.StringVar(&o.trace, "trace", "", "play the orders of this `FILE` in place of the scenario's")
-	f.Float64Var(&o.scale, "trace-scale", 1, "orders for each of the trace's, for a fleet of another size")
+	f.StringVar(&o.resume, "resume", "", "store the pairs in this `FILE`, and continue from those in it")
+	f.StringVar(&o.trace, "trace", "", "replay the orders of this trace `FILE` in place of the scenario's")
+	f.Float64Var(&o.scale, "trace-scale", 1, "orders replayed for each order of the trace, for a fleet of another size")
 	f.BoolVar(&o.gate, "gate", false, "exit with status 3 if b is worse")
 	compare.MarkFlagRequired("b")
 
@@ -81,19 +82,19 @@
 		RunE: func(c *cobra.Command, args []string) error { return o.curve(c.Context(), args[0]) }}
 	f = curve.Flags()
 	f.StringSliceVar(&o.policies, "policies", names(), "policies")
-	f.Float64SliceVar(&o.loads, "loads", []float64{0.5, 1, 1.5, 2, 3}, "times the scenario's load")
-	f.IntVar(&o.runs, "runs", 8, "runs of each")
-	f.Uint64Var(&o.seed, "seed", 1, "of the first run")
-	f.IntVar(&o.workers, "workers", 0, "runs at once; 0: one a core")
+	f.Float64SliceVar(&o.loads, "loads", []float64{0.5, 1, 1.5, 2, 3}, "factors on the scenario's load")
+	f.IntVar(&o.runs, "runs", 8, "runs of each policy at each load")
+	f.Uint64Var(&o.seed, "seed", 1, "seed of the first run")
+	f.IntVar(&o.workers, "workers", 0, "parallel runs; 0: one for each core")
 	f.StringVar(&o.json, "json", "", "write the figures to this `FILE`")
 	f.StringVar(&o.html, "html", "", "write a page with plots to this `FILE`")
 
 	root.AddCommand(compare, curve, o.traceCommand(),
-		&cobra.Command{Use: "policies", Short: "List what can decide, and where it comes from", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
+		&cobra.Command{Use: "policies", Short: "List the policies and their sources", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			for _, p := range model.Policies() {
 				fmt.Fprintf(out, "%-14s %s\n", p.Name, p.Source)
 			}
-			fmt.Fprintln(out, "\nA baseline takes +retry (Envoy's retry budget) and +eject (its outlier ejection) behind its name.")
+			fmt.Fprintln(out, "\nSuffixes for a baseline's name: +retry adds Envoy's retry budget, +eject its outlier ejection.")
 			return nil
 		}},
 		&cobra.Command{Use: "check FILE...", Short: "Check scenario and version files", Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
@@ -115,7 +116,8 @@
 	return list
 }
 
-// check takes a file that is a scenario or, if it is none and is one, a version.
+// checkFile accepts a file that is a valid scenario or a valid version file. Otherwise it returns the error of
+// reading it as a scenario.
 func check(path string) error {
 	_, err := model.LoadScenario(path)
 	if err == nil {
@@ -149,7 +151,7 @@
 	}
 	values := func(sc *model.Scenario) func(uint64) []float64 {
 		return func(seed uint64) []float64 {
-			if ctx.Err() != nil { // the pair is thrown away
+			if ctx.Err() != nil { // interrupted: the pair is discarded
 				return make([]float64, len(sc.Measures()))
 			}
 			return model.PlayFull(sc, seed).Values()
@@ -203,7 +205,7 @@
 	fmt.Fprintf(o.out, "%-24s", "worth in time")
 	for _, load := range o.loads {
 		if !(load > 0 && load <= 10) {
-			return fmt.Errorf("--loads: want over 0 and 10 at most, have %v", load)
+			return fmt.Errorf("--loads: want above 0 and at most 10, have %v", load)
 		}
 		fmt.Fprintf(o.out, "%8.2f", load)
 	}
@@ -228,7 +230,8 @@
 	return o.write(&report.Comparison{Scenario: strings.TrimSuffix(filepath.Base(path), ".toml"), Seed: o.seed, Curve: curve})
 }
 
-// estimate gives worth in time over some runs: the difference from nothing, with its interval.
+// estimate returns the mean worth in time over some runs, with its interval. It compares with a version that
+// always measures 0, so that the difference is the worth itself.
 func estimate(ctx context.Context, sc *model.Scenario, o *options) (report.Estimate, error) {
 	r, err := experiment.Run(ctx, experiment.Plan{Measures: []string{"worth in time"}, First: o.seed, Pilot: max(2, o.runs), Most: max(2, o.runs), Width: 1, Workers: o.workers,
 		A: func(uint64) []float64 { return []float64{0} }, B: func(seed uint64) []float64 { return []float64{model.Play(sc, seed).Worth()} }})
--- a/cmd/rehearse/trace.go
+++ b/cmd/rehearse/trace.go
@@ -21,9 +21,9 @@
 	"starlingvalve/internal/trace"
 )
 
-// traceCommand is everything about trace files.
+// traceCommand returns the command "trace", with its subcommands for trace files.
 func (o *options) traceCommand() *cobra.Command {
-	root := &cobra.Command{Use: "trace", Short: "Look into recorded traffic, make it anonymous, generate it"}
+	root := &cobra.Command{Use: "trace", Short: "Inspect, anonymise or generate recorded traffic"}
 	var shape, to string
 	var length, think time.Duration
 	var rate, sessions float64
@@ -50,15 +50,15 @@
 	}}
 	f := synth.Flags()
 	f.StringVarP(&to, "out", "o", "", "write to this `FILE`")
-	f.StringVar(&shape, "shape", "steady", fmt.Sprintf("how the rate goes: one of %v", trace.Shapes))
-	f.DurationVar(&length, "length", 0, "of the trace; 0: the scenario's")
+	f.StringVar(&shape, "shape", "steady", fmt.Sprintf("course of the rate over time: one of %v", trace.Shapes))
+	f.DurationVar(&length, "length", 0, "length of the trace; 0: the scenario's")
 	f.Float64Var(&rate, "rate", 0, "orders a second; 0: the scenario's")
 	f.Float64Var(&sessions, "sessions", 0, "mean orders of a session; 0: no sessions")
 	f.DurationVar(&think, "think", time.Second, "mean time between a session's orders")
 	f.Uint64Var(&seed, "seed", 1, "")
 	synth.MarkFlagRequired("out")
 	var anonymous string
-	anonymise := &cobra.Command{Use: "anonymise FILE", Short: "Write it with new hashes for tenants and orders, under a key that is thrown away", Args: cobra.ExactArgs(1),
+	anonymise := &cobra.Command{Use: "anonymise FILE", Short: "Copy a trace with new hashes for tenants and orders, under a random key that is not kept", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var key [16]byte
 			if _, err := rand.Read(key[:]); err != nil {
@@ -85,11 +85,12 @@
 			lines := json.NewEncoder(out)
 			return errors.Join(o.readTrace(args[0], func(r *trace.Record) error { return lines.Encode(r) }), out.Flush())
 		}},
-		&cobra.Command{Use: "info FILE", Short: "Tell what a trace holds", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error { return o.traceInfo(args[0]) }})
+		&cobra.Command{Use: "info FILE", Short: "Summarise a trace", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error { return o.traceInfo(args[0]) }})
 	return root
 }
 
-// readTrace hands on what can be read of a trace; what can't is told in one line and is no error.
+// readTrace passes each readable record of a trace to each. Damage in the file is reported in one line on
+// o.progress and is not an error.
 func (o *options) readTrace(path string, each func(*trace.Record) error) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -179,7 +180,7 @@
 	return w.Flush()
 }
 
-// replayed gives the scenario with the orders of a trace, and tells what of it is played.
+// replay returns the scenario with the orders of a trace, and prints what is replayed and what is left out.
 func (o *options) replayed(sc *model.Scenario, path string, scale float64, tell io.Writer) (*model.Scenario, error) {
 	var records []trace.Record
 	if err := o.readTrace(path, func(r *trace.Record) error { records = append(records, *r); return nil }); err != nil {
--- a/internal/doccheck/doccheck_test.go
+++ b/internal/doccheck/doccheck_test.go
@@ -1,4 +1,4 @@
-// Package doccheck checks that exported items have doc comments. staticcheck looks at the form of those that are there.
+// Package doccheck checks that exported items have doc comments. staticcheck checks the form of existing ones.
 package doccheck
 
 import (
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// TestExportedItemsAreDocumented reads all of the program's sources, but for tests and generated files.
+// TestExportedItemsAreDocumented reads all sources of the program except tests and generated files.
 func TestExportedItemsAreDocumented(t *testing.T) {
 	files := token.NewFileSet()
 	read := 0
@@ -81,7 +81,8 @@
 	}
 }
 
-// undocumented lists the exported functions, methods, types, constants and variables of a file that have no comment.
+// undocumented lists the exported functions, methods, types, constants and variables of a file that have no
+// comment.
 func undocumented(file *ast.File) []*ast.Ident {
 	if ast.IsGenerated(file) {
 		return nil
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment compares two versions of something by paired runs: each pair meets the same arrivals, works and faults, so
-// that what differs is the versions' doing, and chance that both share falls out.
+// Package experiment compares two versions of something by paired runs. Both runs of a pair get the same arrivals,
+// work and faults, so that the difference is caused by the versions, and chance that both share cancels out.
 package experiment
 
 import (
@@ -15,54 +15,58 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Interval is the mean of the paired differences b - a of one measure and its confidence interval (Student's t).
+// Interval is the mean of the paired differences b - a of one measure, with its confidence interval (Student's t),
+// in the unit of the measure. It is written out as JSON under the names of its fields.
 type Interval struct {
 	Name            string `json:"measure"`
 	Mean, Low, High float64
 	Pairs           int
-	A, B            float64 // the versions' own means
-	// Smallest is the smallest difference that so many pairs see in four runs of five (a power of 0.8), by the spread that
-	// they have shown.
+	A, B            float64 // each version's own mean
+	// Smallest is the smallest difference that this number of pairs detects in four runs of five (a power of 0.8),
+	// given the spread of the pairs' differences.
 	Smallest float64
 }
 
-// Covers tells whether a difference lies within the interval.
+// Covers reports whether a difference lies within the interval.
 func (i Interval) Covers(x float64) bool { return i.Low <= x && x <= i.High }
 
-// Differs tells whether the versions differ, as far as the interval can say: it does not cover zero.
+// Differs reports whether the versions differ at the interval's confidence: whether the interval excludes zero.
 func (i Interval) Differs() bool { return !i.Covers(0) }
 
-// String gives the difference, its interval, both versions' means and the number of pairs, in one line.
+// String returns the difference, its interval, both versions' means and the number of pairs, in one line.
 func (i Interval) String() string {
 	return fmt.Sprintf("%+.4f (%+.4f to %+.4f) from %.4f to %.4f, %d pairs", i.Mean, i.Low, i.High, i.A, i.B, i.Pairs)
 }
 
-// Plan is a comparison. All but Measures, A, B and Width have defaults.
+// Plan describes a comparison. All fields except Measures, A, B and Width have defaults.
 type Plan struct {
-	// Measures names what a run measures. The first is the main one, which decides how many pairs are played.
+	// Measures are the names of what a run measures. The first is the main measure, which decides the number of
+	// pairs.
 	Measures []string
-	// A and B give a run's measures, in the order of their names. They depend on nothing but the seed, and are called from
-	// several goroutines at once.
+	// A and B run one version with a seed and return its measures, in the order of Measures. The results must
+	// depend on the seed only. A and B are called from several goroutines at once.
 	A, B func(seed uint64) []float64
-	// Width is how far the main measure's interval is to reach to either side, at most.
+	// Width is the wanted half-width of the main measure's interval, in the unit of that measure.
 	Width float64
-	// Confidence is the intervals', between 0 and 1; 0: 0.95.
+	// Confidence is the confidence of the intervals, between 0 and 1; 0: 0.95.
 	Confidence float64
-	// First is the seed of the first pair; the others follow it.
+	// FirstSeed is the seed of the first pair; the following pairs use the following numbers.
 	First uint64
-	// Pilot is the number of pairs of the first stage, 2 at least; 0: 10.
+	// PilotPairs is the number of pairs of the first stage, at least 2; 0: 10.
 	Pilot int
-	// Most bounds the pairs; 0: 1000. Where it, or Budget, is less than what Width wants, the interval is wider, and says so.
+	// MaxPairs is the largest number of pairs; 0: 1000. Where it, or Budget, allows fewer pairs than Width needs,
+	// the interval is wider, and Result.WidthReached returns false.
 	Most int
-	// Budget bounds the time, as far as the pilot lets it be foreseen; 0: none.
+	// Budget limits the time, as estimated from the time that the pilot took; 0: no limit.
 	Budget time.Duration
-	// Workers is the number of runs at once; 0: one a core.
+	// Workers is the number of pairs that run at once; 0: one for each processor (GOMAXPROCS).
 	Workers int
-	// Known are pairs of an earlier run of the same plan that broke off: they are not played again.
+	// KnownPairs are pairs of an earlier, interrupted run of the same plan. They are not run again.
 	Known []Pair
-	// Keep, if set, is called with each pair that is played, one at a time.
+	// OnPair, if set, is called with each new pair, one at a time. An error ends the comparison.
 	Keep func(Pair) error
-	// Progress, if set, is called after each pair, one at a time, with the pairs that there are and are wanted by now.
+	// Progress, if set, is called after each pair, one at a time, with the number of pairs done and the number
+	// wanted at this stage.
 	Progress func(done, wanted int)
 }
 
@@ -73,14 +77,14 @@
 	B    []float64 `json:"b"`
 }
 
-// Result is what came of a plan.
+// Result is the result of a comparison.
 type Result struct {
 	Intervals []Interval // in the order of the measures
-	Pairs     []Pair     // in the order of their seeds
-	Wanted    int        // pairs that Width wanted
+	Pairs     []Pair // in the order of their seeds
+	Wanted    int // pairs needed to reach Width
 }
 
-// Enough tells whether the interval is as narrow as it was to be.
+// WidthReached reports whether there were enough pairs for the wanted width.
 func (r *Result) Enough() bool { return len(r.Pairs) >= r.Wanted }
 
 const (
@@ -90,10 +94,11 @@
 	power           = 0.8
 )
 
-// Run plays a plan. The number of pairs follows Stein's two-stage rule (Annals of Mathematical Statistics 16, 1945): the spread
-// of the pilot alone decides it, and the main measure's interval is made of that spread, so that stopping when the interval
-// is narrow does not make it narrower than it may be. A rule that looks again after each pair stops more often where the
-// spread looks small by chance. The other measures' intervals are those of so many pairs.
+// Run carries out a plan. The number of pairs follows Stein's two-stage rule (Annals of Mathematical Statistics
+// 16, 1945): the spread of the pilot alone decides it, and the main measure's interval is computed from that
+// spread. So stopping once the interval is narrow does not make it narrower than its confidence allows. A rule
+// that checks after each pair would stop more often where the spread looks small by chance. The intervals of the
+// other measures are ordinary ones for the resulting number of pairs.
 func Run(ctx context.Context, p Plan) (*Result, error) {
 	p.Confidence = orUsual(p.Confidence, usualConfidence)
 	p.Pilot, p.Most, p.Workers = orUsual(p.Pilot, usualPilot), orUsual(p.Most, usualMost), orUsual(p.Workers, runtime.GOMAXPROCS(0))
@@ -101,9 +106,9 @@
 	case len(p.Measures) == 0 || p.A == nil || p.B == nil:
 		return nil, errors.New("experiment: want measures and two versions")
 	case p.Pilot < 2 || p.Most < p.Pilot:
-		return nil, fmt.Errorf("experiment: want a pilot of 2 pairs at least and as many at most, have %d and %d", p.Pilot, p.Most)
+		return nil, fmt.Errorf("experiment: want a pilot of at least 2 pairs, and a maximum of pairs that is not smaller, have %d and %d", p.Pilot, p.Most)
 	case !(p.Confidence > 0 && p.Confidence < 1) || !(p.Width > 0):
-		return nil, fmt.Errorf("experiment: want a confidence between 0 and 1 and a width over 0, have %v and %v", p.Confidence, p.Width)
+		return nil, fmt.Errorf("experiment: want a confidence between 0 and 1 and a width above 0, have %v and %v", p.Confidence, p.Width)
 	}
 	began := time.Now()
 	pairs, err := p.play(ctx, nil, p.Pilot, p.Pilot)
@@ -141,12 +146,12 @@
 	return v
 }
 
-// play plays pairs up to so many.
+// runPairs extends pairs to the length upTo. It takes known pairs as they are, and runs the others.
 func (p *Plan) play(ctx context.Context, pairs []Pair, upTo, wanted int) ([]Pair, error) {
 	known := map[uint64]Pair{}
 	for _, k := range p.Known {
 		if len(k.A) != len(p.Measures) || len(k.B) != len(p.Measures) {
-			return nil, fmt.Errorf("experiment: seed %d has %d and %d measures, want %d: it is of another plan", k.Seed, len(k.A), len(k.B), len(p.Measures))
+			return nil, fmt.Errorf("experiment: seed %d has %d and %d measures, want %d: it belongs to another plan", k.Seed, len(k.A), len(k.B), len(p.Measures))
 		}
 		known[k.Seed] = k
 	}
@@ -221,13 +226,14 @@
 		Smallest: (t + quantile(power, degrees)) * err}
 }
 
-// Compare plays so many pairs (2 at least), of the seeds first, first+1, ..., of one measure.
+// Compare compares one measure of two versions over a fixed number of pairs (at least 2), with the seeds first,
+// first+1, and so on.
 func Compare(a, b func(seed uint64) float64, first uint64, pairs int, confidence float64) (Interval, error) {
 	one := func(f func(uint64) float64) func(uint64) []float64 {
 		return func(seed uint64) []float64 { return []float64{f(seed)} }
 	}
 	if pairs < 2 || !(confidence > 0 && confidence < 1) {
-		return Interval{}, errors.New("experiment: want 2 pairs at least and a confidence between 0 and 1")
+		return Interval{}, errors.New("experiment: want at least 2 pairs and a confidence between 0 and 1")
 	}
 	r, err := Run(context.Background(), Plan{Measures: []string{""}, A: one(a), B: one(b), First: first, Pilot: pairs, Most: pairs, Width: math.MaxFloat64,
 		Confidence: confidence, Workers: 1})
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -177,7 +177,7 @@
 	return &baseline{set: s, pick: pick, rng: NewStreams(uint64(seed)).Of("baseline", "pick"), open: map[decide.RequestID]*baseTry{}}
 }
 
-// Handle is Decider's.
+// Handle implements Decider.
 func (b *baseline) Handle(now decide.Time, e decide.Event) (out []decide.Action) {
 	b.now = now
 	switch e := e.(type) {
@@ -429,7 +429,7 @@
 	return math.Max(0, room)
 }
 
-// Handle is Decider's.
+// Handle implements Decider.
 func (o *oracle) Handle(_ decide.Time, e decide.Event) []decide.Action {
 	switch e := e.(type) {
 	case decide.RequestArrived:
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -81,7 +81,7 @@
 type Sums struct {
 	Orders, Served, InAim, Refused, Failed, Tries int
 	Asked, Got                                    float64 // of all orders; of those answered within their aims
-	Executions, Doubled                           int // executions at servers; of unsafe orders, executions beyond the first
+	Executions, Doubled                           int // at servers; repeated runs of unsafe orders
 }
 
 // WorthFraction returns the worth of orders answered within their aims, as a part (0 to 1) of all orders' worth.
@@ -405,7 +405,7 @@
 	f.After(f.sc.Hop, func() {
 		e := decide.ProbeEnded{Server: id, Code: decide.ConnectFailed}
 		if s != nil && s.mute {
-			return // an unresponsive server sends no probe answer
+			return // an unresponsive server sends no probe answer; the node probes others meanwhile
 		}
 		if s != nil && !s.down {
 			e.Code, e.Report = decide.OK, &decide.Report{InFlight: float64(s.held()), HasInFlight: true,
@@ -432,7 +432,8 @@
 	}
 	ahead := waiting / float64(s.Cores)
 	if s.busy >= s.Cores {
-		ahead += s.f.sc.meanWork() / float64(s.Cores) // requests in process are half done on average, and the first free core counts
+		// Requests in process are half done on average, and the first core that becomes free counts.
+		ahead += s.f.sc.meanWork() / float64(s.Cores)
 	}
 	return (ahead + work) / s.speed()
 }
--- a/internal/model/outcome.go
+++ b/internal/model/outcome.go
@@ -24,7 +24,9 @@
 // it; the other fields are samples at its start.
 type Second struct {
 	Orders, InAim, Refused                    int
-	Held, Normal, Overloaded, Blocking, Apart int // InFlight: requests at servers. Others: servers as the nodes see them, over all nodes.
+	// Requests at servers; then the servers by mode as the nodes see them, summed over all nodes. Excluded servers
+	// are ejected outliers or cold.
+	Held, Normal, Overloaded, Blocking, Apart int
 }
 
 // Outcome is all that is measured in a run.
@@ -33,7 +35,9 @@
 	Classes  []ClassSums             // in the scenario's order
 	Times    *hdrhistogram.Histogram // us, of all served orders
 	Timeline []Second
-	Turns    int // sum over the run of the changes, from one second to the next, of the number of overloaded and blocking servers, over all nodes
+	// ModeChanges is the sum of the changes, from each second to the next, of the number of servers that are overloaded or
+	// blocking, over all nodes.
+	Turns int
 }
 
 func newOutcome(sc *Scenario) Outcome {
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -9,7 +9,7 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// Limits of a scenario, so that a run ends and fits into a machine's memory. mostRate is in orders a second.
+// Limits of a scenario, so that a run ends and fits into a machine's memory. maxRate is in orders a second.
 const (
 	mostLength  = time.Hour
 	mostRate    = 100_000.0
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,5 +1,5 @@
-// Package report renders a comparison: a table for a terminal, JSON for machines, and one HTML file with plots that opens
-// without a network.
+// Package report renders a comparison: a table for a terminal, JSON for programs, and one HTML file with plots
+// that needs no network.
 package report
 
 import (
@@ -24,7 +24,7 @@
 	"starlingvalve/internal/model"
 )
 
-// Comparison is what a report shows.
+// Comparison is the content of a report. It is written out as JSON.
 type Comparison struct {
 	Scenario  string                `json:"scenario"`
 	A         string                `json:"a"`
@@ -33,22 +33,22 @@
 	Width     float64               `json:"wanted_half_width"`
 	Wanted    int                   `json:"wanted_pairs"`
 	Intervals []experiment.Interval `json:"intervals"`
-	// Timelines are the seconds of one run of each side, of the first seed.
+	// Timelines are the seconds of one run of each side, with the first seed.
 	Timelines [2][]model.Second `json:"-"`
 	Curve     *Curve            `json:"curve,omitempty"`
 }
 
-// Curve is worth against load, for some policies.
+// Curve is the worth in time at several loads, for some policies.
 type Curve struct {
-	Loads []float64             `json:"loads"` // times the scenario's
+	Loads []float64             `json:"loads"` // factors on the scenario's load
 	Lines map[string][]Estimate `json:"lines"`
-	Names []string              `json:"names"` // of the lines, in order
+	Names []string              `json:"names"` // keys of Lines, in the order of display
 }
 
-// Estimate is a mean and its confidence interval.
+// Estimate is a mean and its confidence interval. It is written out as JSON under the names of its fields.
 type Estimate struct{ Mean, Low, High float64 }
 
-// Verdict says in one sentence what the main measure tells.
+// Verdict returns the result of the main measure in one sentence.
 func (c *Comparison) Verdict() string {
 	if len(c.Intervals) == 0 {
 		return "nothing was measured"
@@ -65,7 +65,8 @@
 	return fmt.Sprintf("no difference seen: %s %+.4f (%+.4f to %+.4f); %d pairs would see %.4f four times in five", i.Name, i.Mean, i.Low, i.High, i.Pairs, i.Smallest)
 }
 
-// Short says by how much the run is shorter than the width asked for wants; empty if it is not.
+// Short reports that there were fewer pairs than the wanted width needs; it is empty if there were enough. The
+// HTML template calls it by this name.
 func (c *Comparison) Short() string {
 	if len(c.Intervals) == 0 || c.Intervals[0].Pairs >= c.Wanted {
 		return ""
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// JSON writes it for machines.
+// JSON writes the comparison as indented JSON.
 func (c *Comparison) JSON(to io.Writer) error {
 	e := json.NewEncoder(to)
 	e.SetIndent("", "  ")
@@ -105,7 +106,7 @@
 //go:embed page.html
 var page string
 
-// HTML writes one page with all plots in it.
+// HTML writes one page that contains all plots as SVG.
 func (c *Comparison) HTML(to io.Writer) error {
 	t, err := template.New("page").Parse(page)
 	if err != nil {
@@ -124,7 +125,7 @@
 		if err != nil {
 			return err
 		}
-		plots = append(plots, template.HTML(svg)) // made here, of numbers and of names that the plotter escapes
+		plots = append(plots, template.HTML(svg)) // safe: made of numbers, and of names that the plotter escapes
 	}
 	return t.Execute(to, map[string]any{"C": c, "Plots": plots})
 }
@@ -139,12 +140,13 @@
 	}
 	text := out.String()
 	if i := strings.Index(text, "<svg"); i > 0 {
-		text = text[i:] // without the XML declaration
+		text = text[i:] // cut off the XML declaration
 	}
 	return text, nil
 }
 
-// differences shows the intervals of all measures that are parts of what was asked.
+// plotDifferences plots the intervals of the measures that are fractions of what was asked. It leaves out a
+// measure with a mean above 1.
 func (c *Comparison) differences() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "Difference, b - a, with its interval"
@@ -153,7 +155,7 @@
 	var bars plotter.XErrors
 	for _, i := range c.Intervals {
 		if math.Max(math.Abs(i.A), math.Abs(i.B)) > 1 {
-			continue // not a part
+			continue // not a fraction
 		}
 		at = append(at, plotter.XY{X: i.Mean, Y: float64(len(names))})
 		bars = append(bars, struct{ Low, High float64 }{i.Mean - i.Low, i.High - i.Mean})
@@ -212,7 +214,7 @@
 	for n, l := range lines {
 		var at plotter.XYs
 		seconds := c.Timelines[l.side]
-		for x, s := range seconds[:len(seconds)-1] { // the last one is not whole
+		for x, s := range seconds[:len(seconds)-1] { // the last second is incomplete
 			at = append(at, plotter.XY{X: float64(x), Y: float64(l.of(s))})
 		}
 		drawn, err := plotter.NewLine(at)
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,4 +1,5 @@
-// Package testkit is what tests of several packages share: servers as a test wants them, settings, a list.
+// Package testkit holds what tests of several packages share: listeners that answer as a test wants, settings, and
+// a list of servers.
 package testkit
 
 import (
@@ -16,10 +17,10 @@
 	"starlingvalve/internal/core"
 )
 
-// Patient is how long a test waits for what must come, on a machine of any speed.
+// WaitLimit is how long a test waits for something that must happen, also on a slow machine.
 const Patient = 20 * time.Second
 
-// Until waits for what has to become true, and fails the test with what has not.
+// WaitFor waits until a condition is true. After WaitLimit it fails the test with the given message.
 func Until(t *testing.T, not string, true func() bool) {
 	t.Helper()
 	for end := time.Now().Add(Patient); !true(); time.Sleep(time.Millisecond) {
@@ -29,10 +30,10 @@
 	}
 }
 
-// Quiet is a log that nobody reads.
+// DiscardLog is a logger that discards everything.
 var Quiet = slog.New(slog.DiscardHandler)
 
-// Settings has a safe class read, a keyed class tag and an unsafe class order.
+// Settings returns settings with a safe class "read", a keyed class "tag" and an unsafe class "order".
 func Settings() decide.Settings {
 	class := func(name string, e decide.Effect) decide.Class {
 		return decide.Class{Name: name, Worth: 1, Aim: 5 * time.Second, Deadline: 10 * time.Second, Effect: e,
@@ -46,7 +47,8 @@
 		Classes: []decide.Class{class("read", decide.Safe), class("tag", decide.Keyed), class("order", decide.Unsafe)}}
 }
 
-// Server is a listener on a port that the kernel chose. Each connection is handed to serve.
+// Server listens on a loopback port that the kernel chooses, until the test ends, and returns its address. Each
+// connection is passed to serve, and closed when serve returns.
 func Server(t *testing.T, serve func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +58,7 @@
 	return ServerOn(t, l, serve)
 }
 
-// ServerOn is a Server on a listener, which it owns from then on.
+// ServerOn is like Server on a given listener, which it closes at the test's end.
 func ServerOn(t *testing.T, l net.Listener, serve func(net.Conn)) string {
 	t.Helper()
 	var open sync.WaitGroup
@@ -70,7 +72,7 @@
 				return
 			}
 			mu.Lock()
-			if conns = append(conns, c); closed { // it was accepted as the test ended
+			if conns = append(conns, c); closed { // accepted while the test was ending
 				c.Close()
 			}
 			mu.Unlock()
@@ -90,7 +92,8 @@
 	return l.Addr().String()
 }
 
-// Answering reads requests and writes what reply says, until it says nothing.
+// AnswerRequests returns a serve function for Server that reads requests and writes what reply returns for each.
+// An empty reply closes the connection.
 func Answering(reply func(*http.Request, []byte) string) func(net.Conn) {
 	return func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -109,12 +112,12 @@
 	}
 }
 
-// OK is an answer 200.
+// OKResponse returns an HTTP/1.1 response with status 200 and this body.
 func OK(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Known is a list of ready servers at these addresses, with the ids 1, 2, ...
+// ReadyList returns a full list of ready servers at these addresses, with the ids 1, 2, and so on.
 func Known(addrs ...string) core.List {
 	l := core.List{Version: 1, Full: true}
 	for i, a := range addrs {
