--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -55,7 +55,8 @@
 	return out.String(), err
 }
 
-// A run that broke off goes on to the same figures as one that did not; what was cut in its file is played again.
+// Guards against a resumed run that gives other figures than an uninterrupted one, and against a file whose last
+// line is incomplete: that pair must be run again.
 func TestCompareResumes(t *testing.T) {
 	sc, slow := write(t, "s.toml", scenario), write(t, "slow.toml", "[fleet]\nspeed = 0.8\n")
 	kept, html := filepath.Join(t.TempDir(), "pairs"), filepath.Join(t.TempDir(), "r.html")
@@ -72,7 +73,7 @@
 		t.Fatal(err)
 	}
 	lines := bytes.SplitAfter(raw, []byte("\n"))
-	if len(lines) != 14 { // the head, 12 pairs, and nothing behind the last end of line
+	if len(lines) != 14 { // the head, 12 pairs, and nothing after the last end of line
 		t.Fatalf("%d lines", len(lines))
 	}
 	cut := append(bytes.Join(lines[:5], nil), lines[5][:9]...)
@@ -115,7 +116,8 @@
 	}
 }
 
-// A generated trace can be looked into, made anonymous and replayed; a damaged one is told of in one line and used as far as it goes.
+// Guards against trace commands that lose records: a generated trace can be inspected, anonymised and replayed,
+// and a damaged one is reported in one line and used as far as it can be read.
 func TestTraces(t *testing.T) {
 	sc, dir := write(t, "s.toml", scenario), t.TempDir()
 	made, hidden := filepath.Join(dir, "t"), filepath.Join(dir, "h")
@@ -135,7 +137,7 @@
 		t.Errorf("%v, %v, %d and %d bytes", err1, err2, len(before), len(after))
 	}
 	same, err := run(t, "compare", sc, "-b", "module", "--trace", hidden, "--pairs", "10")
-	if err != nil || !strings.Contains(same, "orders in") || !strings.Contains(same, "left out: 0 tries again") {
+	if err != nil || !strings.Contains(same, "orders in") || !strings.Contains(same, "left out: 0 repeated tries") {
 		t.Errorf("%v: %s", err, same)
 	}
 	raw, err := os.ReadFile(made)
--- a/cmd/rehearse/trace.go
+++ b/cmd/rehearse/trace.go
@@ -100,7 +100,7 @@
 	err = trace.Read(f, each)
 	var damage *trace.Damage
 	if errors.As(err, &damage) {
-		fmt.Fprintf(o.progress, "%s: %v; the rest is good\n", path, damage)
+		fmt.Fprintf(o.progress, "%s: %v; the other records are used\n", path, damage)
 		return nil
 	}
 	if err != nil {
@@ -190,6 +190,6 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Fprintf(tell, "%s: %d orders in %v; left out: %d tries again, %d of other classes\n", path, info.Orders, c.Length.Round(time.Millisecond), info.Repeats, info.Unknown)
+	fmt.Fprintf(tell, "%s: %d orders in %v; left out: %d repeated tries, %d of other classes\n", path, info.Orders, c.Length.Round(time.Millisecond), info.Repeats, info.Unknown)
 	return c, nil
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// The interval covers the true difference about as often as it says, and chance that a pair shares falls out.
+// Guards against intervals that cover the true difference less (or more) often than their confidence says, and
+// against chance that both runs of a pair share but that does not cancel out.
 func TestCoverage(t *testing.T) {
 	covered, different := 0, 0
 	const trials = 2000
@@ -34,22 +35,23 @@
 		t.Errorf("%d of %d intervals cover the truth, want 95%%", covered, trials)
 	}
 	if different < trials*98/100 {
-		t.Errorf("a difference of two deviations is seen %d times of %d", different, trials)
+		t.Errorf("a difference of two deviations is detected %d times of %d", different, trials)
 	}
 	if i, _ := Compare(func(s uint64) float64 { return float64(s) }, func(s uint64) float64 { return float64(s) }, 1, 5, 0.95); i.Differs() || i.Mean != 0 || i.A != 3 {
-		t.Errorf("one against itself: %v", i)
+		t.Errorf("a version against itself: %v", i)
 	}
 	for _, bad := range []struct {
 		pairs      int
 		confidence float64
 	}{{1, 0.95}, {5, 0}, {5, 1}} {
 		if _, err := Compare(nil, nil, 1, bad.pairs, bad.confidence); err == nil {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v is accepted", bad)
 		}
 	}
 }
 
-// noisy gives a plan whose versions differ by shift with a deviation of 1, and a second measure that does not differ.
+// noisy returns a plan whose versions differ by shift in the main measure, with a standard deviation of 1, and do
+// not differ in the second measure.
 func noisy(salt uint64, shift, width float64) Plan {
 	draw := func(seed, side uint64) float64 {
 		return rand.New(rand.NewPCG(seed, salt<<8+side)).NormFloat64() / math.Sqrt2
@@ -59,8 +61,9 @@
 		B: func(s uint64) []float64 { return []float64{10 + shift + draw(s, 2), draw(s, 4)} }}
 }
 
-// The two-stage rule ends at the width that was asked for, and its intervals still cover the truth as often as they say. One that
-// stops as soon as the interval looks narrow covers it less often, which is shown beside it.
+// Guards against a stopping rule that makes intervals too narrow: the two-stage rule must reach the wanted width
+// and still cover the truth as often as its confidence says. Stopping as soon as the interval looks narrow covers
+// it less often; the test shows this for comparison.
 func TestStoppingKeepsItsCoverage(t *testing.T) {
 	covered, wide, greedy := 0, 0, 0
 	const trials, width = 1000, 0.5
@@ -75,7 +78,7 @@
 		} else if i.High-i.Low > 2*width*1.0001 {
 			wide++
 		}
-		for n := 3; ; n++ { // looks after each pair from the third on
+		for n := 3; ; n++ { // checks after each pair from the third on
 			if i := interval("", r.more(p, n), 0, spread(r.more(p, n), 0), n-1, 0.95); i.High-i.Low <= 2*width {
 				if i.Covers(0.3) {
 					greedy++
@@ -88,11 +91,11 @@
 		t.Errorf("%d of %d intervals cover the truth, %d are too wide", covered, trials, wide)
 	}
 	if greedy >= covered {
-		t.Errorf("looking again after each pair covers %d of %d, two stages %d: this test shows nothing", greedy, trials, covered)
+		t.Errorf("stopping after each pair covers %d of %d, two stages %d: this test shows nothing", greedy, trials, covered)
 	}
 }
 
-// more gives the first n pairs of a plan.
+// firstPairs returns the first n pairs of a plan; it runs those that the result lacks.
 func (r *Result) more(p Plan, n int) (pairs []Pair) {
 	for i := range n {
 		if i < len(r.Pairs) {
@@ -105,7 +108,8 @@
 	return pairs
 }
 
-// However many runs at once, and whether in one go or in two, the figures are the same; bounds are kept and told.
+// Guards against results that depend on the number of parallel runs or on an interruption: they must be the same
+// in one go and when resumed. Limits must be kept and reported.
 func TestSameFiguresInAnyOrder(t *testing.T) {
 	one, err := Run(t.Context(), noisy(7, 0.1, 0.3))
 	if err != nil {
@@ -131,11 +135,11 @@
 		t.Errorf("in one go %+v, in two %+v, %v", one.Intervals, two.Intervals, err)
 	}
 	if played != len(one.Pairs)-12 {
-		t.Errorf("%d played again of %d, 12 known", played, len(one.Pairs))
+		t.Errorf("%d run again of %d, 12 known", played, len(one.Pairs))
 	}
 	p.Known = []Pair{{1, []float64{1}, []float64{1}}}
 	if _, err := Run(t.Context(), p); err == nil {
-		t.Error("a pair of another plan is taken")
+		t.Error("a pair of another plan is accepted")
 	}
 	p = noisy(7, 0.1, 0.01)
 	p.Most = 15
@@ -145,6 +149,6 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, err := Run(ctx, noisy(7, 0, 1)); !errors.Is(err, context.Canceled) {
-		t.Errorf("called off: %v", err)
+		t.Errorf("cancelled: %v", err)
 	}
 }
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -11,7 +11,8 @@
 	"starlingvalve/internal/experiment"
 )
 
-// sunday is two nodes before six servers of four cores, with the Kampklip classes.
+// kampklipScenario returns a scenario with two nodes, six servers of four cores, and the Kampklip classes. load is
+// the work offered, as a part of the servers' capacity.
 func sunday(load float64, faults ...Fault) *Scenario {
 	class := func(name string, share, worth float64, work, aim, patience time.Duration, e decide.Effect) Class {
 		return Class{Class: decide.Class{Name: name, Worth: worth, Aim: aim, Deadline: patience, Effect: e, KeyScope: decide.ScopeCell, DedupWindow: 8 * time.Second},
@@ -35,7 +36,8 @@
 	return sc
 }
 
-// The same seed gives the same run at any GOMAXPROCS, another seed another one; every order has one end.
+// Guards against runs that depend on more than the scenario and the seed, such as the order of goroutines, and
+// against orders that end twice or never.
 func TestSameSeedSameRun(t *testing.T) {
 	sc := sunday(0.8, Fault{At: 5 * time.Second, For: 5 * time.Second, Server: 1, Kind: Mute}, Fault{At: 8 * time.Second, For: 3 * time.Second, Server: 2, Kind: Crash})
 	first := Play(sc, 1)
@@ -44,19 +46,19 @@
 		t.Errorf("%+v, then %+v", first, again)
 	}
 	if Play(sc, 2) == first {
-		t.Error("the seed does not count")
+		t.Error("the seed has no effect")
 	}
 	if first.Served+first.Refused+first.Failed != first.Orders || first.Orders < 1000 {
-		t.Errorf("%+v: every order has one end", first)
+		t.Errorf("%+v: want one end for every order, and 1000 orders at least", first)
 	}
 }
 
-// What is known of the real node holds in the model: calm days are served, an overload keeps the dear class, and no unsafe
-// order runs twice whatever happens.
+// Guards against a model that behaves unlike the real node: a light load must be served, an overload must keep
+// most of the worth, and no unsafe order may run twice, whatever faults occur.
 func TestModelBehaves(t *testing.T) {
 	calm := Play(sunday(0.5), 3)
 	if calm.Worth() < 0.98 || calm.Doubled > 0 {
-		t.Errorf("calm: worth %.3f, %+v", calm.Worth(), calm)
+		t.Errorf("light load: worth %.3f, %+v", calm.Worth(), calm)
 	}
 	over := Play(sunday(1.5), 3)
 	if over.Worth() < 0.65 || over.Refused == 0 || over.Doubled > 0 {
@@ -68,11 +70,12 @@
 	}
 	rough := Play(sunday(0.6, faults...), 3)
 	if rough.Worth() < 0.5 || rough.Worth() > calm.Worth() || rough.Doubled > 0 || rough.Failed == 0 {
-		t.Errorf("rough: worth %.3f, %+v", rough.Worth(), rough)
+		t.Errorf("faults: worth %.3f, %+v", rough.Worth(), rough)
 	}
 }
 
-// Servers that slow down when crowded serve less of an overload, and clients that heed no hold-off ask more often.
+// Guards against scenario settings without an effect: servers that slow down under congestion must serve less of
+// an overload, and clients that ignore hold-offs must try more often.
 func TestCrowdsAndManners(t *testing.T) {
 	random := func(change func(*Scenario)) Sums {
 		sc := sunday(1.1)
@@ -87,17 +90,17 @@
 		}
 	})
 	if crowded.Served >= plain.Served*9/10 || crowded.Orders != plain.Orders {
-		t.Errorf("%d served of %d, %d with crowds", plain.Served, plain.Orders, crowded.Served)
+		t.Errorf("%d served of %d, %d with congestion", plain.Served, plain.Orders, crowded.Served)
 	}
 	over := sunday(1.5)
 	calm := Play(over, 4)
 	over.Heedless = 1
 	if heedless := Play(over, 4); heedless.Tries <= calm.Tries || heedless.Orders != calm.Orders {
-		t.Errorf("%d tries, %d by heedless clients", calm.Tries, heedless.Tries)
+		t.Errorf("%d tries, %d by clients that ignore hold-offs", calm.Tries, heedless.Tries)
 	}
 }
 
-// listener is a decider that hears lists only.
+// listRecorder is a decider that records list changes and does nothing else.
 type listener struct {
 	heard *[]string
 }
@@ -109,7 +112,7 @@
 	return nil
 }
 
-// Nodes hear of a crash and of the new start by the registry, as late as it is.
+// Guards against nodes that learn of a crash or a restart at once: the registry must notify them after its delay.
 func TestRegistryLag(t *testing.T) {
 	sc := sunday(0.01, Fault{At: 5 * time.Second, For: 4 * time.Second, Server: 2, Kind: Crash})
 	sc.Nodes, sc.Lag = 1, 3*time.Second
@@ -122,7 +125,7 @@
 	}
 }
 
-// Another decider takes the module's place with no change here, and meets the same arrivals.
+// Guards against a model tied to one decider: another one must fit in its place and get the same arrivals.
 func TestAnotherDecider(t *testing.T) {
 	sc, plain := sunday(1.2), sunday(1.2)
 	plain.Policy = Random()
@@ -141,8 +144,8 @@
 	}
 }
 
-// What rehearsals are for: a version against itself gives an interval that covers zero, and servers that are 2% slower are
-// seen in twelve pairs.
+// Guards against comparisons that report a difference where there is none, or miss a small one: a version against
+// itself must give an interval that covers zero, and servers that are 2% slower must show in twelve pairs.
 func TestSlowdownIsSeen(t *testing.T) {
 	measure := func(speed float64) func(uint64) float64 {
 		return func(seed uint64) float64 {
@@ -155,7 +158,7 @@
 	}
 	same, err := experiment.Compare(measure(1), measure(1), 1, 4, 0.95)
 	if err != nil || same.Differs() || same.Mean != 0 {
-		t.Errorf("itself: %v, %v", same, err)
+		t.Errorf("a version against itself: %v, %v", same, err)
 	}
 	slower, err := experiment.Compare(measure(1), measure(0.98), 1, 12, 0.95)
 	if err != nil || !slower.Differs() || slower.Mean >= 0 {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -9,7 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Events happen in order of time, then of setting; what was called off does not happen, and nothing happens early.
+// Guards against a clock that runs events out of order (by time, then by when they were scheduled), too early, or
+// after they were cancelled.
 func TestClockOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Clock
@@ -41,7 +42,7 @@
 		}
 		for _, h := range got {
 			if h.at > 4 {
-				t.Fatal("too early")
+				t.Fatal("an event ran too early")
 			}
 		}
 		c.Run(9)
@@ -52,7 +53,8 @@
 	})
 }
 
-// A draw more in one stream shifts no other, and names that look alike together have streams of their own.
+// Guards against streams that influence each other: one more draw from a stream must not shift another, and names
+// that look alike when joined must give different streams.
 func TestStreamsAreApart(t *testing.T) {
 	a, b := NewStreams(7), NewStreams(7)
 	for range 100 {
@@ -67,16 +69,16 @@
 	for _, name := range [][2]string{{"a", "b"}, {"b", "a"}, {"ab", ""}, {"", "ab"}} {
 		v := NewStreams(7).Of(name[0], name[1]).Uint64()
 		if seen[v] {
-			t.Errorf("%v is another's stream", name)
+			t.Errorf("%v has the stream of another name", name)
 		}
 		seen[v] = true
 	}
 	if NewStreams(1).Of("a", "b").Uint64() == NewStreams(2).Of("a", "b").Uint64() {
-		t.Error("the seed does not count")
+		t.Error("the seed has no effect")
 	}
 }
 
-// Draws have the means that they are asked for.
+// Guards against draws whose mean or coefficient of variation differs from the one asked for.
 func TestDraws(t *testing.T) {
 	s := NewStreams(3).Of("client", "draws")
 	const n, mean = 200_000, time.Second
--- a/internal/model/replay_test.go
+++ b/internal/model/replay_test.go
@@ -15,11 +15,12 @@
 	return records
 }
 
-// Orders come as recorded, tries again do not: those of the run are its own clients'.
+// Guards against a replay that repeats the recorded tries: those were reactions to an outage of the recording. The
+// run's own clients must decide on further tries.
 func TestReplayReacts(t *testing.T) {
 	sc := sunday(0.5)
 	records := recorded(500, 10*time.Millisecond, "viewer-clip", 60*time.Millisecond)
-	for i := range 300 { // an outage's
+	for i := range 300 { // repeated tries of an outage
 		records = append(records, trace.Record{At: time.Duration(i) * 10 * time.Millisecond, Class: "viewer-clip", Order: uint64(i + 1)},
 			trace.Record{At: time.Duration(i) * 10 * time.Millisecond, Class: "viewer-clip", Order: uint64(10_000 + i), Repeat: true})
 	}
@@ -29,7 +30,7 @@
 	}
 	calm := Play(c, 1)
 	if calm.Orders != 500 || calm.Tries != 500 || calm.Served != 500 || calm.Executions != 500 {
-		t.Errorf("a calm replay: %+v", calm)
+		t.Errorf("a replay on fast servers: %+v", calm)
 	}
 	if Play(c, 1) != calm || sc.arrivals != nil || sc.Length != 20*time.Second {
 		t.Error("not the same run again, or the scenario itself has changed")
@@ -42,7 +43,7 @@
 	}
 }
 
-// A trace of a fleet of another size is scaled by orders, and its length is the run's if that is shorter.
+// Guards against a scale that gives another number of orders, or a run longer than the trace.
 func TestReplayScales(t *testing.T) {
 	sc := sunday(0.5)
 	records := recorded(2000, 5*time.Millisecond, "viewer-clip", 0)
@@ -61,6 +62,6 @@
 		}
 	}
 	if _, _, err := sc.Replay(records, 0); err == nil {
-		t.Error("scale 0 is taken")
+		t.Error("scale 0 is accepted")
 	}
 }
--- a/internal/model/scenario_test.go
+++ b/internal/model/scenario_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Every scenario that is shipped is taken, runs to its end, and breaks no rule.
+// Guards against a shipped scenario that is not accepted, does not end, or breaks a rule.
 func TestShippedScenarios(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/scenarios/*.toml")
 	if err != nil || len(files) < 12 {
@@ -27,7 +27,7 @@
 	}
 }
 
-// What is wrong with a scenario is one line with file, line and key.
+// Guards against a scenario error that does not name the file, the line and the key in one line.
 func TestScenarioFaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/scenarios/lost-hall.toml")
 	if err != nil {
@@ -40,7 +40,7 @@
 		{`kind = "crash"`, `kind = "tired"`, "fault[0].kind: "}, {`[0, 1, 2, 3, 4]`, `[0, 12]`, "fault[0].servers: there is no server 12"}, {`at = "15s"`, `at = "2m"`, "fault[0].at: "}} {
 		text := strings.Replace(string(raw), bad[0], bad[1], 1)
 		if text == string(raw) {
-			t.Fatalf("%q is not there", bad[0])
+			t.Fatalf("the file lacks %q", bad[0])
 		}
 		_, err := parseScenario("x.toml", []byte(text))
 		if err == nil || !strings.HasPrefix(err.Error(), "x.toml:") || !strings.Contains(err.Error(), bad[2]) || strings.Contains(err.Error(), "\n") {
--- a/internal/model/version_test.go
+++ b/internal/model/version_test.go
@@ -11,7 +11,8 @@
 	"starlingvalve/internal/experiment"
 )
 
-// Each baseline serves a calm fleet, follows the registry, and never runs an unsafe order twice; none knows better than the oracle.
+// Guards against a baseline that fails a light load, ignores the registry, or runs an unsafe order twice, and
+// against one that does better than the oracle.
 func TestPolicies(t *testing.T) {
 	crash := Fault{At: 6 * time.Second, For: 6 * time.Second, Server: 1, Kind: Crash}
 	worth := map[string]float64{}
@@ -19,23 +20,24 @@
 		calm := sunday(0.5)
 		calm.Policy = p
 		if s := Play(calm, 2); s.Worth() < 0.9 || s.Doubled > 0 || s.Served+s.Refused+s.Failed != s.Orders {
-			t.Errorf("%s on a calm day: worth %.3f, %+v", p.Name, s.Worth(), s)
+			t.Errorf("%s at a light load: worth %.3f, %+v", p.Name, s.Worth(), s)
 		}
 		rough := sunday(1.2, crash)
 		rough.Lag, rough.Policy = 2*time.Second, p
 		s := Play(rough, 2)
 		worth[p.Name] = s.Worth()
 		if s.Doubled > 0 || s.Served+s.Refused+s.Failed != s.Orders {
-			t.Errorf("%s on a rough day: %+v", p.Name, s)
+			t.Errorf("%s with a crash: %+v", p.Name, s)
 		}
 	}
 	for name, w := range worth {
 		if w > worth["oracle"]+0.02 {
-			t.Errorf("%s has %.3f, the oracle %.3f", name, w, worth["oracle"])
+			t.Errorf("%s has worth %.3f, the oracle %.3f", name, w, worth["oracle"])
 		}
 	}
-	if worth["module"] < worth["gradient"] || worth["gradient"] < worth["least-request"] { // who sheds nothing is late with all
-		t.Errorf("%v", worth)
+	// A policy that sheds nothing is late with all orders.
+	if worth["module"] < worth["gradient"] || worth["gradient"] < worth["least-request"] {
+		t.Errorf("want the worths in the order module, gradient, least-request: %v", worth)
 	}
 }
 
@@ -47,7 +49,8 @@
 	}
 }
 
-// A version file changes what it names and nothing else; bad ones are one line with file, line and key.
+// Guards against a version file that changes more than it names, and against an error that does not name the file,
+// the line and the key in one line.
 func TestVersionFiles(t *testing.T) {
 	sc := sunday(0.5)
 	v, err := parseVersion("v.toml", []byte("policy = \"random\"\n[settings]\nmax_hold_off = \"1s\"\n[fleet]\nspeed = 0.5\nload = 2.0\n"))
@@ -76,8 +79,9 @@
 	}
 }
 
-// Two identical versions, each with random numbers of its own, differ by chance only: the interval covers zero about as often as
-// it says. And servers 2% slower are seen each time within the usual budget. A short form of what rig rehearse plays.
+// Guards against intervals that claim too much: two identical versions, each with random numbers of its own,
+// differ by chance only, so the interval must cover zero about as often as its confidence says. Servers that are
+// 2% slower must be detected within the usual number of pairs. This is a short form of what "rig rehearse" runs.
 func TestCalibration(t *testing.T) {
 	sc := sunday(1.3)
 	sc.Length = 6 * time.Second
@@ -99,7 +103,7 @@
 			t.Fatal(err)
 		}
 		if r.Intervals[0].Low == r.Intervals[0].High {
-			t.Error("the sides share their deciders' chance: there is nothing to calibrate")
+			t.Error("the sides share their deciders' random numbers: there is nothing to calibrate")
 		}
 		if r.Intervals[0].Covers(0) {
 			covered++
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -19,7 +19,7 @@
 		Curve: &Curve{Loads: []float64{0.5, 1}, Names: []string{"module"}, Lines: map[string][]Estimate{"module": {{1, 0.99, 1}, {0.9, 0.88, 0.92}}}}}
 }
 
-// The page is whole, holds every plot, and needs nothing from elsewhere; names in it are text.
+// Guards against a page that lacks a plot, loads something from elsewhere, or takes names as HTML.
 func TestPage(t *testing.T) {
 	var out bytes.Buffer
 	if err := sample().HTML(&out); err != nil {
@@ -31,12 +31,12 @@
 	}
 	for _, want := range []string{"b is worse: worth in time -0.0200", "20 pairs of the 30", "&lt;b&gt;.toml", "Worth in time against load"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("%q is not there", want)
+			t.Errorf("the page lacks %q", want)
 		}
 	}
 	for _, bad := range []string{"<script", "src=", "<link", "@import", "<b>.toml"} {
 		if strings.Contains(text, bad) {
-			t.Errorf("%q is there", bad)
+			t.Errorf("the page contains %q", bad)
 		}
 	}
 	for rest := text; strings.Contains(rest, "<svg"); {
--- a/internal/standin/check_test.go
+++ b/internal/standin/check_test.go
@@ -14,7 +14,7 @@
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
-// sound is a run in which every promise was tested and kept.
+// cleanEvidence returns the logs of a run in which every rule applies to some case and is kept.
 func sound() Evidence {
 	e := Evidence{Classes: classes}
 	add := func(order, class, key string, ms int) {
@@ -26,27 +26,27 @@
 	add("a", "read", "", 0)
 	add("b", "order", "", 10)
 	add("c", "tag", "k", 20)
-	// An order that was refused unseen, and tried again.
+	// An order that was refused unprocessed, and tried again.
 	e.Answers = append(e.Answers, Answer{Order: "d", ID: "d.0", Class: "order", Sent: at(30), At: at(31), Deadline: at(600), Status: 503})
 	e.Executions = append(e.Executions, Execution{Server: "s1", ID: "d.0", Class: "order", Order: "d", Got: at(30)})
 	add("d", "order", "", 40)
 	e.Answers[len(e.Answers)-1].ID, e.Executions[len(e.Executions)-1].ID = "d.1", "d.1"
 	e.Answers[len(e.Answers)-1].First = "s1 d.1"
-	// A key that came twice to its cell, which knew it.
+	// An idempotency key that came twice to its cell, which recognized it.
 	e.Executions = append(e.Executions, Execution{Server: "s2", ID: "c.0", Class: "tag", Order: "c", Key: "k", Got: at(60), Ran: true, Repeat: true})
-	// A server that drained, and one that came back from it.
+	// A server that drained, and one that became ready again after a drain.
 	e.Told = []Telling{{"s1", "ready", at(0)}, {"s1", "draining", at(100)}, {"s3", "draining", at(100)}, {"s3", "ready", at(3000)}}
 	e.Executions = append(e.Executions,
 		Execution{Server: "s1", ID: "late", Class: "read", Got: at(100 + 540), Ran: true},
 		Execution{Server: "s3", ID: "back", Class: "read", Got: at(3100), Ran: true})
-	// A cold server, sent just what it may be.
+	// A cold server that got just as much work as the rule allows.
 	e.Cold = []Cold{{Server: "s4", Started: at(5000), Cores: 2, From: 0.3, Time: 8 * time.Second}}
 	for i := range 15 {
 		e.Executions = append(e.Executions, Execution{Server: "s4", ID: fmt.Sprint("w", i), Class: "read", Got: at(5000 + 10*i), Work: 100 * time.Millisecond, Ran: true})
 	}
-	// A request that crossed the close of a kept connection: no server had it by then.
+	// A request that crossed the close of a kept connection: no server had received it by then.
 	e.Answers[1].Resent = at(9)
-	// A client that no node took.
+	// A client that could not connect to any node.
 	e.Answers = append(e.Answers, Answer{ID: "z.0", Class: "read", Fault: "no connection: refused"})
 	return e
 }
@@ -59,7 +59,8 @@
 	}
 }
 
-// The checker sees each promise broken, and blames no other.
+// Guards against a checker that misses a violation, or reports it under another rule: each case breaks one rule in
+// an otherwise clean run, and exactly that rule must fail.
 func TestCheckerSeesEachBreach(t *testing.T) {
 	const one, own, twice, refused, drain, push = 0, 1, 2, 3, 4, 5
 	for name, c := range map[string]struct {
@@ -118,7 +119,7 @@
 	panic("no such execution")
 }
 
-// An execution that no client asked for is seen.
+// Guards against a checker that overlooks a request on a server which no client sent.
 func TestAccounted(t *testing.T) {
 	e := Evidence{Answers: []Answer{{ID: "a.0"}, {ID: "a.1"}}, Executions: []Execution{execution("s1", 1), execution("s1", 2)}}
 	e.Executions[0].ID, e.Executions[1].ID = "a.0", "a.1"
--- a/internal/standin/discovery/discovery_test.go
+++ b/internal/standin/discovery/discovery_test.go
@@ -45,7 +45,7 @@
 	return resp.StatusCode, l
 }
 
-// draining gives when a process was notified of the drain, and how.
+// draining returns the notification of the drain, if the process counts as notified of it.
 func draining(c *Caller) (n Notification, ok bool) {
 	for _, n := range c.Notifications() {
 		if n.State == "draining" {
@@ -55,8 +55,9 @@
 	return n, false
 }
 
-// A change counts when an answer holds it; when it came within ContinueWithin of an answer and no further call did;
-// and by time.
+// Guards against a log that counts a change as notified too early, too late or not at all. A change counts when an
+// answer contains it; when it came within ContinueWithin of an answer and no further call did; after FollowWithin;
+// and once the agent has it.
 func TestWhenAChangeCounts(t *testing.T) {
 	t.Parallel()
 	t.Run("answer", func(t *testing.T) {
@@ -65,7 +66,7 @@
 		c := caller(t, s.Listen)
 		change := s.Set(entry("draining"))
 		if _, notified := draining(c); notified {
-			t.Error("before any answer")
+			t.Error("the change counts before any answer")
 		}
 		if _, l := ask(t, c, "?since=1&timeout_ms=1"); l.Version != 2 || len(l.Servers) != 1 {
 			t.Errorf("%+v", l)
@@ -88,7 +89,7 @@
 				return
 			}
 		}
-		t.Error("it does not count")
+		t.Error("the change does not count")
 	})
 	t.Run("time", func(t *testing.T) {
 		t.Parallel()
@@ -102,7 +103,7 @@
 		late := len(c.log)
 		s.mu.Unlock()
 		if late != early+1 {
-			t.Errorf("%d and %d lines", early, late)
+			t.Errorf("%d log lines before FollowWithin has passed and %d after, want one more", early, late)
 		}
 	})
 	t.Run("agent", func(t *testing.T) {
@@ -112,7 +113,7 @@
 		s.SetFault(Fault{Down: true})
 		s.Set(entry("draining"))
 		if _, notified := draining(c); notified {
-			t.Error("while it is silent")
+			t.Error("the change counts during the outage")
 		}
 		back := time.Now()
 		s.SetFault(Fault{})
@@ -122,7 +123,7 @@
 	})
 }
 
-// Each fault shows to whoever asks.
+// Guards against a fault that callers don't notice: rigs would then test nothing.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
@@ -149,7 +150,8 @@
 	}
 }
 
-// A call that would wait longer than QueueLimit for its turn ends with 503 then.
+// Guards against a queue without a limit: a call that would wait longer than QueueLimit for its turn must end with
+// a 503 after that time.
 func TestCallsWaitForTheirTurn(t *testing.T) {
 	t.Parallel()
 	s := New(3*time.Second, entry("ready"))
@@ -170,8 +172,8 @@
 	}
 }
 
-// A call that was to begin a watch and is swallowed by silence means that the service can't be reached: FollowWithin
-// begins with the end of the silence.
+// Guards against a log that binds a process which can't reach the service: after a silent service swallowed the
+// call that was to begin a watch, FollowWithin begins with the end of the silence.
 func TestSwallowedCallCountsFromTheEndOfSilence(t *testing.T) {
 	t.Parallel()
 	s := service(t)
@@ -189,14 +191,14 @@
 	c.byTime(change.At.Add(time.Hour))
 	s.mu.Unlock()
 	if _, notified := draining(c); notified {
-		t.Error("it counts while the service is silent")
+		t.Error("the change counts while the service is silent")
 	}
 	s.SetFault(Fault{})
 	s.mu.Lock()
 	at := c.countsBy(change)
 	s.mu.Unlock()
 	if want := c.reachable.Add(FollowWithin); !at.Equal(want) {
-		t.Errorf("it counts at %v, want %v", at, want)
+		t.Errorf("the change counts at %v, want %v", at, want)
 	}
 	s.Close()
 	<-asked
--- a/internal/standin/path_test.go
+++ b/internal/standin/path_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Each fault of a path shows to whoever uses it, and a path is whole again after it.
+// Guards against a stand-in path that does not fail as set, or that stays broken after the fault: rigs would then
+// test nothing.
 func TestPathFaults(t *testing.T) {
 	t.Parallel()
 	s, err := NewServer(ServerOptions{Name: "s"}, map[string]Work{"read": {Bytes: 20}})
@@ -39,7 +40,7 @@
 	}
 	c := dial()
 	if err := answer(c, 5*time.Second); err != nil {
-		t.Fatal("whole:", err)
+		t.Fatal("healthy:", err)
 	}
 	p.Set(PathSilent)
 	if err := answer(c, 100*time.Millisecond); !isTimeout(err) {
@@ -47,7 +48,7 @@
 	}
 	p.Set(PathWhole)
 	if err := answer(c, 5*time.Second); err == nil || isTimeout(err) {
-		t.Errorf("a connection that was silent is reset when the path is whole: %v", err)
+		t.Errorf("want a reset of a connection that was silent, once the path is healthy: %v", err)
 	}
 	c = dial()
 	answer(c, 5*time.Second)
@@ -57,11 +58,11 @@
 	}
 	p.Set(PathWhole)
 	if err := answer(dial(), 5*time.Second); err != nil {
-		t.Errorf("whole again: %v", err)
+		t.Errorf("healthy again: %v", err)
 	}
 	p.Set(PathLate)
 	late := 0
-	for range 4 { // the kernel takes one or two whatever it is told
+	for range 4 { // the kernel establishes one or two connections even with a backlog of 0
 		if c, err := net.DialTimeout("tcp", p.Addr, 100*time.Millisecond); err != nil {
 			late++
 		} else {
@@ -69,10 +70,10 @@
 		}
 	}
 	if late == 0 {
-		t.Error("late: all connections come up")
+		t.Error("stalled connects: all connections were established")
 	}
 	p.Set(PathWhole)
 	if err := answer(dial(), 5*time.Second); err != nil {
-		t.Errorf("whole after late: %v", err)
+		t.Errorf("healthy after stalled connects: %v", err)
 	}
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -24,7 +24,7 @@
 	return s
 }
 
-// ask sends one request straight to a server.
+// sendRequest sends one request directly to a server, and returns the answer's status and first line.
 func ask(t *testing.T, addr, class, key, order, id string) (status int, first string) {
 	t.Helper()
 	c, err := dialNode(addr, 5*time.Second)
@@ -60,7 +60,7 @@
 	}
 	s.Close()
 	if status := <-done; status != 0 {
-		t.Errorf("a mute server answered %d", status)
+		t.Errorf("an unresponsive server answered %d", status)
 	}
 }
 
@@ -123,7 +123,8 @@
 	}
 }
 
-// answering serves what a node might, without one: reply gives the bytes for each request, or "" to break.
+// serveReplies listens in place of a node: reply returns the bytes of the answer to each request, or "" to break
+// the connection.
 func answering(t *testing.T, reply func(id string) string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -163,7 +164,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\ns1 %s\n..", len(id)+6, id)
 }
 
-// Clients see an answer that is missing, another's, or followed by a second one; they try again only where they may.
+// Guards against clients that miss a wrong answer (none, another request's, or one followed by a second) and
+// against clients that try again where a second execution would do harm.
 func TestClientsSeeFaults(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.001\r\nX-Refused-By: node\r\nContent-Length: 0\r\n\r\n"
 	class := Class{Name: "order", Method: "POST", Worth: 3, Aim: time.Minute, Patience: time.Minute, Share: 1, Body: 5}
@@ -232,8 +234,8 @@
 	}
 }
 
-// A request that crosses the close of a kept connection is sent once more, under its own id; what is lost on a new
-// connection is lost.
+// Guards against a client that fails a request which merely crossed the close of a kept connection: it has to send
+// the request again, once, under the same id. A request lost on a new connection stays lost.
 func TestCrossedRequestIsSentOnceMore(t *testing.T) {
 	class := Class{Name: "order", Method: "POST", Worth: 1, Aim: time.Minute, Patience: time.Minute, Share: 1}
 	for lost, want := range map[int]bool{2: true, 1: false} {
@@ -250,7 +252,7 @@
 		for range lost {
 			l.order(t.Context(), class, l.take, l.give)
 		}
-		for _, c := range l.idle { // else the stand-in would wait for them
+		for _, c := range l.idle { // otherwise the listener would wait for them
 			c.Close()
 		}
 		log, s := l.Log(), l.Sums()
--- a/internal/standin/wire_test.go
+++ b/internal/standin/wire_test.go
@@ -36,7 +36,7 @@
 	return w, c.(*net.UDPConn)
 }
 
-// trip sends a datagram until it comes back, or an error does.
+// roundTripUntilAnswered sends datagrams until one comes back, or until a send or read fails.
 func trip(c *net.UDPConn) error {
 	buf := make([]byte, wireBuffer)
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
@@ -49,10 +49,11 @@
 			return err
 		}
 	}
-	return errors.New("nothing came back")
+	return errors.New("no datagram came back")
 }
 
-// A wire that is shut refuses, which a silent one does not, and carries again once it is open.
+// Guards against a wire whose closed port is silent in place of refusing datagrams, or that does not carry again
+// after the port is reopened.
 func TestWireShutRefuses(t *testing.T) {
 	t.Parallel()
 	w, c := echoWire(t)
@@ -61,31 +62,31 @@
 	}
 	w.Shut()
 	if err := trip(c); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("shut: %v, want a refusal", err)
+		t.Errorf("closed port: %v, want a refusal", err)
 	}
 	if err := w.Reopen(); err != nil {
 		t.Fatal(err)
 	}
 	err := trip(c)
-	for range 10 { // a refusal of before may still be told
+	for range 10 { // a refusal from before may still be reported
 		if err == nil {
 			break
 		}
 		err = trip(c)
 	}
 	if err != nil {
-		t.Errorf("open again: %v", err)
+		t.Errorf("port reopened: %v", err)
 	}
 }
 
-// A throttled wire carries so much, holds so much, and loses the rest.
+// Guards against a throttle that drops nothing, or that drops what its rate and queue allow.
 func TestWireThrottled(t *testing.T) {
 	t.Parallel()
 	w, c := echoWire(t)
 	if err := trip(c); err != nil {
 		t.Fatal(err)
 	}
-	w.Throttle(10_000) // 3 kB, 3 datagrams, fit into its queue
+	w.Throttle(10_000) // 3 kB (3 datagrams) fit into its queue
 	for range 40 {
 		c.Write(make([]byte, 1000))
 	}
@@ -93,7 +94,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	if n := w.Overflowed(); n < 20 {
-		t.Errorf("%d of 40 lost", n)
+		t.Errorf("%d of 40 datagrams dropped, want at least 20", n)
 	}
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := c.Read(make([]byte, wireBuffer)); n != 1000 {
