--- a/cmd/rehearse/journal.go
+++ b/cmd/rehearse/journal.go
@@ -20,6 +20,7 @@
 	pairs []experiment.Pair
 }
 
+// journalHead is the first line of a journal.
 type journalHead struct {
 	Plan     string   `json:"plan"` // hash of all files and names that the runs depend on
 	Measures []string `json:"measures"`
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -42,6 +42,7 @@
 	}
 }
 
+// options are the values of the flags, and where output goes.
 type options struct {
 	a, b, json, html, resume string
 	trace                    string
@@ -55,9 +56,10 @@
 	out, progress            io.Writer
 }
 
+// command returns the root command. Progress and warnings go to progress.
 func command(out, progress io.Writer) *cobra.Command {
 	o := &options{out: out, progress: progress}
-	root := &cobra.Command{Use: "rehearse", Short: "Compare two versions in a model of the fleet, with error bars", SilenceErrors: true, SilenceUsage: true}
+	root := &cobra.Command{Use: "rehearse", Short: "Compare two versions in a model of the fleet, with confidence intervals", SilenceErrors: true, SilenceUsage: true}
 	compare := &cobra.Command{Use: "compare SCENARIO", Short: "Run pairs of simulations until the interval is narrow enough", Args: cobra.ExactArgs(1),
 		Long: "Simulates SCENARIO with two versions, a and b: each a policy (see rehearse policies) or a version file (*.toml).\n" +
 			"Exit status 0; 1 if a file or a flag is invalid; 3 with --gate if b is worse.",
@@ -109,6 +111,7 @@
 	return root
 }
 
+// policyNames returns the names of all policies without options.
 func names() (list []string) {
 	for _, p := range model.Policies() {
 		list = append(list, p.Name)
@@ -129,6 +132,7 @@
 	return err
 }
 
+// compare runs the command "compare" with the scenario file path.
 func (o *options) compare(ctx context.Context, path string) error {
 	sc, err := model.LoadScenario(path)
 	if err != nil {
@@ -196,6 +200,7 @@
 	return nil
 }
 
+// curve runs the command "curve" with the scenario file path.
 func (o *options) curve(ctx context.Context, path string) error {
 	sc, err := model.LoadScenario(path)
 	if err != nil {
@@ -242,6 +247,7 @@
 	return report.Estimate{Mean: i.Mean, Low: i.Low, High: i.High}, nil
 }
 
+// write writes the JSON and HTML files that the flags name.
 func (o *options) write(c *report.Comparison) error {
 	for _, f := range []struct {
 		path  string
--- a/cmd/rehearse/trace.go
+++ b/cmd/rehearse/trace.go
@@ -109,6 +109,7 @@
 	return nil
 }
 
+// writeTrace creates a trace file with the records that all passes to its argument.
 func writeTrace(path string, all func(each func(*trace.Record) error) error) error {
 	f, err := os.Create(path)
 	if err != nil {
@@ -124,6 +125,7 @@
 	return errors.Join(err, f.Close())
 }
 
+// traceInfo prints a table of the classes of a trace, with their tries, mean work and outcomes.
 func (o *options) traceInfo(path string) error {
 	type sums struct {
 		tries, orders int
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -139,6 +139,7 @@
 	return r, nil
 }
 
+// orDefault returns v, or the default if v is zero.
 func orUsual[T int | float64](v, usual T) T {
 	if v == 0 {
 		return usual
@@ -201,6 +202,7 @@
 	return pairs, ctx.Err()
 }
 
+// differences returns measure i of all pairs: the differences b - a, and both sides.
 func differences(pairs []Pair, i int) (d, a, b []float64) {
 	for _, p := range pairs {
 		d, a, b = append(d, p.B[i]-p.A[i]), append(a, p.A[i]), append(b, p.B[i])
@@ -208,16 +210,20 @@
 	return d, a, b
 }
 
+// standardDeviation returns the standard deviation of the differences of measure i.
 func spread(pairs []Pair, i int) float64 {
 	d, _, _ := differences(pairs, i)
 	_, deviation := stat.MeanStdDev(d, nil)
 	return deviation
 }
 
+// quantile returns the q-quantile of Student's t distribution.
 func quantile(q float64, degrees int) float64 {
 	return distuv.StudentsT{Sigma: 1, Nu: float64(degrees)}.Quantile(q)
 }
 
+// interval computes the confidence interval of measure i from a standard deviation with so many degrees of
+// freedom.
 func interval(name string, pairs []Pair, i int, deviation float64, degrees int, confidence float64) Interval {
 	d, a, b := differences(pairs, i)
 	mean, err := stat.Mean(d, nil), deviation/math.Sqrt(float64(len(d)))
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -144,6 +144,8 @@
 // picker chooses one of the hosts, of which there is at least one.
 type picker func(b *baseline, hosts []*host) *host
 
+// baseline is a decider that sends each request to the host that pick chooses. Retries, ejection, probing and a
+// concurrency limit are options.
 type baseline struct {
 	set     decide.Settings
 	rng     *Stream
@@ -166,6 +168,7 @@
 	samples     float64
 }
 
+// baselineRequest is a request in progress at a baseline.
 type baseTry struct {
 	class decide.Class
 	tried []*host
@@ -208,6 +211,7 @@
 	return out
 }
 
+// applyList applies a list update to the hosts.
 func (b *baseline) follow(e decide.ListUpdate) {
 	if e.Kind == decide.ListFull || e.Kind == decide.ListCached {
 		b.hosts = nil
@@ -242,6 +246,7 @@
 	return usable
 }
 
+// send sends a request to a host that it has not tried yet, or refuses the request if there is none.
 func (b *baseline) send(id decide.RequestID, t *baseTry) []decide.Action {
 	hosts := b.usable(t.tried)
 	if len(hosts) == 0 {
@@ -257,6 +262,7 @@
 	return []decide.Action{decide.Send{ID: id, Server: h.id}}
 }
 
+// finish ends a request with a refusal or a failure.
 func (b *baseline) finish(id decide.RequestID, _ *baseTry, refuse bool) []decide.Action {
 	delete(b.open, id)
 	if refuse {
@@ -265,6 +271,8 @@
 	return []decide.Action{decide.Fail{ID: id}}
 }
 
+// attemptEnded handles the end of an attempt: it retries the request where that is safe and the retry budget
+// allows.
 func (b *baseline) ended(e decide.AttemptEnded) []decide.Action {
 	t := b.open[e.ID]
 	if t == nil || len(t.tried) == 0 {
@@ -290,6 +298,8 @@
 	return b.finish(e.ID, t, neverRan || t.class.Effect == decide.Safe)
 }
 
+// recordResult updates a host's latency and failures, ejects the host after too many failures, and updates the
+// concurrency limit. took is in seconds.
 func (b *baseline) learn(h *host, took float64, ok bool) {
 	now := b.now.Seconds()
 	w := math.Exp(-(now - h.at) / ewmaDecay.Seconds())
@@ -328,6 +338,7 @@
 	}
 }
 
+// probeEnded adds a probe's answer to the pool.
 func (b *baseline) probed(e decide.ProbeEnded) {
 	i := slices.IndexFunc(b.hosts, func(h *host) bool { return h.id == e.Server })
 	if e.Code != decide.OK || e.Report == nil || i < 0 {
@@ -343,8 +354,10 @@
 	}
 }
 
+// pickRandom picks a random host.
 func pickRandom(b *baseline, hosts []*host) *host { return hosts[b.rng.IntN(len(hosts))] }
 
+// pickRoundRobin picks the hosts in turn.
 func pickNext(b *baseline, hosts []*host) *host {
 	b.next++
 	return hosts[b.next%len(hosts)]
@@ -359,6 +372,7 @@
 	return hosts[i], hosts[(i+1+b.rng.IntN(len(hosts)-1))%len(hosts)]
 }
 
+// pickLeastRequest picks that one of two random hosts which has fewer requests in flight.
 func pickLeast(b *baseline, hosts []*host) *host {
 	x, y := b.two(hosts)
 	if y.out < x.out {
@@ -367,6 +381,8 @@
 	return x
 }
 
+// pickEWMA picks that one of two random hosts which has the lower product of latency and requests in flight, as
+// PeakEwma does.
 func pickEWMA(b *baseline, hosts []*host) *host {
 	load := func(h *host) float64 {
 		cost := h.cost * math.Exp(-(b.now.Seconds()-h.at)/ewmaDecay.Seconds())
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -101,6 +101,7 @@
 	ofClass map[*Class]*ClassSums
 }
 
+// server is a model server and its present state.
 type server struct {
 	ServerSpec
 	f       *Fleet
@@ -123,6 +124,7 @@
 	called bool // the attempt has ended for the node: the job must not begin any more
 }
 
+// node is a model node with its decider.
 type node struct {
 	f       *Fleet
 	decider Decider
@@ -154,6 +156,7 @@
 	over     bool
 }
 
+// attempt is an attempt as its node sees it.
 type attempt struct {
 	job   *job
 	sent  time.Duration
@@ -249,6 +252,7 @@
 	return nil
 }
 
+// pickClass draws a class by the classes' shares.
 func (f *Fleet) pick(s *Stream) *Class {
 	all := 0.0
 	for i := range f.sc.Classes {
@@ -332,12 +336,14 @@
 // startOfRun is the time that deciders see at a run's start. It is not 0, as deciders take 0 for "long ago".
 const epochTime = time.Hour
 
+// deliver passes an event to the node's decider and carries out the resulting actions.
 func (n *node) tell(e decide.Event) {
 	for _, a := range append([]decide.Action(nil), n.decider.Handle(n.f.Now()+epochTime, e)...) {
 		n.do(a)
 	}
 }
 
+// perform carries out one action.
 func (n *node) do(a decide.Action) {
 	f := n.f
 	switch a := a.(type) {
@@ -359,6 +365,7 @@
 	}
 }
 
+// send starts an attempt at a server. Its outcome comes back to the decider as decide.AttemptEnded.
 func (n *node) send(a decide.Send) {
 	f, t := n.f, n.tries[a.ID]
 	s := f.byID[a.Server]
--- a/internal/model/outcome.go
+++ b/internal/model/outcome.go
@@ -48,6 +48,7 @@
 	return o
 }
 
+// record counts the response time of a served order.
 func (o *Outcome) record(c *ClassSums, took time.Duration) {
 	us := min(max(1, took.Microseconds()), longestTime)
 	o.Times.RecordValue(us)
@@ -59,6 +60,7 @@
 	return &o.Timeline[min(int(began/time.Second), len(o.Timeline)-1)]
 }
 
+// currentSecond returns the present second.
 func (f *Fleet) second() *Second { return f.at(f.Now()) }
 
 // modeCounter is a decider that counts its servers by mode.
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -83,6 +83,7 @@
 	return parseScenario(path, raw)
 }
 
+// parseScenario checks the text of a scenario file and builds the scenario. path names the file in errors.
 func parseScenario(path string, raw []byte) (*Scenario, error) {
 	var f scenarioFile
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
--- a/internal/model/version.go
+++ b/internal/model/version.go
@@ -54,6 +54,7 @@
 	return &Version{name, func(sc *Scenario) { sc.Policy = p }}, nil
 }
 
+// parseVersion checks the text of a version file. path names the file in errors.
 func parseVersion(path string, raw []byte) (*Version, error) {
 	var f versionFile
 	if err := tomlfile.Decode(path, raw, &f); err != nil {
@@ -105,8 +106,10 @@
 	}}, nil
 }
 
+// errorMaker makes an error that names the file, the line and the key.
 type faultMaker = func(key, format string, args ...any) error
 
+// inRange returns an error if a value is given and is not within least and most.
 func inRange[T int | float64](fault faultMaker, key string, v *T, least, most T) error {
 	if v != nil && !(*v >= least && *v <= most) {
 		return fault(key, "want %v to %v, have %v", least, most, *v)
@@ -114,6 +117,7 @@
 	return nil
 }
 
+// durationInRange returns an error if a duration is given and is not within least and most.
 func span(fault faultMaker, key string, v *seconds, least, most time.Duration) error {
 	if v != nil && (v.Duration < least || v.Duration > most) {
 		return fault(key, "want %v to %v, have %v", least, most, v.Duration)
@@ -121,12 +125,14 @@
 	return nil
 }
 
+// setIfGiven sets a value if the version file gives it.
 func set[T any](to *T, v *T) {
 	if v != nil {
 		*to = *v
 	}
 }
 
+// setDurationIfGiven sets a duration if the version file gives it.
 func setTime(to *time.Duration, v *seconds) {
 	if v != nil {
 		*to = v.Duration
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -130,6 +130,7 @@
 	return t.Execute(to, map[string]any{"C": c, "Plots": plots})
 }
 
+// render draws a plot as an SVG element.
 func render(p *plot.Plot) (string, error) {
 	const width, height = 18 * vg.Centimeter, 8 * vg.Centimeter
 	canvas := vgsvg.New(width, height)
@@ -185,6 +186,7 @@
 	return p, nil
 }
 
+// plotOrders plots the orders asked, answered in time and refused in each second.
 func (c *Comparison) worthOverTime() (*plot.Plot, error) {
 	return c.overTime("Orders answered in time and refused, one run of each", "orders a second", []line{
 		{"asked", 0, func(s model.Second) int { return s.Orders }}, {"a, in time", 0, func(s model.Second) int { return s.InAim }},
@@ -192,6 +194,7 @@
 		{"b, refused", 1, func(s model.Second) int { return s.Refused }}})
 }
 
+// plotModes plots the requests at servers and the servers that are not normal, in each second.
 func (c *Comparison) modesOverTime() (*plot.Plot, error) {
 	return c.overTime("Requests at servers, and servers that are not normal (over all nodes)", "", []line{
 		{"a, requests", 0, func(s model.Second) int { return s.Held }}, {"b, requests", 1, func(s model.Second) int { return s.Held }},
@@ -199,12 +202,14 @@
 		{"a, suspect or cold", 0, func(s model.Second) int { return s.Apart }}, {"b, the same", 1, func(s model.Second) int { return s.Apart }}})
 }
 
+// timelineLine is one line of a plot over time: the side (0: a, 1: b) and the figure plotted.
 type line struct {
 	name string
 	side int
 	of   func(model.Second) int
 }
 
+// plotTimeline plots lines over the seconds of a run. It returns nil if there are no timelines.
 func (c *Comparison) overTime(title, unit string, lines []line) (*plot.Plot, error) {
 	if len(c.Timelines[0]) < 2 || len(c.Timelines[1]) < 2 {
 		return nil, nil
@@ -228,6 +233,7 @@
 	return p, nil
 }
 
+// plotCurve plots worth against load for each policy. It returns nil if there is no curve.
 func (c *Comparison) curve() (*plot.Plot, error) {
 	if c.Curve == nil {
 		return nil, nil
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -66,6 +66,7 @@
 	answered bool // a first byte of the latest answer has come
 }
 
+// dialNode connects to a node within a time limit.
 func dialNode(addr string, limit time.Duration) (*clientConn, error) {
 	c, err := net.DialTimeout("tcp", addr, limit)
 	if err != nil {
@@ -114,6 +115,8 @@
 
 const crossing = 20 * time.Millisecond
 
+// readAnswer reads an answer into a. It records a fault if the answer breaks off, belongs to another request, or
+// is followed by further bytes.
 func (c *clientConn) read(a *Answer) (keep bool) {
 	_, err := c.r.Peek(1)
 	c.answered = err == nil
@@ -214,6 +217,7 @@
 	l.from, l.sums = time.Now(), Sums{}
 }
 
+// pickClass draws a class by the classes' shares.
 func (l *Load) pick(r *rand.Rand) Class {
 	all := 0.0
 	for _, c := range l.Classes {
@@ -315,6 +319,7 @@
 	s.ByClass[class.Name] = by
 }
 
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -413,6 +418,7 @@
 	}
 }
 
+// takeConn returns an idle connection that the node has not closed, or a new one.
 func (l *Load) take() (*clientConn, error) {
 	l.mu.Lock()
 	if n := len(l.idle); n > 0 {
@@ -437,6 +443,7 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
+// putConn keeps a connection for further requests, or closes it.
 func (l *Load) give(c *clientConn, keep bool) {
 	if !keep {
 		c.Close()
--- a/internal/standin/discovery/caller.go
+++ b/internal/standin/discovery/caller.go
@@ -125,6 +125,8 @@
 	c.byTime(now)
 }
 
+// serve answers a list request as registry clients send it: with "since" it is a watch, which waits up to
+// "timeout_ms".
 func (c *Caller) serve(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseUint(r.URL.Query().Get("since"), 10, 64)
 	watch := err == nil
--- a/internal/standin/discovery/service.go
+++ b/internal/standin/discovery/service.go
@@ -170,6 +170,7 @@
 // counts as notified even if the process does not call.
 func (s *Service) Agent(process string) (*Caller, error) { return s.listen(process, true) }
 
+// listen opens a listener for one process.
 func (s *Service) listen(process string, agent bool) (*Caller, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -231,6 +232,7 @@
 	return sleep(ctx, time.Until(until))
 }
 
+// sleep waits for d. It returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/standin/http.go
+++ b/internal/standin/http.go
@@ -32,6 +32,8 @@
 	close                              bool
 }
 
+// readHead reads the start line and the header fields of one message. The error is io.EOF if the connection ends
+// before the first byte.
 func readHead(r *bufio.Reader) (h head, err error) {
 	for n := range headLines {
 		line, err := r.ReadSlice('\n')
--- a/internal/standin/path.go
+++ b/internal/standin/path.go
@@ -136,6 +136,7 @@
 	return false
 }
 
+// accept forwards new connections until the path is closed.
 func (p *Path) accept() {
 	for p.await(PathLate) {
 		c, err := p.listener.AcceptTCP()
@@ -166,6 +167,7 @@
 	return true
 }
 
+// untrack closes a connection and removes it.
 func (p *Path) forget(c *net.TCPConn) {
 	c.Close()
 	p.mu.Lock()
@@ -173,6 +175,7 @@
 	delete(p.conns, c)
 }
 
+// forward connects to the target and copies both directions until the connection ends.
 func (p *Path) carry(near *net.TCPConn) {
 	defer p.forget(near)
 	dialed, err := net.DialTimeout("tcp", p.to, pathDial)
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -91,6 +91,7 @@
 // Close stops the registry and ends every watch.
 func (r *Registry) Close() { r.srv.Close() }
 
+// serve answers a list request. With "since" it is a watch, which waits up to "timeout_ms" for a newer version.
 func (r *Registry) serve(w http.ResponseWriter, req *http.Request) {
 	since, err := strconv.ParseUint(req.URL.Query().Get("since"), 10, 64)
 	watch := err == nil
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -187,6 +187,7 @@
 	s.running.Wait()
 }
 
+// accept serves the connections of one listener until it is closed.
 func (s *Server) accept(l net.Listener, side Side) {
 	for {
 		c, err := l.Accept()
@@ -296,6 +297,7 @@
 	return out
 }
 
+// padding fills bodies of requests and answers.
 const padding = "................................................................................................................................"
 
 // doWork occupies a core for as long as the work takes at the server's present speed. It reports whether the
@@ -326,6 +328,7 @@
 	}
 }
 
+// record appends an execution to the log, if the log is on.
 func (s *Server) note(e Execution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/wire.go
+++ b/internal/standin/wire.go
@@ -155,6 +155,7 @@
 	w.work.Wait()
 }
 
+// receive forwards datagrams from the near side until the port is closed.
 func (w *Wire) run(front *net.UDPConn) {
 	buf := make([]byte, wireBuffer)
 	for {
@@ -231,6 +232,8 @@
 	}
 }
 
+// forward passes one datagram on, after the delay, unless its direction is cut or the datagram is lost. direction
+// is 0 to the far side and 1 to the near side.
 func (w *Wire) carry(cut *atomic.Bool, way int, p []byte, send func([]byte)) {
 	if w.left.Add(-1) == -1 {
 		which := w.which.Load()
