--- a/cmd/rehearse/journal.go
+++ b/cmd/rehearse/journal.go
@@ -29,24 +29,24 @@
 // openJournal opens or creates the journal of a plan. The plan is identified by these names and, where a name is a
 // file, by the file's content; a journal of another plan is an error.
 func openJournal(path string, names, measures []string) (*journal, error) {
-	h := xxhash.New()
+	hash := xxhash.New()
 	for _, n := range names {
-		fmt.Fprintf(h, "%q\n", n)
+		fmt.Fprintf(hash, "%q\n", n)
 		if text, err := os.ReadFile(n); err == nil {
-			h.Write(text)
+			hash.Write(text)
 		}
 	}
-	want := journalHead{fmt.Sprintf("%016x", h.Sum64()), measures}
+	want := journalHead{fmt.Sprintf("%016x", hash.Sum64()), measures}
 	raw, err := os.ReadFile(path)
 	if err != nil && !os.IsNotExist(err) {
 		return nil, err
 	}
-	j := &journal{}
-	whole := 0
+	opened := &journal{}
+	wholeBytes := 0
 	lines := bufio.NewScanner(bytes.NewReader(raw))
 	lines.Buffer(nil, 1<<20)
 	for n := 1; lines.Scan(); n++ {
-		end := whole + len(lines.Bytes()) + 1
+		end := wholeBytes + len(lines.Bytes()) + 1
 		if end > len(raw) {
 			break // incomplete: no end of line
 		}
@@ -60,31 +60,31 @@
 			if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
 				return nil, fmt.Errorf("%s:%d: %w", path, n, err)
 			}
-			j.pairs = append(j.pairs, p)
+			opened.pairs = append(opened.pairs, p)
 		}
-		whole = end
+		wholeBytes = end
 	}
 	if err := lines.Err(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	if j.file, err = os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o666); err != nil {
+	if opened.file, err = os.OpenFile(path, os.O_CREATE|os.O_WRONLY, 0o666); err != nil {
 		return nil, err
 	}
-	if err := j.file.Truncate(int64(whole)); err != nil {
+	if err := opened.file.Truncate(int64(wholeBytes)); err != nil {
 		return nil, err
 	}
-	if _, err := j.file.Seek(int64(whole), 0); err != nil {
+	if _, err := opened.file.Seek(int64(wholeBytes), 0); err != nil {
 		return nil, err
 	}
-	if whole == 0 {
-		return j, j.line(want)
+	if wholeBytes == 0 {
+		return opened, opened.writeLine(want)
 	}
-	return j, nil
+	return opened, nil
 }
 
-func (j *journal) add(p experiment.Pair) error { return j.line(p) }
+func (j *journal) add(p experiment.Pair) error { return j.writeLine(p) }
 
-func (j *journal) line(v any) error {
+func (j *journal) writeLine(v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -23,8 +23,8 @@
 
 // Exit codes.
 const (
-	exitFault     = 1 // an invalid file or flag, or an I/O error
-	exitDifferent = 3 // --gate: b is worse
+	exitError = 1 // an invalid file or flag, or an I/O error
+	exitWorse = 3 // --gate: b is worse
 )
 
 var errWorse = errors.New("b is worse")
@@ -35,10 +35,10 @@
 	err := command(os.Stdout, os.Stderr).ExecuteContext(ctx)
 	switch {
 	case errors.Is(err, errWorse):
-		os.Exit(exitDifferent)
+		os.Exit(exitWorse)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "rehearse:", err)
-		os.Exit(exitFault)
+		os.Exit(exitError)
 	}
 }
 
@@ -58,40 +58,40 @@
 
 // command returns the root command. Progress and warnings go to progress.
 func command(out, progress io.Writer) *cobra.Command {
-	o := &options{out: out, progress: progress}
+	opts := &options{out: out, progress: progress}
 	root := &cobra.Command{Use: "rehearse", Short: "Compare two versions in a model of the fleet, with confidence intervals", SilenceErrors: true, SilenceUsage: true}
 	compare := &cobra.Command{Use: "compare SCENARIO", Short: "Run pairs of simulations until the interval is narrow enough", Args: cobra.ExactArgs(1),
 		Long: "Simulates SCENARIO with two versions, a and b: each a policy (see rehearse policies) or a version file (*.toml).\n" +
 			"Exit status 0; 1 if a file or a flag is invalid; 3 with --gate if b is worse.",
-		RunE: func(c *cobra.Command, args []string) error { return o.compare(c.Context(), args[0]) }}
-	f := compare.Flags()
-	f.StringVarP(&o.a, "a", "a", "module", "one version: a `POLICY` or a version file")
-	f.StringVarP(&o.b, "b", "b", "", "the other version")
-	f.Float64Var(&o.width, "width", 0.005, "wanted half-width of the interval of worth")
-	f.IntVar(&o.pairs, "pairs", 400, "maximum number of pairs")
-	f.DurationVar(&o.budget, "budget", 2*time.Minute, "time limit, as estimated from the first ten pairs; 0: none")
-	f.Uint64Var(&o.seed, "seed", 1, "seed of the first pair")
-	f.IntVar(&o.workers, "workers", 0, "parallel runs; 0: one for each core")
-	f.StringVar(&o.json, "json", "", "write the figures to this `FILE`")
-	f.StringVar(&o.html, "html", "", "write a page with plots to this `FILE`")
-	f.StringVar(&o.resume, "resume", "", "store the pairs in this `FILE`, and continue from those in it")
-	f.StringVar(&o.trace, "trace", "", "replay the orders of this trace `FILE` in place of the scenario's")
-	f.Float64Var(&o.scale, "trace-scale", 1, "orders replayed for each order of the trace, for a fleet of another size")
-	f.BoolVar(&o.gate, "gate", false, "exit with status 3 if b is worse")
+		RunE: func(c *cobra.Command, args []string) error { return opts.compare(c.Context(), args[0]) }}
+	flags := compare.Flags()
+	flags.StringVarP(&opts.a, "a", "a", "module", "one version: a `POLICY` or a version file")
+	flags.StringVarP(&opts.b, "b", "b", "", "the other version")
+	flags.Float64Var(&opts.width, "width", 0.005, "wanted half-width of the interval of worth")
+	flags.IntVar(&opts.pairs, "pairs", 400, "maximum number of pairs")
+	flags.DurationVar(&opts.budget, "budget", 2*time.Minute, "time limit, as estimated from the first ten pairs; 0: none")
+	flags.Uint64Var(&opts.seed, "seed", 1, "seed of the first pair")
+	flags.IntVar(&opts.workers, "workers", 0, "parallel runs; 0: one for each core")
+	flags.StringVar(&opts.json, "json", "", "write the figures to this `FILE`")
+	flags.StringVar(&opts.html, "html", "", "write a page with plots to this `FILE`")
+	flags.StringVar(&opts.resume, "resume", "", "store the pairs in this `FILE`, and continue from those in it")
+	flags.StringVar(&opts.trace, "trace", "", "replay the orders of this trace `FILE` in place of the scenario's")
+	flags.Float64Var(&opts.scale, "trace-scale", 1, "orders replayed for each order of the trace, for a fleet of another size")
+	flags.BoolVar(&opts.gate, "gate", false, "exit with status 3 if b is worse")
 	compare.MarkFlagRequired("b")
 
 	curve := &cobra.Command{Use: "curve SCENARIO", Short: "Worth against load for several policies", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error { return o.curve(c.Context(), args[0]) }}
-	f = curve.Flags()
-	f.StringSliceVar(&o.policies, "policies", names(), "policies")
-	f.Float64SliceVar(&o.loads, "loads", []float64{0.5, 1, 1.5, 2, 3}, "factors on the scenario's load")
-	f.IntVar(&o.runs, "runs", 8, "runs of each policy at each load")
-	f.Uint64Var(&o.seed, "seed", 1, "seed of the first run")
-	f.IntVar(&o.workers, "workers", 0, "parallel runs; 0: one for each core")
-	f.StringVar(&o.json, "json", "", "write the figures to this `FILE`")
-	f.StringVar(&o.html, "html", "", "write a page with plots to this `FILE`")
+		RunE: func(c *cobra.Command, args []string) error { return opts.curve(c.Context(), args[0]) }}
+	flags = curve.Flags()
+	flags.StringSliceVar(&opts.policies, "policies", policyNames(), "policies")
+	flags.Float64SliceVar(&opts.loads, "loads", []float64{0.5, 1, 1.5, 2, 3}, "factors on the scenario's load")
+	flags.IntVar(&opts.runs, "runs", 8, "runs of each policy at each load")
+	flags.Uint64Var(&opts.seed, "seed", 1, "seed of the first run")
+	flags.IntVar(&opts.workers, "workers", 0, "parallel runs; 0: one for each core")
+	flags.StringVar(&opts.json, "json", "", "write the figures to this `FILE`")
+	flags.StringVar(&opts.html, "html", "", "write a page with plots to this `FILE`")
 
-	root.AddCommand(compare, curve, o.traceCommand(),
+	root.AddCommand(compare, curve, opts.traceCommand(),
 		&cobra.Command{Use: "policies", Short: "List the policies and their sources", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 			for _, p := range model.Policies() {
 				fmt.Fprintf(out, "%-14s %s\n", p.Name, p.Source)
@@ -101,7 +101,7 @@
 		}},
 		&cobra.Command{Use: "check FILE...", Short: "Check scenario and version files", Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			for _, path := range args {
-				if err := check(path); err != nil {
+				if err := checkFile(path); err != nil {
 					return err
 				}
 				fmt.Fprintf(out, "%s: good\n", path)
@@ -112,7 +112,7 @@
 }
 
 // policyNames returns the names of all policies without options.
-func names() (list []string) {
+func policyNames() (list []string) {
 	for _, p := range model.Policies() {
 		list = append(list, p.Name)
 	}
@@ -121,7 +121,7 @@
 
 // checkFile accepts a file that is a valid scenario or a valid version file. Otherwise it returns the error of
 // reading it as a scenario.
-func check(path string) error {
+func checkFile(path string) error {
 	_, err := model.LoadScenario(path)
 	if err == nil {
 		return nil
@@ -140,7 +140,7 @@
 	}
 	depends := []string{path, o.a, o.b}
 	if o.trace != "" {
-		if sc, err = o.replayed(sc, o.trace, o.scale, o.out); err != nil {
+		if sc, err = o.replay(sc, o.trace, o.scale, o.out); err != nil {
 			return err
 		}
 		depends = append(depends, o.trace, fmt.Sprint(o.scale))
@@ -151,50 +151,50 @@
 		if err != nil {
 			return err
 		}
-		sides[i] = v.Of(sc, [...]string{"a", "b"}[i])
+		sides[i] = v.Apply(sc, [...]string{"a", "b"}[i])
 	}
 	values := func(sc *model.Scenario) func(uint64) []float64 {
 		return func(seed uint64) []float64 {
 			if ctx.Err() != nil { // interrupted: the pair is discarded
 				return make([]float64, len(sc.Measures()))
 			}
-			return model.PlayFull(sc, seed).Values()
+			return model.SimulateFull(sc, seed).Values()
 		}
 	}
-	plan := experiment.Plan{Measures: sc.Measures(), A: values(sides[0]), B: values(sides[1]), Width: o.width, Most: o.pairs, Budget: o.budget, First: o.seed, Workers: o.workers,
+	plan := experiment.Plan{Measures: sc.Measures(), A: values(sides[0]), B: values(sides[1]), Width: o.width, MaxPairs: o.pairs, Budget: o.budget, FirstSeed: o.seed, Workers: o.workers,
 		Progress: func(done, wanted int) { fmt.Fprintf(o.progress, "\r%d of %d pairs ", done, wanted) }}
 	if o.resume != "" {
-		j, err := openJournal(o.resume, depends, sc.Measures())
+		journal, err := openJournal(o.resume, depends, sc.Measures())
 		if err != nil {
 			return err
 		}
-		defer j.Close()
-		plan.Known = j.pairs
-		plan.Keep = func(p experiment.Pair) error {
+		defer journal.Close()
+		plan.KnownPairs = journal.pairs
+		plan.OnPair = func(p experiment.Pair) error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			return j.add(p)
+			return journal.add(p)
 		}
 	}
-	r, err := experiment.Run(ctx, plan)
+	result, err := experiment.Run(ctx, plan)
 	fmt.Fprintln(o.progress)
 	if err != nil {
 		return err
 	}
-	c := &report.Comparison{Scenario: strings.TrimSuffix(filepath.Base(path), ".toml"), A: o.a, B: o.b, Seed: o.seed, Width: o.width, Wanted: r.Wanted, Intervals: r.Intervals}
-	if err := c.Text(o.out); err != nil {
+	comparison := &report.Comparison{Scenario: strings.TrimSuffix(filepath.Base(path), ".toml"), A: o.a, B: o.b, Seed: o.seed, Width: o.width, Wanted: result.WantedPairs, Intervals: result.Intervals}
+	if err := comparison.Text(o.out); err != nil {
 		return err
 	}
 	if o.html != "" {
 		for i, side := range sides {
-			c.Timelines[i] = model.PlayFull(side, o.seed).Timeline
+			comparison.Timelines[i] = model.SimulateFull(side, o.seed).Timeline
 		}
 	}
-	if err := o.write(c); err != nil {
+	if err := o.write(comparison); err != nil {
 		return err
 	}
-	if o.gate && c.Intervals[0].High < 0 {
+	if o.gate && comparison.Intervals[0].High < 0 {
 		return errWorse
 	}
 	return nil
@@ -222,7 +222,7 @@
 		}
 		fmt.Fprintf(o.out, "%-24s", name)
 		for _, load := range o.loads {
-			side := v.Of(sc.Scaled(load), "a")
+			side := v.Apply(sc.ScaleLoad(load), "a")
 			e, err := estimate(ctx, side, o)
 			if err != nil {
 				return err
@@ -238,8 +238,8 @@
 // estimate returns the mean worth in time over some runs, with its interval. It compares with a version that
 // always measures 0, so that the difference is the worth itself.
 func estimate(ctx context.Context, sc *model.Scenario, o *options) (report.Estimate, error) {
-	r, err := experiment.Run(ctx, experiment.Plan{Measures: []string{"worth in time"}, First: o.seed, Pilot: max(2, o.runs), Most: max(2, o.runs), Width: 1, Workers: o.workers,
-		A: func(uint64) []float64 { return []float64{0} }, B: func(seed uint64) []float64 { return []float64{model.Play(sc, seed).Worth()} }})
+	r, err := experiment.Run(ctx, experiment.Plan{Measures: []string{"worth in time"}, FirstSeed: o.seed, PilotPairs: max(2, o.runs), MaxPairs: max(2, o.runs), Width: 1, Workers: o.workers,
+		A: func(uint64) []float64 { return []float64{0} }, B: func(seed uint64) []float64 { return []float64{model.Simulate(sc, seed).WorthFraction()} }})
 	if err != nil {
 		return report.Estimate{}, err
 	}
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -59,32 +59,32 @@
 // line is incomplete: that pair must be run again.
 func TestCompareResumes(t *testing.T) {
 	sc, slow := write(t, "s.toml", scenario), write(t, "slow.toml", "[fleet]\nspeed = 0.8\n")
-	kept, html := filepath.Join(t.TempDir(), "pairs"), filepath.Join(t.TempDir(), "r.html")
+	journalPath, html := filepath.Join(t.TempDir(), "pairs"), filepath.Join(t.TempDir(), "r.html")
 	args := []string{"compare", sc, "-b", slow, "--pairs", "12", "--width", "0.001"}
-	whole, err := run(t, append(args, "--resume", kept, "--html", html)...)
-	if err != nil || !strings.Contains(whole, "b is worse") {
-		t.Fatalf("%v: %s", err, whole)
+	uninterrupted, err := run(t, append(args, "--resume", journalPath, "--html", html)...)
+	if err != nil || !strings.Contains(uninterrupted, "b is worse") {
+		t.Fatalf("%v: %s", err, uninterrupted)
 	}
 	if page, err := os.ReadFile(html); err != nil || !bytes.Contains(page, []byte("<svg")) {
 		t.Errorf("no page: %v", err)
 	}
-	raw, err := os.ReadFile(kept)
+	content, err := os.ReadFile(journalPath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := bytes.SplitAfter(raw, []byte("\n"))
+	lines := bytes.SplitAfter(content, []byte("\n"))
 	if len(lines) != 14 { // the head, 12 pairs, and nothing after the last end of line
 		t.Fatalf("%d lines", len(lines))
 	}
 	cut := append(bytes.Join(lines[:5], nil), lines[5][:9]...)
-	if err := os.WriteFile(kept, cut, 0o600); err != nil {
+	if err := os.WriteFile(journalPath, cut, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	again, err := run(t, append(args, "--resume", kept)...)
-	if err != nil || again != whole {
-		t.Errorf("%v\n%s\nwant\n%s", err, again, whole)
+	resumed, err := run(t, append(args, "--resume", journalPath)...)
+	if err != nil || resumed != uninterrupted {
+		t.Errorf("%v\n%s\nwant\n%s", err, resumed, uninterrupted)
 	}
-	if _, err := run(t, "compare", sc, "-b", "random", "--resume", kept); err == nil || !strings.Contains(err.Error(), "of another scenario or other versions") {
+	if _, err := run(t, "compare", sc, "-b", "random", "--resume", journalPath); err == nil || !strings.Contains(err.Error(), "of another scenario or other versions") {
 		t.Errorf("other versions: %v", err)
 	}
 	if _, err := run(t, append(args, "--gate")...); !errors.Is(err, errWorse) {
@@ -120,37 +120,37 @@
 // and a damaged one is reported in one line and used as far as it can be read.
 func TestTraces(t *testing.T) {
 	sc, dir := write(t, "s.toml", scenario), t.TempDir()
-	made, hidden := filepath.Join(dir, "t"), filepath.Join(dir, "h")
-	if _, err := run(t, "trace", "synth", sc, "-o", made, "--shape", "flash", "--sessions", "3", "--think", "100ms"); err != nil {
+	tracePath, anonymousPath := filepath.Join(dir, "t"), filepath.Join(dir, "h")
+	if _, err := run(t, "trace", "synth", sc, "-o", tracePath, "--shape", "flash", "--sessions", "3", "--think", "100ms"); err != nil {
 		t.Fatal(err)
 	}
-	info, err := run(t, "trace", "info", made)
+	info, err := run(t, "trace", "info", tracePath)
 	if err != nil || !strings.Contains(info, "read") || !strings.Contains(info, "unknown") {
 		t.Errorf("%v: %s", err, info)
 	}
-	if _, err := run(t, "trace", "anonymise", made, "-o", hidden); err != nil {
+	if _, err := run(t, "trace", "anonymise", tracePath, "-o", anonymousPath); err != nil {
 		t.Fatal(err)
 	}
-	before, err1 := run(t, "trace", "cat", made)
-	after, err2 := run(t, "trace", "cat", hidden)
+	before, err1 := run(t, "trace", "cat", tracePath)
+	after, err2 := run(t, "trace", "cat", anonymousPath)
 	if err1 != nil || err2 != nil || before == after || strings.Count(before, "\n") != strings.Count(after, "\n") {
 		t.Errorf("%v, %v, %d and %d bytes", err1, err2, len(before), len(after))
 	}
-	same, err := run(t, "compare", sc, "-b", "module", "--trace", hidden, "--pairs", "10")
+	same, err := run(t, "compare", sc, "-b", "module", "--trace", anonymousPath, "--pairs", "10")
 	if err != nil || !strings.Contains(same, "orders in") || !strings.Contains(same, "left out: 0 repeated tries") {
 		t.Errorf("%v: %s", err, same)
 	}
-	raw, err := os.ReadFile(made)
+	raw, err := os.ReadFile(tracePath)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var told bytes.Buffer
-	c := command(io.Discard, &told)
+	var progress bytes.Buffer
+	c := command(io.Discard, &progress)
 	c.SetArgs([]string{"trace", "info", write(t, "cut", string(raw[:len(raw)-5]))})
-	if err := c.ExecuteContext(t.Context()); err != nil || strings.Count(told.String(), "\n") != 1 || !strings.Contains(told.String(), "cut within the block") {
-		t.Errorf("%v: %q", err, told.String())
+	if err := c.ExecuteContext(t.Context()); err != nil || strings.Count(progress.String(), "\n") != 1 || !strings.Contains(progress.String(), "cut within the block") {
+		t.Errorf("%v: %q", err, progress.String())
 	}
-	for want, args := range map[string][]string{"--shape": {"trace", "synth", sc, "-o", made, "--shape", "odd"}, "this is no trace": {"trace", "info", sc}, "want a scale": {"compare", sc, "-b", "random", "--trace", hidden, "--trace-scale", "0"}} {
+	for want, args := range map[string][]string{"--shape": {"trace", "synth", sc, "-o", tracePath, "--shape", "odd"}, "this is no trace": {"trace", "info", sc}, "want a scale": {"compare", sc, "-b", "random", "--trace", anonymousPath, "--trace-scale", "0"}} {
 		if _, err := run(t, args...); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: %v, want %q", args, err, want)
 		}
--- a/cmd/rehearse/trace.go
+++ b/cmd/rehearse/trace.go
@@ -24,7 +24,7 @@
 // traceCommand returns the command "trace", with its subcommands for trace files.
 func (o *options) traceCommand() *cobra.Command {
 	root := &cobra.Command{Use: "trace", Short: "Inspect, anonymise or generate recorded traffic"}
-	var shape, to string
+	var shape, outPath string
 	var length, think time.Duration
 	var rate, sessions float64
 	var seed uint64
@@ -46,16 +46,16 @@
 		for _, c := range sc.Classes {
 			s.Classes = append(s.Classes, trace.SynthClass{Name: c.Name, Share: c.Share, Work: c.Work, WorkCV: c.WorkCV, Patience: c.Deadline})
 		}
-		return writeTrace(to, s.Generate)
+		return writeTrace(outPath, s.Generate)
 	}}
-	f := synth.Flags()
-	f.StringVarP(&to, "out", "o", "", "write to this `FILE`")
-	f.StringVar(&shape, "shape", "steady", fmt.Sprintf("course of the rate over time: one of %v", trace.Shapes))
-	f.DurationVar(&length, "length", 0, "length of the trace; 0: the scenario's")
-	f.Float64Var(&rate, "rate", 0, "orders a second; 0: the scenario's")
-	f.Float64Var(&sessions, "sessions", 0, "mean orders of a session; 0: no sessions")
-	f.DurationVar(&think, "think", time.Second, "mean time between a session's orders")
-	f.Uint64Var(&seed, "seed", 1, "")
+	flags := synth.Flags()
+	flags.StringVarP(&outPath, "out", "o", "", "write to this `FILE`")
+	flags.StringVar(&shape, "shape", "steady", fmt.Sprintf("course of the rate over time: one of %v", trace.Shapes))
+	flags.DurationVar(&length, "length", 0, "length of the trace; 0: the scenario's")
+	flags.Float64Var(&rate, "rate", 0, "orders a second; 0: the scenario's")
+	flags.Float64Var(&sessions, "sessions", 0, "mean orders of a session; 0: no sessions")
+	flags.DurationVar(&think, "think", time.Second, "mean time between a session's orders")
+	flags.Uint64Var(&seed, "seed", 1, "")
 	synth.MarkFlagRequired("out")
 	var anonymous string
 	anonymise := &cobra.Command{Use: "anonymise FILE", Short: "Copy a trace with new hashes for tenants and orders, under a random key that is not kept", Args: cobra.ExactArgs(1),
@@ -64,7 +64,7 @@
 			if _, err := rand.Read(key[:]); err != nil {
 				return err
 			}
-			again := func(v uint64) uint64 {
+			rehash := func(v uint64) uint64 {
 				if v == 0 {
 					return 0
 				}
@@ -72,7 +72,7 @@
 			}
 			return writeTrace(anonymous, func(each func(*trace.Record) error) error {
 				return o.readTrace(args[0], func(r *trace.Record) error {
-					r.Tenant, r.Order = again(r.Tenant), again(r.Order)
+					r.Tenant, r.Order = rehash(r.Tenant), rehash(r.Order)
 					return each(r)
 				})
 			})
@@ -135,29 +135,29 @@
 	}
 	classes := map[string]*sums{}
 	var last time.Duration
-	all := 0
+	total := 0
 	err := o.readTrace(path, func(r *trace.Record) error {
-		s := classes[r.Class]
-		if s == nil {
-			s = &sums{outcomes: map[trace.Outcome]int{}}
-			classes[r.Class] = s
+		classSums := classes[r.Class]
+		if classSums == nil {
+			classSums = &sums{outcomes: map[trace.Outcome]int{}}
+			classes[r.Class] = classSums
 		}
-		all++
-		s.tries++
+		total++
+		classSums.tries++
 		if !r.Repeat {
-			s.orders++
+			classSums.orders++
 		}
 		if r.Work > 0 {
-			s.work, s.worked = s.work+r.Work, s.worked+1
+			classSums.work, classSums.worked = classSums.work+r.Work, classSums.worked+1
 		}
-		s.outcomes[r.Outcome]++
+		classSums.outcomes[r.Outcome]++
 		last = max(last, r.At)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "%s: %d tries in %v\n", path, all, last.Round(time.Millisecond))
+	fmt.Fprintf(o.out, "%s: %d tries in %v\n", path, total, last.Round(time.Millisecond))
 	var names []string
 	for name := range classes {
 		names = append(names, name)
@@ -166,32 +166,32 @@
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "class\ttries\tfirst tries\tmean work seen\toutcomes")
 	for _, name := range names {
-		s := classes[name]
+		classSums := classes[name]
 		work := "-"
-		if s.worked > 0 {
-			work = (s.work / time.Duration(s.worked)).Round(time.Microsecond).String()
+		if classSums.worked > 0 {
+			work = (classSums.work / time.Duration(classSums.worked)).Round(time.Microsecond).String()
 		}
-		var ends []string
+		var outcomes []string
 		for out := trace.Unknown; out <= trace.ClientGone; out++ {
-			if n := s.outcomes[out]; n > 0 {
-				ends = append(ends, fmt.Sprintf("%d %v", n, out))
+			if n := classSums.outcomes[out]; n > 0 {
+				outcomes = append(outcomes, fmt.Sprintf("%d %v", n, out))
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", name, s.tries, s.orders, work, strings.Join(ends, ", "))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", name, classSums.tries, classSums.orders, work, strings.Join(outcomes, ", "))
 	}
 	return w.Flush()
 }
 
 // replay returns the scenario with the orders of a trace, and prints what is replayed and what is left out.
-func (o *options) replayed(sc *model.Scenario, path string, scale float64, tell io.Writer) (*model.Scenario, error) {
+func (o *options) replay(sc *model.Scenario, path string, scale float64, out io.Writer) (*model.Scenario, error) {
 	var records []trace.Record
 	if err := o.readTrace(path, func(r *trace.Record) error { records = append(records, *r); return nil }); err != nil {
 		return nil, err
 	}
-	c, info, err := sc.Replay(records, scale)
+	replay, info, err := sc.Replay(records, scale)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Fprintf(tell, "%s: %d orders in %v; left out: %d repeated tries, %d of other classes\n", path, info.Orders, c.Length.Round(time.Millisecond), info.Repeats, info.Unknown)
-	return c, nil
+	fmt.Fprintf(out, "%s: %d orders in %v; left out: %d repeated tries, %d of other classes\n", path, info.Orders, replay.Length.Round(time.Millisecond), info.Repeats, info.Unknown)
+	return replay, nil
 }
--- a/cmd/rig/cluster.go
+++ b/cmd/rig/cluster.go
@@ -195,10 +195,10 @@
 // cut cuts the paths from one member to another, one way; on a whole cut it is called for both.
 func (p *cluster) cut(from, to int, on bool) {
 	if to < p.voters && p.members[from].wires[to] != nil {
-		p.members[from].wires[to].CutOne(true, on)
+		p.members[from].wires[to].CutDirection(true, on)
 	}
 	if from < p.voters && p.members[to].wires[from] != nil {
-		p.members[to].wires[from].CutOne(false, on)
+		p.members[to].wires[from].CutDirection(false, on)
 	}
 }
 
@@ -291,7 +291,7 @@
 		l := &standin.Load{Addr: m.listen, Classes: classes, Retries: 2, Prefix: m.name + "-", KeepLog: true,
 			Seed: seed + uint64(i)}
 		loads = append(loads, l)
-		running.Go(func() { l.Open(ctx, rate, 500) })
+		running.Go(func() { l.RunOpen(ctx, rate, 500) })
 	}
 	return loads
 }
--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -14,8 +14,8 @@
 var kampklip = []standin.Class{
 	{Name: "broadcast-clip", Method: "GET", Share: 0.12, Worth: 12, Aim: 600 * time.Millisecond, Patience: 1200 * time.Millisecond},
 	{Name: "viewer-clip", Method: "GET", Share: 0.40, Worth: 1, Aim: 600 * time.Millisecond, Patience: 2 * time.Second},
-	{Name: "cut-order", Method: "POST", Share: 0.24, Worth: 1, Aim: 2 * time.Second, Patience: 6 * time.Second, Body: 200},
-	{Name: "tag-event", Method: "POST", Keyed: true, Share: 0.24, Worth: 1, Aim: 1500 * time.Millisecond, Patience: 4 * time.Second, Body: 100},
+	{Name: "cut-order", Method: "POST", Share: 0.24, Worth: 1, Aim: 2 * time.Second, Patience: 6 * time.Second, BodyBytes: 200},
+	{Name: "tag-event", Method: "POST", Keyed: true, Share: 0.24, Worth: 1, Aim: 1500 * time.Millisecond, Patience: 4 * time.Second, BodyBytes: 100},
 }
 
 // kampklipWork is what each class asks, for a mean of 20 ms.
@@ -35,7 +35,7 @@
 
 func newFleet(n, cores, room int, work map[string]standin.Work) (*fleet, error) {
 	return openFleet(n, work, func(i int) standin.ServerOptions {
-		return standin.ServerOptions{Name: fmt.Sprintf("s-%08x", 0x5be2a000+i*7919), Zone: "hall-a", Kind: "std", Cell: i / 2, Cores: cores, Room: room}
+		return standin.ServerOptions{Name: fmt.Sprintf("s-%08x", 0x5be2a000+i*7919), Zone: "hall-a", Kind: "std", Cell: i / 2, Cores: cores, MaxRequests: room}
 	})
 }
 
@@ -147,9 +147,9 @@
 	fmt.Printf("hall-a: two servers, nodes on %s and %s; hall-b: three servers, nodes on %s and %s. Ask one:\n\n",
 		n.addr, sites[0].nodes[1].addr, sites[1].nodes[0].addr, sites[1].nodes[1].addr)
 	fmt.Printf("  curl -i -H 'X-Correlation-Id: hello-1' -H 'X-Time-Left: 2.0' 'http://%s/viewer-clip?obj=match-1'\n\n", n.addr)
-	load := &standin.Load{Addr: n.addr, Others: []string{sites[0].nodes[1].addr}, Classes: kampklip, Retries: 2, Prefix: "demo-hall-a-"}
+	load := &standin.Load{Addr: n.addr, RetryAddrs: []string{sites[0].nodes[1].addr}, Classes: kampklip, Retries: 2, Prefix: "demo-hall-a-"}
 	running := make(chan struct{})
-	go func() { defer close(running); load.Open(ctx, demoLoad, 400) }()
+	go func() { defer close(running); load.RunOpen(ctx, demoLoad, 400) }()
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	before, seconds := 0, 0
@@ -174,9 +174,9 @@
 		}
 		abroad := ranAbroad(sites, 1)
 		s := load.Sums()
-		load.CountFrom()
+		load.ResetCounts()
 		fmt.Printf("%s  link %-3s  %3d asked at hall-a, %3d served (%2d of them ran in hall-b), %3d in time, %d tries refused, %d failed; worth kept %.3f\n",
-			time.Now().Format(time.TimeOnly), state, s.Orders, s.Served, abroad-before, s.InAim, s.RefusedTries, s.Failed, s.Worth())
+			time.Now().Format(time.TimeOnly), state, s.Orders, s.Served, abroad-before, s.InAim, s.RefusedTries, s.Failed, s.WorthFraction())
 		if before = abroad; abroad > demoForget {
 			before = 0
 			for _, h := range sites {
--- a/cmd/rig/drains.go
+++ b/cmd/rig/drains.go
@@ -31,7 +31,7 @@
 // openZones is a fleet of servers over zones, each a cell of its own.
 func openZones(n int, zones []string, cores int, work map[string]standin.Work) (*fleet, error) {
 	return openFleet(n, work, func(i int) standin.ServerOptions {
-		return standin.ServerOptions{Name: fmt.Sprintf("s-%08x", 0x7a3f1000+i*7919), Zone: zones[i%len(zones)], Kind: "std", Cell: i, Cores: cores, Room: 60}
+		return standin.ServerOptions{Name: fmt.Sprintf("s-%08x", 0x7a3f1000+i*7919), Zone: zones[i%len(zones)], Kind: "std", Cell: i, Cores: cores, MaxRequests: 60}
 	})
 }
 
@@ -111,11 +111,11 @@
 	stopLoad()
 	running.Wait()
 
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Told: f.registry.Told(), Cold: d.cold}
+	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: d.cold}
 	spared := 0
 	for i, l := range loads {
 		for _, a := range l.Log() {
-			if a.Status != 200 && p.members[i].downIn(a.Sent, a.At) {
+			if a.Status != 200 && p.members[i].downIn(a.Sent, a.EndedAt) {
 				spared++ // its node was killed or stopped meanwhile
 				continue
 			}
--- a/cmd/rig/drains_test.go
+++ b/cmd/rig/drains_test.go
@@ -65,31 +65,31 @@
 		"no answer, and nothing":       {append(good, ask(10, 11, "s-4", true, drainUnknown), ask(12, 13, "s-4", false, drainAlready)), nil, false},
 		"no answer, then both at once": {append(good, ask(10, 11, "s-4", true, drainUnknown), ask(12, 13, "s-4", false, drainAlready), ask(14, 15, "s-4", false, drainDone), ask(16, 17, "s-4", false, drainDone)), nil, true},
 	} {
-		if v := linearizable(c.list, zones, 2, c.gone); (v.Count > 0) != c.bad {
+		if v := linearizable(c.list, zones, 2, c.gone); (v.ViolationCount > 0) != c.bad {
 			t.Errorf("%s: %v", name, v)
 		}
 	}
 	off := []offTime{{"s-1", "a", span{at(1), at(3)}}, {"s-2", "a", span{at(2), at(4)}}}
 	d := &drainsTrial{p: &cluster{}, most: 2, off: off}
-	if v := d.budgetKept(); v.Count != 0 {
+	if v := d.budgetKept(); v.ViolationCount != 0 {
 		t.Error(v)
 	}
 	d.off = append(d.off, offTime{"s-3", "a", span{at(2.5), at(2.6)}})
-	if v := d.budgetKept(); v.Count != 1 {
+	if v := d.budgetKept(); v.ViolationCount != 1 {
 		t.Error(v)
 	}
 	d.p.gone = []downTime{{"s-3", span{at(2.4), at(3)}}}
-	if v := d.budgetKept(); v.Count != 0 {
+	if v := d.budgetKept(); v.ViolationCount != 0 {
 		t.Error(v)
 	}
 	sent := func(id, server string, s float64) standin.Execution {
-		return standin.Execution{ID: id, Server: server, Got: at(s)}
+		return standin.Execution{ID: id, Server: server, ReceivedAt: at(s)}
 	}
 	fine := []standin.Execution{sent("n1-1", "s-1", 0.9), sent("n1-2", "s-1", 3.1), sent("n1-3", "s-3", 2)}
-	if v := silentWhenProven(off, fine); v.Count != 0 || v.Seen != 2 {
+	if v := silentWhenProven(off, fine); v.ViolationCount != 0 || v.Cases != 2 {
 		t.Error(v)
 	}
-	if v := silentWhenProven(off, append(fine, sent("n1-4", "s-2", 3.9))); v.Count != 1 {
+	if v := silentWhenProven(off, append(fine, sent("n1-4", "s-2", 3.9))); v.ViolationCount != 1 {
 		t.Error(v)
 	}
 	stamp := func(s float64) string {
@@ -101,10 +101,10 @@
 	if len(heard) != 2 {
 		t.Fatalf("%v", heard)
 	}
-	if v := quietAfterHearing(heard, append(fine, sent("n1-5", "s-1", 1.5), sent("n2-6", "s-1", 2.5))); v.Count != 0 || v.Seen != 2 {
+	if v := quietAfterHearing(heard, append(fine, sent("n1-5", "s-1", 1.5), sent("n2-6", "s-1", 2.5))); v.ViolationCount != 0 || v.Cases != 2 {
 		t.Error(v)
 	}
-	if v := quietAfterHearing(heard, append(fine, sent("n1-5", "s-1", 1.6))); v.Count != 1 {
+	if v := quietAfterHearing(heard, append(fine, sent("n1-5", "s-1", 1.6))); v.ViolationCount != 1 {
 		t.Error(v)
 	}
 	if code, _ := parseOutcome(`{"code":"QUEUED"}`, 4, false); code != drainFault {
@@ -215,11 +215,11 @@
 	for i, m := range p.members {
 		l := &standin.Load{Addr: m.listen, Classes: kampklip, Retries: 2, Prefix: m.name + "-", KeepLog: true, Seed: uint64(i)}
 		ctx, cancel := contextUntil(t, func() bool { return len(l.Log()) >= 60 })
-		l.Closed(ctx, 2, 0)
+		l.RunClosed(ctx, 2, 0)
 		cancel()
 		for _, a := range l.Log() {
 			if !a.Served() {
-				t.Errorf("%s: %s %d %s", m.name, a.ID, a.Status, a.Fault)
+				t.Errorf("%s: %s %d %s", m.name, a.ID, a.Status, a.Failure)
 				break
 			}
 		}
@@ -352,14 +352,14 @@
 	say(0, "", "return", "node/n4")
 	until("it is back", func() bool { return ready() == http.StatusOK })
 
-	f.servers[1].Mute(true)
+	f.servers[1].SetUnresponsive(true)
 	until("the nodes find it dead", func() bool {
 		text, _ := p.ask(t.Context(), p.members[0], "budget")
 		return strings.Contains(text, f.servers[1].Name+" (found dead by the nodes)")
 	})
 	say(3, "budget one, zone b: 2 of 4 out, 1 at most", "drain", f.servers[3].Name)
 	say(4, "place 1", "drain", f.servers[3].Name, "--queue", "1m")
-	f.servers[1].Mute(false)
+	f.servers[1].SetUnresponsive(false)
 	until("who waits has its turn", func() bool {
 		text, code := p.ask(t.Context(), p.members[1], "wait", f.servers[3].Name, "--timeout", "2s")
 		return code == 0 && strings.Contains(text, "proven")
@@ -372,12 +372,12 @@
 	}
 	stop()
 	running.Wait()
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Told: f.registry.Told()}
+	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications()}
 	for _, l := range loads {
 		e.Answers = append(e.Answers, l.Log()...)
 	}
 	for _, v := range standin.Check(e) {
-		if v.Count > 0 {
+		if v.ViolationCount > 0 {
 			t.Error(v)
 		}
 	}
--- a/cmd/rig/drainscheck.go
+++ b/cmd/rig/drainscheck.go
@@ -21,7 +21,7 @@
 // budgetKept: by the operators' own logs of what they had switched off, never more in a zone than its budget. A server
 // that had gone by itself as its drain was asked for is excepted: it was out anyway.
 func (d *drainsTrial) budgetKept() standin.Verdict {
-	v := standin.Verdict{Promise: "never more switched off than the budget allows"}
+	v := standin.Verdict{Rule: "never more switched off than the budget allows"}
 	type edge struct {
 		at   time.Time
 		step int
@@ -29,7 +29,7 @@
 	}
 	edges := map[string][]edge{}
 	for _, o := range d.off {
-		if v.Seen++; goneIn(d.p.gone, o.server, o.from.Add(-goneSeen), o.to) {
+		if v.Cases++; goneIn(d.p.gone, o.server, o.from.Add(-goneSeen), o.to) {
 			continue
 		}
 		edges[o.zone] = append(edges[o.zone], edge{o.from, 1, o.server}, edge{o.to, -1, o.server})
@@ -40,7 +40,7 @@
 		n := 0
 		for _, e := range list {
 			if n += e.step; n > d.most {
-				v.Fault("%s: %d at once at %s, with %s: %v", zone, n, e.at.Format(time.StampMilli), e.name, out)
+				v.AddViolation("%s: %d at once at %s, with %s: %v", zone, n, e.at.Format(time.StampMilli), e.name, out)
 			}
 			out[e.name] += e.step
 		}
@@ -51,16 +51,16 @@
 // silentWhenProven: from the proof of a drain until its return was asked for, nothing comes to the server, by its own
 // log.
 func silentWhenProven(off []offTime, executions []standin.Execution) standin.Verdict {
-	v := standin.Verdict{Promise: "nothing comes to a server whose drain is proven"}
+	v := standin.Verdict{Rule: "nothing comes to a server whose drain is proven"}
 	spans := map[string][]span{}
 	for _, o := range off {
-		v.Seen++
+		v.Cases++
 		spans[o.server] = append(spans[o.server], o.span)
 	}
 	for _, x := range executions {
 		for _, s := range spans[x.Server] {
-			if x.Got.After(s.from) && x.Got.Before(s.to) {
-				v.Fault("%s got %s %v after the proof", x.Server, x.ID, x.Got.Sub(s.from))
+			if x.ReceivedAt.After(s.from) && x.ReceivedAt.Before(s.to) {
+				v.AddViolation("%s got %s %v after the proof", x.Server, x.ID, x.ReceivedAt.Sub(s.from))
 			}
 		}
 	}
@@ -114,18 +114,18 @@
 }
 
 func quietAfterHearing(list []heardTime, executions []standin.Execution) standin.Verdict {
-	v := standin.Verdict{Promise: "a node sends nothing new to a server 500 ms after it heard of the drain"}
+	v := standin.Verdict{Rule: "a node sends nothing new to a server 500 ms after it heard of the drain"}
 	spans := map[string][]span{}
 	for _, h := range list {
-		v.Seen++
+		v.Cases++
 		key := h.node + " " + h.server
 		spans[key] = append(spans[key], h.span)
 	}
 	for _, x := range executions {
 		node, _, _ := strings.Cut(x.ID, "-")
 		for _, s := range spans[node+" "+x.Server] {
-			if x.Got.After(s.from.Add(standin.DrainGrace)) && x.Got.Before(s.to) {
-				v.Fault("%s got %s of %s %v after the node heard", x.Server, x.ID, node, x.Got.Sub(s.from))
+			if x.ReceivedAt.After(s.from.Add(standin.DrainGrace)) && x.ReceivedAt.Before(s.to) {
+				v.AddViolation("%s got %s of %s %v after the node heard", x.Server, x.ID, node, x.ReceivedAt.Sub(s.from))
 			}
 		}
 	}
@@ -134,10 +134,10 @@
 
 // sane: each request had an answer that makes sense.
 func (d *drainsTrial) sane() standin.Verdict {
-	v := standin.Verdict{Promise: "every ask has an answer that makes sense"}
+	v := standin.Verdict{Rule: "every ask has an answer that makes sense"}
 	for _, a := range d.requests {
-		if v.Seen++; a.code == drainFault {
-			v.Fault("op%d, %s, return %v: %s", a.operator, a.server, a.giveBack, a.reason)
+		if v.Cases++; a.code == drainFault {
+			v.AddViolation("op%d, %s, return %v: %s", a.operator, a.server, a.giveBack, a.reason)
 		}
 	}
 	return v
@@ -159,7 +159,7 @@
 }
 
 func linearizable(asks []drainRequest, zones map[string]string, most int, gone []downTime) standin.Verdict {
-	v := standin.Verdict{Promise: "what operators were told of drains is linearizable"}
+	v := standin.Verdict{Rule: "what operators were told of drains is linearizable"}
 	index := map[string]int{}
 	count := map[string]int{}
 	names := []string{}
@@ -209,7 +209,7 @@
 	end := int64(1) << 62
 	ops := map[string][]porcupine.Operation{}
 	for _, a := range asks {
-		v.Seen++
+		v.Cases++
 		to := a.to.UnixNano()
 		if a.code == drainUnknown {
 			to = end
@@ -221,9 +221,9 @@
 	for zone, list := range ops {
 		switch porcupine.CheckOperationsTimeout(model, list, time.Minute) {
 		case porcupine.Illegal:
-			v.Fault("%s: no order of its %d asks explains the answers", zone, len(list))
+			v.AddViolation("%s: no order of its %d asks explains the answers", zone, len(list))
 		case porcupine.Unknown:
-			v.Fault("%s: no verdict on its %d asks within a minute", zone, len(list))
+			v.AddViolation("%s: no verdict on its %d asks within a minute", zone, len(list))
 		}
 	}
 	return v
--- a/cmd/rig/drainstrial.go
+++ b/cmd/rig/drainstrial.go
@@ -22,7 +22,7 @@
 	mu           sync.Mutex
 	requests     []drainRequest
 	off          []offTime
-	cold         []standin.Cold // servers that were started anew while they were off
+	cold         []standin.ColdStart // servers that were started anew while they were off
 	unproven     int
 	requestCount int           // of requests so far
 	retries      int           // requests whose answer was lost
@@ -165,7 +165,7 @@
 		}
 		fresh := d.f.now(i)
 		d.mu.Lock()
-		d.cold = append(d.cold, standin.Cold{Server: fresh.Name, Started: fresh.Started, Cores: fresh.Cores, From: drainsColdFrom, Time: drainsColdTime})
+		d.cold = append(d.cold, standin.ColdStart{Server: fresh.Name, Started: fresh.Started, Cores: fresh.Cores, From: drainsColdFrom, Time: drainsColdTime})
 		d.mu.Unlock()
 		sleepFor(ctx, goneSeen/10) // by then the nodes have the registry's list
 	}
@@ -207,7 +207,7 @@
 		for i := range d.f.servers {
 			s := d.f.now(i)
 			log := s.Log()
-			if len(log) == 0 || log[len(log)-1].Got.Before(from) {
+			if len(log) == 0 || log[len(log)-1].ReceivedAt.Before(from) {
 				idle = append(idle, s.Name)
 			}
 		}
--- a/cmd/rig/fleet.go
+++ b/cmd/rig/fleet.go
@@ -66,7 +66,7 @@
 	running, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	before := n.cpu()
-	go func() { defer close(done); l.Open(running, 500, 2000) }()
+	go func() { defer close(done); l.RunOpen(running, 500, 2000) }()
 	tick := time.NewTicker(500 * time.Millisecond)
 	defer tick.Stop()
 	next := 0
@@ -111,19 +111,19 @@
 	}
 	<-done
 	s := l.Sums()
-	o.out.figure(name+".worth", s.Worth(), "of what was asked")
+	o.out.figure(name+".worth", s.WorthFraction(), "of what was asked")
 	o.out.figure(name+".refused", s.RefusedTries, fmt.Sprintf("of %d requests", s.Orders))
 	o.out.figure(name+".resent", s.Resent, "requests that crossed the close of a kept connection")
 	o.out.figure(name+".cpu", float64(n.cpu()-before)/float64(length), "cores")
 	o.out.figure(name+".idle_memory", idle, "KiB (VmHWM)")
 	o.out.figure(name+".memory", n.peakMemory(), "KiB (VmHWM)")
-	e := standin.Evidence{Classes: []standin.Class{class}, Answers: l.Log(), Executions: f.executions(), Told: f.registry.Told()}
+	e := standin.Evidence{Classes: []standin.Class{class}, Answers: l.Log(), Executions: f.executions(), Notifications: f.registry.Notifications()}
 	for _, s := range f.gone {
 		e.Executions = append(e.Executions, s.Log()...)
 	}
-	o.out.promise(s.Worth() >= 0.97, "%s: worth %.3f", name, s.Worth())
+	o.out.promise(s.WorthFraction() >= 0.97, "%s: worth %.3f", name, s.WorthFraction())
 	for _, v := range standin.Check(e) {
-		if v.Seen > 0 {
+		if v.Cases > 0 {
 			o.out.verdicts([]standin.Verdict{v})
 		}
 	}
--- a/cmd/rig/gateway.go
+++ b/cmd/rig/gateway.go
@@ -45,7 +45,7 @@
 		p := &gatewayTrial{sites: sites, capacity: capacity, seed: o.seed, load: oneOverloaded}
 		p.run(ctx, fmt.Sprintf("calm%d", on), func(ctx context.Context) { sleepFor(ctx, steady) })
 		for i := range sites {
-			worth[on][i], inTime[on][i] = p.sums[i].Worth(), float64(p.sums[i].InAim)/float64(max(1, p.sums[i].Orders))
+			worth[on][i], inTime[on][i] = p.sums[i].WorthFraction(), float64(p.sums[i].InAim)/float64(max(1, p.sums[i].Orders))
 			o.out.figure(fmt.Sprintf("gateway.calm.link=%v.%s.worth", on == 1, sites[i].name), worth[on][i], "of what was asked")
 			o.out.figure(fmt.Sprintf("gateway.calm.link=%v.%s.refused", on == 1, sites[i].name), p.sums[i].RefusedTries, "tries")
 		}
@@ -92,7 +92,7 @@
 	o.out.figure("gateway.cuts.orders", p.orders(), "orders")
 	o.out.figure("gateway.cuts.crossed", p.crossed(), "requests of one site that ran in the other")
 	for i, h := range sites {
-		o.out.figure("gateway.cuts."+h.name+".worth", p.sums[i].Worth(), "of what was asked")
+		o.out.figure("gateway.cuts."+h.name+".worth", p.sums[i].WorthFraction(), "of what was asked")
 		o.out.figure("gateway.cuts."+h.name+".failed", p.sums[i].Failed, "orders")
 	}
 	statuses := map[string]int{}
@@ -145,13 +145,13 @@
 		p.run(ctx, c.name, func(ctx context.Context) { sleepFor(ctx, length) })
 		o.out.figure("gateway."+c.name+".crossed", p.crossed(), "requests of one site that ran in the other")
 		for i, h := range sites {
-			o.out.figure("gateway."+c.name+"."+h.name+".worth", p.sums[i].Worth(), "of what was asked")
+			o.out.figure("gateway."+c.name+"."+h.name+".worth", p.sums[i].WorthFraction(), "of what was asked")
 			switch c.name {
 			case "both-short-alone":
-				alone[i] = p.sums[i].Worth()
+				alone[i] = p.sums[i].WorthFraction()
 			case "both-short":
-				o.out.promise(p.sums[i].Worth() >= alone[i]-mostHarm, "both overloaded: the requests of %s fare as without the link: %.3f, %.3f without", h.name,
-					p.sums[i].Worth(), alone[i])
+				o.out.promise(p.sums[i].WorthFraction() >= alone[i]-mostHarm, "both overloaded: the requests of %s fare as without the link: %.3f, %.3f without", h.name,
+					p.sums[i].WorthFraction(), alone[i])
 			}
 		}
 		p.judge(o.out)
--- a/cmd/rig/gatewaytrial.go
+++ b/cmd/rig/gatewaytrial.go
@@ -35,17 +35,17 @@
 			l := &standin.Load{Addr: node.addr, Classes: kampklip, Retries: 2, Prefix: fmt.Sprintf("%s-%s-%d-", prefix, h.name, n), KeepLog: true, Seed: p.seed + uint64(10*i+n)}
 			for m, other := range nodes {
 				if m != n {
-					l.Others = append(l.Others, other.addr)
+					l.RetryAddrs = append(l.RetryAddrs, other.addr)
 				}
 			}
 			p.loads[i] = append(p.loads[i], l)
-			running.Go(func() { l.Open(inner, times*p.capacity/float64(len(nodes)), 2000) })
+			running.Go(func() { l.RunOpen(inner, times*p.capacity/float64(len(nodes)), 2000) })
 		}
 	}
 	sleepFor(ctx, 2*time.Second) // what servers do is learned
 	for i := range p.loads {
 		for _, l := range p.loads[i] {
-			l.CountFrom()
+			l.ResetCounts()
 		}
 	}
 	during(ctx)
@@ -55,7 +55,7 @@
 		for _, l := range p.loads[i] {
 			s := l.Sums()
 			t := &p.sums[i]
-			t.Orders, t.InAim, t.Asked, t.Got, t.Failed, t.RefusedTries = t.Orders+s.Orders, t.InAim+s.InAim, t.Asked+s.Asked, t.Got+s.Got, t.Failed+s.Failed, t.RefusedTries+s.RefusedTries
+			t.Orders, t.InAim, t.OfferedWorth, t.ServedWorth, t.Failed, t.RefusedTries = t.Orders+s.Orders, t.InAim+s.InAim, t.OfferedWorth+s.OfferedWorth, t.ServedWorth+s.ServedWorth, t.Failed+s.Failed, t.RefusedTries+s.RefusedTries
 		}
 	}
 }
@@ -80,7 +80,7 @@
 // judge prints the verdicts on all that clients and servers have logged.
 func (p *gatewayTrial) judge(out *report) {
 	e := p.evidence()
-	out.verdicts(append(standin.Check(e), standin.Accounted(e)))
+	out.verdicts(append(standin.Check(e), standin.CheckAccounted(e)))
 }
 
 // keysAbroad counts keyed requests that came to a server of the other site.
@@ -109,7 +109,7 @@
 	e := standin.Evidence{Classes: kampklip}
 	for i, h := range p.sites {
 		e.Executions = append(e.Executions, h.fleet.executions()...)
-		e.Told = append(e.Told, h.fleet.registry.Told()...)
+		e.Notifications = append(e.Notifications, h.fleet.registry.Notifications()...)
 		for _, l := range p.loads[i] {
 			e.Answers = append(e.Answers, l.Log()...)
 		}
--- a/cmd/rig/hop.go
+++ b/cmd/rig/hop.go
@@ -27,8 +27,8 @@
 		ctx, cancel := context.WithTimeout(ctx, length+2*time.Second)
 		defer cancel()
 		l := &standin.Load{Addr: n.addr, Classes: []standin.Class{scaleClass}, Retries: 2, Prefix: fmt.Sprintf("hop%d-%s-", conns, n.addr), Seed: o.seed}
-		time.AfterFunc(2*time.Second, l.CountFrom)
-		l.Closed(ctx, conns, 100*time.Millisecond)
+		time.AfterFunc(2*time.Second, l.ResetCounts)
+		l.RunClosed(ctx, conns, 100*time.Millisecond)
 		return l.Sums()
 	}
 	for _, wire := range sites[1].wires {
--- a/cmd/rig/linkfaults.go
+++ b/cmd/rig/linkfaults.go
@@ -32,7 +32,7 @@
 	case "lossy":
 		each(func(w *standin.Wire) { w.Loss(300) })
 	case "refused":
-		each((*standin.Wire).Shut)
+		each((*standin.Wire).ClosePort)
 	case "throttled":
 		each(func(w *standin.Wire) { w.Throttle(throttled) })
 	case "one-path":
@@ -57,7 +57,7 @@
 		w.Loss(0)
 		w.Throttle(0)
 		w.Delay(time.Millisecond)
-		if w.Reopen() != nil {
+		if w.ReopenPort() != nil {
 			kind += "-failed"
 		}
 	})
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -198,7 +198,7 @@
 
 func (r *report) verdicts(list []standin.Verdict) {
 	for _, v := range list {
-		if v.Count > 0 {
+		if v.ViolationCount > 0 {
 			r.broken++
 		}
 		fmt.Fprintln(r.w, v)
--- a/cmd/rig/rehearse.go
+++ b/cmd/rig/rehearse.go
@@ -37,9 +37,9 @@
 				if ctx.Err() != nil {
 					return 0
 				}
-				s := model.Play(make(), seed)
-				doubled += s.Doubled
-				return s.Worth()
+				s := model.Simulate(make(), seed)
+				doubled += s.DuplicateRuns
+				return s.WorthFraction()
 			}
 		}
 		with := func(change func(*model.Scenario)) func() *model.Scenario {
--- a/cmd/rig/release.go
+++ b/cmd/rig/release.go
@@ -142,11 +142,11 @@
 	stopLoad()
 	running.Wait()
 
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Told: f.registry.Told()}
+	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications()}
 	spared := 0
 	for i, l := range loads {
 		for _, a := range l.Log() {
-			if a.Status != 200 && r.p.members[i].downIn(a.Sent, a.At) {
+			if a.Status != 200 && r.p.members[i].downIn(a.Sent, a.EndedAt) {
 				spared++
 				continue
 			}
--- a/cmd/rig/release_test.go
+++ b/cmd/rig/release_test.go
@@ -196,7 +196,7 @@
 	if seen.worst > 1 {
 		t.Errorf("%d nodes were down at one moment: %s", seen.worst, seen.who)
 	}
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Told: f.registry.Told()}
+	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications()}
 	for _, l := range loads {
 		e.Answers = append(e.Answers, l.Log()...)
 	}
@@ -204,7 +204,7 @@
 		t.Errorf("%d tries: too few to tell", len(e.Answers))
 	}
 	for _, v := range standin.Check(e) {
-		if v.Count > 0 {
+		if v.ViolationCount > 0 {
 			t.Error(v)
 		}
 	}
--- a/cmd/rig/releasetrial.go
+++ b/cmd/rig/releasetrial.go
@@ -51,7 +51,7 @@
 }
 
 // throughListeners makes a registry that lists each server at a second listener, which treats requests as side says.
-func (f *fleet) throughListeners(side standin.Side) (*standin.Registry, error) {
+func (f *fleet) throughListeners(side standin.SideOptions) (*standin.Registry, error) {
 	var entries []standin.Entry
 	for _, s := range f.servers {
 		e := standin.EntryOf(s)
@@ -65,19 +65,19 @@
 }
 
 func (r *releaseTrial) registries(seed uint64) (err error) {
-	if r.slow, err = r.f.throughListeners(standin.Side{Slower: 1.1}); err != nil {
+	if r.slow, err = r.f.throughListeners(standin.SideOptions{WorkFactor: 1.1}); err != nil {
 		return err
 	}
 	draw := rand.New(rand.NewPCG(seed, 2))
 	var mu sync.Mutex
-	if r.failing, err = r.f.throughListeners(standin.Side{Fails: func(class string) bool {
+	if r.failing, err = r.f.throughListeners(standin.SideOptions{FailsClass: func(class string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return class == "cut-order" && draw.IntN(50) == 0
 	}}); err != nil {
 		return err
 	}
-	if r.nobody, err = r.f.throughListeners(standin.Side{}); err != nil {
+	if r.nobody, err = r.f.throughListeners(standin.SideOptions{}); err != nil {
 		return err
 	}
 	for _, s := range r.f.servers { // nobody listens there
--- a/cmd/rig/rig_test.go
+++ b/cmd/rig/rig_test.go
@@ -34,7 +34,7 @@
 		r.figure("a.refused", 0, "requests")
 		r.promise(true, "a: %d", 1)
 		r.promise(false, "b")
-		r.verdicts([]standin.Verdict{{Promise: "c", Seen: 1}, {Promise: "d", Count: 2, Broken: []string{"x"}}})
+		r.verdicts([]standin.Verdict{{Rule: "c", Cases: 1}, {Rule: "d", ViolationCount: 2, Violations: []string{"x"}}})
 	})
 	want := "a.rate 1.250 requests/s\na.refused 0 requests\nkept a: 1\nBROKEN b\nkept c: 1 cases, 0 broken\nBROKEN d: 0 cases, 2 broken\n    x\n"
 	if text != want || broken != 2 {
@@ -70,7 +70,7 @@
 	l := &standin.Load{Addr: n.addr, Classes: kampklip, Retries: 2, KeepLog: true}
 	ctx, cancel := contextUntil(t, func() bool { return len(l.Log()) >= 200 })
 	defer cancel()
-	l.Closed(ctx, 4, 0)
+	l.RunClosed(ctx, 4, 0)
 	log := l.Log()
 	served := 0
 	for i := range log {
@@ -81,9 +81,9 @@
 	if served < 190 {
 		t.Errorf("%d of %d served", served, len(log))
 	}
-	e := standin.Evidence{Classes: kampklip, Answers: log, Executions: f.executions(), Told: f.registry.Told()}
+	e := standin.Evidence{Classes: kampklip, Answers: log, Executions: f.executions(), Notifications: f.registry.Notifications()}
 	for _, v := range standin.Check(e) {
-		if v.Count > 0 {
+		if v.ViolationCount > 0 {
 			t.Error(v)
 		}
 	}
--- a/cmd/rig/rules.go
+++ b/cmd/rig/rules.go
@@ -47,7 +47,7 @@
 		l := &standin.Load{Addr: n.addr, Classes: kampklip, Retries: 2, Prefix: fmt.Sprintf("r%d-", len(loads)), KeepLog: true, Seed: o.seed + uint64(len(loads))}
 		loads = append(loads, l)
 		ctx, cancel := context.WithTimeout(ctx, length)
-		running.Go(func() { defer cancel(); l.Open(ctx, times*capacity, 2000) })
+		running.Go(func() { defer cancel(); l.RunOpen(ctx, times*capacity, 2000) })
 	}
 	set := func(s *standin.Server, state string) {
 		e := standin.EntryOf(s)
@@ -55,7 +55,7 @@
 		f.registry.Set(e)
 	}
 	load(0.55, 22*unit)
-	var cold []standin.Cold
+	var cold []standin.ColdStart
 	for _, step := range []struct {
 		at time.Duration
 		do func() error
@@ -63,18 +63,18 @@
 		{2, func() error { set(f.servers[0], "draining"); return nil }},
 		{4, func() error { set(f.servers[0], "gone"); return nil }},
 		{5, func() error {
-			s, err := standin.NewServer(standin.ServerOptions{Name: "s-0c01dc01", Zone: "hall-a", Kind: "std", Cell: 9, Cores: cores, Room: 60,
+			s, err := standin.NewServer(standin.ServerOptions{Name: "s-0c01dc01", Zone: "hall-a", Kind: "std", Cell: 9, Cores: cores, MaxRequests: 60,
 				ColdFrom: coldFrom, ColdTime: coldTime, Dedup: &standin.Dedup{Window: 8 * time.Second}}, work)
 			if err != nil {
 				return err
 			}
 			f.servers = append(f.servers, s)
 			set(s, "ready")
-			cold = append(cold, standin.Cold{Server: s.Name, Started: s.Started, Cores: cores, From: coldFrom, Time: coldTime})
+			cold = append(cold, standin.ColdStart{Server: s.Name, Started: s.Started, Cores: cores, From: coldFrom, Time: coldTime})
 			return nil
 		}},
-		{8, func() error { f.servers[1].Mute(true); return nil }},
-		{11, func() error { f.servers[1].Mute(false); return nil }},
+		{8, func() error { f.servers[1].SetUnresponsive(true); return nil }},
+		{11, func() error { f.servers[1].SetUnresponsive(false); return nil }},
 		{12, func() error { load(1.5, 3*unit); return nil }},
 		{17, func() error { f.servers[2].Close(); return nil }},
 		{18, func() error { set(f.servers[2], "gone"); return nil }},
@@ -91,11 +91,11 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Told: f.registry.Told(), Cold: cold}
+	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: cold}
 	worth, asked, resent := 0.0, 0.0, 0
 	for _, l := range loads {
 		s := l.Sums()
-		worth, asked, resent = worth+s.Got, asked+s.Asked, resent+s.Resent
+		worth, asked, resent = worth+s.ServedWorth, asked+s.OfferedWorth, resent+s.Resent
 		e.Answers = append(e.Answers, l.Log()...)
 	}
 	select {
--- a/cmd/rig/scale.go
+++ b/cmd/rig/scale.go
@@ -119,13 +119,13 @@
 	l := &standin.Load{Addr: n.addr, Classes: classes, Prefix: "c-", Seed: r.seed}
 	done := make(chan struct{})
 	ramp := 200 * time.Millisecond
-	go func() { defer close(done); l.Closed(ctx, conns, ramp) }()
+	go func() { defer close(done); l.RunClosed(ctx, conns, ramp) }()
 	time.Sleep(2 * ramp)
 	if len(classes) > 1 {
 		time.Sleep(time.Second) // what classes cost beside one another is learned from their answers
 	}
 	r.early += l.Sums().RefusedTries
-	l.CountFrom()
+	l.ResetCounts()
 	if script != nil {
 		script()
 	} else {
--- a/cmd/rig/scalecases.go
+++ b/cmd/rig/scalecases.go
@@ -32,7 +32,7 @@
 		r.out.figure(name+"."+t.name+".early", r.early, "requests refused while it warmed up")
 		f.Close()
 		out[t.name] = s
-		r.out.figure(name+"."+t.name+".worth", s.Worth(), "of what was asked")
+		r.out.figure(name+"."+t.name+".worth", s.WorthFraction(), "of what was asked")
 		r.out.figure(name+"."+t.name+".refused", s.RefusedTries, fmt.Sprintf("of %d requests, %d of them by the node's own limit", s.Orders, s.RefusedByNode))
 		r.out.figure(name+"."+t.name+".p99", float64(s.Times.Quantile(0.99))/1e6, "ms")
 		var names []string
@@ -54,7 +54,7 @@
 	const slack = 0.03 // what chance moves
 	for _, other := range []string{"plain", "base"} {
 		if o, ok := s[other]; ok {
-			r.out.promise(s["node"].Worth() >= o.Worth()-slack, "%s: worth %.3f, %s %.3f", name, s["node"].Worth(), other, o.Worth())
+			r.out.promise(s["node"].WorthFraction() >= o.WorthFraction()-slack, "%s: worth %.3f, %s %.3f", name, s["node"].WorthFraction(), other, o.WorthFraction())
 		}
 	}
 }
@@ -134,10 +134,10 @@
 		name   string
 		change func(f *fleet)
 	}{
-		{"slow.one", func(f *fleet) { f.servers[0].Slow(50) }},
+		{"slow.one", func(f *fleet) { f.servers[0].SetWorkFactor(50) }},
 		{"slow.all", func(f *fleet) {
 			for _, s := range f.servers {
-				s.Slow(2)
+				s.SetWorkFactor(2)
 			}
 		}},
 	} {
@@ -196,7 +196,7 @@
 			ctx, cancel := context.WithTimeout(ctx, r.long(12*time.Second))
 			defer cancel()
 			l := &standin.Load{Addr: n.addr, Classes: kampklip, Retries: 2, Prefix: "o-", Seed: r.seed}
-			late = max(late, l.Open(ctx, times*servers*cores/mean, 4000))
+			late = max(late, l.RunOpen(ctx, times*servers*cores/mean, 4000))
 			return l.Sums()
 		})
 		if err != nil {
--- a/cmd/rig/soak.go
+++ b/cmd/rig/soak.go
@@ -131,7 +131,7 @@
 			return false
 		}
 		for _, v := range verdicts {
-			if v.Count > 0 {
+			if v.ViolationCount > 0 {
 				return true
 			}
 		}
@@ -146,8 +146,8 @@
 	aim := patience * 2 / 3
 	return []standin.Class{
 		{Name: "read", Method: "GET", Share: 2, Worth: 1, Aim: aim, Patience: patience},
-		{Name: "tag", Method: "POST", Keyed: true, Share: 1, Worth: 1, Aim: aim, Patience: patience, Body: 200},
-		{Name: "order", Method: "POST", Share: 1, Worth: 1, Aim: aim, Patience: patience, Body: 200},
+		{Name: "tag", Method: "POST", Keyed: true, Share: 1, Worth: 1, Aim: aim, Patience: patience, BodyBytes: 200},
+		{Name: "order", Method: "POST", Share: 1, Worth: 1, Aim: aim, Patience: patience, BodyBytes: 200},
 	}
 }
 
--- a/cmd/rig/soakfaults.go
+++ b/cmd/rig/soakfaults.go
@@ -79,14 +79,14 @@
 		return p.vanish(ctx, s, length)
 	case soak.Hang:
 		server, _ := s.present()
-		server.Mute(true)
+		server.SetUnresponsive(true)
 		sleepFor(ctx, length)
-		server.Mute(false)
+		server.SetUnresponsive(false)
 	case soak.Silent, soak.Resets, soak.Late:
 		_, path := s.present()
-		path.Set(map[soak.Kind]standin.PathFault{soak.Silent: standin.PathSilent, soak.Resets: standin.PathResets, soak.Late: standin.PathLate}[f.Kind])
+		path.SetFault(map[soak.Kind]standin.PathFault{soak.Silent: standin.PathSilent, soak.Resets: standin.PathResets, soak.Late: standin.PathConnectsStall}[f.Kind])
 		sleepFor(ctx, length)
-		path.Set(standin.PathWhole)
+		path.SetFault(standin.PathHealthy)
 	default:
 		p.service.SetFault(listFault(f.Kind))
 		sleepFor(ctx, length)
@@ -103,17 +103,17 @@
 	case soak.ListHangs:
 		return registry.Fault{Down: true, Hang: true}
 	case soak.ListSlow:
-		return registry.Fault{Slower: 4}
+		return registry.Fault{CallTimeFactor: 4}
 	case soak.ListCrowded:
-		return registry.Fault{Crowded: true}
+		return registry.Fault{Overloaded: true}
 	case soak.ListSilent:
 		return registry.Fault{Silent: true}
 	case soak.ListInPieces:
-		return registry.Fault{Pieces: true}
+		return registry.Fault{Fragmented: true}
 	case soak.ListCut:
 		return registry.Fault{Cut: true}
 	}
-	return registry.Fault{Older: true}
+	return registry.Fault{Stale: true}
 }
 
 // clockStep is a step of the wall clock, by an hour or by seconds, either way.
--- a/cmd/rig/soaknode.go
+++ b/cmd/rig/soaknode.go
@@ -136,7 +136,7 @@
 func (n *soakNode) begin(step time.Duration, successor bool) (*child, error) {
 	n.mu.Lock()
 	if !successor {
-		n.caller().Started(n.known)
+		n.caller().ProcessStarted(n.known)
 	}
 	path, err := n.writeConfig()
 	n.mu.Unlock()
@@ -292,7 +292,7 @@
 	if n.pushed {
 		delay = pushedReload
 	}
-	next.Follow(n.caller(), delay)
+	next.ContinueFrom(n.caller(), delay)
 	n.callers = append(n.callers, next)
 	if _, err := n.writeConfig(); err != nil {
 		return err
--- a/cmd/rig/soakplay.go
+++ b/cmd/rig/soakplay.go
@@ -161,9 +161,9 @@
 	var loads []*standin.Load
 	for i, n := range p.nodes {
 		l := &standin.Load{Addr: n.listen, Classes: soakClasses(p.profile.Patience), Retries: 1, Prefix: n.name + "-", KeepLog: true, Seed: uint64(i) + 1, Linger: 600 * time.Millisecond,
-			Crossing: 100 * time.Millisecond}
+			CloseCrossing: 100 * time.Millisecond}
 		loads = append(loads, l)
-		running.Go(func() { l.Open(asking, p.profile.Rate, soakConns) })
+		running.Go(func() { l.RunOpen(asking, p.profile.Rate, soakConns) })
 	}
 	errs := make(chan error, len(list)+1)
 	began := time.Now()
@@ -272,7 +272,7 @@
 
 // start starts a process of the server; coldFrom is its part of the speed at the start, 0 for a warm one.
 func (s *soakServer) start(coldFrom float64) error {
-	o := standin.ServerOptions{Name: s.name, Zone: "z", Kind: "std", Cell: s.cell, Cores: 1, Room: 60, Dedup: s.dedup}
+	o := standin.ServerOptions{Name: s.name, Zone: "z", Kind: "std", Cell: s.cell, Cores: 1, MaxRequests: 60, Dedup: s.dedup}
 	if coldFrom > 0 {
 		o.ColdFrom, o.ColdTime = coldFrom, soakColdTime
 	}
--- a/cmd/starlingvalve/crowd_test.go
+++ b/cmd/starlingvalve/crowd_test.go
@@ -101,5 +101,5 @@
 func (w *idleClients) waitForEnded(t *testing.T, clients int) {
 	t.Helper()
 	from := w.ended.Load()
-	testkit.Until(t, "the idle clients do not fill the node", func() bool { return w.ended.Load()-from >= int64(clients) })
+	testkit.WaitFor(t, "the idle clients do not fill the node", func() bool { return w.ended.Load()-from >= int64(clients) })
 }
--- a/cmd/starlingvalve/descriptors_test.go
+++ b/cmd/starlingvalve/descriptors_test.go
@@ -101,7 +101,7 @@
 	watching.Go(func() { process.count(ctx) })
 	select {
 	case n.opsAddr = <-opsAddr:
-	case <-time.After(testkit.Patient):
+	case <-time.After(testkit.WaitLimit):
 		n.t.Fatal("the process does not start")
 	}
 	return process
@@ -144,13 +144,13 @@
 // is at its limit of descriptors.
 func (n *descriptorNode) sendRequest() {
 	n.requests++
-	conn, err := net.DialTimeout("tcp", n.listen, testkit.Patient)
+	conn, err := net.DialTimeout("tcp", n.listen, testkit.WaitLimit)
 	if err != nil {
 		n.t.Error(err)
 		return
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	io.WriteString(conn, rawRequest(fmt.Sprint("ask", n.requests), "Content-Length: 0\r\n\r\n"))
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -171,7 +171,7 @@
 	for _, s := range servers {
 		before[s], _ = s.requests()
 	}
-	testkit.Until(n.t, "not all servers get a request", func() bool {
+	testkit.WaitFor(n.t, "not all servers get a request", func() bool {
 		n.sendRequest()
 		missing := 0
 		for _, s := range servers {
@@ -191,7 +191,7 @@
 func (n *descriptorNode) checkOps() {
 	n.t.Helper()
 	began := time.Now()
-	client := http.Client{Timeout: testkit.Patient, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: testkit.WaitLimit, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + n.opsAddr + "/stats")
 	if err != nil {
 		n.t.Error("operators' address:", err)
@@ -288,7 +288,7 @@
 	idle.waitForEnded(node.t, clients)
 	if process != nil {
 		process.Process.Signal(syscall.SIGSTOP)
-		testkit.Until(node.t, "the idle clients do not connect", func() bool { return idle.held.Load() >= int64(clients-1) })
+		testkit.WaitFor(node.t, "the idle clients do not connect", func() bool { return idle.held.Load() >= int64(clients-1) })
 		process.Process.Signal(syscall.SIGCONT)
 		idle.waitForEnded(node.t, clients)
 		split, err := descriptors.Divide(c.limit, descriptors.Uses{Operators: ops.MaxDescriptors})
--- a/cmd/starlingvalve/endings_test.go
+++ b/cmd/starlingvalve/endings_test.go
@@ -33,15 +33,15 @@
 
 func newEndingNode(t *testing.T) *endingNode {
 	n := &endingNode{replaceableNode: newReplaceableNode(t), arrived: make(chan string, 99), release: make(chan bool)}
-	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 		id := r.Header.Get("X-Correlation-Id")
 		if id == "" { // a probe
-			return testkit.OK("")
+			return testkit.OKResponse("")
 		}
 		if n.arrived <- id; strings.HasPrefix(id, "held") {
 			<-n.release
 		}
-		return testkit.OK("x")
+		return testkit.OKResponse("x")
 	}))
 	t.Cleanup(n.releaseHeld)           // runs before the server's cleanup
 	dir, err := os.MkdirTemp("", "sv") // short, as the path of a Unix socket is limited
@@ -72,7 +72,7 @@
 		n.t.Fatal(err)
 	}
 	n.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	reader := bufio.NewReader(conn)
 	return conn, func() int {
 		n.t.Helper()
@@ -99,7 +99,7 @@
 		if got != id {
 			n.t.Fatalf("%s arrived at the server, want %s", got, id)
 		}
-	case <-time.After(testkit.Patient):
+	case <-time.After(testkit.WaitLimit):
 		n.t.Fatalf("%s does not arrive at the server", id)
 	}
 }
@@ -107,7 +107,7 @@
 // waitExit waits until a process that got SIGTERM exits, and checks that its exit code is 0.
 func (n *endingNode) waitExit(cmd *exec.Cmd) {
 	n.t.Helper()
-	hung := time.AfterFunc(testkit.Patient, func() { cmd.Process.Kill() })
+	hung := time.AfterFunc(testkit.WaitLimit, func() { cmd.Process.Kill() })
 	defer hung.Stop()
 	if err := cmd.Wait(); err != nil {
 		n.t.Errorf("the process ends with %v", err)
@@ -117,7 +117,7 @@
 // waitDraining waits until the node has begun to drain, and so is not ready any more.
 func (n *endingNode) waitDraining() {
 	n.t.Helper()
-	testkit.Until(n.t, "the node stays ready", func() bool {
+	testkit.WaitFor(n.t, "the node stays ready", func() bool {
 		resp, err := http.Get("http://" + n.listen + "/health/ready")
 		if err != nil {
 			return true // the listener is closed
@@ -203,7 +203,7 @@
 		}
 		time.Sleep(time.Duration(i) * 2 * time.Millisecond) // a different moment of the start in each run
 		cmd.Process.Signal(syscall.SIGTERM)
-		hung := time.AfterFunc(testkit.Patient, func() { cmd.Process.Kill() })
+		hung := time.AfterFunc(testkit.WaitLimit, func() { cmd.Process.Kill() })
 		err := cmd.Wait()
 		hung.Stop()
 		if status := cmd.ProcessState.Sys().(syscall.WaitStatus); err != nil && status.Signal() != syscall.SIGTERM {
@@ -231,7 +231,7 @@
 			if err := next.Start(); err != nil {
 				t.Fatal(err)
 			}
-			guard := time.AfterFunc(testkit.Patient, func() { next.Process.Kill() })
+			guard := time.AfterFunc(testkit.WaitLimit, func() { next.Process.Kill() })
 			t.Cleanup(func() { guard.Stop(); next.Process.Kill(); next.Wait() })
 			lines := bufio.NewScanner(log)
 			for lines.Scan() && !strings.Contains(lines.Text(), "replacing the process that serves") {
@@ -315,7 +315,7 @@
 			t.Errorf("short%d: status %d, want a refusal: it has not run", i, got)
 		}
 	}
-	if took := time.Since(began); took > testkit.Patient/4 { // for a busy machine
+	if took := time.Since(began); took > testkit.WaitLimit/4 { // for a busy machine
 		t.Errorf("%d refusals took %v", refusals, took)
 	}
 	_, late := node.open("late")
--- a/cmd/starlingvalve/expired_test.go
+++ b/cmd/starlingvalve/expired_test.go
@@ -31,7 +31,7 @@
 func (n *onRequestNode) lateRequests(change discovery.Change) (late int) {
 	end := change.At.Add(discovery.FollowWithin + onRequestDrainGrace + onRequestSlack)
 	for _, received := range n.servers[0].Log() {
-		if received.Got.After(end) {
+		if received.ReceivedAt.After(end) {
 			late++
 		}
 	}
@@ -67,9 +67,9 @@
 		_, entries := node.service.List()
 		other := discovery.New(onRequestCallTime, entries...)
 		t.Cleanup(other.Close)
-		other.SetFault(discovery.Fault{Crowded: true})
+		other.SetFault(discovery.Fault{Overloaded: true})
 		caller := node.listenTo(other)
-		caller.Started(1)
+		caller.ProcessStarted(1)
 		node.moveTo(caller)
 		node.checkExpiredList(other, caller, node.drainFirstServer(other), overloadedAtReload)
 	})
@@ -78,7 +78,7 @@
 		node := prepareOnRequestNode(t, expiredNodes)
 		change := node.drainFirstServer(node.service)
 		time.Sleep(drainedFor)
-		node.service.SetFault(discovery.Fault{Crowded: true})
+		node.service.SetFault(discovery.Fault{Overloaded: true})
 		node.begin()
 		node.checkExpiredList(node.service, node.caller, change, overloadedAtStart)
 	})
@@ -97,7 +97,7 @@
 		n.t.Errorf("%d requests went to a draining server by a list that was no longer valid", late)
 	}
 	before := len(n.servers[1].Log())
-	for end := time.Now().Add(testkit.Patient); len(n.servers[1].Log()) == before; n.requests() {
+	for end := time.Now().Add(testkit.WaitLimit); len(n.servers[1].Log()) == before; n.requests() {
 		if time.Now().After(end) {
 			n.t.Fatal("the process does not serve with a fresh list")
 		}
--- a/cmd/starlingvalve/much_test.go
+++ b/cmd/starlingvalve/much_test.go
@@ -54,7 +54,7 @@
 // sendAndGo sends as much of the text as the node takes within sendTimeout, and disconnects, by a reset if that is
 // set.
 func sendAndGo(t *testing.T, listen, text string, reset bool) {
-	c, err := net.DialTimeout("tcp", listen, testkit.Patient)
+	c, err := net.DialTimeout("tcp", listen, testkit.WaitLimit)
 	if err != nil {
 		t.Error(err)
 		return
@@ -102,13 +102,13 @@
 
 func newHoldingServer(t *testing.T) *holdingServer {
 	h := &holdingServer{held: make(chan bool)}
-	h.addr = testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+	h.addr = testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 		if strings.HasPrefix(r.Header.Get("X-Correlation-Id"), "held") {
 			<-h.current()
 		} else {
 			time.Sleep(plainServiceTime)
 		}
-		return testkit.OK("x")
+		return testkit.OKResponse("x")
 	}))
 	t.Cleanup(h.release) // runs before the server's cleanup
 	return h
@@ -152,7 +152,7 @@
 			}
 		}
 		clients.Wait()
-		testkit.Until(t, "requests of disconnected clients stay open", func() bool {
+		testkit.WaitFor(t, "requests of disconnected clients stay open", func() bool {
 			server.release() // repeatedly, as some requests arrive late
 			return node.readStats()["gw.current"] == 0
 		})
@@ -160,7 +160,7 @@
 		t.Logf("figure: wave %d: %.1f MB resident at most, %.1f MB of its own now, %d descriptors", wave,
 			memoryOf(t, pid, "VmHWM"), memoryOf(t, pid, "RssAnon"), descriptorsOf(pid))
 	}
-	testkit.Until(t, "no request is served", func() bool {
+	testkit.WaitFor(t, "no request is served", func() bool {
 		resp, err := http.DefaultClient.Do(plainRequest(t, node.listen))
 		if err != nil {
 			return false
--- a/cmd/starlingvalve/platform_test.go
+++ b/cmd/starlingvalve/platform_test.go
@@ -180,7 +180,7 @@
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n%s", want)
 				return
 			default:
-				io.WriteString(c, testkit.OK(string(want)))
+				io.WriteString(c, testkit.OKResponse(string(want)))
 			}
 		}
 	})
@@ -193,7 +193,7 @@
 		for lines.Scan() {
 		}
 	}()
-	ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitLimit)
 	defer cancel()
 	for i := range 12 {
 		var body io.Reader
@@ -230,7 +230,7 @@
 		if err != nil {
 			t.Errorf("the node ended with %v", err)
 		}
-	case <-time.After(testkit.Patient):
+	case <-time.After(testkit.WaitLimit):
 		t.Error("the node has not ended")
 	}
 }
--- a/cmd/starlingvalve/stats_test.go
+++ b/cmd/starlingvalve/stats_test.go
@@ -39,7 +39,7 @@
 func TestFiguresAreTrue(t *testing.T) {
 	node := newReplaceableNode(t)
 	node.server.SetWork(map[string]standin.Work{"c": {Time: 20 * time.Millisecond, Bytes: 100}})
-	node.server.Room = 6
+	node.server.MaxRequests = 6
 	process := node.start()
 	var mu sync.Mutex
 	results, disconnected := map[string]int{}, 0
--- a/cmd/starlingvalve/switched_test.go
+++ b/cmd/starlingvalve/switched_test.go
@@ -135,7 +135,7 @@
 // firstCall waits for the first list request since discovery came back and returns when it arrived.
 func (d *switchableDiscovery) firstCall() (first time.Time) {
 	d.t.Helper()
-	testkit.Until(d.t, "discovery gets no list request", func() bool {
+	testkit.WaitFor(d.t, "discovery gets no list request", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if len(d.calls) > 0 {
@@ -168,13 +168,13 @@
 
 func newFleetServer(t *testing.T, number int) *fleetServer {
 	s := &fleetServer{}
-	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 		if r.Header.Get("X-Correlation-Id") != "" {
 			s.mu.Lock()
 			s.requestTimes = append(s.requestTimes, time.Now())
 			s.mu.Unlock()
 		}
-		return testkit.OK("x")
+		return testkit.OKResponse("x")
 	}))
 	s.Entry = standin.Entry{ID: fmt.Sprintf("s-%08x", number), Addr: addr, Zone: "z", Kind: "k", State: "ready", Weight: 1}
 	return s
--- a/cmd/starlingvalve/unwatched_test.go
+++ b/cmd/starlingvalve/unwatched_test.go
@@ -74,7 +74,7 @@
 
 // begin starts the process.
 func (n *onRequestNode) begin() {
-	n.caller.Started(1)
+	n.caller.ProcessStarted(1)
 	lines, listen := startProgram(n.t, n.cmd)
 	go discardLines(lines)
 	n.listen = listen
@@ -128,7 +128,7 @@
 // requestsUntil makes requests, one batch after the other, until done returns true.
 func (n *onRequestNode) requestsUntil(what string, done func() bool) {
 	n.t.Helper()
-	for end := time.Now().Add(testkit.Patient); !done(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitLimit); !done(); time.Sleep(5 * time.Millisecond) {
 		if n.requests(); time.Now().After(end) {
 			n.t.Fatal("timed out waiting for", what)
 		}
@@ -143,10 +143,10 @@
 	answered := make(chan struct{})
 	go func() {
 		defer close(answered)
-		for end := time.Now().Add(testkit.Patient); len(caller.Answers()) <= answers && time.Now().Before(end); {
+		for end := time.Now().Add(testkit.WaitLimit); len(caller.Answers()) <= answers && time.Now().Before(end); {
 			time.Sleep(time.Millisecond)
 		}
-		for end := time.Now().Add(testkit.Patient); len(n.servers[0].Log()) == 0 && time.Now().Before(end); {
+		for end := time.Now().Add(testkit.WaitLimit); len(n.servers[0].Log()) == 0 && time.Now().Before(end); {
 			time.Sleep(time.Millisecond) // a process that starts sends no request before that answer
 		}
 		entry := standin.EntryOf(n.servers[0])
@@ -172,10 +172,10 @@
 		}
 		log := n.servers[0].Log()
 		n.t.Logf("notified by: %s, answers: %d, last request %v after it", notification.By, len(caller.Answers()),
-			log[len(log)-1].Got.Sub(notification.At))
+			log[len(log)-1].ReceivedAt.Sub(notification.At))
 		end := notification.At.Add(onRequestDrainGrace + onRequestSlack)
 		for _, received := range n.servers[0].Log() {
-			if received.Got.After(end) {
+			if received.ReceivedAt.After(end) {
 				late++
 			}
 		}
@@ -217,7 +217,7 @@
 		other := discovery.New(onRequestCallTime, entries...)
 		t.Cleanup(other.Close)
 		caller := node.listenTo(other)
-		caller.Started(1)
+		caller.ProcessStarted(1)
 		node.moveTo(caller)
 		if late := node.drainAfter(caller, other, 0); late > 0 {
 			t.Errorf("%d requests went to a draining server after its grace", late)
--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -345,21 +345,21 @@
 }
 
 // recorderTry converts a completed request to the form in which it is recorded.
-func recorderTry(seen *front.CompletedRequest) *recorder.Try {
-	arrival := &seen.Request.Arrived
-	try := &recorder.Try{StartedAt: seen.StartedAt, Class: arrival.Class, Tenant: arrival.Tenant,
-		Order: seen.Request.Header.Get("Idempotency-Key"), BodySize: len(seen.Request.Body), AnswerSize: len(seen.Answer.Body),
-		Repeat: arrival.Repeat, Outcome: trace.Failed, Duration: seen.Duration, Work: seen.Answer.AttemptTime,
-		Patience: seen.Patience}
+func recorderTry(completed *front.CompletedRequest) *recorder.Try {
+	arrival := &completed.Request.Arrived
+	try := &recorder.Try{StartedAt: completed.StartedAt, Class: arrival.Class, Tenant: arrival.Tenant,
+		Order: completed.Request.Header.Get("Idempotency-Key"), BodySize: len(completed.Request.Body), AnswerSize: len(completed.Answer.Body),
+		Repeat: arrival.Repeat, Outcome: trace.Failed, Duration: completed.Duration, Work: completed.Answer.AttemptTime,
+		Patience: completed.Patience}
 	if try.Order == "" {
 		try.Order = string(arrival.ID)
 	}
 	switch {
-	case seen.ClientGone:
+	case completed.ClientGone:
 		try.Outcome = trace.ClientGone
-	case seen.Answer.Status == http.StatusOK:
+	case completed.Answer.Status == http.StatusOK:
 		try.Outcome = trace.Served
-	case seen.Answer.Status == http.StatusServiceUnavailable, seen.Answer.Status == http.StatusTooManyRequests:
+	case completed.Answer.Status == http.StatusServiceUnavailable, completed.Answer.Status == http.StatusTooManyRequests:
 		try.Outcome = trace.Refused
 	}
 	return try
--- a/internal/app/app_test.go
+++ b/internal/app/app_test.go
@@ -28,7 +28,7 @@
 // start starts a node that is stopped when the test ends.
 func start(t *testing.T, c *Config) *testNode {
 	t.Helper()
-	return startLogged(t, c, testkit.Quiet)
+	return startLogged(t, c, testkit.DiscardLog)
 }
 
 func startLogged(t *testing.T, c *Config, log *slog.Logger) *testNode {
@@ -86,7 +86,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	io.WriteString(conn, text)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
--- a/internal/app/askedlist_test.go
+++ b/internal/app/askedlist_test.go
@@ -75,7 +75,7 @@
 	if d.answeredAt.IsZero() {
 		d.answeredAt = time.Now()
 	}
-	return testkit.OK(d.list)
+	return testkit.OKResponse(d.list)
 }
 
 // restore makes discovery answer with this list from now on.
@@ -114,20 +114,20 @@
 		"resets":  func(config net.Conn) { config.(*net.TCPConn).SetLinger(0) },
 		"silent":  holdOpen,
 		"half an answer": func(config net.Conn) {
-			io.WriteString(config, testkit.OK(drainList)[:90])
+			io.WriteString(config, testkit.OKResponse(drainList)[:90])
 			holdOpen(config)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var lastAtDraining atomic.Int64 // Unix time, ns
-			draining := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string {
+			draining := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string {
 				lastAtDraining.Store(time.Now().UnixNano())
-				return testkit.OK("x")
+				return testkit.OKResponse("x")
 			}))
-			ready := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
+			ready := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string { return testkit.OKResponse("x") }))
 			first, second := newDownDiscovery(t, fails), newDownDiscovery(t, fails)
-			config := &Config{Settings: testkit.Settings(), Known: testkit.Known(draining, ready), Discovery: first.addr}
+			config := &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(draining, ready), Discovery: first.addr}
 			// The grace has to cover delays of a busy machine too.
 			config.Settings.ListOnRequest, config.Settings.Nodes, config.Settings.DrainGrace = true, 300, 2*time.Second
 			config.reread = func() (*Config, error) { return &Config{Discovery: second.addr}, nil }
@@ -136,7 +136,7 @@
 			requestUntil := func(what string, until func() bool) {
 				t.Helper()
 				last := time.Now()
-				for end := time.Now().Add(testkit.Patient); !until(); time.Sleep(time.Millisecond) {
+				for end := time.Now().Add(testkit.WaitLimit); !until(); time.Sleep(time.Millisecond) {
 					resp, _ := node.roundTrip(t, classRequest("read", "9.5", ""))
 					switch {
 					case resp.Header.Get("X-Refused-By") == "list":
--- a/internal/app/clients_test.go
+++ b/internal/app/clients_test.go
@@ -22,12 +22,12 @@
 	t.Parallel()
 	want := strings.Repeat("\x00é\r\n", 4000)
 	seen := make(chan string, 10)
-	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, body []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, body []byte) string {
 		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("Idempotency-Key"), " ",
 			r.Header.Get("X-Correlation-Id") != "", " ", string(body))
-		return testkit.OK(want)
+		return testkit.OKResponse(want)
 	}))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	for class, line := range map[string]string{"read": "GET /read?obj=a%2fb  true ",
 		"tag": "POST /tag?obj=a%2fb k true B", "order": "POST /order?obj=a%2fb  true B"} {
 		body := "B"
@@ -50,12 +50,12 @@
 func TestBadInput(t *testing.T) {
 	t.Parallel()
 	var passed atomic.Int64
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request,
 		[]byte) string {
 		passed.Add(1)
-		return testkit.OK("x")
+		return testkit.OKResponse("x")
 	}))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	const host, id, left, key, none = "Host: h\r\n", "X-Correlation-Id: q\r\n", "X-Time-Left: 9\r\n",
 		"Idempotency-Key: k\r\n", "Content-Length: 0\r\n"
 	const get, post, head, end = "GET /read HTTP/1.1\r\n", "POST /order HTTP/1.1\r\n", host + id + left, "\r\n"
@@ -105,7 +105,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetDeadline(time.Now().Add(testkit.Patient))
+		conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 		io.WriteString(conn, text+hidden)
 		reader := bufio.NewReader(conn)
 		resp, err := http.ReadResponse(reader, nil)
@@ -134,8 +134,8 @@
 // of them, and connections that stay open after a request, do not keep other clients from being served.
 func TestSilentClients(t *testing.T) {
 	t.Parallel()
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr),
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string { return testkit.OKResponse("x") }))
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr),
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}})
 	stuck := classRequest("order", "9.5", "abc")
 	stuck = stuck[:len(stuck)-1]
@@ -149,14 +149,14 @@
 		io.WriteString(conn, text)
 		waiting.Go(func() {
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(testkit.Patient))
+			conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 			if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("%.20q is left open", text)
 			}
 		})
 	}
 	// This has to succeed long before those connections time out.
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitLimit); ; time.Sleep(50 * time.Millisecond) {
 		if resp, _ := node.roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode == 200 {
 			break
 		} else if time.Now().After(end) {
@@ -179,7 +179,7 @@
 		reader.ReadByte()
 		close(closed)
 	})
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	conn, err := net.Dial("tcp", node.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -198,13 +198,13 @@
 func TestSameIDTwice(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}, 9), make(chan struct{})
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request,
 		[]byte) string {
 		arrived <- struct{}{}
 		<-release
-		return testkit.OK("x")
+		return testkit.OKResponse("x")
 	}))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	text := classRequest("order", "9.5", "b")
 	first := make(chan int)
 	go func() { resp, _ := node.roundTrip(t, text); first <- resp.StatusCode }()
@@ -223,15 +223,15 @@
 func TestDrain(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string {
 		select {
 		case arrived <- struct{}{}:
 		case <-release:
 		}
 		<-release
-		return testkit.OK("x")
+		return testkit.OKResponse("x")
 	}))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	held := make(chan *http.Response)
 	go func() { resp, _ := node.roundTrip(t, classRequest("order", "9.5", "b")); held <- resp }()
 	<-arrived
@@ -241,7 +241,7 @@
 	}
 	defer idle.Close()
 	node.stop()
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitLimit); ; time.Sleep(time.Millisecond) {
 		if resp, _ := node.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n"); resp.StatusCode == 503 {
 			break
 		} else if time.Now().After(end) {
@@ -262,7 +262,7 @@
 		t.Fatal(err)
 	}
 	defer kept.Close()
-	kept.SetDeadline(time.Now().Add(testkit.Patient))
+	kept.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	reader, served := bufio.NewReader(kept), 0
 	for { // continues after the listener has closed; the last answer closes the connection
 		io.WriteString(kept, classRequest("read", "9.5", ""))
@@ -289,7 +289,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(testkit.Patient):
+	case <-time.After(testkit.WaitLimit):
 		t.Error("the node does not end")
 	}
 }
@@ -298,8 +298,8 @@
 func TestBounds(t *testing.T) {
 	t.Parallel()
 	release := make(chan struct{})
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { <-release; return testkit.OK("x") }))
-	config := &Config{Settings: testkit.Settings(), Known: testkit.Known(addr),
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string { <-release; return testkit.OKResponse("x") }))
+	config := &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr),
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: minSockets}}
 	config.Settings.MaxOpen = 1
 	node := start(t, config)
--- a/internal/app/departed_first_test.go
+++ b/internal/app/departed_first_test.go
@@ -84,10 +84,10 @@
 	io.WriteString(c, text)
 	closed := scenario.perform(c)
 	time.Sleep(scenario.after)
-	node := startOn(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)}, clients, testkit.Quiet)
+	node := startOn(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)}, clients, testkit.DiscardLog)
 	node.waitReady(t, 200) // over a connection that is accepted after the client's
 	if scenario.leave == nil {
-		testkit.Until(t, "the request is not served", func() bool { return server.count(leavingID) > 0 })
+		testkit.WaitFor(t, "the request is not served", func() bool { return server.count(leavingID) > 0 })
 	}
 	node.stop()
 	<-node.ended
--- a/internal/app/departed_test.go
+++ b/internal/app/departed_test.go
@@ -78,7 +78,7 @@
 			return
 		}
 		l.complete(index)
-		text := testkit.OK(id)
+		text := testkit.OKResponse(id)
 		if id != "" && l.answer != nil {
 			text = l.answer(id, nth)
 		}
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patient))
+	c.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	io.WriteString(c, "GET /settled HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 	if _, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil {
 		t.Fatal(err)
@@ -250,14 +250,14 @@
 	var once sync.Once
 	server := &attemptLog{answer: func(id string, nth int) string {
 		if nth > 0 {
-			return testkit.OK(id)
+			return testkit.OKResponse(id)
 		}
 		once.Do(func() { close(arrived) })
 		<-release
 		return rejection
 	}}
 	addrs := []string{testkit.Server(t, server.serve), testkit.Server(t, server.serve)}
-	node := start(t, &Config{Settings: settings, Known: testkit.Known(addrs...)})
+	node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(addrs...)})
 	node.waitReady(t, 200)
 	conn := node.dial(t)
 	io.WriteString(conn, request(settings.Classes[class], leavingID, "60"))
@@ -345,7 +345,7 @@
 func disconnectDuringUpload(t *testing.T, scenario disconnect, size int, late bool) disconnectOutcome {
 	t.Helper()
 	settings := testkit.Settings()
-	settings.MayProbe, settings.MayOverlap, settings.ConnectTimeout = false, false, testkit.Patient
+	settings.MayProbe, settings.MayOverlap, settings.ConnectTimeout = false, false, testkit.WaitLimit
 	if scenario.change != nil {
 		scenario.change(&settings)
 	}
@@ -357,7 +357,7 @@
 	} else {
 		addr = testkit.ServerOn(t, smallBufferListener(t), server.serve)
 	}
-	node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(addr)})
 	node.waitReady(t, 200)
 	conn := node.dial(t)
 	if _, err := io.WriteString(conn, withBody(request(settings.Classes[2], leavingID, "60"), size)); err != nil {
@@ -366,7 +366,7 @@
 	if late {
 		waitDialing(t, addr)
 	} else {
-		testkit.Until(t, "no attempt has begun", func() bool { return server.hasBegun(leavingID) })
+		testkit.WaitFor(t, "no attempt has begun", func() bool { return server.hasBegun(leavingID) })
 	}
 	closed := scenario.perform(conn)
 	time.Sleep(scenario.after)
--- a/internal/app/discovery_test.go
+++ b/internal/app/discovery_test.go
@@ -18,21 +18,21 @@
 // registryOf starts a discovery server that answers request n, counted from 1, with what answer returns for it.
 func registryOf(t *testing.T, answer func(n int, query url.Values) string) netip.AddrPort {
 	var calls atomic.Int64
-	return netip.MustParseAddrPort(testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+	return netip.MustParseAddrPort(testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 		return answer(int(calls.Add(1)), r.URL.Query())
 	})))
 }
 
 // jsonList is an answer of discovery with one server.
 func jsonList(version int, full bool, state, addr string) string {
-	return testkit.OK(fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s-00000001","addr":%q,"zone":"z","kind":"k","cell":1,"state":%q,"weight":1,"started_ms":0}]}`,
+	return testkit.OKResponse(fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"s-00000001","addr":%q,"zone":"z","kind":"k","cell":1,"state":%q,"weight":1,"started_ms":0}]}`,
 		version, full, addr, state))
 }
 
 // waitReady waits until the node's readiness check answers with the status want.
 func (n *testNode) waitReady(t *testing.T, want int) {
 	t.Helper()
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitLimit); ; time.Sleep(5 * time.Millisecond) {
 		resp, _ := n.roundTrip(t, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		if resp.StatusCode == want {
 			return
@@ -49,10 +49,10 @@
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
 		var requestCount atomic.Int64
-		addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+		addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request,
 			[]byte) string {
 			requestCount.Add(1)
-			return testkit.OK("x")
+			return testkit.OKResponse("x")
 		}))
 		drain := make(chan struct{})
 		config := &Config{Settings: testkit.Settings(), Known: core.List{Version: 1}}
@@ -60,7 +60,7 @@
 		config.Discovery = registryOf(t, func(n int, q url.Values) string {
 			switch n {
 			case 1:
-				return testkit.OK(`{"version":"x"`)
+				return testkit.OKResponse(`{"version":"x"`)
 			case 2:
 				return jsonList(5, false, "asleep", addr)
 			case 3:
@@ -100,7 +100,7 @@
 func TestReload(t *testing.T) {
 	t.Parallel()
 	for _, pushed := range []bool{false, true} {
-		addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
+		addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string { return testkit.OKResponse("x") }))
 		hang, requested := make(chan struct{}), make(chan struct{}, 9)
 		config := &Config{Settings: testkit.Settings(), Known: core.List{Version: 40}}
 		config.Settings.ListOnRequest = !pushed
--- a/internal/app/enddeadlines_test.go
+++ b/internal/app/enddeadlines_test.go
@@ -20,7 +20,7 @@
 	settings := settingsWithDeadline(deadline)
 	settings.MayProbe = false
 	server := newHoldingServer(t, "0", "1", "2")
-	config := &Config{Settings: settings, Known: testkit.Known(server.addr)}
+	config := &Config{Settings: settings, Known: testkit.ReadyList(server.addr)}
 	held := new(bytes.Buffer) // gets a warning if the node exits with connections open
 	node := startLogged(t, config, slog.New(slog.NewTextHandler(held, &slog.HandlerOptions{Level: slog.LevelWarn})))
 	node.waitReady(t, 200)
--- a/internal/app/endings_test.go
+++ b/internal/app/endings_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testkit.Patient))
+	c.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	return client{c.(*net.TCPConn), bufio.NewReader(c)}
 }
 
@@ -141,7 +141,7 @@
 		io.Copy(io.Discard, req.Body)
 		id := req.Header.Get("X-Correlation-Id")
 		if id == "" { // a probe
-			io.WriteString(c, testkit.OK(""))
+			io.WriteString(c, testkit.OKResponse(""))
 			continue
 		}
 		h.arrived <- id
@@ -153,7 +153,7 @@
 			h.ended <- id
 			return
 		}
-		io.WriteString(c, testkit.OK(id))
+		io.WriteString(c, testkit.OKResponse(id))
 	}
 }
 
@@ -258,7 +258,7 @@
 				t.Run(fmt.Sprint(how, " after ", what, " ", class), func(t *testing.T) {
 					t.Parallel()
 					server := newHoldingServer(t, "first")
-					node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
+					node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(server.addr)})
 					node.waitReady(t, 200)
 					conn := node.dial(t)
 					io.WriteString(conn, request(settings.Classes[class], "first", "9"))
@@ -269,7 +269,7 @@
 					end(conn)
 					select {
 					case <-server.ended:
-					case <-time.After(testkit.Patient / 4): // less than the client's patience
+					case <-time.After(testkit.WaitLimit / 4): // less than the client's patience
 						t.Fatal("the attempt continues")
 					}
 					node.stop()
@@ -290,13 +290,13 @@
 	settings := testkit.Settings()
 	settings.MaxOpen = 1000
 	release := make(chan struct{})
-	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 		if r.Header.Get("X-Correlation-Id") == "first" {
 			<-release
 		}
-		return testkit.OK(r.Header.Get("X-Correlation-Id"))
+		return testkit.OKResponse(r.Header.Get("X-Correlation-Id"))
 	}))
-	node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(addr)})
 	conn := node.dial(t)
 	const count = 700
 	text := pipelinedRequests(settings.Classes[0], count)
@@ -342,7 +342,7 @@
 						}
 					}
 				})
-				node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+				node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 				node.waitReady(t, 200)
 				conn := node.dial(t)
 				began := time.Now()
@@ -391,7 +391,7 @@
 				}
 				io.WriteString(conn, strings.Repeat("x", size-first))
 			})
-			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 			node.waitReady(t, 200)
 			var conn client
 			var resp *http.Response
@@ -427,7 +427,7 @@
 			s.Classes[i].Deadline = min(s.Classes[i].Deadline, time.Second)
 		}
 		server := newHoldingServer(t, "0", "1", "2")
-		config := &Config{Settings: s, Known: testkit.Known(server.addr)}
+		config := &Config{Settings: s, Known: testkit.ReadyList(server.addr)}
 		node := start(t, config)
 		node.waitReady(t, 200)
 		var open []client
@@ -449,7 +449,7 @@
 			}
 		}
 		<-node.ended
-		if took, kill := time.Since(began), config.drainTime()+killMargin; took > kill+testkit.Patient/4 { // for a busy machine
+		if took, kill := time.Since(began), config.drainTime()+killMargin; took > kill+testkit.WaitLimit/4 { // for a busy machine
 			t.Errorf("exited after %v, killed after %v", took, kill)
 		}
 	})
@@ -466,7 +466,7 @@
 			io.Copy(io.Discard, conn)
 		}
 	})
-	config := &Config{Settings: settings, Known: testkit.Known(addr)}
+	config := &Config{Settings: settings, Known: testkit.ReadyList(addr)}
 	node := start(t, config)
 	node.waitReady(t, 200)
 	conn := node.dial(t)
@@ -504,7 +504,7 @@
 	t.Helper()
 	settings := settingsWithDeadline(time.Second)
 	server := newHoldingServer(t, "held")
-	node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
+	node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(server.addr)})
 	node.waitReady(t, 200)
 	halfSent, idle, held := node.dial(t), node.dial(t), node.dial(t)
 	for _, conn := range []client{halfSent, idle} {
@@ -562,16 +562,16 @@
 	}
 	var mu sync.Mutex
 	ran, answered := map[string]int{}, map[string]int{}
-	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 		mu.Lock()
 		defer mu.Unlock()
 		ran[r.Header.Get("X-Correlation-Id")]++
-		return testkit.OK("x")
+		return testkit.OKResponse("x")
 	}))
 	var rounds sync.WaitGroup
 	for round := range 20 {
 		rounds.Go(func() {
-			node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+			node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(addr)})
 			node.waitReady(t, 200)
 			var clients sync.WaitGroup
 			busy := make(chan bool, 99999)
--- a/internal/app/gateway_test.go
+++ b/internal/app/gateway_test.go
@@ -54,13 +54,13 @@
 func TestTwoSites(t *testing.T) {
 	t.Parallel()
 	var runs atomic.Int64
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request,
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request,
 		[]byte) string {
 		runs.Add(1)
-		return testkit.OK("from b")
+		return testkit.OKResponse("from b")
 	}))
 	fileA, fileB := gatewayPair(t)
-	start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr), Gateway: fileB})
+	start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr), Gateway: fileB})
 	configA := &Config{Settings: testkit.Settings(), Gateway: fileA}
 	withoutPeers := *fileA
 	identity := *fileA.Identity
@@ -70,7 +70,7 @@
 	nodeA := start(t, configA)
 	until := func(class string, status int) (body string) {
 		t.Helper()
-		for end := time.Now().Add(testkit.Patient); ; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testkit.WaitLimit); ; time.Sleep(10 * time.Millisecond) {
 			resp, text := nodeA.roundTrip(t, classRequest(class, "9.5", ""))
 			if resp.StatusCode == status {
 				return text
@@ -104,18 +104,18 @@
 		t.Run(side, func(t *testing.T) {
 			t.Parallel()
 			arrived, release := make(chan struct{}, 9), make(chan struct{})
-			addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+			addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 				if r.URL.Path == "/order" {
 					arrived <- struct{}{}
 					<-release
 				}
-				return testkit.OK("from b")
+				return testkit.OKResponse("from b")
 			}))
 			fileA, fileB := gatewayPair(t)
-			nodes := map[string]*testNode{"far": start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr),
+			nodes := map[string]*testNode{"far": start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr),
 				Gateway: fileB}),
 				"near": start(t, &Config{Settings: testkit.Settings(), Gateway: fileA})}
-			for end := time.Now().Add(testkit.Patient); ; time.Sleep(10 * time.Millisecond) {
+			for end := time.Now().Add(testkit.WaitLimit); ; time.Sleep(10 * time.Millisecond) {
 				if resp, _ := nodes["near"].roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode == 200 {
 					break
 				} else if time.Now().After(end) {
@@ -144,7 +144,7 @@
 				if err != nil {
 					t.Error(err)
 				}
-			case <-time.After(testkit.Patient):
+			case <-time.After(testkit.WaitLimit):
 				t.Error("the node does not exit")
 			}
 		})
--- a/internal/app/leaving_test.go
+++ b/internal/app/leaving_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	const finWait2, closed = 5, 7 // states of TCP: the end is acknowledged; the node has closed too
-	testkit.Until(t, "the end of the connection is not acknowledged", func() bool {
+	testkit.WaitFor(t, "the end of the connection is not acknowledged", func() bool {
 		var info *unix.TCPInfo
 		raw.Control(func(fd uintptr) { info, err = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO) })
 		if err != nil {
@@ -43,9 +43,9 @@
 // neither probes the server nor times out a connection attempt.
 func nodeWithFullListener(t *testing.T, s decide.Settings) (n *testNode, addr string, release func(func(net.Conn))) {
 	t.Helper()
-	s.MayProbe, s.ConnectTimeout = false, testkit.Patient
+	s.MayProbe, s.ConnectTimeout = false, testkit.WaitLimit
 	addr, release = newFullListener(t)
-	n = start(t, &Config{Settings: s, Known: testkit.Known(addr)})
+	n = start(t, &Config{Settings: s, Known: testkit.ReadyList(addr)})
 	n.waitReady(t, 200)
 	return n, addr, release
 }
@@ -56,7 +56,7 @@
 	at := netip.MustParseAddrPort(addr)
 	ip := at.Addr().As4()
 	line := fmt.Sprintf(" %08X:%04X 02 ", binary.NativeEndian.Uint32(ip[:]), at.Port()) // 02: SYN_SENT
-	testkit.Until(t, "nobody connects to "+addr, func() bool {
+	testkit.WaitFor(t, "nobody connects to "+addr, func() bool {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			t.Fatal(err)
@@ -128,14 +128,14 @@
 	settings := testkit.Settings()
 	settings.MaxOpen = 1000
 	release, arrived := make(chan bool), make(chan string, 9999)
-	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, _ []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, _ []byte) string {
 		id := r.Header.Get("X-Correlation-Id")
 		if arrived <- id; id == "first" {
 			<-release
 		}
-		return testkit.OK(id)
+		return testkit.OKResponse(id)
 	}))
-	node := start(t, &Config{Settings: settings, Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(addr)})
 	node.waitReady(t, 200)
 	conn := node.dial(t)
 	io.WriteString(conn, request(settings.Classes[0], "first", "9"))
@@ -160,7 +160,7 @@
 	conn client, warnings *bytes.Buffer) {
 	t.Helper()
 	settings := settingsWithDeadline(deadline)
-	config, warnings = &Config{Settings: settings, Known: testkit.Known(testkit.Server(t, serve))}, new(bytes.Buffer)
+	config, warnings = &Config{Settings: settings, Known: testkit.ReadyList(testkit.Server(t, serve))}, new(bytes.Buffer)
 	node = startLogged(t, config, slog.New(slog.NewTextHandler(warnings, &slog.HandlerOptions{Level: slog.LevelWarn})))
 	node.waitReady(t, 200)
 	conn = node.dial(t)
@@ -237,7 +237,7 @@
 				t.Parallel()
 				settings := settingsWithDeadline(150 * time.Millisecond)
 				server := newHoldingServer(t)
-				node := start(t, &Config{Settings: settings, Known: testkit.Known(server.addr)})
+				node := start(t, &Config{Settings: settings, Known: testkit.ReadyList(server.addr)})
 				node.waitReady(t, 200)
 				conn := node.dial(t)
 				io.WriteString(conn, strings.Replace(request(settings.Classes[2], "half", "60"), "Length: 0",
--- a/internal/app/long_test.go
+++ b/internal/app/long_test.go
@@ -42,11 +42,11 @@
 	t.Parallel()
 	want := patternBody(3<<20 + 17)
 	for name, answer := range map[string]string{
-		"by length":          testkit.OK(string(want)),
+		"by length":          testkit.OKResponse(string(want)),
 		"by chunks":          "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(want, 100_000),
 		"by small chunks":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(want, 999),
 		"by connection":      "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + string(want),
-		"with another after": testkit.OK(string(want)) + testkit.OK("x"),
+		"with another after": testkit.OKResponse(string(want)) + testkit.OKResponse("x"),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -63,7 +63,7 @@
 					io.Copy(io.Discard, c)
 				}
 			})
-			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 			resp, got := node.roundTrip(t, classRequest("read", "9.5", ""))
 			if resp.StatusCode != 200 || got != string(want) {
 				t.Errorf("status %d, %d bytes of %d", resp.StatusCode, len(got), len(want))
@@ -77,7 +77,7 @@
 	t.Parallel()
 	body := patternBody(1 << 20)
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunkedBody(body, 65_000)
-	complete := testkit.OK(string(body))
+	complete := testkit.OKResponse(string(body))
 	for name, answer := range map[string]string{
 		"length, half":       complete[:1<<19],
 		"length, last byte":  complete[:len(complete)-1],
@@ -94,13 +94,13 @@
 					io.WriteString(conn, answer)
 				}
 			})
-			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 			conn, err := net.Dial("tcp", node.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(testkit.Patient))
+			conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 			io.WriteString(conn, classRequest("read", "9.5", ""))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
@@ -122,11 +122,11 @@
 		length int64
 	}
 	seen := make(chan got, 8)
-	addr := testkit.Server(t, testkit.Answering(func(r *http.Request, body []byte) string {
+	addr := testkit.Server(t, testkit.AnswerRequests(func(r *http.Request, body []byte) string {
 		seen <- got{body, r.ContentLength}
-		return testkit.OK("done")
+		return testkit.OKResponse("done")
 	}))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	head := func(form string) string {
 		return fmt.Sprintf("POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: long%d\r\nX-Time-Left: 9\r\n%s\r\n\r\n",
 			lastRequestID.Add(1), form)
@@ -165,14 +165,14 @@
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 	})
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	body := patternBody(8 << 20)
 	conn, err := net.Dial("tcp", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(testkit.Patient))
+	conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	go fmt.Fprintf(conn, "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: breaks\r\nX-Time-Left: 9\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
@@ -191,8 +191,8 @@
 // A body that arrives too slowly or stalls is rejected with status 408. One at the pace of a good client is accepted.
 func TestPaceOfBodies(t *testing.T) {
 	t.Parallel()
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("done") }))
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string { return testkit.OKResponse("done") }))
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	const size = 200_000
 	for name, pace := range map[string]int{"good": 64_000, "trickle": 10_000, "stall": 0} {
 		t.Run(name, func(t *testing.T) {
@@ -202,7 +202,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			conn.SetDeadline(time.Now().Add(testkit.Patient))
+			conn.SetDeadline(time.Now().Add(testkit.WaitLimit))
 			began := time.Now()
 			fmt.Fprintf(conn, "POST /order HTTP/1.1\r\nHost: h\r\nX-Correlation-Id: pace%s\r\nX-Time-Left: 9\r\nContent-Length: %d\r\n\r\n", name, size)
 			stop := make(chan struct{})
--- a/internal/app/servers_test.go
+++ b/internal/app/servers_test.go
@@ -33,10 +33,10 @@
 			if n == 1 {
 				return
 			}
-			io.WriteString(c, testkit.OK("x"))
+			io.WriteString(c, testkit.OKResponse("x"))
 		}
 	})
-	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	for i, want := range []int{200, 503} {
 		if resp, _ := n.roundTrip(t, classRequest("read", "9.5", "")); resp.StatusCode != want {
 			t.Errorf("request %d: status %d, want %d", i, resp.StatusCode, want)
@@ -54,12 +54,12 @@
 	closed := make(chan struct{}, 9)
 	addr := testkit.Server(t, func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			io.WriteString(c, testkit.OK("x"))
+			io.WriteString(c, testkit.OKResponse("x"))
 		}
 		c.Close()
 		closed <- struct{}{}
 	})
-	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+	node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 	for range 5 {
 		if resp, _ := node.roundTrip(t, classRequest("order", "9.5", "")); resp.StatusCode != 200 {
 			t.Fatalf("status %d", resp.StatusCode)
@@ -74,7 +74,7 @@
 	addr := testkit.Server(t, func(c net.Conn) { io.Copy(io.Discard, c) })
 	for class, want := range map[string]int{"read": 503, "tag": 502, "order": 502} {
 		// A new node for each class, to which no server is unresponsive yet.
-		n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+		n := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 		if resp, _ := n.roundTrip(t, classRequest(class, "0.4", "")); resp.StatusCode != want {
 			t.Errorf("%s: status %d, want %d", class, resp.StatusCode, want)
 		}
@@ -88,15 +88,15 @@
 		reply  string
 		status int
 	}{
-		"served":           {testkit.OK("x"), 200},
+		"served":           {testkit.OKResponse("x"), 200},
 		"chunked":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", 200},
-		"interim":          {"HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.OK("x"), 200},
-		"many interim":     {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20) + testkit.OK("x"), 200},
+		"interim":          {"HTTP/1.1 103 Early Hints\r\n\r\n" + testkit.OKResponse("x"), 200},
+		"many interim":     {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 20) + testkit.OKResponse("x"), 200},
 		"endless interim":  {strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 1<<15), 502},
-		"another protocol": {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + testkit.OK("x"), 502},
-		"copy behind":      {testkit.OK("x") + testkit.OK("x"), 200},
-		"part of a copy":   {testkit.OK("x") + "HTT", 200},
-		"noise behind":     {testkit.OK("x") + "\x8e1\xc0", 502},
+		"another protocol": {"HTTP/1.1 101 Switching Protocols\r\n\r\n" + testkit.OKResponse("x"), 502},
+		"copy behind":      {testkit.OKResponse("x") + testkit.OKResponse("x"), 200},
+		"part of a copy":   {testkit.OKResponse("x") + "HTT", 200},
+		"noise behind":     {testkit.OKResponse("x") + "\x8e1\xc0", 502},
 		"short length":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nabcd", 502},
 		"short by much":    {"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 20000), 502},
 		"two lengths":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 4\r\n\r\nabcd", 502},
@@ -115,7 +115,7 @@
 		"truncated chunk":  {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nx", 502},
 		"no end":           {"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nx", 200},
 		"huge header":      {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 1<<20) + "\r\nContent-Length: 1\r\n\r\nx", 502},
-		"large":            {testkit.OK(strings.Repeat("x", 6*front.BodyLimit)), 200},
+		"large":            {testkit.OKResponse(strings.Repeat("x", 6*front.BodyLimit)), 200},
 		"too large":        {"HTTP/1.1 200 OK\r\nContent-Length: 41943041\r\n\r\nx", 502},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -125,7 +125,7 @@
 					io.WriteString(conn, outcome.reply)
 				}
 			})
-			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.Known(addr)})
+			node := start(t, &Config{Settings: testkit.Settings(), Known: testkit.ReadyList(addr)})
 			if resp, _ := node.roundTrip(t, classRequest("order", "9.5", "")); resp.StatusCode != outcome.status {
 				t.Errorf("status %d, want %d", resp.StatusCode, outcome.status)
 			}
--- a/internal/app/takeover_test.go
+++ b/internal/app/takeover_test.go
@@ -38,14 +38,14 @@
 	config.Settings.MayMessage = true
 	server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp,
 		State:       func() []byte { return []byte("{}") },
-		Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.Quiet)
+		Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan struct{})
 	go func() { defer close(ended); server.Run(t.Context()) }()
 	t.Cleanup(func() { <-ended })
-	opened, err := openSockets(config, testkit.Quiet)
+	opened, err := openSockets(config, testkit.DiscardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 // once. The handed list may have other servers, and a watch from its version might wait forever.
 func TestSuccessorOfElsewhere(t *testing.T) {
 	t.Parallel()
-	addr := testkit.Server(t, testkit.Answering(func(*http.Request, []byte) string { return testkit.OK("x") }))
+	addr := testkit.Server(t, testkit.AnswerRequests(func(*http.Request, []byte) string { return testkit.OKResponse("x") }))
 	nobody := testkit.Server(t, func(config net.Conn) { config.Close() })
 	for _, pushed := range []bool{false, true} {
 		hang := make(chan struct{})
@@ -89,23 +89,23 @@
 		}
 		server, err := handover.Listen(config.Handover, handover.Offer{Name: "n0", Listener: tcp,
 			State:       func() []byte { return raw },
-			Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.Quiet)
+			Connections: func() int { return 0 }, Changed: func(handover.Stage) {}}, testkit.DiscardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
 		serverEnded := make(chan struct{})
 		serverCtx, stopServer := context.WithCancel(context.Background())
 		go func() { defer close(serverEnded); server.Run(serverCtx) }()
-		opened, err := openSockets(config, testkit.Quiet)
+		opened, err := openSockets(config, testkit.DiscardLog)
 		if err != nil || opened.predecessor == nil {
 			t.Fatal(err, opened)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
-		go func() { ended <- serve(ctx, config, opened, nil, testkit.Quiet) }()
+		go func() { ended <- serve(ctx, config, opened, nil, testkit.DiscardLog) }()
 		node := &testNode{addr: config.Listen.String()}
 		tcp.Close() // the successor has it
-		for limit := time.Now().Add(testkit.Patient); ; time.Sleep(10 * time.Millisecond) {
+		for limit := time.Now().Add(testkit.WaitLimit); ; time.Sleep(10 * time.Millisecond) {
 			resp, _ := node.roundTrip(t, classRequest("read", "9.5", ""))
 			if resp.StatusCode == 200 {
 				break
--- a/internal/configuration/watch/simulation_test.go
+++ b/internal/configuration/watch/simulation_test.go
@@ -82,7 +82,7 @@
 func (s *simulation) addNode(name string, o ClientOptions) *node {
 	n := &node{name: name, accept: o.Accept}
 	epoch := uint64(len(s.sessions) + 1)
-	o.Node, o.Log, o.LongPollTimeout = name, testkit.Quiet, s.limits.LongPollTimeout
+	o.Node, o.Log, o.LongPollTimeout = name, testkit.DiscardLog, s.limits.LongPollTimeout
 	for _, m := range s.machines {
 		o.Machines = append(o.Machines, m.name)
 	}
--- a/internal/configuration/watch/watch_test.go
+++ b/internal/configuration/watch/watch_test.go
@@ -465,7 +465,7 @@
 		size := uint64(len(e.data))
 		parts = append(parts, &configpb.Chunk{Revision: e.revision, Size: size, Checksum: e.checksum[:], Data: e.data})
 	}
-	c, err := NewClient(ClientOptions{Node: "n", Machines: []string{"m"}, Log: testkit.Quiet})
+	c, err := NewClient(ClientOptions{Node: "n", Machines: []string{"m"}, Log: testkit.DiscardLog})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/configuration_test.go
+++ b/internal/control/configuration_test.go
@@ -55,7 +55,7 @@
 		goleak.VerifyNone(t, before)
 	})
 	for _, n := range fleet.running {
-		testkit.Until(t, "no session", func() bool { return n.Status().Session > 0 })
+		testkit.WaitFor(t, "no session", func() bool { return n.Status().Session > 0 })
 	}
 	return fleet
 }
@@ -108,7 +108,7 @@
 
 func (m *testFleet) start(i int) {
 	m.t.Helper()
-	n, err := Open(m.configs[i], idleNode{}, idleNode{}, testkit.Quiet)
+	n, err := Open(m.configs[i], idleNode{}, idleNode{}, testkit.DiscardLog)
 	if err != nil {
 		m.t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 
 // put proposes a transaction through a node, and repeats that until there is a result. ask is the request ID.
 func (m *testFleet) put(i int, ask string, tx *configpb.Transaction) *configpb.Result {
-	ctx, cancel := context.WithTimeout(m.t.Context(), 3*testkit.Patient)
+	ctx, cancel := context.WithTimeout(m.t.Context(), 3*testkit.WaitLimit)
 	defer cancel()
 	for {
 		what := &fleetpb.Entry_Configure{Configure: tx}
@@ -147,7 +147,7 @@
 }
 
 func (m *testFleet) get(i int) (*configpb.Snapshot, error) {
-	ctx, cancel := context.WithTimeout(m.t.Context(), testkit.Patient)
+	ctx, cancel := context.WithTimeout(m.t.Context(), testkit.WaitLimit)
 	defer cancel()
 	a, err := m.running[i].Query(ctx, &configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
 	return a.GetSnapshot(), err
@@ -244,7 +244,7 @@
 	fleet.put(0, "a", &configpb.Transaction{Changes: []*configpb.Change{serviceChange("pay", 1)}})
 	query, _ := proto.Marshal(&configpb.Query{About: &configpb.Query_Snapshot{Snapshot: true}})
 	watchRequest, _ := proto.Marshal(&configpb.WatchRequest{Node: "n9"})
-	testkit.Until(t, "all nodes have the revision, and one leads", func() bool {
+	testkit.WaitFor(t, "all nodes have the revision, and one leads", func() bool {
 		for _, n := range fleet.running {
 			if n.Status().ConfigurationRevision != 1 || n.Status().Voter == "waits" {
 				return false
@@ -252,7 +252,7 @@
 		}
 		return fleet.leader() >= 0
 	})
-	testkit.Until(t, "one answers as the leader", func() bool {
+	testkit.WaitFor(t, "one answers as the leader", func() bool {
 		leaders := 0
 		for _, n := range fleet.running {
 			if status, _ := n.voter.handleCall(t.Context(), "n9.f.example.org", kindQuery, query); status == statusOK {
@@ -284,8 +284,8 @@
 	has := func(i int, revision uint64) func() bool {
 		return func() bool { return fleet.running[i].Status().ConfigurationRevision == revision }
 	}
-	testkit.Until(t, "the first revision", has(4, 1))
-	testkit.Until(t, "the first revision", has(3, 1))
+	testkit.WaitFor(t, "the first revision", has(4, 1))
+	testkit.WaitFor(t, "the first revision", has(3, 1))
 	fleet.stop(3)
 	fleet.stop(4)
 	if err := os.RemoveAll(fleet.configs[4].Folder); err != nil {
@@ -310,8 +310,8 @@
 	}
 	fleet.start(3)
 	fleet.start(4)
-	testkit.Until(t, "the node without a folder", has(4, 5))
-	testkit.Until(t, "the node with its folder", has(3, 5))
+	testkit.WaitFor(t, "the node without a folder", has(4, 5))
+	testkit.WaitFor(t, "the node with its folder", has(3, 5))
 	if log := fleet.running[4].configuration.Status().Log; log == "" || log != fleet.running[3].configuration.Status().Log {
 		t.Errorf("the log is %q", log)
 	}
@@ -396,7 +396,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	testkit.Until(t, "all nodes have the last revision", func() bool {
+	testkit.WaitFor(t, "all nodes have the last revision", func() bool {
 		for _, n := range fleet.running {
 			if n.Status().ConfigurationRevision != last.Revision {
 				return false
@@ -412,14 +412,14 @@
 	const between = 40
 	for range 3 {
 		before := operations()
-		testkit.Until(t, "operations go on", func() bool { return operations() >= before+between })
+		testkit.WaitFor(t, "operations go on", func() bool { return operations() >= before+between })
 		leader := -1
-		testkit.Until(t, "a leader", func() bool { leader = fleet.leader(); return leader >= 0 })
+		testkit.WaitFor(t, "a leader", func() bool { leader = fleet.leader(); return leader >= 0 })
 		fleet.stop(leader)
 		fleet.start(leader)
 	}
 	before := operations()
-	testkit.Until(t, "operations go on", func() bool { return operations() >= before+between })
+	testkit.WaitFor(t, "operations go on", func() bool { return operations() >= before+between })
 }
 
 // entryOf returns the entry of a service in a snapshot, or nil.
--- a/internal/control/leak_test.go
+++ b/internal/control/leak_test.go
@@ -81,7 +81,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := Open(c, idleNode{}, idleNode{}, testkit.Quiet)
+		n, err := Open(c, idleNode{}, idleNode{}, testkit.DiscardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -91,7 +91,7 @@
 	}
 	propose := func(n *Control, target string) {
 		t.Helper()
-		ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+		ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitLimit)
 		defer cancel()
 		for {
 			r, err := n.Propose(ctx, &fleetpb.Entry{Ask: target, What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target, By: "eva"}}})
@@ -125,7 +125,7 @@
 // waitUntil waits until holds returns true. After testkit.Patient it fails the test and prints the status of all nodes.
 func waitUntil(t *testing.T, nodes []*Control, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testkit.Patient); !holds(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitLimit); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			for _, n := range nodes {
 				t.Errorf("%+v", n.Status())
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -51,20 +51,20 @@
 	// Confidence is the confidence of the intervals, between 0 and 1; 0: 0.95.
 	Confidence float64
 	// FirstSeed is the seed of the first pair; the following pairs use the following numbers.
-	First uint64
+	FirstSeed uint64
 	// PilotPairs is the number of pairs of the first stage, at least 2; 0: 10.
-	Pilot int
+	PilotPairs int
 	// MaxPairs is the largest number of pairs; 0: 1000. Where it, or Budget, allows fewer pairs than Width needs,
 	// the interval is wider, and Result.WidthReached returns false.
-	Most int
+	MaxPairs int
 	// Budget limits the time, as estimated from the time that the pilot took; 0: no limit.
 	Budget time.Duration
 	// Workers is the number of pairs that run at once; 0: one for each processor (GOMAXPROCS).
 	Workers int
 	// KnownPairs are pairs of an earlier, interrupted run of the same plan. They are not run again.
-	Known []Pair
+	KnownPairs []Pair
 	// OnPair, if set, is called with each new pair, one at a time. An error ends the comparison.
-	Keep func(Pair) error
+	OnPair func(Pair) error
 	// Progress, if set, is called after each pair, one at a time, with the number of pairs done and the number
 	// wanted at this stage.
 	Progress func(done, wanted int)
@@ -79,19 +79,19 @@
 
 // Result is the result of a comparison.
 type Result struct {
-	Intervals []Interval // in the order of the measures
-	Pairs     []Pair // in the order of their seeds
-	Wanted    int // pairs needed to reach Width
+	Intervals   []Interval // in the order of the measures
+	Pairs       []Pair     // in the order of their seeds
+	WantedPairs int        // pairs needed to reach Width
 }
 
 // WidthReached reports whether there were enough pairs for the wanted width.
-func (r *Result) Enough() bool { return len(r.Pairs) >= r.Wanted }
+func (r *Result) WidthReached() bool { return len(r.Pairs) >= r.WantedPairs }
 
 const (
-	usualPilot      = 10
-	usualMost       = 1000
-	usualConfidence = 0.95
-	power           = 0.8
+	defaultPilotPairs = 10
+	defaultMaxPairs   = 1000
+	defaultConfidence = 0.95
+	power             = 0.8
 )
 
 // Run carries out a plan. The number of pairs follows Stein's two-stage rule (Annals of Mathematical Statistics
@@ -100,61 +100,61 @@
 // that checks after each pair would stop more often where the spread looks small by chance. The intervals of the
 // other measures are ordinary ones for the resulting number of pairs.
 func Run(ctx context.Context, p Plan) (*Result, error) {
-	p.Confidence = orUsual(p.Confidence, usualConfidence)
-	p.Pilot, p.Most, p.Workers = orUsual(p.Pilot, usualPilot), orUsual(p.Most, usualMost), orUsual(p.Workers, runtime.GOMAXPROCS(0))
+	p.Confidence = orDefault(p.Confidence, defaultConfidence)
+	p.PilotPairs, p.MaxPairs, p.Workers = orDefault(p.PilotPairs, defaultPilotPairs), orDefault(p.MaxPairs, defaultMaxPairs), orDefault(p.Workers, runtime.GOMAXPROCS(0))
 	switch {
 	case len(p.Measures) == 0 || p.A == nil || p.B == nil:
 		return nil, errors.New("experiment: want measures and two versions")
-	case p.Pilot < 2 || p.Most < p.Pilot:
-		return nil, fmt.Errorf("experiment: want a pilot of at least 2 pairs, and a maximum of pairs that is not smaller, have %d and %d", p.Pilot, p.Most)
+	case p.PilotPairs < 2 || p.MaxPairs < p.PilotPairs:
+		return nil, fmt.Errorf("experiment: want a pilot of at least 2 pairs, and a maximum of pairs that is not smaller, have %d and %d", p.PilotPairs, p.MaxPairs)
 	case !(p.Confidence > 0 && p.Confidence < 1) || !(p.Width > 0):
 		return nil, fmt.Errorf("experiment: want a confidence between 0 and 1 and a width above 0, have %v and %v", p.Confidence, p.Width)
 	}
 	began := time.Now()
-	pairs, err := p.play(ctx, nil, p.Pilot, p.Pilot)
+	pairs, err := p.runPairs(ctx, nil, p.PilotPairs, p.PilotPairs)
 	if err != nil {
 		return nil, err
 	}
-	deviation := spread(pairs, 0)
-	t := quantile(0.5+p.Confidence/2, p.Pilot-1)
-	wanted := p.Pilot
+	deviation := standardDeviation(pairs, 0)
+	t := quantile(0.5+p.Confidence/2, p.PilotPairs-1)
+	wanted := p.PilotPairs
 	if need := math.Pow(t*deviation/p.Width, 2); need > float64(wanted) {
 		wanted = int(math.Ceil(math.Min(need, math.MaxInt32)))
 	}
-	n := min(wanted, p.Most)
+	n := min(wanted, p.MaxPairs)
 	if took := time.Since(began); p.Budget > 0 && took > 0 {
-		n = max(p.Pilot, min(n, int(float64(p.Pilot)*float64(p.Budget)/float64(took))))
+		n = max(p.PilotPairs, min(n, int(float64(p.PilotPairs)*float64(p.Budget)/float64(took))))
 	}
-	if pairs, err = p.play(ctx, pairs, n, n); err != nil {
+	if pairs, err = p.runPairs(ctx, pairs, n, n); err != nil {
 		return nil, err
 	}
-	r := &Result{Pairs: pairs, Wanted: wanted}
+	result := &Result{Pairs: pairs, WantedPairs: wanted}
 	for i, name := range p.Measures {
-		d, degrees := deviation, p.Pilot-1
+		d, degrees := deviation, p.PilotPairs-1
 		if i > 0 {
-			d, degrees = spread(pairs, i), len(pairs)-1
+			d, degrees = standardDeviation(pairs, i), len(pairs)-1
 		}
-		r.Intervals = append(r.Intervals, interval(name, pairs, i, d, degrees, p.Confidence))
+		result.Intervals = append(result.Intervals, interval(name, pairs, i, d, degrees, p.Confidence))
 	}
-	return r, nil
+	return result, nil
 }
 
 // orDefault returns v, or the default if v is zero.
-func orUsual[T int | float64](v, usual T) T {
+func orDefault[T int | float64](v, fallback T) T {
 	if v == 0 {
-		return usual
+		return fallback
 	}
 	return v
 }
 
 // runPairs extends pairs to the length upTo. It takes known pairs as they are, and runs the others.
-func (p *Plan) play(ctx context.Context, pairs []Pair, upTo, wanted int) ([]Pair, error) {
-	known := map[uint64]Pair{}
-	for _, k := range p.Known {
+func (p *Plan) runPairs(ctx context.Context, pairs []Pair, upTo, wanted int) ([]Pair, error) {
+	knownPairs := map[uint64]Pair{}
+	for _, k := range p.KnownPairs {
 		if len(k.A) != len(p.Measures) || len(k.B) != len(p.Measures) {
 			return nil, fmt.Errorf("experiment: seed %d has %d and %d measures, want %d: it belongs to another plan", k.Seed, len(k.A), len(k.B), len(p.Measures))
 		}
-		known[k.Seed] = k
+		knownPairs[k.Seed] = k
 	}
 	from := len(pairs)
 	pairs = append(pairs, make([]Pair, max(0, upTo-from))...)
@@ -164,20 +164,20 @@
 	var failed error
 	done := from
 	next := make(chan int)
-	var work sync.WaitGroup
+	var workers sync.WaitGroup
 	for range min(p.Workers, max(1, upTo-from)) {
-		work.Go(func() {
+		workers.Go(func() {
 			for i := range next {
-				seed := p.First + uint64(i)
-				pair, have := known[seed]
-				if !have {
+				seed := p.FirstSeed + uint64(i)
+				pair, isKnown := knownPairs[seed]
+				if !isKnown {
 					pair = Pair{seed, p.A(seed), p.B(seed)}
 				}
 				mu.Lock()
 				pairs[i] = pair
 				done++
-				if !have && p.Keep != nil && failed == nil {
-					if failed = p.Keep(pair); failed != nil {
+				if !isKnown && p.OnPair != nil && failed == nil {
+					if failed = p.OnPair(pair); failed != nil {
 						stop()
 					}
 				}
@@ -195,7 +195,7 @@
 		}
 	}
 	close(next)
-	work.Wait()
+	workers.Wait()
 	if failed != nil {
 		return nil, failed
 	}
@@ -211,7 +211,7 @@
 }
 
 // standardDeviation returns the standard deviation of the differences of measure i.
-func spread(pairs []Pair, i int) float64 {
+func standardDeviation(pairs []Pair, i int) float64 {
 	d, _, _ := differences(pairs, i)
 	_, deviation := stat.MeanStdDev(d, nil)
 	return deviation
@@ -226,10 +226,10 @@
 // freedom.
 func interval(name string, pairs []Pair, i int, deviation float64, degrees int, confidence float64) Interval {
 	d, a, b := differences(pairs, i)
-	mean, err := stat.Mean(d, nil), deviation/math.Sqrt(float64(len(d)))
+	mean, standardError := stat.Mean(d, nil), deviation/math.Sqrt(float64(len(d)))
 	t := quantile(0.5+confidence/2, degrees)
-	return Interval{Name: name, Mean: mean, Low: mean - t*err, High: mean + t*err, Pairs: len(d), A: stat.Mean(a, nil), B: stat.Mean(b, nil),
-		Smallest: (t + quantile(power, degrees)) * err}
+	return Interval{Name: name, Mean: mean, Low: mean - t*standardError, High: mean + t*standardError, Pairs: len(d), A: stat.Mean(a, nil), B: stat.Mean(b, nil),
+		Smallest: (t + quantile(power, degrees)) * standardError}
 }
 
 // Compare compares one measure of two versions over a fixed number of pairs (at least 2), with the seeds first,
@@ -241,7 +241,7 @@
 	if pairs < 2 || !(confidence > 0 && confidence < 1) {
 		return Interval{}, errors.New("experiment: want at least 2 pairs and a confidence between 0 and 1")
 	}
-	r, err := Run(context.Background(), Plan{Measures: []string{""}, A: one(a), B: one(b), First: first, Pilot: pairs, Most: pairs, Width: math.MaxFloat64,
+	r, err := Run(context.Background(), Plan{Measures: []string{""}, A: one(a), B: one(b), FirstSeed: first, PilotPairs: pairs, MaxPairs: pairs, Width: math.MaxFloat64,
 		Confidence: confidence, Workers: 1})
 	if err != nil {
 		return Interval{}, err
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -56,7 +56,7 @@
 	draw := func(seed, side uint64) float64 {
 		return rand.New(rand.NewPCG(seed, salt<<8+side)).NormFloat64() / math.Sqrt2
 	}
-	return Plan{Measures: []string{"main", "other"}, Width: width, First: 1, Workers: 1,
+	return Plan{Measures: []string{"main", "other"}, Width: width, FirstSeed: 1, Workers: 1,
 		A: func(s uint64) []float64 { return []float64{10 + draw(s, 1), draw(s, 3)} },
 		B: func(s uint64) []float64 { return []float64{10 + shift + draw(s, 2), draw(s, 4)} }}
 }
@@ -65,7 +65,7 @@
 // and still cover the truth as often as its confidence says. Stopping as soon as the interval looks narrow covers
 // it less often; the test shows this for comparison.
 func TestStoppingKeepsItsCoverage(t *testing.T) {
-	covered, wide, greedy := 0, 0, 0
+	covered, tooWide, sequential := 0, 0, 0
 	const trials, width = 1000, 0.5
 	for trial := range uint64(trials) {
 		p := noisy(trial, 0.3, width)
@@ -76,33 +76,33 @@
 		if i := r.Intervals[0]; i.Covers(0.3) {
 			covered++
 		} else if i.High-i.Low > 2*width*1.0001 {
-			wide++
+			tooWide++
 		}
 		for n := 3; ; n++ { // checks after each pair from the third on
-			if i := interval("", r.more(p, n), 0, spread(r.more(p, n), 0), n-1, 0.95); i.High-i.Low <= 2*width {
+			if i := interval("", r.firstPairs(p, n), 0, standardDeviation(r.firstPairs(p, n), 0), n-1, 0.95); i.High-i.Low <= 2*width {
 				if i.Covers(0.3) {
-					greedy++
+					sequential++
 				}
 				break
 			}
 		}
 	}
-	if covered < trials*93/100 || wide > 0 {
-		t.Errorf("%d of %d intervals cover the truth, %d are too wide", covered, trials, wide)
+	if covered < trials*93/100 || tooWide > 0 {
+		t.Errorf("%d of %d intervals cover the truth, %d are too wide", covered, trials, tooWide)
 	}
-	if greedy >= covered {
-		t.Errorf("stopping after each pair covers %d of %d, two stages %d: this test shows nothing", greedy, trials, covered)
+	if sequential >= covered {
+		t.Errorf("stopping after each pair covers %d of %d, two stages %d: this test shows nothing", sequential, trials, covered)
 	}
 }
 
 // firstPairs returns the first n pairs of a plan; it runs those that the result lacks.
-func (r *Result) more(p Plan, n int) (pairs []Pair) {
+func (r *Result) firstPairs(p Plan, n int) (pairs []Pair) {
 	for i := range n {
 		if i < len(r.Pairs) {
 			pairs = append(pairs, r.Pairs[i])
 			continue
 		}
-		seed := p.First + uint64(i)
+		seed := p.FirstSeed + uint64(i)
 		pairs = append(pairs, Pair{seed, p.A(seed), p.B(seed)})
 	}
 	return pairs
@@ -111,16 +111,16 @@
 // Guards against results that depend on the number of parallel runs or on an interruption: they must be the same
 // in one go and when resumed. Limits must be kept and reported.
 func TestSameFiguresInAnyOrder(t *testing.T) {
-	one, err := Run(t.Context(), noisy(7, 0.1, 0.3))
+	inOneGo, err := Run(t.Context(), noisy(7, 0.1, 0.3))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := noisy(7, 0.1, 0.3)
 	p.Workers = 8
-	var kept []Pair
-	p.Keep = func(x Pair) error {
-		kept = append(kept, x)
-		if len(kept) == 13 {
+	var pairs []Pair
+	p.OnPair = func(x Pair) error {
+		pairs = append(pairs, x)
+		if len(pairs) == 13 {
 			return errors.New("the disk is full")
 		}
 		return nil
@@ -128,23 +128,23 @@
 	if _, err := Run(t.Context(), p); err == nil || err.Error() != "the disk is full" {
 		t.Fatalf("a pair that can't be kept: %v", err)
 	}
-	played := 0
-	p.Known, p.Keep = kept[:12], func(Pair) error { played++; return nil }
-	two, err := Run(t.Context(), p)
-	if err != nil || !reflect.DeepEqual(one, two) {
-		t.Errorf("in one go %+v, in two %+v, %v", one.Intervals, two.Intervals, err)
+	ran := 0
+	p.KnownPairs, p.OnPair = pairs[:12], func(Pair) error { ran++; return nil }
+	resumed, err := Run(t.Context(), p)
+	if err != nil || !reflect.DeepEqual(inOneGo, resumed) {
+		t.Errorf("in one go %+v, in two %+v, %v", inOneGo.Intervals, resumed.Intervals, err)
 	}
-	if played != len(one.Pairs)-12 {
-		t.Errorf("%d run again of %d, 12 known", played, len(one.Pairs))
+	if ran != len(inOneGo.Pairs)-12 {
+		t.Errorf("%d run again of %d, 12 known", ran, len(inOneGo.Pairs))
 	}
-	p.Known = []Pair{{1, []float64{1}, []float64{1}}}
+	p.KnownPairs = []Pair{{1, []float64{1}, []float64{1}}}
 	if _, err := Run(t.Context(), p); err == nil {
 		t.Error("a pair of another plan is accepted")
 	}
 	p = noisy(7, 0.1, 0.01)
-	p.Most = 15
-	if r, err := Run(t.Context(), p); err != nil || len(r.Pairs) != 15 || r.Enough() || r.Wanted < 1000 {
-		t.Errorf("bounded: %d pairs, %d wanted, %v", len(r.Pairs), r.Wanted, err)
+	p.MaxPairs = 15
+	if r, err := Run(t.Context(), p); err != nil || len(r.Pairs) != 15 || r.WidthReached() || r.WantedPairs < 1000 {
+		t.Errorf("bounded: %d pairs, %d wanted, %v", len(r.Pairs), r.WantedPairs, err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
--- a/internal/front/http1/admission_test.go
+++ b/internal/front/http1/admission_test.go
@@ -35,7 +35,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(testkit.Patient))
+		c.SetDeadline(time.Now().Add(testkit.WaitLimit))
 		return c
 	}
 	accept = func() *clientConn {
@@ -190,7 +190,7 @@
 	select {
 	case c := <-accepted:
 		c.Close()
-	case <-time.After(testkit.Patient):
+	case <-time.After(testkit.WaitLimit):
 		t.Error("no connection is accepted after an evicted one has been closed")
 		admission.Close()
 	}
--- a/internal/front/http1/endings_test.go
+++ b/internal/front/http1/endings_test.go
@@ -19,7 +19,7 @@
 // waitUnread waits until bytes have arrived on the connection that have not been read.
 func (c *clientConn) waitUnread(t *testing.T) {
 	t.Helper()
-	testkit.Until(t, "nothing has arrived", c.hasUnread)
+	testkit.WaitFor(t, "nothing has arrived", c.hasUnread)
 }
 
 const head = "GET /read HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -65,7 +65,7 @@
 				if got, err := readAll(c); got != head[cut:] || !errors.Is(err, os.ErrDeadlineExceeded) {
 					t.Errorf("read %q, %v; want what had arrived, then the end", got, err)
 				}
-				c.SetReadDeadline(time.Now().Add(testkit.Patient)) // as net/http does for each request
+				c.SetReadDeadline(time.Now().Add(testkit.WaitLimit)) // as net/http does for each request
 				if c.wasEvicted() != (name == "evicted") {
 					t.Errorf("evicted: %v", c.wasEvicted())
 				} else if c.wasEvicted() {
@@ -91,7 +91,7 @@
 	if got, err := readAll(c); got != "" || !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("read %q, %v long after the deadline", got, err)
 	}
-	c.SetReadDeadline(time.Now().Add(testkit.Patient)) // so that no deadline passes meanwhile on a busy machine
+	c.SetReadDeadline(time.Now().Add(testkit.WaitLimit)) // so that no deadline passes meanwhile on a busy machine
 	c.owner.mu.Lock()
 	c.readDeadline, c.lateBytes = time.Now(), maxLateBytes
 	c.owner.mu.Unlock()
@@ -125,7 +125,7 @@
 // newTestFront returns a front on the listener of an admission. It has no loop, so a request that is passed on makes
 // the test fail.
 func newTestFront(a *admission) *Front {
-	return New(a.TCPListener, 3, front.NewHandler(nil, testkit.Settings(), 1<<20, testkit.Quiet), testkit.Quiet)
+	return New(a.TCPListener, 3, front.NewHandler(nil, testkit.Settings(), 1<<20, testkit.DiscardLog), testkit.DiscardLog)
 }
 
 // serve runs the front until end is called.
@@ -152,7 +152,7 @@
 		client := dial()
 		conn := <-began
 		io.WriteString(client, text[:at])
-		for end, read := time.Now().Add(testkit.Patient), 0; read < at && time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for end, read := time.Now().Add(testkit.WaitLimit), 0; read < at && time.Now().Before(end); time.Sleep(time.Millisecond) {
 			conn.owner.mu.Lock()
 			read = conn.scan.headBytes
 			conn.owner.mu.Unlock()
--- a/internal/link/calls_test.go
+++ b/internal/link/calls_test.go
@@ -44,7 +44,7 @@
 	}
 	n := &callNode{addr: udp.LocalAddr().String()}
 	n.Calls, err = NewCalls(udp, CallsOptions{Identities: NewIdentityStore(&Identity{Site: name, Certificate: cert, Peers: []Peer{{Name: callDomain, NameIsDomain: true, Roots: trusted.Roots()}}}),
-		Log: testkit.Quiet, OnPost: func(from string, kind uint64, message []byte) {
+		Log: testkit.DiscardLog, OnPost: func(from string, kind uint64, message []byte) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.received = append(n.received, from+":"+string(message))
@@ -71,7 +71,7 @@
 	}
 	b, _ := standin.NewAuthority()
 	n1, n2 := newCaller(t, "n1."+callDomain, a, a), newCaller(t, "n2."+callDomain, a, a)
-	ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitLimit)
 	defer cancel()
 	large := bytes.Repeat([]byte("x"), 1<<20)
 	status, answer, err := n1.Call(ctx, "n2."+callDomain, n2.addr, 4, large)
@@ -118,7 +118,7 @@
 	n1.StartSender("n2."+callDomain, wire.Addr)
 	until := func(what string, done func() bool) {
 		t.Helper()
-		for end := time.Now().Add(testkit.Patient); !done(); time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(testkit.WaitLimit); !done(); time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("timed out waiting for: %s; messages received: %q", what, n2.postedText())
 			}
@@ -169,7 +169,7 @@
 	if s := caller.Traffic(); s.DatagramsOut != 0 || len(s.Calls) != 0 {
 		t.Errorf("before the first call: %+v, want zero", s)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), testkit.Patient)
+	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitLimit)
 	defer cancel()
 	const size = 100_000
 	for _, kind := range []uint64{3, 3, 4} {
@@ -185,7 +185,7 @@
 		t.Errorf("bytes or datagrams are missing: caller %+v, callee %+v", callerTraffic, calleeTraffic)
 	}
 	caller.Close()
-	for end := time.Now().Add(testkit.Patient); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitLimit); ; time.Sleep(5 * time.Millisecond) {
 		callee.traffic.mu.Lock()
 		open := len(callee.traffic.conns)
 		callee.traffic.mu.Unlock()
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -82,7 +82,7 @@
 	must(err)
 	s.senderIdentities = NewIdentityStore(&Identity{Site: "hall-a.example.org", Certificate: certA,
 		Peers: []Peer{{Name: "hall-b.example.org", Roots: s.b.Roots(), Addresses: []string{s.wire.Addr}}}})
-	s.dialer, err = NewDialer(DialerOptions{Identities: s.senderIdentities, Log: testkit.Quiet})
+	s.dialer, err = NewDialer(DialerOptions{Identities: s.senderIdentities, Log: testkit.DiscardLog})
 	must(err)
 	t.Cleanup(func() {
 		s.dialer.Close()
@@ -102,7 +102,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.server, err = NewServer(udp, ServerOptions{Identities: s.receiverIdentities, Headroom: func() int { return 100 }, Log: testkit.Quiet,
+	s.server, err = NewServer(udp, ServerOptions{Identities: s.receiverIdentities, Headroom: func() int { return 100 }, Log: testkit.DiscardLog,
 		Handle: func(ctx context.Context, site string, request []byte, left time.Duration) (ledger.State, []byte) {
 			s.runs.Add(1)
 			return (*s.handler.Load())(ctx, site, request, left)
@@ -135,7 +135,7 @@
 // offer offers a request until there is credit for it, and returns the hand-off.
 func (s *sitePair) offer(r *core.Request, effect decide.Effect) core.HandOff {
 	s.t.Helper()
-	for end := time.Now().Add(testkit.Patient); time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testkit.WaitLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		if c := s.dialer.Offer(r, effect, false); c != nil {
 			return c
 		}
@@ -186,7 +186,7 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	go func() {
 		<-started
 		s.wire.Cut(true, true)
@@ -210,7 +210,7 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	served := make(chan core.HandOffResult, 1)
 	go func() {
 		_, how := c.Run(t.Context())
@@ -221,11 +221,11 @@
 	drained := make(chan struct{})
 	go func() {
 		defer close(drained)
-		s.server.Drain(time.Now().Add(testkit.Patient))
+		s.server.Drain(time.Now().Add(testkit.WaitLimit))
 		s.server.Close()
 	}()
 	close(release)
-	testkit.Until(t, "the hand-off did not end in time", func() bool { _, _, _, running := s.server.Size(); return running == 0 })
+	testkit.WaitFor(t, "the hand-off did not end in time", func() bool { _, _, _, running := s.server.Size(); return running == 0 })
 	select {
 	case <-drained:
 		t.Error("Drain returned before the sender had the answer")
@@ -244,7 +244,7 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	ctx, leave := context.WithCancel(t.Context())
 	crossing := make(chan struct{})
 	go func() { defer close(crossing); c.Run(ctx) }()
@@ -252,8 +252,8 @@
 	s.wire.Cut(true, true)
 	close(release)
 	from := time.Now()
-	s.server.Drain(from.Add(testkit.Patient))
-	if took := time.Since(from); took > testkit.Patient/2 {
+	s.server.Drain(from.Add(testkit.WaitLimit))
+	if took := time.Since(from); took > testkit.WaitLimit/2 {
 		t.Errorf("Drain took %v, want about %v", took, maxAckWait)
 	}
 	leave()
@@ -265,7 +265,7 @@
 func TestNeverArrived(t *testing.T) {
 	t.Parallel()
 	s := newSitePair(t)
-	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	s.wire.Cut(true, false)
 	back := time.AfterFunc(2*beatTimeout, func() { s.wire.Cut(false, false) })
 	defer back.Stop()
@@ -303,7 +303,7 @@
 		<-ctx.Done()
 		return ledger.Failed, nil
 	})
-	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	go func() {
 		for s.runs.Load() == 0 {
 			time.Sleep(time.Millisecond)
@@ -314,7 +314,7 @@
 		s.wire.Cut(false, false)
 	}()
 	began := time.Now()
-	if _, how := c.Run(t.Context()); how != core.HandOffUncertain || time.Since(began) > testkit.Patient/2 {
+	if _, how := c.Run(t.Context()); how != core.HandOffUncertain || time.Since(began) > testkit.WaitLimit/2 {
 		t.Errorf("got result %v after %v, want HandOffUncertain well before the deadline", how, time.Since(began))
 	}
 	if s.runs.Load() != 1 {
@@ -355,7 +355,7 @@
 						}
 						return ledger.Done, answer
 					})
-					left := testkit.Patient
+					left := testkit.WaitLimit
 					if !restored {
 						left = 1500 * time.Millisecond
 					}
@@ -398,7 +398,7 @@
 func TestMalformed(t *testing.T) {
 	t.Parallel()
 	s := newSitePair(t)
-	s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context())
+	s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context())
 	before := s.runs.Load()
 	dial := func() *quic.Conn {
 		t.Helper()
@@ -425,7 +425,7 @@
 		send(c, raw)
 		select {
 		case <-c.Context().Done():
-		case <-time.After(testkit.Patient):
+		case <-time.After(testkit.WaitLimit):
 			t.Errorf("%s on the control stream: the connection was not closed", name)
 		}
 	}
@@ -434,7 +434,7 @@
 	for name, raw := range map[string][]byte{"noise": {0x3f, 0x01}, "a hello": hello, "a hand-off without its time": appendFrame(nil, typeHandoff, []uint64{1, 1}, nil),
 		"an oversized one": appendFrame(nil, typeHandoff, []uint64{1, 1, 9}, make([]byte, requestLimit))} {
 		stream := send(c, raw)
-		stream.SetReadDeadline(time.Now().Add(testkit.Patient))
+		stream.SetReadDeadline(time.Now().Add(testkit.WaitLimit))
 		var broken *quic.StreamError
 		if _, err := stream.Read(make([]byte, 1)); !errors.As(err, &broken) {
 			t.Errorf("%s: got error %v, want a stream error", name, err)
@@ -450,7 +450,7 @@
 	if s.runs.Load() != before {
 		t.Error("a malformed hand-off was run")
 	}
-	if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
+	if _, how := s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("hand-off of another sender: got result %v, want HandOffServed", how)
 	}
 }
@@ -460,13 +460,13 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	first := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	first := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	ended := make(chan core.HandOffResult, 1)
 	go func() { _, how := first.Run(t.Context()); ended <- how }()
 	<-started
 	s.setHandler(answerOK)
 	for range 20 {
-		if _, how := s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
+		if _, how := s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
 			t.Errorf("got result %v beside a blocked hand-off, want HandOffServed", how)
 		}
 	}
@@ -485,7 +485,7 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	go func() {
 		<-started
 		none := *s.senderIdentities.Get()
@@ -494,7 +494,7 @@
 		for s.dialer.Views()[0].Up {
 			time.Sleep(time.Millisecond)
 		}
-		if s.dialer.Offer(request("order", testkit.Patient), decide.Unsafe, false) != nil {
+		if s.dialer.Offer(request("order", testkit.WaitLimit), decide.Unsafe, false) != nil {
 			t.Error("a new hand-off was accepted for a removed site")
 		}
 		close(release)
@@ -517,10 +517,10 @@
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { <-began; cancel() }()
-	s.offer(request("order", testkit.Patient), decide.Unsafe).Run(ctx)
+	s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(ctx)
 	select {
 	case <-gone:
-	case <-time.After(testkit.Patient / 2):
+	case <-time.After(testkit.WaitLimit / 2):
 		t.Error("the receiver still handles the hand-off of a disconnected client")
 	}
 }
@@ -535,7 +535,7 @@
 	var work sync.WaitGroup
 	var served atomic.Int64
 	for range 60 {
-		c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+		c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 		work.Go(func() {
 			if _, how := c.Run(t.Context()); how == core.HandOffServed {
 				served.Add(1)
@@ -555,7 +555,7 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.Patient), decide.Unsafe)
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	old := *s.senderIdentities.Get()
 	go func() {
 		<-started
@@ -572,13 +572,13 @@
 	}
 	s.setHandler(answerOK)
 	for keeper, good := range map[*IdentityStore]bool{s.senderIdentities: true, NewIdentityStore(&old): false} {
-		d, err := NewDialer(DialerOptions{Identities: keeper, Log: testkit.Quiet})
+		d, err := NewDialer(DialerOptions{Identities: keeper, Log: testkit.DiscardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
 		up := false
-		for end := time.Now().Add(500 * time.Millisecond); !up && (time.Now().Before(end) || good && time.Now().Before(end.Add(testkit.Patient))); time.Sleep(time.Millisecond) {
-			crossing := d.Offer(request("order", testkit.Patient), decide.Unsafe, false)
+		for end := time.Now().Add(500 * time.Millisecond); !up && (time.Now().Before(end) || good && time.Now().Before(end.Add(testkit.WaitLimit))); time.Sleep(time.Millisecond) {
+			crossing := d.Offer(request("order", testkit.WaitLimit), decide.Unsafe, false)
 			if up = crossing != nil; up {
 				crossing.Run(t.Context())
 			}
@@ -623,9 +623,9 @@
 		},
 	} {
 		s := newSitePair(t)
-		s.offer(request("order", testkit.Patient), decide.Unsafe).Run(t.Context()) // the first sender is connected
+		s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()) // the first sender is connected
 		id := change(s)
-		d, err := NewDialer(DialerOptions{Identities: NewIdentityStore(&id), Log: testkit.Quiet})
+		d, err := NewDialer(DialerOptions{Identities: NewIdentityStore(&id), Log: testkit.DiscardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -646,7 +646,7 @@
 	for _, at := range []int{1, 64} {
 		b.Run(fmt.Sprint(at), func(b *testing.B) {
 			s := newSitePair(b)
-			s.offer(request("order", testkit.Patient), decide.Unsafe).Run(b.Context())
+			s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(b.Context())
 			var work sync.WaitGroup
 			var left atomic.Int64
 			left.Store(int64(b.N))
@@ -656,7 +656,7 @@
 				work.Go(func() {
 					for left.Add(-1) >= 0 {
 						for {
-							c := s.dialer.Offer(request("order", testkit.Patient), decide.Unsafe, false)
+							c := s.dialer.Offer(request("order", testkit.WaitLimit), decide.Unsafe, false)
 							if c == nil {
 								time.Sleep(100 * time.Microsecond)
 								continue
--- a/internal/member/registry/endings_test.go
+++ b/internal/member/registry/endings_test.go
@@ -38,12 +38,12 @@
 			reply(int(count.Add(1)), c) // if it writes nothing, the call gets no answer
 		}
 	})
-	return New(netip.MustParseAddrPort(addr), settings, testkit.Quiet), calls
+	return New(netip.MustParseAddrPort(addr), settings, testkit.DiscardLog), calls
 }
 
 // listResponse returns an HTTP response that holds a list; entries are its servers in JSON.
 func listResponse(version int, full bool, entries string) string {
-	return testkit.OK(fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, entries))
+	return testkit.OKResponse(fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, entries))
 }
 
 // drainingEntry is a draining server as a list holds it.
@@ -159,7 +159,7 @@
 				}
 			}
 		})
-		registry := New(netip.MustParseAddrPort(addr), decide.Settings{Nodes: 300}, testkit.Quiet)
+		registry := New(netip.MustParseAddrPort(addr), decide.Settings{Nodes: 300}, testkit.DiscardLog)
 		var versions []uint64
 		if err := registry.Watch(t.Context(), nil, func(l core.List) {
 			versions = append(versions, l.Version)
@@ -186,7 +186,7 @@
 			t.Run(fmt.Sprint(name, grace), func(t *testing.T) {
 				t.Parallel()
 				timing := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{DrainGrace: grace, Nodes: 300},
-					testkit.Quiet).agentTiming
+					testkit.DiscardLog).agentTiming
 				if worst := timing.wait + timing.slack; worst > grace*3/4 {
 					t.Errorf("an unresponsive watch is noticed after %v, with a grace of %v; want three quarters of it at most", worst, grace)
 				}
@@ -222,7 +222,7 @@
 				if len(calls) < 2+silentCalls {
 					t.Errorf("the new list was received after only %d calls, before the agent was back", len(calls))
 				}
-				if most := (silentCalls + 1) * (timing.wait + timing.slack + timing.firstTimeout + timing.retryPause); elapsed > most+testkit.Patient/4 {
+				if most := (silentCalls + 1) * (timing.wait + timing.slack + timing.firstTimeout + timing.retryPause); elapsed > most+testkit.WaitLimit/4 {
 					t.Errorf("the new list was received after %v, want at most %v", elapsed, most)
 				}
 			})
--- a/internal/member/registry/fleet_test.go
+++ b/internal/member/registry/fleet_test.go
@@ -150,7 +150,7 @@
 		node := &nodeClient{queuedDiscovery: service, receivedAt: map[uint64]time.Time{}}
 		clients = append(clients, node)
 		registry := New(netip.MustParseAddrPort("127.0.0.1:9"),
-			decide.Settings{Nodes: nodes, MaxListRequestInterval: 10 * time.Second}, testkit.Quiet)
+			decide.Settings{Nodes: nodes, MaxListRequestInterval: 10 * time.Second}, testkit.DiscardLog)
 		registry.client.Transport = node
 		watching.Go(func() {
 			time.Sleep(time.Duration(i) * 2 * callRound / time.Duration(nodes))
@@ -205,9 +205,9 @@
 		"reset at once":        {[]string{reset}, true, decide.CauseOverloaded},
 		"a watch is refused":   {[]string{listResponse(7, true, ""), unavailable}, false, decide.CauseBroken},
 		"a watch is reset":     {[]string{listResponse(7, true, ""), reset}, false, decide.CauseBroken},
-		"breaks off": {[]string{"late " + testkit.OK("{\"version\"")[:44] + reset}, true,
+		"breaks off": {[]string{"late " + testkit.OKResponse("{\"version\"")[:44] + reset}, true,
 			decide.CauseUseless},
-		"nonsense":            {[]string{testkit.OK("{")}, true, decide.CauseUseless},
+		"nonsense":            {[]string{testkit.OKResponse("{")}, true, decide.CauseUseless},
 		"crowded":             {[]string{"late " + unavailable}, true, decide.CauseOverloaded},
 		"crowded, then reset": {[]string{"late " + reset}, true, decide.CauseOverloaded},
 		"a watch ends by and by": {[]string{listResponse(7, true, ""), "late " + unavailable}, false,
@@ -216,7 +216,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			registry := New(netip.MustParseAddrPort(testkit.Server(t, scriptedReplies(c.replies, delay, reset))),
-				decide.Settings{Nodes: 300}, testkit.Quiet)
+				decide.Settings{Nodes: 300}, testkit.DiscardLog)
 			registry.serviceTiming.wait, registry.serviceTiming.jitter, registry.serviceTiming.slack = delay, 0, 20*delay
 			// Only this case needs late refusals. In others, none may count as late on a busy machine.
 			if registry.serviceTiming.overloadWait = time.Minute; c.cause == decide.CauseWentDown {
@@ -275,7 +275,7 @@
 					node := &nodeClient{queuedDiscovery: &queuedDiscovery{perCall: answer, version: 1,
 						changed: make(chan struct{})}}
 					registry := New(netip.MustParseAddrPort("127.0.0.1:9"),
-						decide.Settings{Nodes: 300, MaxListRequestInterval: within}, testkit.Quiet)
+						decide.Settings{Nodes: 300, MaxListRequestInterval: within}, testkit.DiscardLog)
 					registry.client.Transport = node
 					ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 					defer cancel()
--- a/internal/member/registry/local_test.go
+++ b/internal/member/registry/local_test.go
@@ -45,7 +45,7 @@
 		t.Run(fmt.Sprint(errno), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				node := &nodeClient{queuedDiscovery: &queuedDiscovery{version: 7, changed: make(chan struct{})}}
-				registry := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: 300}, testkit.Quiet)
+				registry := New(netip.MustParseAddrPort("127.0.0.1:9"), decide.Settings{Nodes: 300}, testkit.DiscardLog)
 				registry.client.Transport = &failingFirst{node, errno, 9}
 				began := time.Now()
 				l, err := registry.Fetch(t.Context())
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -18,30 +18,30 @@
 	ewmaDecay = 10 * time.Second // Finagle, PeakEwma: decayTime
 
 	probesPerRequest = 3.0 // Prequal (Wydrowski et al., NSDI 2024), section 4: r_probe
-	probePool        = 16 // the same source: number of probe answers kept
-	probeAge         = time.Second
-	probeHot         = 0.84 // Q_RIF: quantile of requests in flight above which a server is hot
-	probeReuse       = 2 // b_reuse, about what equation (1) gives for such pools
-
-	gradientSmooth = 0.2 // Netflix concurrency-limits, Gradient2Limit: smoothing
-	gradientFirst  = 20.0
-	gradientMost   = 200.0
-	gradientLong   = 600.0 // samples of the long average: longWindow
-	gradientSlack  = 1.5   // rttTolerance
-
-	retryShare = 0.2 // Envoy, RetryBudget: budget_percent 20 %
-	retryLeast = 3.0 // and min_retry_concurrency
-
-	ejectAfter = 5                // Envoy, OutlierDetection: consecutive_5xx
-	ejectFirst = 30 * time.Second // base_ejection_time, times the ejections of that host so far
-	ejectLast  = 300 * time.Second
-	ejectShare = 0.1 // max_ejection_percent; one server at least
+	probePoolSize    = 16  // the same source: number of probe answers kept
+	maxProbeAge      = time.Second
+	hotQuantile      = 0.84 // Q_RIF: quantile of requests in flight above which a server is hot
+	maxProbeUses     = 2    // b_reuse, about what equation (1) gives for such pools
+
+	gradientSmoothing  = 0.2 // Netflix concurrency-limits, Gradient2Limit: smoothing
+	gradientMinLimit   = 20.0
+	gradientMaxLimit   = 200.0
+	gradientLongWindow = 600.0 // samples of the long average: longWindow
+	gradientTolerance  = 1.5   // rttTolerance
+
+	retryBudgetFraction = 0.2 // Envoy, RetryBudget: budget_percent 20 %
+	minRetryConcurrency = 3.0 // and min_retry_concurrency
+
+	ejectAfterFailures = 5                // Envoy, OutlierDetection: consecutive_5xx
+	baseEjectionTime   = 30 * time.Second // base_ejection_time, times the ejections of that host so far
+	maxEjectionTime    = 300 * time.Second
+	maxEjectedFraction = 0.1 // max_ejection_percent; one server at least
 )
 
 // Policy is a named way to make deciders.
 type Policy struct {
 	Name, Source string
-	make         func(f *Fleet, s decide.Settings, seed int64) Decider
+	newDecider   func(f *Fleet, s decide.Settings, seed int64) Decider
 }
 
 // Policies returns the module and all baselines, the module first. The suffix "+retry" on a baseline's name adds
@@ -53,20 +53,20 @@
 	return []Policy{
 		{"module", "package decide", func(_ *Fleet, s decide.Settings, seed int64) Decider { return decide.New(s, seed) }},
 		{"random", "Envoy, RANDOM", plain(pickRandom)},
-		{"round-robin", "Envoy, ROUND_ROBIN", plain(pickNext)},
-		{"least-request", "Envoy, LEAST_REQUEST, of two", plain(pickLeast)},
+		{"round-robin", "Envoy, ROUND_ROBIN", plain(pickRoundRobin)},
+		{"least-request", "Envoy, LEAST_REQUEST, of two", plain(pickLeastRequest)},
 		{"peak-ewma", "Finagle and Linkerd, of two", plain(pickEWMA)},
 		{"prequal", "Prequal (NSDI 2024), probes reused", func(_ *Fleet, s decide.Settings, seed int64) Decider {
-			b := newBaseline(s, seed, pickProbed)
+			b := newBaseline(s, seed, pickHotCold)
 			b.probing = true
 			return b
 		}},
 		{"gradient", "Netflix Gradient2 limit, least-request", func(_ *Fleet, s decide.Settings, seed int64) Decider {
-			b := newBaseline(s, seed, pickLeast)
-			b.limit = gradientFirst
+			b := newBaseline(s, seed, pickLeastRequest)
+			b.concurrencyLimit = gradientMinLimit
 			return b
 		}},
-		{"oracle", "sees all servers' true state and each order's work", func(f *Fleet, _ decide.Settings, _ int64) Decider { return &oracle{f: f} }},
+		{"oracle", "sees all servers' true state and each order's work", func(f *Fleet, _ decide.Settings, _ int64) Decider { return &oracle{fleet: f} }},
 	}
 }
 
@@ -94,13 +94,13 @@
 				return Policy{}, fmt.Errorf("policy %q: want +retry or +eject, have +%s", name, option)
 			}
 		}
-		made := p.make
+		made := p.newDecider
 		if _, ok := made(nil, decide.Settings{}, 0).(*baseline); !ok {
 			return Policy{}, fmt.Errorf("policy %q: %s takes no options", name, base)
 		}
 		return Policy{name, p.Source, func(f *Fleet, s decide.Settings, seed int64) Decider {
 			b := made(f, s, seed).(*baseline)
-			b.retries, b.ejects = retry, eject
+			b.retryEnabled, b.ejectEnabled = retry, eject
 			return b
 		}}, nil
 	}
@@ -108,13 +108,13 @@
 }
 
 // Random returns the policy that sends each request to a random server.
-func Random() Policy { return mustFind("random") }
+func Random() Policy { return mustFindPolicy("random") }
 
 // LeastOfTwo returns the policy that sends each request to that one of two random servers which has fewer requests
 // of this node in flight.
-func LeastOfTwo() Policy { return mustFind("least-request") }
+func LeastOfTwo() Policy { return mustFindPolicy("least-request") }
 
-func mustFind(name string) Policy {
+func mustFindPolicy(name string) Policy {
 	p, err := FindPolicy(name)
 	if err != nil {
 		panic(err)
@@ -124,21 +124,21 @@
 
 // host is a server as a baseline sees it.
 type host struct {
-	id       decide.ServerID
-	out      int
-	cost, at float64 // PeakEwma: latency estimate, s; time of its last update, s
-	failures int // consecutive
-	ejected  int // number of ejections so far
-	until    decide.Time
+	id                 decide.ServerID
+	inFlight           int
+	latency, updatedAt float64 // PeakEwma: latency estimate, s; time of its last update, s
+	failures           int     // consecutive
+	ejections          int     // number of ejections so far
+	ejectedUntil       decide.Time
 }
 
 // probe is the answer to a probe, as Prequal keeps it.
 type probe struct {
-	host     *host
-	at       decide.Time
-	inFlight float64
-	latency  time.Duration
-	uses     int
+	host       *host
+	answeredAt decide.Time
+	inFlight   float64
+	latency    time.Duration
+	uses       int
 }
 
 // picker chooses one of the hosts, of which there is at least one.
@@ -147,37 +147,37 @@
 // baseline is a decider that sends each request to the host that pick chooses. Retries, ejection, probing and a
 // concurrency limit are options.
 type baseline struct {
-	set     decide.Settings
-	rng     *Stream
-	pick    picker
-	retries bool
-	ejects  bool
-	now     decide.Time
-	hosts   []*host
-	open    map[decide.RequestID]*baseTry
-	next    int // index, for round robin
-	active  float64 // requests in flight; of these, retries
-	further float64
-
-	probing bool
-	probes  []probe
-	loads   []float64 // latest requests-in-flight figures of probes, for their quantile
-	due     float64 // probes still to be sent; may be fractional
-
-	limit, long float64 // gradient policy: concurrency limit (0: none), and long average of latency, s
-	samples     float64
+	settings        decide.Settings
+	rng             *Stream
+	pick            picker
+	retryEnabled    bool
+	ejectEnabled    bool
+	now             decide.Time
+	hosts           []*host
+	requests        map[decide.RequestID]*baselineRequest
+	lastHost        int     // index, for round robin
+	inFlight        float64 // requests in flight; of these, retries
+	retriesInFlight float64
+
+	probing        bool
+	probes         []probe
+	recentInFlight []float64 // latest requests-in-flight figures of probes, for their quantile
+	probesDue      float64   // probes still to be sent; may be fractional
+
+	concurrencyLimit, longLatency float64 // gradient policy: concurrency limit (0: none), and long average of latency, s
+	samples                       float64
 }
 
 // baselineRequest is a request in progress at a baseline.
-type baseTry struct {
-	class decide.Class
-	tried []*host
-	again bool // a retry is in flight
-	until decide.Time
+type baselineRequest struct {
+	class    decide.Class
+	tried    []*host
+	retrying bool // a retry is in flight
+	deadline decide.Time
 }
 
 func newBaseline(s decide.Settings, seed int64, pick picker) *baseline {
-	return &baseline{set: s, pick: pick, rng: NewStreams(uint64(seed)).Of("baseline", "pick"), open: map[decide.RequestID]*baseTry{}}
+	return &baseline{settings: s, pick: pick, rng: NewStreams(uint64(seed)).Of("baseline", "pick"), requests: map[decide.RequestID]*baselineRequest{}}
 }
 
 // Handle implements Decider.
@@ -185,34 +185,34 @@
 	b.now = now
 	switch e := e.(type) {
 	case decide.ListUpdate:
-		b.follow(e)
+		b.applyList(e)
 	case decide.RequestArrived:
-		if b.limit > 0 && b.active >= math.Floor(b.limit) {
+		if b.concurrencyLimit > 0 && b.inFlight >= math.Floor(b.concurrencyLimit) {
 			return []decide.Action{decide.Refuse{ID: e.ID}}
 		}
-		t := &baseTry{until: now + e.Patience}
-		for _, c := range b.set.Classes {
+		t := &baselineRequest{deadline: now + e.Patience}
+		for _, c := range b.settings.Classes {
 			if c.Name == e.Class {
 				t.class = c
 			}
 		}
-		b.open[e.ID] = t
+		b.requests[e.ID] = t
 		out = b.send(e.ID, t)
 		if b.probing {
-			for b.due += probesPerRequest; b.due >= 1 && len(b.hosts) > 0; b.due-- {
+			for b.probesDue += probesPerRequest; b.probesDue >= 1 && len(b.hosts) > 0; b.probesDue-- {
 				out = append(out, decide.Probe{Server: b.hosts[b.rng.IntN(len(b.hosts))].id})
 			}
 		}
 	case decide.ProbeEnded:
-		b.probed(e)
+		b.probeEnded(e)
 	case decide.AttemptEnded:
-		return b.ended(e)
+		return b.attemptEnded(e)
 	}
 	return out
 }
 
 // applyList applies a list update to the hosts.
-func (b *baseline) follow(e decide.ListUpdate) {
+func (b *baseline) applyList(e decide.ListUpdate) {
 	if e.Kind == decide.ListFull || e.Kind == decide.ListCached {
 		b.hosts = nil
 	}
@@ -236,7 +236,7 @@
 			continue
 		}
 		others = append(others, h)
-		if h.until <= b.now {
+		if h.ejectedUntil <= b.now {
 			usable = append(usable, h)
 		}
 	}
@@ -247,24 +247,24 @@
 }
 
 // send sends a request to a host that it has not tried yet, or refuses the request if there is none.
-func (b *baseline) send(id decide.RequestID, t *baseTry) []decide.Action {
+func (b *baseline) send(id decide.RequestID, t *baselineRequest) []decide.Action {
 	hosts := b.usable(t.tried)
 	if len(hosts) == 0 {
 		return b.finish(id, t, true)
 	}
 	h := b.pick(b, hosts)
-	h.out++
-	b.active++
-	if t.again = len(t.tried) > 0; t.again {
-		b.further++
+	h.inFlight++
+	b.inFlight++
+	if t.retrying = len(t.tried) > 0; t.retrying {
+		b.retriesInFlight++
 	}
 	t.tried = append(t.tried, h)
 	return []decide.Action{decide.Send{ID: id, Server: h.id}}
 }
 
 // finish ends a request with a refusal or a failure.
-func (b *baseline) finish(id decide.RequestID, _ *baseTry, refuse bool) []decide.Action {
-	delete(b.open, id)
+func (b *baseline) finish(id decide.RequestID, _ *baselineRequest, refuse bool) []decide.Action {
+	delete(b.requests, id)
 	if refuse {
 		return []decide.Action{decide.Refuse{ID: id}}
 	}
@@ -273,26 +273,26 @@
 
 // attemptEnded handles the end of an attempt: it retries the request where that is safe and the retry budget
 // allows.
-func (b *baseline) ended(e decide.AttemptEnded) []decide.Action {
-	t := b.open[e.ID]
+func (b *baseline) attemptEnded(e decide.AttemptEnded) []decide.Action {
+	t := b.requests[e.ID]
 	if t == nil || len(t.tried) == 0 {
 		return nil
 	}
 	h := t.tried[len(t.tried)-1]
-	h.out--
-	b.active--
-	if t.again {
-		b.further--
+	h.inFlight--
+	b.inFlight--
+	if t.retrying {
+		b.retriesInFlight--
 	}
 	ok := e.Code == decide.OK
-	b.learn(h, e.Elapsed.Seconds(), ok)
+	b.recordResult(h, e.Elapsed.Seconds(), ok)
 	if ok || e.RequestDone {
-		delete(b.open, e.ID)
+		delete(b.requests, e.ID)
 		return nil
 	}
 	neverRan := e.Code == decide.Full || e.Code == decide.ConnectFailed || e.Code == decide.Moot
-	if b.retries && (neverRan || t.class.Effect == decide.Safe && e.Code != decide.TimedOut) && len(t.tried) < max(1, b.set.MaxAttempts) &&
-		b.now < t.until && b.further < math.Max(retryLeast, retryShare*b.active) {
+	if b.retryEnabled && (neverRan || t.class.Effect == decide.Safe && e.Code != decide.TimedOut) && len(t.tried) < max(1, b.settings.MaxAttempts) &&
+		b.now < t.deadline && b.retriesInFlight < math.Max(minRetryConcurrency, retryBudgetFraction*b.inFlight) {
 		return b.send(e.ID, t)
 	}
 	return b.finish(e.ID, t, neverRan || t.class.Effect == decide.Safe)
@@ -300,56 +300,56 @@
 
 // recordResult updates a host's latency and failures, ejects the host after too many failures, and updates the
 // concurrency limit. took is in seconds.
-func (b *baseline) learn(h *host, took float64, ok bool) {
+func (b *baseline) recordResult(h *host, took float64, ok bool) {
 	now := b.now.Seconds()
-	w := math.Exp(-(now - h.at) / ewmaDecay.Seconds())
-	if took > h.cost {
-		h.cost = took // a peak counts at once, without smoothing
+	weight := math.Exp(-(now - h.updatedAt) / ewmaDecay.Seconds())
+	if took > h.latency {
+		h.latency = took // a peak counts at once, without smoothing
 	} else {
-		h.cost = h.cost*w + took*(1-w)
+		h.latency = h.latency*weight + took*(1-weight)
 	}
-	h.at = now
+	h.updatedAt = now
 	if ok {
 		h.failures = 0
-	} else if h.failures++; b.ejects && h.failures >= ejectAfter {
-		out := 0
+	} else if h.failures++; b.ejectEnabled && h.failures >= ejectAfterFailures {
+		ejected := 0
 		for _, o := range b.hosts {
-			if o.until > b.now {
-				out++
+			if o.ejectedUntil > b.now {
+				ejected++
 			}
 		}
-		if out == 0 || float64(out+1) <= ejectShare*float64(len(b.hosts)) {
-			h.ejected++
-			h.until, h.failures = b.now+min(time.Duration(h.ejected)*ejectFirst, ejectLast), 0
+		if ejected == 0 || float64(ejected+1) <= maxEjectedFraction*float64(len(b.hosts)) {
+			h.ejections++
+			h.ejectedUntil, h.failures = b.now+min(time.Duration(h.ejections)*baseEjectionTime, maxEjectionTime), 0
 		}
 	}
-	if b.limit > 0 && ok { // from Gradient2Limit._update
+	if b.concurrencyLimit > 0 && ok { // from Gradient2Limit._update
 		b.samples++
-		b.long += (took - b.long) / math.Min(b.samples, gradientLong)
-		if b.long/took > 2 {
-			b.long *= 0.95
+		b.longLatency += (took - b.longLatency) / math.Min(b.samples, gradientLongWindow)
+		if b.longLatency/took > 2 {
+			b.longLatency *= 0.95
 		}
-		if b.active+1 < b.limit/2 {
+		if b.inFlight+1 < b.concurrencyLimit/2 {
 			return // the limit is not what bounds the requests in flight
 		}
-		gradient := math.Max(0.5, math.Min(1, gradientSlack*b.long/took))
-		next := b.limit*gradient + 4
-		b.limit = math.Max(gradientFirst, math.Min(gradientMost, b.limit*(1-gradientSmooth)+next*gradientSmooth))
+		gradient := math.Max(0.5, math.Min(1, gradientTolerance*b.longLatency/took))
+		next := b.concurrencyLimit*gradient + 4
+		b.concurrencyLimit = math.Max(gradientMinLimit, math.Min(gradientMaxLimit, b.concurrencyLimit*(1-gradientSmoothing)+next*gradientSmoothing))
 	}
 }
 
 // probeEnded adds a probe's answer to the pool.
-func (b *baseline) probed(e decide.ProbeEnded) {
+func (b *baseline) probeEnded(e decide.ProbeEnded) {
 	i := slices.IndexFunc(b.hosts, func(h *host) bool { return h.id == e.Server })
 	if e.Code != decide.OK || e.Report == nil || i < 0 {
 		return
 	}
 	b.probes = append(b.probes, probe{b.hosts[i], b.now, e.Report.InFlight, e.Report.ServiceTime, 0})
-	b.loads = append(b.loads, e.Report.InFlight)
-	if len(b.loads) > 8*probePool {
-		b.loads = b.loads[len(b.loads)-8*probePool:]
+	b.recentInFlight = append(b.recentInFlight, e.Report.InFlight)
+	if len(b.recentInFlight) > 8*probePoolSize {
+		b.recentInFlight = b.recentInFlight[len(b.recentInFlight)-8*probePoolSize:]
 	}
-	if len(b.probes) > probePool {
+	if len(b.probes) > probePoolSize {
 		b.probes = b.probes[1:]
 	}
 }
@@ -358,13 +358,13 @@
 func pickRandom(b *baseline, hosts []*host) *host { return hosts[b.rng.IntN(len(hosts))] }
 
 // pickRoundRobin picks the hosts in turn.
-func pickNext(b *baseline, hosts []*host) *host {
-	b.next++
-	return hosts[b.next%len(hosts)]
+func pickRoundRobin(b *baseline, hosts []*host) *host {
+	b.lastHost++
+	return hosts[b.lastHost%len(hosts)]
 }
 
 // twoHosts returns two random hosts, which differ if there are at least two.
-func (b *baseline) two(hosts []*host) (*host, *host) {
+func (b *baseline) twoHosts(hosts []*host) (*host, *host) {
 	i := b.rng.IntN(len(hosts))
 	if len(hosts) == 1 {
 		return hosts[0], hosts[0]
@@ -373,9 +373,9 @@
 }
 
 // pickLeastRequest picks that one of two random hosts which has fewer requests in flight.
-func pickLeast(b *baseline, hosts []*host) *host {
-	x, y := b.two(hosts)
-	if y.out < x.out {
+func pickLeastRequest(b *baseline, hosts []*host) *host {
+	x, y := b.twoHosts(hosts)
+	if y.inFlight < x.inFlight {
 		return y
 	}
 	return x
@@ -385,13 +385,13 @@
 // PeakEwma does.
 func pickEWMA(b *baseline, hosts []*host) *host {
 	load := func(h *host) float64 {
-		cost := h.cost * math.Exp(-(b.now.Seconds()-h.at)/ewmaDecay.Seconds())
-		if cost == 0 && h.out > 0 {
+		cost := h.latency * math.Exp(-(b.now.Seconds()-h.updatedAt)/ewmaDecay.Seconds())
+		if cost == 0 && h.inFlight > 0 {
 			return math.MaxFloat64 / 2 // Finagle's penalty: the latency is unknown, and a request is in flight
 		}
-		return cost * float64(h.out+1)
+		return cost * float64(h.inFlight+1)
 	}
-	x, y := b.two(hosts)
+	x, y := b.twoHosts(hosts)
 	if load(y) < load(x) {
 		return y
 	}
@@ -400,16 +400,16 @@
 
 // pickHotCold is Prequal's hot-cold rule: of the cold servers it picks the one with the lowest latency; if all are
 // hot, the one with the fewest requests in flight.
-func pickProbed(b *baseline, hosts []*host) *host {
+func pickHotCold(b *baseline, hosts []*host) *host {
 	b.probes = slices.DeleteFunc(b.probes, func(p probe) bool {
-		return b.now-p.at > probeAge || p.uses >= probeReuse || !slices.Contains(hosts, p.host)
+		return b.now-p.answeredAt > maxProbeAge || p.uses >= maxProbeUses || !slices.Contains(hosts, p.host)
 	})
 	if len(b.probes) < 2 {
 		return pickRandom(b, hosts)
 	}
-	sorted := slices.Clone(b.loads)
+	sorted := slices.Clone(b.recentInFlight)
 	slices.Sort(sorted)
-	hot := sorted[int(probeHot*float64(len(sorted)-1))]
+	hot := sorted[int(hotQuantile*float64(len(sorted)-1))]
 	best := -1
 	for i, p := range b.probes {
 		q := probe{inFlight: math.Inf(1), latency: math.MaxInt64}
@@ -431,14 +431,14 @@
 // refuses an order that no server would answer within its aim, or that would delay classes of higher worth per
 // unit of work past their aims. It shows what a perfect view of the present is worth, without a view of the
 // future.
-type oracle struct{ f *Fleet }
+type oracle struct{ fleet *Fleet }
 
 // maxQueueSeconds returns how long a server's queue may be for an order of a class to join it, in seconds.
-func (o *oracle) room(c *Class) float64 {
+func (o *oracle) maxQueueSeconds(c *Class) float64 {
 	density := func(c *Class) float64 { return c.Worth / c.Work.Seconds() }
 	room := math.Inf(1)
-	for i := range o.f.sc.Classes {
-		if d := &o.f.sc.Classes[i]; density(d) > density(c) {
+	for i := range o.fleet.scenario.Classes {
+		if d := &o.fleet.scenario.Classes[i]; density(d) > density(c) {
 			room = math.Min(room, (d.Aim - 3*d.Work).Seconds())
 		}
 	}
@@ -449,20 +449,20 @@
 func (o *oracle) Handle(_ decide.Time, e decide.Event) []decide.Action {
 	switch e := e.(type) {
 	case decide.RequestArrived:
-		t := o.f.tryOf(e.ID)
+		t := o.fleet.tryOf(e.ID)
 		if t == nil {
 			return nil
 		}
-		best, least, room := (*server)(nil), math.Inf(1), o.room(t.order.class)
-		for _, s := range o.f.servers {
-			if s.down || s.mute || s.held() >= s.Room {
+		best, least, room := (*server)(nil), math.Inf(1), o.maxQueueSeconds(t.order.class)
+		for _, s := range o.fleet.servers {
+			if s.down || s.unresponsive || s.inFlight() >= s.MaxRequests {
 				continue
 			}
-			if w := s.expects(t.order.work); w < least && s.expects(0) <= room {
+			if w := s.expectedSeconds(t.order.work); w < least && s.expectedSeconds(0) <= room {
 				best, least = s, w
 			}
 		}
-		left := (t.order.began + t.order.class.Aim - o.f.Now() - 2*o.f.sc.Hop).Seconds()
+		left := (t.order.began + t.order.class.Aim - o.fleet.Now() - 2*o.fleet.scenario.Hop).Seconds()
 		if best == nil || least > left {
 			return []decide.Action{decide.Refuse{ID: e.ID}}
 		}
--- a/internal/model/clock.go
+++ b/internal/model/clock.go
@@ -18,10 +18,10 @@
 
 // Event is a scheduled callback. The zero value is no event.
 type Event struct {
-	at   time.Duration
-	seq  uint64
-	do   func()
-	slot int // index in the heap; -1: the event has run or was cancelled
+	at        time.Duration
+	seq       uint64
+	callback  func()
+	heapIndex int // index in the heap; -1: the event has run or was cancelled
 }
 
 // Now returns the virtual time since the run's start.
@@ -33,7 +33,7 @@
 // At schedules do for a time, or for now if that time has passed.
 func (c *Clock) At(at time.Duration, do func()) *Event {
 	c.seq++
-	e := &Event{at: max(at, c.now), seq: c.seq, do: do}
+	e := &Event{at: max(at, c.now), seq: c.seq, callback: do}
 	heap.Push(&c.events, e)
 	return e
 }
@@ -43,10 +43,10 @@
 
 // Cancel removes an event. It reports whether the event was pending.
 func (c *Clock) Cancel(e *Event) bool {
-	if e == nil || e.slot < 0 {
+	if e == nil || e.heapIndex < 0 {
 		return false
 	}
-	heap.Remove(&c.events, e.slot)
+	heap.Remove(&c.events, e.heapIndex)
 	return true
 }
 
@@ -57,7 +57,7 @@
 	}
 	e := heap.Pop(&c.events).(*Event)
 	c.now = e.at
-	e.do()
+	e.callback()
 	return true
 }
 
@@ -79,11 +79,11 @@
 }
 
 // Swap exchanges two events and updates their indices, for container/heap.
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].slot, h[j].slot = i, j }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i]; h[i].heapIndex, h[j].heapIndex = i, j }
 
 // Push appends an *Event and sets its index, for container/heap.
 func (h *eventHeap) Push(e any) {
-	e.(*Event).slot = len(*h)
+	e.(*Event).heapIndex = len(*h)
 	*h = append(*h, e.(*Event))
 }
 
@@ -92,6 +92,6 @@
 	old := *h
 	e := old[len(old)-1]
 	old[len(old)-1] = nil
-	*h, e.slot = old[:len(old)-1], -1
+	*h, e.heapIndex = old[:len(old)-1], -1
 	return e
 }
--- a/internal/model/outcome.go
+++ b/internal/model/outcome.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	longestTime = int64(10 * time.Minute / time.Microsecond) // longest time in a histogram; longer ones count as this
-	timeDigits  = 2 // significant digits of a time in a histogram
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond) // longest time in a histogram; longer ones count as this
+	significantDigits = 2                                          // significant digits of a time in a histogram
 )
 
 // ClassSums count the orders of one class and their outcomes.
@@ -23,10 +23,10 @@
 // Second is what happened in one second of virtual time. Orders, InAim and Refused count the orders that began in
 // it; the other fields are samples at its start.
 type Second struct {
-	Orders, InAim, Refused                    int
+	Orders, InAim, Refused int
 	// Requests at servers; then the servers by mode as the nodes see them, summed over all nodes. Excluded servers
 	// are ejected outliers or cold.
-	Held, Normal, Overloaded, Blocking, Apart int
+	InFlight, Normal, Overloaded, Blocking, Excluded int
 }
 
 // Outcome is all that is measured in a run.
@@ -37,53 +37,53 @@
 	Timeline []Second
 	// ModeChanges is the sum of the changes, from each second to the next, of the number of servers that are overloaded or
 	// blocking, over all nodes.
-	Turns int
+	ModeChanges int
 }
 
 func newOutcome(sc *Scenario) Outcome {
-	o := Outcome{Times: hdrhistogram.New(1, longestTime, timeDigits), Timeline: make([]Second, int(sc.Length/time.Second)+1)}
+	o := Outcome{Times: hdrhistogram.New(1, maxMicroseconds, significantDigits), Timeline: make([]Second, int(sc.Length/time.Second)+1)}
 	for _, c := range sc.Classes {
-		o.Classes = append(o.Classes, ClassSums{Name: c.Name, Times: hdrhistogram.New(1, longestTime, timeDigits)})
+		o.Classes = append(o.Classes, ClassSums{Name: c.Name, Times: hdrhistogram.New(1, maxMicroseconds, significantDigits)})
 	}
 	return o
 }
 
 // record counts the response time of a served order.
 func (o *Outcome) record(c *ClassSums, took time.Duration) {
-	us := min(max(1, took.Microseconds()), longestTime)
+	us := min(max(1, took.Microseconds()), maxMicroseconds)
 	o.Times.RecordValue(us)
 	c.Times.RecordValue(us)
 }
 
 // secondOf returns the second in which an order began.
-func (o *Outcome) at(began time.Duration) *Second {
+func (o *Outcome) secondOf(began time.Duration) *Second {
 	return &o.Timeline[min(int(began/time.Second), len(o.Timeline)-1)]
 }
 
 // currentSecond returns the present second.
-func (f *Fleet) second() *Second { return f.at(f.Now()) }
+func (f *Fleet) currentSecond() *Second { return f.secondOf(f.Now()) }
 
 // modeCounter is a decider that counts its servers by mode.
-type census interface{ ModeCounts() decide.ModeCounts }
+type modeCounter interface{ ModeCounts() decide.ModeCounts }
 
 // sampleSecond samples servers and nodes once a second.
-func (f *Fleet) observe() {
-	s := f.second()
+func (f *Fleet) sampleSecond() {
+	s := f.currentSecond()
 	for _, x := range f.servers {
-		s.Held += x.held()
+		s.InFlight += x.inFlight()
 	}
 	for _, n := range f.nodes {
-		if d, ok := n.decider.(census); ok {
+		if d, ok := n.decider.(modeCounter); ok {
 			c := d.ModeCounts()
-			s.Normal, s.Overloaded, s.Blocking, s.Apart = s.Normal+c.Normal, s.Overloaded+c.Overloaded, s.Blocking+c.Blocking, s.Apart+c.Excluded
+			s.Normal, s.Overloaded, s.Blocking, s.Excluded = s.Normal+c.Normal, s.Overloaded+c.Overloaded, s.Blocking+c.Blocking, s.Excluded+c.Excluded
 		}
 	}
 	if i := int(f.Now() / time.Second); i > 0 && i < len(f.Timeline) {
 		before := &f.Timeline[i-1]
-		f.Turns += max(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking) - min(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking)
+		f.ModeChanges += max(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking) - min(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking)
 	}
-	if f.Now()+time.Second < f.sc.Length {
-		f.After(time.Second, f.observe)
+	if f.Now()+time.Second < f.scenario.Length {
+		f.After(time.Second, f.sampleSecond)
 	}
 }
 
--- a/internal/model/replay.go
+++ b/internal/model/replay.go
@@ -13,12 +13,12 @@
 // arrival is an order of a trace.
 type arrival struct {
 	at    time.Duration
-	class int // index into the scenario's classes
+	class int           // index into the scenario's classes
 	work  time.Duration // processing time on a core of speed 1; 0: drawn at random for the class
 }
 
 // ReplaySummary counts what a trace contained.
-type Replayed struct {
+type ReplaySummary struct {
 	Orders  int // orders that are replayed
 	Repeats int // repeated tries: left out, as the model's clients decide on their own tries
 	Unknown int // orders of classes that the scenario lacks
@@ -33,19 +33,19 @@
 // scale is the number of orders replayed for each order of the trace, for a fleet of another size. Below 1, a
 // random part of the orders is replayed; above 1, copies follow an order after short random gaps. The run ends
 // with the trace if the trace is shorter than the scenario.
-func (sc *Scenario) Replay(records []trace.Record, scale float64) (*Scenario, Replayed, error) {
+func (sc *Scenario) Replay(records []trace.Record, scale float64) (*Scenario, ReplaySummary, error) {
 	if !(scale > 0 && scale <= 1000) {
-		return nil, Replayed{}, fmt.Errorf("replay: want a scale above 0 and at most 1000, have %v", scale)
+		return nil, ReplaySummary{}, fmt.Errorf("replay: want a scale above 0 and at most 1000, have %v", scale)
 	}
 	classes := map[string]int{}
-	for i, c := range sc.Classes {
-		classes[c.Name] = i
+	for i, replay := range sc.Classes {
+		classes[replay.Name] = i
 	}
-	c := *sc
-	c.arrivals = []arrival{}
-	var info Replayed
+	replay := *sc
+	replay.arrivals = []arrival{}
+	var info ReplaySummary
 	seen := map[uint64]bool{}
-	copies := NewStreams(0).Of("replay", "copies")
+	copyStream := NewStreams(0).Of("replay", "copies")
 	unknown := map[string]bool{}
 	for _, r := range records {
 		info.Length = max(info.Length, r.At)
@@ -65,18 +65,18 @@
 			work = max(work-2*sc.Hop, time.Microsecond)
 		}
 		n := int(scale)
-		if copies.Chance(scale - float64(n)) {
+		if copyStream.Chance(scale - float64(n)) {
 			n++
 		}
 		for i := range n {
 			at := r.At
 			if i > 0 {
-				at += copies.Exp(copyApart)
+				at += copyStream.Exp(meanCopyGap)
 			}
-			c.arrivals = append(c.arrivals, arrival{at, class, work})
+			replay.arrivals = append(replay.arrivals, arrival{at, class, work})
 		}
 	}
-	if len(c.arrivals) == 0 {
+	if len(replay.arrivals) == 0 {
 		var names []string
 		for name := range unknown {
 			names = append(names, name)
@@ -84,20 +84,20 @@
 		slices.Sort(names)
 		return nil, info, fmt.Errorf("replay: nothing to play: %d repeated tries, %d orders of classes that the scenario lacks (%s)", info.Repeats, info.Unknown, strings.Join(names, ", "))
 	}
-	if len(c.arrivals) > mostReplayed {
-		return nil, info, fmt.Errorf("replay: %d orders, at most %d are allowed", len(c.arrivals), mostReplayed)
+	if len(replay.arrivals) > maxReplayedOrders {
+		return nil, info, fmt.Errorf("replay: %d orders, at most %d are allowed", len(replay.arrivals), maxReplayedOrders)
 	}
-	slices.SortStableFunc(c.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
-	c.Length = min(sc.Length, info.Length+1)
-	for _, a := range c.arrivals {
-		if a.at < c.Length {
+	slices.SortStableFunc(replay.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
+	replay.Length = min(sc.Length, info.Length+1)
+	for _, a := range replay.arrivals {
+		if a.at < replay.Length {
 			info.Orders++
 		}
 	}
-	return &c, info, nil
+	return &replay, info, nil
 }
 
 const (
-	copyApart    = 50 * time.Millisecond // mean time from an order to each of its copies
-	mostReplayed = 20_000_000
+	meanCopyGap       = 50 * time.Millisecond // mean time from an order to each of its copies
+	maxReplayedOrders = 20_000_000
 )
--- a/internal/model/scenario_test.go
+++ b/internal/model/scenario_test.go
@@ -19,11 +19,11 @@
 			t.Error(err)
 			continue
 		}
-		s := Play(sc, 1)
-		if s.Orders < 1000 || s.Served+s.Refused+s.Failed != s.Orders || s.Doubled > 0 || s.Worth() < 0.3 {
-			t.Errorf("%s: worth %.3f, %+v", path, s.Worth(), s)
+		s := Simulate(sc, 1)
+		if s.Orders < 1000 || s.Served+s.Refused+s.Failed != s.Orders || s.DuplicateRuns > 0 || s.WorthFraction() < 0.3 {
+			t.Errorf("%s: worth %.3f, %+v", path, s.WorthFraction(), s)
 		}
-		t.Logf("%s: worth %.3f, %d orders", filepath.Base(path), s.Worth(), s.Orders)
+		t.Logf("%s: worth %.3f, %d orders", filepath.Base(path), s.WorthFraction(), s.Orders)
 	}
 }
 
--- a/internal/model/streams.go
+++ b/internal/model/streams.go
@@ -11,21 +11,21 @@
 // Streams gives each entity and purpose a random number stream of its own, so that two versions of a run get the
 // same arrivals, work and faults: one more draw from a stream does not shift any other stream.
 type Streams struct {
-	seed uint64
-	made map[[2]string]*Stream
+	seed    uint64
+	streams map[[2]string]*Stream
 }
 
 // NewStreams makes the streams of a run from its seed.
-func NewStreams(seed uint64) *Streams { return &Streams{seed: seed, made: map[[2]string]*Stream{}} }
+func NewStreams(seed uint64) *Streams { return &Streams{seed: seed, streams: map[[2]string]*Stream{}} }
 
 // Of returns the stream of an entity (such as "server s-1") for a purpose (such as "work"). Each call returns the
 // same stream.
 func (s *Streams) Of(entity, purpose string) *Stream {
 	key := [2]string{entity, purpose}
-	if s.made[key] == nil {
-		s.made[key] = &Stream{rand.New(rand.NewPCG(s.seed, mix(xxhash.Sum64String(entity), xxhash.Sum64String(purpose))))}
+	if s.streams[key] == nil {
+		s.streams[key] = &Stream{rand.New(rand.NewPCG(s.seed, mix(xxhash.Sum64String(entity), xxhash.Sum64String(purpose))))}
 	}
-	return s.made[key]
+	return s.streams[key]
 }
 
 // At returns a new stream for the n-th item of an entity, for a purpose. It always starts anew and is not kept. It
--- a/internal/model/version.go
+++ b/internal/model/version.go
@@ -11,7 +11,7 @@
 // Version is one side of a comparison: a change to the scenario's policy, to the nodes' settings, or to the fleet.
 type Version struct {
 	Name   string
-	change func(*Scenario)
+	modify func(*Scenario)
 }
 
 // versionFile is the structure of a version file. Keys that it leaves out keep the scenario's values.
@@ -29,7 +29,7 @@
 	} `toml:"settings"`
 	Fleet struct {
 		Speed    *float64 `toml:"speed"` // factor on the speed of all servers of the scenario
-		Load     *float64 `toml:"load"` // factor on the scenario's orders a second
+		Load     *float64 `toml:"load"`  // factor on the scenario's orders a second
 		Nodes    *int     `toml:"nodes"`
 		Lag      *seconds `toml:"registry_lag"`
 		Heedless *float64 `toml:"heedless"`
@@ -56,25 +56,25 @@
 
 // parseVersion checks the text of a version file. path names the file in errors.
 func parseVersion(path string, raw []byte) (*Version, error) {
-	var f versionFile
-	if err := tomlfile.Decode(path, raw, &f); err != nil {
+	var file versionFile
+	if err := tomlfile.Decode(path, raw, &file); err != nil {
 		return nil, err
 	}
-	fault := tomlfile.KeyErrors(path, raw)
+	keyError := tomlfile.KeyErrors(path, raw)
 	policy := Policies()[0]
-	if f.Policy != "" {
+	if file.Policy != "" {
 		var err error
-		if policy, err = FindPolicy(f.Policy); err != nil {
-			return nil, fault("policy", "%v", err)
+		if policy, err = FindPolicy(file.Policy); err != nil {
+			return nil, keyError("policy", "%v", err)
 		}
 	}
-	s, l := f.Settings, f.Fleet
+	settings, fleet := file.Settings, file.Fleet
 	for _, err := range []error{
-		inRange(fault, "settings.max_attempts", s.MaxAttempts, 1, 100), inRange(fault, "settings.cold_from", s.ColdFrom, 0.01, 1),
-		inRange(fault, "fleet.speed", l.Speed, 0.01, 100), inRange(fault, "fleet.load", l.Load, 0.01, 100), inRange(fault, "fleet.nodes", l.Nodes, 1, mostNodes),
-		inRange(fault, "fleet.heedless", l.Heedless, 0, 1), inRange(fault, "fleet.retries", l.Retries, 0, 10),
-		span(fault, "settings.max_hold_off", s.MaxHoldOff, 0, time.Minute), span(fault, "settings.connect_timeout", s.ConnectTimeout, time.Millisecond, time.Minute),
-		span(fault, "settings.cold_time", s.ColdTime, 0, mostLength), span(fault, "fleet.registry_lag", l.Lag, 0, time.Minute),
+		inRange(keyError, "settings.max_attempts", settings.MaxAttempts, 1, 100), inRange(keyError, "settings.cold_from", settings.ColdFrom, 0.01, 1),
+		inRange(keyError, "fleet.speed", fleet.Speed, 0.01, 100), inRange(keyError, "fleet.load", fleet.Load, 0.01, 100), inRange(keyError, "fleet.nodes", fleet.Nodes, 1, maxNodes),
+		inRange(keyError, "fleet.heedless", fleet.Heedless, 0, 1), inRange(keyError, "fleet.retries", fleet.Retries, 0, 10),
+		durationInRange(keyError, "settings.max_hold_off", settings.MaxHoldOff, 0, time.Minute), durationInRange(keyError, "settings.connect_timeout", settings.ConnectTimeout, time.Millisecond, time.Minute),
+		durationInRange(keyError, "settings.cold_time", settings.ColdTime, 0, maxLength), durationInRange(keyError, "fleet.registry_lag", fleet.Lag, 0, time.Minute),
 	} {
 		if err != nil {
 			return nil, err
@@ -83,34 +83,34 @@
 	return &Version{path, func(sc *Scenario) {
 		sc.Policy = policy
 		t := &sc.Settings
-		set(&t.MaxAttempts, s.MaxAttempts)
-		set(&t.MayOverlap, s.MayOverlap)
-		set(&t.MayCancel, s.MayCancel)
-		set(&t.HoldOffs, s.HoldOffs)
-		set(&t.ColdFrom, s.ColdFrom)
-		setTime(&t.MaxHoldOff, s.MaxHoldOff)
-		setTime(&t.ConnectTimeout, s.ConnectTimeout)
-		setTime(&t.ColdTime, s.ColdTime)
-		set(&sc.Nodes, l.Nodes)
-		set(&sc.Heedless, l.Heedless)
-		set(&sc.Retries, l.Retries)
-		setTime(&sc.Lag, l.Lag)
-		if l.Load != nil {
-			sc.Rate *= *l.Load
+		setIfGiven(&t.MaxAttempts, settings.MaxAttempts)
+		setIfGiven(&t.MayOverlap, settings.MayOverlap)
+		setIfGiven(&t.MayCancel, settings.MayCancel)
+		setIfGiven(&t.HoldOffs, settings.HoldOffs)
+		setIfGiven(&t.ColdFrom, settings.ColdFrom)
+		setDurationIfGiven(&t.MaxHoldOff, settings.MaxHoldOff)
+		setDurationIfGiven(&t.ConnectTimeout, settings.ConnectTimeout)
+		setDurationIfGiven(&t.ColdTime, settings.ColdTime)
+		setIfGiven(&sc.Nodes, fleet.Nodes)
+		setIfGiven(&sc.IgnoresHoldOff, fleet.Heedless)
+		setIfGiven(&sc.Retries, fleet.Retries)
+		setDurationIfGiven(&sc.RegistryLag, fleet.Lag)
+		if fleet.Load != nil {
+			sc.Rate *= *fleet.Load
 		}
-		if l.Speed != nil {
+		if fleet.Speed != nil {
 			for i := range sc.Servers {
-				sc.Servers[i].Speed *= *l.Speed
+				sc.Servers[i].Speed *= *fleet.Speed
 			}
 		}
 	}}, nil
 }
 
 // errorMaker makes an error that names the file, the line and the key.
-type faultMaker = func(key, format string, args ...any) error
+type errorMaker = func(key, format string, args ...any) error
 
 // inRange returns an error if a value is given and is not within least and most.
-func inRange[T int | float64](fault faultMaker, key string, v *T, least, most T) error {
+func inRange[T int | float64](fault errorMaker, key string, v *T, least, most T) error {
 	if v != nil && !(*v >= least && *v <= most) {
 		return fault(key, "want %v to %v, have %v", least, most, *v)
 	}
@@ -118,7 +118,7 @@
 }
 
 // durationInRange returns an error if a duration is given and is not within least and most.
-func span(fault faultMaker, key string, v *seconds, least, most time.Duration) error {
+func durationInRange(fault errorMaker, key string, v *seconds, least, most time.Duration) error {
 	if v != nil && (v.Duration < least || v.Duration > most) {
 		return fault(key, "want %v to %v, have %v", least, most, v.Duration)
 	}
@@ -126,14 +126,14 @@
 }
 
 // setIfGiven sets a value if the version file gives it.
-func set[T any](to *T, v *T) {
+func setIfGiven[T any](to *T, v *T) {
 	if v != nil {
 		*to = *v
 	}
 }
 
 // setDurationIfGiven sets a duration if the version file gives it.
-func setTime(to *time.Duration, v *seconds) {
+func setDurationIfGiven(to *time.Duration, v *seconds) {
 	if v != nil {
 		*to = v.Duration
 	}
@@ -142,16 +142,16 @@
 // Apply returns a copy of the scenario with this version's changes. salt differs between the sides of a
 // comparison, so that the deciders of each side draw random numbers of their own, also where both versions are the
 // same.
-func (v *Version) Of(sc *Scenario, salt string) *Scenario {
+func (v *Version) Apply(sc *Scenario, salt string) *Scenario {
 	c := *sc
 	c.Servers = append([]ServerSpec(nil), sc.Servers...)
 	c.Salt = salt
-	v.change(&c)
+	v.modify(&c)
 	return &c
 }
 
 // ScaleLoad returns a copy of the scenario with load times its orders a second.
-func (sc *Scenario) Scaled(load float64) *Scenario {
+func (sc *Scenario) ScaleLoad(load float64) *Scenario {
 	c := *sc
 	c.Rate *= load
 	return &c
@@ -172,7 +172,7 @@
 func (o *Outcome) Values() []float64 {
 	part := func(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 	time := func(q float64) float64 { return float64(o.Times.ValueAtQuantile(q)) / 1e3 }
-	v := []float64{o.Worth(), part(o.Refused, o.Orders), part(o.Failed, o.Orders), part(o.Tries, o.Orders), time(50), time(99), time(99.9), float64(o.Turns)}
+	v := []float64{o.WorthFraction(), part(o.Refused, o.Orders), part(o.Failed, o.Orders), part(o.Tries, o.Orders), time(50), time(99), time(99.9), float64(o.ModeChanges)}
 	for _, c := range o.Classes {
 		v = append(v, part(c.InAim, c.Orders))
 	}
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(l, healthy, metrics, testkit.Quiet)
+	s := New(l, healthy, metrics, testkit.DiscardLog)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Serve() }()
 	t.Cleanup(func() {
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(testkit.Patient))
+	c.SetDeadline(time.Now().Add(testkit.WaitLimit))
 	io.WriteString(c, text)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peers := New(conn, []netip.AddrPort{{}, address(other)}, netip.AddrPort{}, 0, testkit.Quiet)
+	peers := New(conn, []netip.AddrPort{{}, address(other)}, netip.AddrPort{}, 0, testkit.DiscardLog)
 	ctx, cancel := context.WithCancel(t.Context())
 	received, ended := make(chan string, 9), make(chan struct{})
 	go peers.SendQueued(ctx)
@@ -42,7 +42,7 @@
 	peers.Send(1, false, []byte("one"))
 	peers.Send(0, true, []byte("all"))
 	buf := make([]byte, 2*DatagramLimit)
-	other.SetReadDeadline(time.Now().Add(testkit.Patient))
+	other.SetReadDeadline(time.Now().Add(testkit.WaitLimit))
 	for _, want := range []string{"one", "all"} {
 		if n, _, err := other.ReadFromUDP(buf); err != nil || string(buf[:n]) != want {
 			t.Errorf("datagram %q, %v; want %q", buf[:n], err, want)
