--- a/cmd/rig/soakplay.go
+++ b/cmd/rig/soakplay.go
@@ -22,13 +22,13 @@
 	soakColdFrom = 0.1
 	soakColdTime = 5 * time.Second
 	soakDedup    = 8 * time.Second
-	soakTail     = 3 * time.Second // after the clients' last request
-	pushedReload = 4 * time.Second // after which what a new agent has binds
-	soakConns    = 100             // of each node's clients, at most
-	soakPoll     = 300 * time.Millisecond
+	soakTail     = 3 * time.Second        // wait after the clients' last request
+	pushedReload = 4 * time.Second        // after which the list of a new agent binds the node
+	soakConns    = 100                    // most connections of each node's clients
+	soakPoll     = 300 * time.Millisecond // between two reads of a process's metrics
 )
 
-// soakPlay is one run of the soak test.
+// soakRun is one run of the soak test.
 type soakPlay struct {
 	workshop *workshop
 	service  *registry.Service
@@ -36,18 +36,18 @@
 	servers  []*soakServer
 	profile  soak.Profile
 	injected atomic.Int64
-	// killedAtEnd counts the processes that had not ended when SIGKILL may come after SIGTERM.
+	// killedAtEnd counts the processes that had not ended by the earliest SIGKILL after SIGTERM.
 	killedAtEnd atomic.Int64
-	keepLogs    string // a folder for the logs of all processes; empty: none is kept
+	keepLogs    string // directory for the logs of all processes; empty: logs are not saved
 
 	mu       sync.Mutex
-	departed map[string]time.Time
+	departed map[string]time.Time // when clients disconnected, by request ID
 	stalled  []soak.Stalled
-	refusals map[string]int // by process: attempts that its guard refused
-	kept     int            // logs
+	refusals map[string]int // attempts that the guard of each process refused
+	kept     int            // number of saved logs
 }
 
-// soakServer is one server of the list, whose processes follow one another.
+// soakServer is one server of the list. Its processes follow one another at different addresses.
 type soakServer struct {
 	name string
 	cell int
@@ -61,7 +61,7 @@
 	dedup *standin.Dedup
 }
 
-// openSoak starts servers, discovery and nodes.
+// openSoak starts servers, discovery and nodes, and waits until all nodes can serve.
 func openSoak(ctx context.Context, w *workshop, seed uint64) (p *soakPlay, err error) {
 	p = &soakPlay{workshop: w, profile: soak.ProfileOf(seed), departed: map[string]time.Time{}, refusals: map[string]int{}}
 	defer func() {
@@ -87,6 +87,7 @@
 	return p, p.startAll(ctx)
 }
 
+// addNode prepares node i: its addresses, directory and discovery. Every third node gets its list from an agent.
 func (p *soakPlay) addNode(i int, seed uint64) error {
 	n := &soakNode{play: p, index: i, name: soakName("n", i), pushed: i%3 == 2, failing: (uint64(i)+seed)%6 == 0, known: 1, guard: map[string]int{}}
 	p.nodes = append(p.nodes, n)
@@ -109,7 +110,7 @@
 	return nil
 }
 
-// listen opens discovery to a node, or its agent.
+// listen opens a discovery server for a node or, if the node's list is pushed, an agent.
 func (p *soakPlay) listen(n *soakNode) (*registry.Caller, error) {
 	if n.pushed {
 		return p.service.Agent(n.name)
@@ -117,6 +118,7 @@
 	return p.service.Listen(n.name)
 }
 
+// startAll starts all nodes at once and waits until they can serve.
 func (p *soakPlay) startAll(ctx context.Context) error {
 	errs := make(chan error, len(p.nodes))
 	for _, n := range p.nodes {
@@ -129,7 +131,7 @@
 	return all
 }
 
-// close ends all processes and stand-ins.
+// close ends all nodes, servers and discovery.
 func (p *soakPlay) close() {
 	for _, n := range p.nodes {
 		n.mu.Lock()
@@ -149,8 +151,8 @@
 	}
 }
 
-// play has clients ask and faults happen, and gives what was logged. late is by how much the rig's own clock was held
-// up at worst.
+// run sends the clients' load for length, causes the faults of list, and returns the logs. late is the longest delay of
+// the rig itself.
 func (p *soakPlay) play(ctx context.Context, list []soak.Fault, length time.Duration) (e soak.Evidence, late time.Duration, err error) {
 	measured, stop := context.WithCancel(ctx)
 	defer stop()
@@ -191,7 +193,7 @@
 	return p.evidence(loads), late, ctx.Err()
 }
 
-// evidence collects all logs.
+// evidence collects the logs of clients, servers, discovery and nodes.
 func (p *soakPlay) evidence(loads []*standin.Load) soak.Evidence {
 	e := soak.Evidence{Classes: soakClasses(p.profile.Patience), Notified: map[string][]registry.Notification{}, Killed: map[string][]soak.Span{},
 		Crowded: map[string][]soak.Span{}, HandedOver: map[string][]soak.Span{}, Guard: map[string]map[string]int{}}
@@ -206,7 +208,7 @@
 		e.Notified[n.name] = n.notifications()
 		n.mu.Lock()
 		if f, err := figures(n.ops); err != nil {
-			n.ended = append(n.ended, fmt.Sprintf("%s: no figures: %v", n.name, err))
+			n.ended = append(n.ended, fmt.Sprintf("%s: can't read the metrics: %v", n.name, err))
 		} else {
 			for _, r := range guard.Rules() {
 				n.guard[r.String()] += f["gw.guard."+r.String()+".violated"]
@@ -223,7 +225,7 @@
 	return e
 }
 
-// watch reads a process's figures from time to time, until it has ended, and notes if that was by itself.
+// watch reads how many attempts a process's guard has refused, every soakPoll until the process has ended.
 func (p *soakPlay) watch(n *soakNode, c *child, ops string) {
 	name := fmt.Sprintf("%s %d", n.name, c.cmd.Process.Pid)
 	go func() {
@@ -248,6 +250,7 @@
 	}()
 }
 
+// guardRefusals returns how many attempts the guards of all processes refused, as last read.
 func (p *soakPlay) guardRefusals() (all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -257,7 +260,7 @@
 	return all
 }
 
-// keep writes the log of a process into the folder for logs, if there is one.
+// saveLog writes the log of a process to the directory for logs, if one is set.
 func (p *soakPlay) keep(name string, c *child) {
 	if p.keepLogs == "" {
 		return
@@ -270,7 +273,7 @@
 	os.WriteFile(path, []byte(c.log.String()), 0o644)
 }
 
-// start starts a process of the server; coldFrom is its part of the speed at the start, 0 for a warm one.
+// start starts a process of the server. It begins at the fraction coldFrom of full speed; 0 means that it starts warm.
 func (s *soakServer) start(coldFrom float64) error {
 	o := standin.ServerOptions{Name: s.name, Zone: "z", Kind: "std", Cell: s.cell, Cores: 1, MaxRequests: 60, Dedup: s.dedup}
 	if coldFrom > 0 {
@@ -297,7 +300,7 @@
 	return nil
 }
 
-// entry is the server as discovery lists it: at the address of the path to it.
+// entry returns the server's entry for discovery, with the address of the path to it.
 func (s *soakServer) entry(state string) standin.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -306,12 +309,14 @@
 	return e
 }
 
+// currentServer returns the server's present process and the path to it.
 func (s *soakServer) present() (*standin.Server, *standin.Path) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now, s.path
 }
 
+// executions returns the logs of all processes of the server.
 func (s *soakServer) executions() (all []standin.Execution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -321,6 +326,7 @@
 	return all
 }
 
+// close ends all processes of the server and the paths to them.
 func (s *soakServer) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/rig/soakseries.go
+++ b/cmd/rig/soakseries.go
@@ -10,15 +10,16 @@
 	"starlingvalve/internal/rig/soak"
 )
 
-// Signals in series, and crowds of idle clients.
+// Series of signals, and idle clients that take all connections.
 
 const (
 	seriesGap    = 50 * time.Millisecond // between two signals
-	crowdClients = 300                   // more than a node's descriptors allow
-	crowdHead    = "POST /order HTTP/1.1\r\nHost: api.internal\r\n"
+	crowdClients = 300                   // more than a node's file descriptors allow
+	// partialHead is a request head without its end.
+	crowdHead = "POST /order HTTP/1.1\r\nHost: api.internal\r\n"
 )
 
-// peerAddress gives a UDP address on which nobody listens now.
+// peerAddress returns a UDP address that is free now.
 func peerAddress() (string, error) {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -28,7 +29,7 @@
 	return c.LocalAddr().String(), nil
 }
 
-// restartTwiceTold has the process end, tells it so again while it drains, and starts another one.
+// restartWithSecondTerm ends the process by SIGTERM, sends a second SIGTERM while it drains, and starts another one.
 func (n *soakNode) restartTwiceTold(ctx context.Context) error {
 	n.mu.Lock()
 	c := n.process
@@ -38,7 +39,8 @@
 	return n.restart(ctx, 0)
 }
 
-// restartWithTermAtStart has the next process end while it starts, and starts a third one.
+// restartWithTermAtStart ends the process, sends SIGTERM to the next one the time after its start, which may be before
+// that one serves, and starts a third one.
 func (n *soakNode) restartWithTermAtStart(ctx context.Context, after time.Duration) error {
 	n.end()
 	early, err := n.begin(0, false)
@@ -49,7 +51,7 @@
 	early.cmd.Process.Signal(syscall.SIGTERM)
 	killAt := time.Now().Add(min(n.play.profile.Patience, longestEnd) + killAfterEnd)
 	select {
-	case <-early.ended: // perhaps before it could handle signals: it had taken nothing then
+	case <-early.ended: // perhaps before it could handle signals; it had accepted no request then
 	case <-time.After(time.Until(killAt)):
 		n.play.killedAtEnd.Add(1)
 		early.kill()
@@ -60,7 +62,7 @@
 	return n.start(ctx, 0, false)
 }
 
-// handoverWithTerm has a successor start, and the process end while that prepares.
+// handoverWithTerm starts a successor, and sends SIGTERM to the present process while the successor still prepares.
 func (n *soakNode) handoverWithTerm(ctx context.Context) error {
 	n.mu.Lock()
 	before := n.process
@@ -80,7 +82,8 @@
 	return err
 }
 
-// crowd has idle clients take all the connections that a node allows, half of them in the middle of a head.
+// applyConnectionPressure has idle clients take all connections that a node allows, for length. Half of the clients stop
+// in the middle of a request head.
 func (p *soakPlay) crowd(ctx context.Context, n *soakNode, length time.Duration) {
 	from := time.Now()
 	n.mu.Lock()
--- a/cmd/rig/supervise_test.go
+++ b/cmd/rig/supervise_test.go
@@ -12,7 +12,7 @@
 	"starlingvalve/internal/control"
 )
 
-// processesOf counts the processes that run with a member's fleet file, supervisors apart.
+// processesOf returns the process IDs of the nodes that run with a member's fleet file; supervisors are not included.
 func processesOf(m *clusterMember) (pids []string) {
 	files, _ := filepath.Glob("/proc/[0-9]*/cmdline")
 	for _, f := range files {
@@ -23,8 +23,9 @@
 	return pids
 }
 
-// Two supervisors of one node: the second starts nothing while the first lives, and takes up the same process once it is killed. One that is killed in
-// the middle of a turn leaves two processes; the next ends the one that does not serve, makes the turn, and one is left.
+// Guards against two processes of one node, which could serve at once. Of two supervisors, the second starts nothing while
+// the first runs, and adopts the same process once the first is killed. A supervisor that is killed in the middle of a turn
+// leaves two processes; the next one ends the process that does not serve, completes the turn, and one process is left.
 func TestSupervisors(t *testing.T) {
 	w, err := newWorkshop(t.Context(), "")
 	if err != nil {
@@ -63,20 +64,20 @@
 		return func() bool { return strings.Contains(strings.Join(m.logs(), ""), part) }
 	}
 	node, first := pid(), m.proc
-	if err := p.start(t.Context(), 0); err != nil { // the first one's node answers as ready
+	if err := p.start(t.Context(), 0); err != nil { // the first supervisor's node answers the readiness check
 		t.Fatal(err)
 	}
 	until("the second waits", logged("another supervisor keeps this node"))
 	if list := processesOf(m); len(list) != 1 || pid() != node {
-		t.Errorf("two supervisors keep %v; %d served before, %d now", list, node, pid())
+		t.Errorf("two supervisors run %v; %d served before, %d now", list, node, pid())
 	}
 	first.kill()
-	until("the second takes it up", logged(fmt.Sprintf("takes up the node that runs\" pid=%d", node)))
+	until("the second adopts the node", logged(fmt.Sprintf("takes up the node that runs\" pid=%d", node)))
 	if list := processesOf(m); len(list) != 1 || pid() != node {
-		t.Errorf("taken up as %v; %d served before, %d now", list, node, pid())
+		t.Errorf("adopted as %v; %d served before, %d now", list, node, pid())
 	}
 
-	// A program that takes its time: the supervisor is killed while it has not taken over.
+	// A program that starts slowly: the supervisor is killed before that program has taken over.
 	r := &releaseTrial{p: p}
 	program, err := os.ReadFile(w.binary)
 	if err != nil {
@@ -104,8 +105,8 @@
 	if err := p.start(t.Context(), 0); err != nil {
 		t.Fatal(err)
 	}
-	until("what was left is ended", logged("ends a process that a supervisor before this one has left"))
-	until("the turn is made", func() bool {
+	until("the process that was left is ended", logged("ends a process that a supervisor before this one has left"))
+	until("the turn is complete", func() bool {
 		list, now := processesOf(m), fmt.Sprint(pid())
 		return len(list) == 1 && list[0] == now && now != left[0] && now != left[1]
 	})
