--- a/internal/agree/core.go
+++ b/internal/agree/core.go
@@ -67,7 +67,7 @@
 	maxMessageBytes     = 256 << 10 // bytes of entries in one message
 	maxUncommittedBytes = 4 << 20   // bytes of entries that are not committed yet
 	maxInflightMessages = 64        // unacknowledged messages with entries to one voter
-	envelopeSize        = 16        // bytes before each entry: ID of the proposing Core and number of the proposal there, 8 bytes each
+	envelopeSize        = 16        // bytes before each entry: ID of the proposing Core, number of the proposal
 	keptEntries         = 200       // entries kept from before a snapshot, so that voters that lag a little need no snapshot
 )
 
@@ -84,7 +84,7 @@
 	proposals     map[uint64]func(any, error) // callbacks of the proposals without a result yet, by number
 	activeReads   []pendingRead               // reads that were sent to raft, by number
 	queuedReads   []func(error)               // callbacks of reads that wait to be sent
-	votersChanged bool                        // the voters changed since the last snapshot; a new voter accepts only a snapshot that includes it
+	votersChanged bool                        // since the last snapshot; a new voter accepts only a snapshot that includes it
 	isLeader      bool
 	leader        uint64 // ID of the leader; 0 if not known
 }
--- a/internal/agree/core_test.go
+++ b/internal/agree/core_test.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// memoryDisk is a disk in memoryDisk, which stays when its Core is replaced, and can fail.
+// memoryDisk is a disk in memory, which stays when its Core is replaced, and can fail.
 type memoryDisk struct {
 	DiskState
 	fails     bool // every write fails and stores nothing
--- a/internal/agree/member.go
+++ b/internal/agree/member.go
@@ -18,7 +18,7 @@
 	core     *Core
 	tick     time.Duration
 	send     func(*raftpb.Message) // must not block
-	onChange func()                // called by the goroutine of Run after entries were applied or the leader, term or voters changed
+	onChange func()                // called by Run after entries were applied or the leader, term or voters changed
 	calls    chan func()
 	done     chan struct{}
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -183,7 +183,7 @@
 		a := &fleetpb.Answered{Ask: e.Ask, Result: r}
 		if d := e.GetDrain(); d != nil && r.Code == fleetpb.Result_QUEUED {
 			a.Target = d.Target
-			r = m.repeatedResult(a) // settling may have granted it
+			r = m.repeatedResult(a) // it may have been granted by now
 		}
 		m.state.Answered = lastN(append(m.state.Answered, a), maxResults)
 	}
@@ -263,7 +263,7 @@
 	return &fleetpb.Result{Code: fleetpb.Result_INVALID, Reason: fmt.Sprintf(format, args...)}
 }
 
-// lastN returns the lastN n elements of a list, or all of it if it is shorter.
+// lastN returns the last n elements of a list, or all of it if it is shorter.
 func lastN[T any](list []T, n int) []T {
 	if len(list) <= n {
 		return list
@@ -312,7 +312,7 @@
 	return doneResult(epoch)
 }
 
-// liveSession returns the node if its session has that epoch and is liveSession. Else it returns the FENCED result for the
+// liveSession returns the node if its session has that epoch and is live. Else it returns the FENCED result for the
 // caller.
 func (m *Machine) liveSession(node string, epoch uint64) (*fleetpb.Node, *fleetpb.Result) {
 	n := m.state.Nodes[node]
--- a/internal/fleet/waves.go
+++ b/internal/fleet/waves.go
@@ -19,7 +19,7 @@
 	Share  float64  `toml:"share"`  // as many nodes as bring this share of all nodes to the version; above 0, up to 1
 	Zone   string   `toml:"zone"`   // only nodes of this zone; Share then is of the zone's nodes
 	Voters bool     `toml:"voters"` // all voters; other waves have voters only by name
-	Mixed  bool     `toml:"mixed"`  // may have nodes of several zones; if false, it is split into one wave per zone
+	Mixed  bool     `toml:"mixed"`  // may have nodes of several zones; if false, a wave of chosen nodes is split by zone
 }
 
 // Check validates the fields of a wave.
--- a/internal/health/times.go
+++ b/internal/health/times.go
@@ -48,7 +48,7 @@
 const (
 	toleratedStep = 0.25 // part of a bucket's width by which latencies may grow and still count as equal: about 2%
 	minTailShare  = 0.02 // least share of answers assumed on each side of a bound, also where all latencies are alike
-	enoughAnswers = 2000 // answers (n*o/(n+o) of n new and o old ones, summed over classes) after which an undecided ratio of at most 0 is Well
+	enoughAnswers = 2000 // sum of n*o/(n+o) over classes, of n new and o old answers, from which a ratio of at most 0 is Well
 	minOldAnswers = 300  // answers of the version before that are needed to know its latencies
 )
 
@@ -109,7 +109,8 @@
 		return Well, "" // there are no answers of the old version to compare with
 	case v == Worse:
 		return Worse, "all classes together take longer than at the version before"
-	case v == Unknown && (answers < enoughAnswers || sum > 0): // with enough answers it ends, since a latency between the hypotheses may leave it undecided for long
+	// With enough answers the test ends, since a latency between the hypotheses may leave it undecided for long.
+	case v == Unknown && (answers < enoughAnswers || sum > 0):
 		return Unknown, "whether answers take longer: more are wanted"
 	}
 	return Well, ""
--- a/internal/supervise/config.go
+++ b/internal/supervise/config.go
@@ -52,7 +52,8 @@
 			return nil, keyError(l.key, "want %d to %d, have %d", l.lowest, l.highest, l.have)
 		}
 	}
-	for key, name := range map[string]*string{"supervise.folder": &s.Folder, "supervise.fleet": &s.Fleet} { // absolute, since the node's working directory may be another one
+	// The paths become absolute, since the node's working directory may be another one.
+	for key, name := range map[string]*string{"supervise.folder": &s.Folder, "supervise.fleet": &s.Fleet} {
 		if *name, err = filepath.Abs(pathOf(*name)); err != nil {
 			return nil, keyError(key, "%v", err)
 		}
--- a/internal/supervise/programs.go
+++ b/internal/supervise/programs.go
@@ -90,8 +90,8 @@
 // SetChosen stores atomically which program the node runs.
 func (p *Programs) SetChosen(c Chosen) error { return wholefile.WriteJSON(p.chosenFile(), c) }
 
-// startedProcess identifies a process that a supervisor has startedProcess. The start time is part of it, since the kernel
-// may have given the process ID to another process meanwhile.
+// startedProcess identifies a process that a supervisor has started. The start time is part of it, since the kernel may
+// have given the process ID to another process meanwhile.
 type startedProcess struct {
 	Pid        int    `json:"pid"`
 	StartTicks string `json:"began"` // start time in the kernel's clock ticks since boot
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -89,7 +89,8 @@
 		data.Marks = append(data.Marks, mark{xOf(e.AtMs), clock(e.AtMs) + " " + e.What})
 	}
 	data.Depth = top
-	t, err := template.New("release").Funcs(template.FuncMap{"clock": clock}).Parse(page) // parsed here and not at start, since nodes write no pages
+	// Parsed here and not at start, since nodes write no pages.
+	t, err := template.New("release").Funcs(template.FuncMap{"clock": clock}).Parse(page)
 	if err != nil {
 		return err
 	}
