--- a/internal/agree/bolt.go
+++ b/internal/agree/bolt.go
@@ -44,13 +44,13 @@
 
 // OpenBolt opens a file, or creates it. It reads all records and compares them with their checksums, since a voter
 // must not vote by what is left of a damaged log.
-func OpenBolt(path string) (b *Bolt, err error) {
+func OpenBolt(path string) (bolt *Bolt, err error) {
 	// bbolt maps also a file that is too short into memory; a read behind its end is a memory fault, which becomes a
 	// panic here.
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			b, err = nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, r)
+			bolt, err = nil, fmt.Errorf("%s: %w: %v", path, ErrDamaged, r)
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: 2 * time.Second})
@@ -62,12 +62,12 @@
 	case err != nil:
 		return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
 	}
-	b = &Bolt{db}
+	bolt = &Bolt{db}
 	if err := db.View(verify); err != nil {
 		db.Close()
 		return nil, fmt.Errorf("%s: %w: %w", path, ErrDamaged, err)
 	}
-	err = b.update(func(tx *bbolt.Tx) error {
+	err = bolt.update(func(tx *bbolt.Tx) error {
 		if _, err := tx.CreateBucketIfNotExists(bucketLog); err != nil {
 			return err
 		}
@@ -98,7 +98,7 @@
 		db.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return b, nil
+	return bolt, nil
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
--- a/internal/agree/core.go
+++ b/internal/agree/core.go
@@ -256,43 +256,43 @@
 		if !c.node.HasReady() {
 			return messages, nil
 		}
-		rd := c.node.Ready()
-		if rd.HardState != nil || len(rd.Entries) > 0 || rd.Snapshot != nil {
-			if err := c.options.Disk.Save(rd.HardState, rd.Entries, rd.Snapshot); err != nil {
+		ready := c.node.Ready()
+		if ready.HardState != nil || len(ready.Entries) > 0 || ready.Snapshot != nil {
+			if err := c.options.Disk.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 				return nil, fmt.Errorf("the log can't be written, so this voter stops: %w", err)
 			}
 		}
-		if rd.Snapshot != nil && rd.Snapshot.GetMetadata().GetIndex() > 0 {
-			if err := c.storage.ApplySnapshot(rd.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
+		if ready.Snapshot != nil && ready.Snapshot.GetMetadata().GetIndex() > 0 {
+			if err := c.storage.ApplySnapshot(ready.Snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
 				return nil, err
 			}
-			if err := c.options.Machine.Restore(rd.Snapshot.Data); err != nil {
+			if err := c.options.Machine.Restore(ready.Snapshot.Data); err != nil {
 				return nil, err
 			}
-			c.applied = rd.Snapshot.GetMetadata().GetIndex()
-			c.snapshotIndex, c.confState = c.applied, rd.Snapshot.GetMetadata().GetConfState()
+			c.applied = ready.Snapshot.GetMetadata().GetIndex()
+			c.snapshotIndex, c.confState = c.applied, ready.Snapshot.GetMetadata().GetConfState()
 		}
-		if rd.HardState != nil {
-			c.storage.SetHardState(rd.HardState)
+		if ready.HardState != nil {
+			c.storage.SetHardState(ready.HardState)
 		}
-		if err := c.storage.Append(rd.Entries); err != nil {
+		if err := c.storage.Append(ready.Entries); err != nil {
 			return nil, err
 		}
-		for _, m := range rd.Messages { // copied, since they share memory with the log
+		for _, m := range ready.Messages { // copied, since they share memory with the log
 			messages = append(messages, proto.CloneOf(m))
 		}
-		if rd.SoftState != nil {
-			c.leader = rd.SoftState.Lead
-			if c.isLeader = rd.SoftState.RaftState == raft.StateLeader; !c.isLeader {
+		if ready.SoftState != nil {
+			c.leader = ready.SoftState.Lead
+			if c.isLeader = ready.SoftState.RaftState == raft.StateLeader; !c.isLeader {
 				c.failPending()
 			}
 		}
-		for _, e := range rd.CommittedEntries {
+		for _, e := range ready.CommittedEntries {
 			if err := c.apply(e); err != nil {
 				return nil, err
 			}
 		}
-		for _, s := range rd.ReadStates {
+		for _, s := range ready.ReadStates {
 			for i := range c.activeReads {
 				if len(s.RequestCtx) == 8 && binary.BigEndian.Uint64(s.RequestCtx) == c.activeReads[i].number {
 					c.activeReads[i].index = s.Index
@@ -306,7 +306,7 @@
 				f(nil)
 			}
 		}
-		c.node.Advance(rd)
+		c.node.Advance(ready)
 		if err := c.compact(); err != nil {
 			return nil, err
 		}
--- a/internal/agree/core_test.go
+++ b/internal/agree/core_test.go
@@ -135,7 +135,7 @@
 			continue
 		}
 		c.Tick()
-		s.work(i)
+		s.process(i)
 	}
 	for range 3 {
 		flying := s.inTransit
@@ -153,7 +153,7 @@
 				s.inTransit = append(s.inTransit, m) // a duplicate
 			}
 			s.cores[to].Step(proto.CloneOf(m))
-			s.work(to)
+			s.process(to)
 			if m.GetType() == raftpb.MsgSnap && s.cores[m.GetFrom()-1] != nil {
 				s.cores[m.GetFrom()-1].SnapshotSent(m.GetTo(), true)
 			}
@@ -161,7 +161,7 @@
 	}
 }
 
-func (s *testCluster) work(i int) {
+func (s *testCluster) process(i int) {
 	messages, err := s.cores[i].Process()
 	if err != nil {
 		if !errors.Is(err, errDisk) {
@@ -197,7 +197,7 @@
 			s.confirmed[word] = true
 		}
 	})
-	s.work(i)
+	s.process(i)
 }
 
 func (s *testCluster) runUntil(what string, done func() bool) {
@@ -359,7 +359,7 @@
 	s.runUntil("the voters have changed", func() bool {
 		if x := s.leader(); x >= 0 {
 			s.cores[x].Reconfigure(want)
-			s.work(x)
+			s.process(x)
 		}
 		got := slices.Clone(s.cores[3].Status().Voters)
 		slices.Sort(got)
@@ -459,23 +459,23 @@
 func TestTornDisk(t *testing.T) {
 	dir := t.TempDir()
 	raw := writeDisk(t, filepath.Join(dir, "whole.db"))
-	r, refused := rand.New(rand.NewPCG(1, 2)), 0
+	random, refused := rand.New(rand.NewPCG(1, 2)), 0
 	for i := range 400 {
-		bad, what := slices.Clone(raw), ""
+		damaged, what := slices.Clone(raw), ""
 		if i%2 == 0 {
-			n := r.IntN(len(bad))
-			bad, what = bad[:n], fmt.Sprintf("truncated at %d of %d", n, len(raw))
+			n := random.IntN(len(damaged))
+			damaged, what = damaged[:n], fmt.Sprintf("truncated at %d of %d", n, len(raw))
 		} else {
-			from := 512 * r.IntN(len(bad)/512)
+			from := 512 * random.IntN(len(damaged)/512)
 			for j := range 512 {
-				if bad[from+j] = 0; i%4 == 1 {
-					bad[from+j] = byte(r.Uint32())
+				if damaged[from+j] = 0; i%4 == 1 {
+					damaged[from+j] = byte(random.Uint32())
 				}
 			}
 			what = fmt.Sprintf("sector at %d", from)
 		}
 		path := filepath.Join(dir, fmt.Sprint(i))
-		if err := os.WriteFile(path, bad, 0o600); err != nil {
+		if err := os.WriteFile(path, damaged, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		b, err := OpenBolt(path)
@@ -485,7 +485,7 @@
 			}
 			continue
 		}
-		if k, err := b.Load(); len(bad) > 0 && (err != nil || len(k.Entries) != 38 || k.HardState.GetTerm() != 3 || len(k.Snapshot.GetData()) != 9000) {
+		if k, err := b.Load(); len(damaged) > 0 && (err != nil || len(k.Entries) != 38 || k.HardState.GetTerm() != 3 || len(k.Snapshot.GetData()) != 9000) {
 			t.Errorf("%s: accepted, with %d entries, %v", what, len(k.Entries), err)
 		}
 		b.Close()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -381,13 +381,13 @@
 				t.Fatal("the epoch decreased")
 			}
 			epoch = w.State().Epoch
-			one, _ := w.Snapshot()
-			two, _ := twin.Snapshot()
-			if !bytes.Equal(one, two) {
+			snapshot, _ := w.Snapshot()
+			twinSnapshot, _ := twin.Snapshot()
+			if !bytes.Equal(snapshot, twinSnapshot) {
 				t.Fatal("the two machines have different snapshots")
 			}
 			twin.Machine = New()
-			if err := twin.Restore(two); err != nil {
+			if err := twin.Restore(twinSnapshot); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -192,13 +192,13 @@
 // runNode keeps the node running in the ordered version until ctx ends, and then ends it.
 func (s *Supervisor) runNode(ctx context.Context) {
 	p := s.adoptOrEnd(ctx)
-	wait := minRestartDelay
+	delay := minRestartDelay
 	for ctx.Err() == nil {
 		if p == nil {
 			var err error
 			if p, err = s.start(s.chosen.Version); err != nil {
 				s.setReport(s.chosen.Version, fleet.UnitCrashed, err.Error())
-				wait = s.awaitRestart(ctx, wait)
+				delay = s.awaitRestart(ctx, delay)
 				continue
 			}
 			s.setReport(s.chosen.Version, fleet.UnitStarting, "")
@@ -208,12 +208,12 @@
 		case ctx.Err() != nil:
 		case want != "":
 			p = s.replace(ctx, p, want)
-			wait = minRestartDelay
+			delay = minRestartDelay
 		default:
 			s.setReport(s.chosen.Version, fleet.UnitCrashed, failed)
 			s.endProcess(p)
 			p = nil
-			wait = s.awaitRestart(ctx, wait)
+			delay = s.awaitRestart(ctx, delay)
 		}
 	}
 	if p != nil {
@@ -258,7 +258,7 @@
 	s.log.Info("supervise: turn", "from", s.chosen.Version, "to", want)
 	for delay := minRestartDelay; ; delay = min(2*delay, maxRestartDelay) {
 		startedAt := time.Now()
-		p, err := s.start(want)
+		replacement, err := s.start(want)
 		failed := ""
 		if err != nil {
 			failed = err.Error()
@@ -269,8 +269,8 @@
 		for failed == "" && changed == "" && ctx.Err() == nil {
 			select {
 			case <-ctx.Done():
-			case <-p.ended:
-				failed = fmt.Sprintf("it ended after %v: %v", time.Since(startedAt).Round(time.Millisecond), p.exitErr)
+			case <-replacement.ended:
+				failed = fmt.Sprintf("it ended after %v: %v", time.Since(startedAt).Round(time.Millisecond), replacement.exitErr)
 				continue
 			case <-s.changed:
 			case <-time.After(pollInterval):
@@ -281,10 +281,10 @@
 			case status.Pid == old.Pid && status.Succeeded && !endRequested:
 				endRequested = true
 				old.Signal(syscall.SIGTERM) // it answers the requests that it has before it ends
-			case status.Pid != old.Pid && status.Pid != p.Pid && status.Node == s.config.Fleet.Name:
+			case status.Pid != old.Pid && status.Pid != replacement.Pid && status.Node == s.config.Fleet.Name:
 				// An earlier supervisor had begun the turn, and the process that it started has taken over.
 				if other := s.adopt(ctx); other != nil {
-					s.endProcess(p)
+					s.endProcess(replacement)
 					s.endProcess(old)
 					if s.chosen.Version != want {
 						return s.replace(ctx, other, want)
@@ -292,12 +292,12 @@
 					return other
 				}
 			}
-			if s.isReady(ctx, p) {
+			if s.isReady(ctx, replacement) {
 				s.endProcess(old) // normally it has ended already
 				s.setVersion(want)
 				s.markReady()
 				s.setReport(want, fleet.UnitReady, "")
-				return p
+				return replacement
 			}
 			if t := s.takeTurn(); t != nil && t.Version != want {
 				changed = t.Version
@@ -306,8 +306,8 @@
 				failed = fmt.Sprintf("it is not ready after %v", s.config.ReadyTimeout)
 			}
 		}
-		if p != nil {
-			s.endProcess(p)
+		if replacement != nil {
+			s.endProcess(replacement)
 		}
 		oldEnded := false
 		select {
@@ -355,12 +355,12 @@
 
 // awaitRestart waits before a restart, or until a turn arrives, and returns the next delay. If the voters can't be
 // reached, a version that was never ready is replaced by the last one that was.
-func (s *Supervisor) awaitRestart(ctx context.Context, wait time.Duration) time.Duration {
-	timer := time.NewTimer(wait)
+func (s *Supervisor) awaitRestart(ctx context.Context, delay time.Duration) time.Duration {
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-		return wait
+		return delay
 	case <-timer.C:
 	case <-s.changed:
 	}
@@ -372,7 +372,7 @@
 		s.log.Warn("supervise: the voters can't be reached; returns to the last version that was ready", "version", s.chosen.LastReady)
 		s.setVersion(s.chosen.LastReady)
 	}
-	return min(2*wait, maxRestartDelay)
+	return min(2*delay, maxRestartDelay)
 }
 
 // setVersion sets the version that the next start runs.
@@ -402,8 +402,8 @@
 // isReady reports whether the process is the node's, can serve requests, and has a session with the fleet. No session
 // is needed while the voters can't be reached.
 func (s *Supervisor) isReady(ctx context.Context, p *process) bool {
-	h, err := s.nodeStatus(ctx)
-	return err == nil && h.Pid == p.Pid && h.CanServe && (h.Session > 0 || s.unreachable())
+	status, err := s.nodeStatus(ctx)
+	return err == nil && status.Pid == p.Pid && status.CanServe && (status.Session > 0 || s.unreachable())
 }
 
 // start starts a process of the node, in its own process group, so that it does not end with the supervisor.
@@ -449,8 +449,8 @@
 // one process has handed its sockets over, its successor is adopted.
 func (s *Supervisor) adoptOrEnd(ctx context.Context) (p *process) {
 	for deadline := time.Now().Add(s.config.ReadyTimeout); ctx.Err() == nil; {
-		h, err := s.nodeStatus(ctx)
-		if err == nil && !h.Succeeded {
+		status, err := s.nodeStatus(ctx)
+		if err == nil && !status.Succeeded {
 			p = s.adopt(ctx)
 			break
 		}
@@ -480,23 +480,23 @@
 // process. It returns nil if no node of this name answers on the control socket. A node whose program is not in the
 // folder is ended.
 func (s *Supervisor) adopt(ctx context.Context) *process {
-	h, err := s.nodeStatus(ctx)
-	if err != nil || h.Node != s.config.Fleet.Name {
+	status, err := s.nodeStatus(ctx)
+	if err != nil || status.Node != s.config.Fleet.Name {
 		return nil
 	}
-	found, err := os.FindProcess(h.Pid) // a handle, which stays valid if the process ID is reused
+	found, err := os.FindProcess(status.Pid) // a handle, which stays valid if the process ID is reused
 	if err != nil {
 		return nil
 	}
 	p := foreignProcess(found)
-	exe, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", h.Pid))
+	exe, err := os.Readlink(fmt.Sprintf("/proc/%d/exe", status.Pid))
 	version := filepath.Base(exe)
 	if _, unknown := s.programs.Path(version); err == nil && unknown == nil && filepath.Dir(exe) == s.config.ProgramFolder {
-		s.log.Info("supervise: takes up the node that runs", "pid", h.Pid, "version", version)
+		s.log.Info("supervise: takes up the node that runs", "pid", status.Pid, "version", version)
 		s.setVersion(version)
 		return p
 	}
-	s.log.Warn("supervise: ends the node that runs, since its program is not in the folder", "pid", h.Pid, "program", exe)
+	s.log.Warn("supervise: ends the node that runs, since its program is not in the folder", "pid", status.Pid, "program", exe)
 	s.endProcess(p)
 	return nil
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -41,16 +41,16 @@
 
 // Write writes the page of the release in a state. It fails if the state has no release.
 func Write(to io.Writer, s *fleetpb.State) error {
-	r := s.Release
-	if r == nil {
+	release := s.Release
+	if release == nil {
 		return fmt.Errorf("no release has begun")
 	}
-	from, until := s.NowMs, r.EndMs
+	from, until := s.NowMs, release.EndMs
 	if until == 0 {
 		until = s.NowMs
 	}
 	var steps []*fleetpb.Event
-	name := "release " + r.Plan.Name
+	name := "release " + release.Plan.Name
 	for _, e := range s.History {
 		if e.By == name || strings.HasPrefix(e.What, name+" ") || strings.HasPrefix(e.What, name+",") {
 			steps = append(steps, e)
@@ -71,7 +71,7 @@
 		Marks        []mark
 		Steps        []*fleetpb.Event
 		Width, Depth float64
-	}{S: s, R: r, Wave: r.Wave + 1, From: from, Until: until, Steps: steps, Width: right + 10}
+	}{S: s, R: release, Wave: release.Wave + 1, From: from, Until: until, Steps: steps, Width: right + 10}
 	groups, order := map[string][]*fleetpb.Sample{}, []string{}
 	for _, x := range s.Samples {
 		key := x.Budget + ", " + x.Group
--- a/internal/vitals/vitals.go
+++ b/internal/vitals/vitals.go
@@ -170,16 +170,16 @@
 	if moreMemory, memoryWhy := health.UsesMoreMemory(maxMemory[r.Plan.Version], maxMemory[r.Plan.Before]); moreMemory {
 		verdict, why = health.Worse, memoryWhy
 	}
-	j := &fleetpb.Judged{Release: r.Plan.Name, Wave: r.Wave, SoakMs: r.SoakMs}
+	judged := &fleetpb.Judged{Release: r.Plan.Name, Wave: r.Wave, SoakMs: r.SoakMs}
 	switch {
 	case verdict == health.Worse:
-		j.Health, j.Why = fleet.HealthWorse, why
+		judged.Health, judged.Why = fleet.HealthWorse, why
 	case verdict == health.Well && r.Health != fleet.HealthWell:
-		j.Health = fleet.HealthWell
+		judged.Health = fleet.HealthWell
 	case verdict == health.Unknown && r.Health == "" && s.NowMs-r.SoakMs > r.Plan.SoakMs+r.Plan.LimitMs/2:
-		j.Health, j.Why = fleet.HealthUnknown, why // shown to operators before the time limit halts the release
+		judged.Health, judged.Why = fleet.HealthUnknown, why // shown to operators before the time limit halts the release
 	default:
 		return nil
 	}
-	return j
+	return judged
 }
