--- a/cmd/rig/agreement.go
+++ b/cmd/rig/agreement.go
@@ -23,7 +23,7 @@
 // until a killed leader is replaced, the size of the log on disk, and the cost of 12, 300 and 1,000 sessions. All
 // sessions but the voters' own are opened by this process, each over its own connection.
 func agreementRig(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -37,28 +37,28 @@
 		return err
 	}
 	defer closeHistory()
-	f, err := openZones(24, []string{"a", "b", "c"}, 4, kampklipWork(1))
+	f, err := openZones(24, []string{"a", "b", "c"}, 4, mediaWork(1))
 	if err != nil {
 		return err
 	}
 	defer f.Close()
 	for _, voters := range []int{3, 5} {
-		if err := o.grants(ctx, w, f, h, voters, grants, kills); err != nil {
+		if err := o.measureGrants(ctx, w, f, h, voters, grants, kills); err != nil {
 			return fmt.Errorf("%d voters: %w", voters, err)
 		}
 	}
-	if err := o.requestCost(ctx, w, h); err != nil {
+	if err := o.measureRequestCost(ctx, w, h); err != nil {
 		return fmt.Errorf("cost of a request: %w", err)
 	}
-	return o.sessions(ctx, w, f, h, sizes, window)
+	return o.measureSessions(ctx, w, f, h, sizes, window)
 }
 
-// leastAgreed is the least accepted request rate of a node with -fleet, as a fraction of the rate of one without.
-const leastAgreed = 0.99
+// minFleetRateRatio is the least accepted request rate of a node with -fleet, as a fraction of the rate of one without.
+const minFleetRateRatio = 0.99
 
 // measureRequestCost measures what the flag -fleet adds to the cost of a request. It loads two nodes in turn on one
 // core; one of them has -fleet, so it keeps a session and follows the replicated state.
-func (o *options) requestCost(ctx context.Context, w *workshop, h *history) error {
+func (o *options) measureRequestCost(ctx context.Context, w *workspace, h *history) error {
 	rounds, window := 21, 2*time.Second
 	if o.quick {
 		rounds, window = 5, time.Second
@@ -77,7 +77,7 @@
 	m := &clusterMember{name: "n9", zone: "a", wires: make([]*standin.Wire, p.voters)}
 	base := filepath.Join(w.dir, m.name)
 	m.folder, m.socket, m.file = base+"-fleet", base+".sock", base+"-fleet.toml"
-	if err := p.write(m); err != nil {
+	if err := p.writeFiles(m); err != nil {
 		return err
 	}
 	defer func() {
@@ -85,24 +85,24 @@
 			wire.Close()
 		}
 	}()
-	rate, cost, with, err := o.beside(ctx, w, f, "cost", rounds, window, "-fleet", m.file)
+	rate, cost, with, err := o.compareWithFlags(ctx, w, f, "cost", rounds, window, "-fleet", m.file)
 	if err != nil {
 		return err
 	}
-	if err := p.sessionsLive(ctx, 4); err != nil {
+	if err := p.awaitSessions(ctx, 4); err != nil {
 		return err
 	}
 	with.stop()
 	o.out.figure("agreement.request.rate", rate, "times the requests a second without -fleet, median of the rounds")
 	o.out.figure("agreement.request.cpu", cost, "times the processor time a request, median of the rounds")
-	o.out.promise(rate >= leastAgreed, "with -fleet at least %.2f of the requests a second", leastAgreed)
+	o.out.promise(rate >= minFleetRateRatio, "with -fleet at least %.2f of the requests a second", minFleetRateRatio)
 	return nil
 }
 
 // measureGrants times drains and returns that are proposed at each member in turn. It then kills the leader several
 // times, and times how long the next proposal takes.
-func (o *options) grants(ctx context.Context, w *workshop, f *fleet, h *history, voters, grants, kills int) error {
-	w = &workshop{dir: filepath.Join(w.dir, fmt.Sprint(voters)), binary: w.binary}
+func (o *options) measureGrants(ctx context.Context, w *workspace, f *fleet, h *history, voters, grants, kills int) error {
+	w = &workspace{dir: filepath.Join(w.dir, fmt.Sprint(voters)), binary: w.binary}
 	if err := os.Mkdir(w.dir, 0o700); err != nil {
 		return err
 	}
@@ -113,27 +113,27 @@
 	}
 	defer p.close()
 	name := fmt.Sprintf("agreement.voters-%d.", voters)
-	var times standin.Times
+	var grantTimes standin.Times
 	for i := range grants {
-		d, target := control.NewAPIClient(p.members[i%voters].socket), agreed.ServerTarget(f.servers[i%len(f.servers)].Name)
+		client, target := control.NewAPIClient(p.members[i%voters].socket), agreed.ServerTarget(f.servers[i%len(f.servers)].Name)
 		for _, e := range []*fleetpb.Entry{{What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: target}}}, {What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target}}}} {
 			e.Ask = rand.Text()
 			began := time.Now()
-			r, err := d.Propose(ctx, e)
+			r, err := client.Propose(ctx, e)
 			if err != nil || r.Code != fleetpb.Result_DONE {
 				return fmt.Errorf("%s: %v, %w", target, r, err)
 			}
-			times.Add(time.Since(began))
+			grantTimes.Add(time.Since(began))
 		}
 	}
-	o.out.figure(name+"grant.p50", times.Quantile(0.5).Seconds()*1e3, "ms, at the socket of each member by turns")
-	o.out.figure(name+"grant.p99", times.Quantile(0.99).Seconds()*1e3, "ms")
+	o.out.figure(name+"grant.p50", grantTimes.Quantile(0.5).Seconds()*1e3, "ms, at the socket of each member by turns")
+	o.out.figure(name+"grant.p99", grantTimes.Quantile(0.99).Seconds()*1e3, "ms")
 	size := int64(0)
 	if info, err := os.Stat(filepath.Join(p.members[0].folder, "log.db")); err == nil {
 		size = info.Size()
 	}
 	o.out.figure(name+"disk", size, fmt.Sprintf("bytes after %d entries and more", 2*grants))
-	var away standin.Times
+	var outages standin.Times
 	worst := time.Duration(0)
 	for range kills {
 		at := p.leader(ctx)
@@ -142,30 +142,30 @@
 		}
 		p.members[at].kill()
 		began := time.Now()
-		d := control.NewAPIClient(p.members[(at+1)%voters].socket)
+		client := control.NewAPIClient(p.members[(at+1)%voters].socket)
 		wait, cancel := context.WithTimeout(ctx, settleWait)
-		r, err := d.Propose(wait, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Withdraw{Withdraw: &fleetpb.Withdraw{Target: "server/none"}}})
+		r, err := client.Propose(wait, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Withdraw{Withdraw: &fleetpb.Withdraw{Target: "server/none"}}})
 		cancel()
 		if err != nil {
 			return fmt.Errorf("after the leader was killed: %v, %w", r, err)
 		}
 		worst = max(worst, time.Since(began))
-		away.Add(time.Since(began))
-		if err := p.start(ctx, at); err != nil {
+		outages.Add(time.Since(began))
+		if err := p.startMember(ctx, at); err != nil {
 			return err
 		}
-		if err := p.settled(ctx); err != nil {
+		if err := p.awaitSettled(ctx); err != nil {
 			return err
 		}
 	}
-	o.out.figure(name+"new-leader.p50", away.Quantile(0.5).Seconds(), "s from SIGKILL of the leader to an answer, with a tick of 0.1 s")
+	o.out.figure(name+"new-leader.p50", outages.Quantile(0.5).Seconds(), "s from SIGKILL of the leader to an answer, with a tick of 0.1 s")
 	o.out.figure(name+"new-leader.worst", worst.Seconds(), "s")
 	o.out.promise(worst < 5*time.Second, "%d voters: a killed leader is replaced within the lifetime of a session", voters)
 	return nil
 }
 
-// partySize is how many of this process's sessions share a set of wires. A wire carries a few more than this number.
-const partySize = 200
+// sessionsPerWireSet is how many of this process's sessions share a set of wires. A wire carries a few more than this number.
+const sessionsPerWireSet = 200
 
 // idleLoop stands in for the event loop of a node that has no requests and no servers.
 type idleLoop struct{}
@@ -199,7 +199,7 @@
 
 // measureSessions keeps a growing number of sessions open, up to each of sizes in turn. For each size it measures the
 // cost per second over window, and the time until a drain is proven at all nodes.
-func (o *options) sessions(ctx context.Context, w *workshop, f *fleet, h *history, sizes []int, window time.Duration) error {
+func (o *options) measureSessions(ctx context.Context, w *workspace, f *fleet, h *history, sizes []int, window time.Duration) error {
 	const voters = 3
 	p, err := (&cluster{w: w, registry: f.registry.Addr, voters: voters, budgets: drainsBudget, session: 5 * time.Second, tick: 100 * time.Millisecond, history: h}).
 		open(ctx, voters, []string{"a", "b", "c"})
@@ -207,55 +207,55 @@
 		return err
 	}
 	defer p.close()
-	// The sessions of this process reach the voters through separate wires, one set for every partySize sessions. What
+	// The sessions of this process reach the voters through separate wires, one set for every sessionsPerWireSet sessions. What
 	// these wires carry is the network cost of the sessions.
 	var wires [][]*standin.Wire
 	defer func() {
-		for _, party := range wires {
-			for _, wire := range party {
+		for _, wireSet := range wires {
+			for _, wire := range wireSet {
 				wire.Close()
 			}
 		}
 	}()
 	carried := func() (datagrams, bytes int64) {
-		for _, party := range wires {
-			for _, wire := range party {
+		for _, wireSet := range wires {
+			for _, wire := range wireSet {
 				d, b := wire.Carried()
 				datagrams, bytes = datagrams+d, bytes+b
 			}
 		}
 		return datagrams, bytes
 	}
-	var guests []*control.Control
+	var idleNodes []*control.Control
 	var running sync.WaitGroup
 	defer func() {
-		for _, g := range guests {
+		for _, g := range idleNodes {
 			go g.Close()
 		}
 		running.Wait()
 	}()
 	for _, size := range sizes {
-		for i := len(guests) + voters; i < size; i++ {
-			if len(guests)%partySize == 0 {
-				var party []*standin.Wire
+		for i := len(idleNodes) + voters; i < size; i++ {
+			if len(idleNodes)%sessionsPerWireSet == 0 {
+				var wireSet []*standin.Wire
 				for _, v := range p.members {
 					wire, err := standin.NewWire(v.udp)
 					if err != nil {
 						return err
 					}
-					party = append(party, wire)
+					wireSet = append(wireSet, wire)
 				}
-				wires = append(wires, party)
+				wires = append(wires, wireSet)
 			}
-			g, err := p.guest(fmt.Sprintf("n%d", i+1), wires[len(wires)-1])
+			g, err := p.openIdleNode(fmt.Sprintf("n%d", i+1), wires[len(wires)-1])
 			if err != nil {
 				return err
 			}
-			guests = append(guests, g)
+			idleNodes = append(idleNodes, g)
 			running.Go(g.Run)
 		}
 		began := time.Now()
-		if err := p.sessionsLive(ctx, size); err != nil {
+		if err := p.awaitSessions(ctx, size); err != nil {
 			return err
 		}
 		name := fmt.Sprintf("agreement.sessions-%d.", size)
@@ -264,15 +264,15 @@
 		if at < 0 {
 			return errors.New("no member is the leader")
 		}
-		door := control.NewAPIClient(p.members[at].socket)
-		before, err := door.Status(ctx)
+		client := control.NewAPIClient(p.members[at].socket)
+		before, err := client.Status(ctx)
 		if err != nil {
 			return err
 		}
 		d0, b0 := carried()
 		cpu0 := p.members[at].proc.cpu()
 		sleepFor(ctx, window)
-		after, err := door.Status(ctx)
+		after, err := client.Status(ctx)
 		if err != nil {
 			return err
 		}
@@ -286,7 +286,7 @@
 		o.out.promise(after.Applied == before.Applied, "%d sessions are kept alive without an entry of the log", size)
 		var times standin.Times
 		for i := range 5 {
-			took, err := proveDrain(ctx, door, agreed.ServerTarget(f.servers[i].Name))
+			took, err := proveDrain(ctx, client, agreed.ServerTarget(f.servers[i].Name))
 			if err != nil {
 				return err
 			}
@@ -298,11 +298,11 @@
 }
 
 // openIdleNode opens a session of a node that has no clients and runs in this process.
-func (p *cluster) guest(name string, wires []*standin.Wire) (*control.Control, error) {
+func (p *cluster) openIdleNode(name string, wires []*standin.Wire) (*control.Control, error) {
 	m := &clusterMember{name: name, zone: "a", wires: wires}
 	base := filepath.Join(p.w.dir, name)
 	m.folder, m.socket, m.file = base+"-fleet", base+".sock", base+"-fleet.toml"
-	if err := p.write(m); err != nil {
+	if err := p.writeFiles(m); err != nil {
 		return nil, err
 	}
 	c, err := control.Load(m.file, time.Now())
@@ -313,7 +313,7 @@
 }
 
 // awaitSessions waits until exactly want nodes have a live session, for at most twice settleWait.
-func (p *cluster) sessionsLive(ctx context.Context, want int) error {
+func (p *cluster) awaitSessions(ctx context.Context, want int) error {
 	for end := time.Now().Add(2 * settleWait); ; sleepFor(ctx, 50*time.Millisecond) {
 		live := 0
 		s, err := control.NewAPIClient(p.members[0].socket).State(ctx)
@@ -335,14 +335,14 @@
 
 // proveDrain drains a target, waits for the proof of the drain, and returns the target to service. The result is the
 // time from the request to the proof.
-func proveDrain(ctx context.Context, d *control.APIClient, target string) (time.Duration, error) {
+func proveDrain(ctx context.Context, client *control.APIClient, target string) (time.Duration, error) {
 	began := time.Now()
-	if r, err := d.Propose(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: target}}}); err != nil || r.Code != fleetpb.Result_DONE {
+	if r, err := client.Propose(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: target}}}); err != nil || r.Code != fleetpb.Result_DONE {
 		return 0, fmt.Errorf("%s: %v, %w", target, r, err)
 	}
 	took := time.Duration(0)
 	for end := began.Add(settleWait); ; sleepFor(ctx, 5*time.Millisecond) {
-		s, err := d.State(ctx)
+		s, err := client.State(ctx)
 		if err != nil {
 			return 0, err
 		}
@@ -355,6 +355,6 @@
 			return 0, fmt.Errorf("%s: not proven within %v: %+v", target, settleWait, proof)
 		}
 	}
-	_, err := d.Propose(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target}}})
+	_, err := client.Propose(ctx, &fleetpb.Entry{Ask: rand.Text(), What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target}}})
 	return took, err
 }
--- a/cmd/rig/badversions.go
+++ b/cmd/rig/badversions.go
@@ -19,7 +19,7 @@
 
 // buildWith builds the program with additional source files, and returns the path of the binary. files has their
 // content, by path from the project's root.
-func (w *workshop) buildWith(ctx context.Context, name string, files map[string][]byte) (path string, err error) {
+func (w *workspace) buildWith(ctx context.Context, name string, files map[string][]byte) (path string, err error) {
 	root, err := exec.CommandContext(ctx, "go", "list", "-m", "-f", "{{.Dir}}").Output()
 	if err != nil {
 		return "", fmt.Errorf("go list: %w", err)
@@ -39,14 +39,14 @@
 	}
 	path = filepath.Join(w.dir, name)
 	build := exec.CommandContext(ctx, "go", "build", "-overlay", overlay, "-o", path, "starlingvalve/cmd/starlingvalve")
-	if said, err := build.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("go build -overlay: %w: %s", err, said)
+	if output, err := build.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("go build -overlay: %w: %s", err, output)
 	}
 	return path, nil
 }
 
 // badBuild builds the program with testdata/bad.go in its main package, and returns the binary.
-func (w *workshop) badBuild(ctx context.Context) ([]byte, error) {
+func (w *workspace) badBuild(ctx context.Context) ([]byte, error) {
 	path, err := w.buildWith(ctx, "bad", map[string][]byte{"cmd/starlingvalve/bad.go": badSource})
 	if err != nil {
 		return nil, err
@@ -56,10 +56,10 @@
 
 // badKind is a way in which a released version can be bad.
 type badKind struct {
-	name  string
-	tail  func(r *releaseTrial) string // returns the directive appended to the program's file; read by testdata/bad.go
-	cause string                       // expected in the cause of the halt; empty for a good version
-	waves int                          // most waves of the full plan that may get the version
+	name     string
+	trailer  func(r *releaseTrial) string // returns the directive appended to the program's file; read by testdata/bad.go
+	cause    string                       // expected in the cause of the halt; empty for a good version
+	maxWaves int                          // most waves of the full plan that may get the version
 }
 
 // discovery makes a directive that points the version to another registry.
@@ -77,7 +77,7 @@
 	{"good", nil, "", 0},
 	{"crashes at start", directive("crash -"), "crashes of version", 1},
 	{"never ready", directive("never -"), "crashes of version", 1},
-	{"refuses everything", discovery(func(r *releaseTrial) *standin.Registry { return r.nobody }), "does worse", 1},
+	{"refuses everything", discovery(func(r *releaseTrial) *standin.Registry { return r.refusing }), "does worse", 1},
 	{"10% slow", discovery(func(r *releaseTrial) *standin.Registry { return r.slow }), " take ", 1},
 	{"fails 2% of a class", discovery(func(r *releaseTrial) *standin.Registry { return r.failing }), "does worse: cut-order", 1},
 	{"leaks memory", directive("leak -"), "of memory", 1},
--- a/cmd/rig/child.go
+++ b/cmd/rig/child.go
@@ -23,7 +23,7 @@
 )
 
 // workspace is a run's temporary directory and its child processes. Close ends the processes and removes the directory.
-type workshop struct {
+type workspace struct {
 	dir    string
 	binary string
 
@@ -32,12 +32,12 @@
 }
 
 // newWorkspace makes a temporary directory and builds the program into it, unless binary names one that exists.
-func newWorkshop(ctx context.Context, binary string) (*workshop, error) {
+func newWorkspace(ctx context.Context, binary string) (*workspace, error) {
 	dir, err := os.MkdirTemp("", "rig")
 	if err != nil {
 		return nil, err
 	}
-	w := &workshop{dir: dir, binary: binary}
+	w := &workspace{dir: dir, binary: binary}
 	if binary == "" {
 		w.binary = filepath.Join(dir, "starlingvalve")
 		build := exec.CommandContext(ctx, "go", "build", "-o", w.binary, "starlingvalve/cmd/starlingvalve")
@@ -50,7 +50,7 @@
 }
 
 // Close ends all processes that the rig started and removes their directory.
-func (w *workshop) Close() {
+func (w *workspace) Close() {
 	w.mu.Lock()
 	list := w.children
 	w.children = nil
@@ -96,13 +96,13 @@
 }
 
 // start starts a process that is killed when the rig ends, and keeps the end of its output.
-func (w *workshop) start(env []string, name string, args ...string) (*child, error) {
+func (w *workspace) start(env []string, name string, args ...string) (*child, error) {
 	return w.startAs(nil, syscall.SIGKILL, env, name, args...)
 }
 
 // startAs starts a process that gets the signal last when the rig ends. Its output goes to the file log or, if that is
 // nil, to the child's tail.
-func (w *workshop) startAs(log *os.File, last syscall.Signal, env []string, name string, args ...string) (*child, error) {
+func (w *workspace) startAs(log *os.File, last syscall.Signal, env []string, name string, args ...string) (*child, error) {
 	c := &child{cmd: exec.Command(name, args...), ended: make(chan struct{})}
 	c.cmd.Env = append(os.Environ(), env...)
 	c.cmd.Stdout, c.cmd.Stderr = &c.log, &c.log
@@ -209,7 +209,7 @@
 }
 
 // configFile writes a node's configuration in the format of a deployment, and returns the path of the file.
-func (w *workshop) configFile(o nodeOptions) (string, error) {
+func (w *workspace) configFile(o nodeOptions) (string, error) {
 	type object = map[string]any
 	var classes []object
 	for _, c := range o.classes {
@@ -245,7 +245,7 @@
 
 // node starts a node and waits until it is ready. The kernel chooses a free port just before the start; as another
 // process may take it in between, up to three ports are tried.
-func (w *workshop) node(ctx context.Context, binary string, o nodeOptions) (*node, error) {
+func (w *workspace) node(ctx context.Context, binary string, o nodeOptions) (*node, error) {
 	var last error
 	for range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/rig/cluster.go
+++ b/cmd/rig/cluster.go
@@ -26,7 +26,7 @@
 // cluster is several nodes of one fleet that run as processes with one replicated log. A member reaches each voter
 // through a separate wire, which can be cut.
 type cluster struct {
-	w        *workshop
+	w        *workspace
 	auth     *standin.Authority
 	registry string
 	voters   int // how many of the members, from the first on, are voters
@@ -39,7 +39,7 @@
 	history  *history
 	coldFrom float64 // fraction of full speed at which servers start; 0: they start warm
 	coldTime time.Duration
-	gone     []downTime // servers that left the registry without a drain
+	removals []removalSpan // servers that left the registry without a drain
 }
 
 const (
@@ -69,7 +69,7 @@
 
 // openCluster starts n members, spread over the zones in turn; the first of them are the voters. It waits until each
 // member serves and has a session.
-func openCluster(ctx context.Context, w *workshop, registry string, n, voters int, zones []string, budgets string, h *history) (*cluster, error) {
+func openCluster(ctx context.Context, w *workspace, registry string, n, voters int, zones []string, budgets string, h *history) (*cluster, error) {
 	p := &cluster{w: w, registry: registry, voters: voters, budgets: budgets, history: h}
 	return p.open(ctx, n, zones)
 }
@@ -94,20 +94,20 @@
 		p.members = append(p.members, m)
 	}
 	for _, m := range p.members {
-		if err := p.write(m); err != nil {
+		if err := p.writeFiles(m); err != nil {
 			p.close()
 			return nil, err
 		}
 	}
 	errs := make(chan error, n)
 	for i := range p.members {
-		go func() { errs <- p.start(ctx, i) }()
+		go func() { errs <- p.startMember(ctx, i) }()
 	}
 	for range n {
 		err = errors.Join(err, <-errs)
 	}
 	if err == nil {
-		err = p.settled(ctx)
+		err = p.awaitSettled(ctx)
 	}
 	if err != nil {
 		p.close()
@@ -117,7 +117,7 @@
 }
 
 // writeFiles makes a member's wires and writes its certificate, fleet file and supervisor file.
-func (p *cluster) write(m *clusterMember) error {
+func (p *cluster) writeFiles(m *clusterMember) error {
 	_, cert, key, err := p.auth.Issue(m.name+"."+clusterDomain, time.Now().Add(time.Hour))
 	if err != nil {
 		return err
@@ -146,7 +146,7 @@
 	b.WriteString(p.budgets)
 	if p.watched {
 		text := fmt.Sprintf("[supervise]\nfleet = %q\nfolder = %q\nend_ms = 6000\nready_ms = 4000\n", m.file, base+"-programs")
-		if err := os.WriteFile(m.supervisor(), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(m.supervisorFile(), []byte(text), 0o600); err != nil {
 			return err
 		}
 	}
@@ -159,22 +159,22 @@
 }
 
 // startMember starts the process of member i and waits until it serves.
-func (p *cluster) start(ctx context.Context, i int) error {
+func (p *cluster) startMember(ctx context.Context, i int) error {
 	m := p.members[i]
-	path, err := p.w.configFile(nodeOptions{name: m.name, registry: p.registry, classes: kampklip, nodes: len(p.members), self: i, memoryMB: 192, sockets: 1024,
+	path, err := p.w.configFile(nodeOptions{name: m.name, registry: p.registry, classes: mediaClasses, nodes: len(p.members), self: i, memoryMB: 192, sockets: 1024,
 		zone: m.zone, coldFrom: cmp.Or(p.coldFrom, 1), coldTime: cmp.Or(p.coldTime, time.Second), listen: m.listen})
 	if err != nil {
 		return err
 	}
-	env := []string{"GW_CONFIG=" + path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", "TMPDIR=" + p.w.dir, "RIG_FAULTS=" + m.faults()}
+	env := []string{"GW_CONFIG=" + path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", "TMPDIR=" + p.w.dir, "RIG_FAULTS=" + m.faultsFile()}
 	var c *child
 	if p.watched {
 		var log *os.File
-		if log, err = os.OpenFile(m.supervisor()+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
+		if log, err = os.OpenFile(m.supervisorFile()+".log", os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600); err != nil {
 			return err
 		}
 		defer log.Close()
-		c, err = p.w.startAs(log, syscall.SIGTERM, env, p.w.binary, "supervise", m.supervisor())
+		c, err = p.w.startAs(log, syscall.SIGTERM, env, p.w.binary, "supervise", m.supervisorFile())
 	} else {
 		c, err = p.w.start(env, p.w.binary, "-fleet", m.file)
 	}
@@ -188,7 +188,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.proc, m.procs = n, append(m.procs, n)
-	m.up()
+	m.markUp()
 	return nil
 }
 
@@ -257,7 +257,7 @@
 const settleWait = 30 * time.Second
 
 // awaitSettled waits until the replicated state has a live session of each member, the budgets, and servers.
-func (p *cluster) settled(ctx context.Context) error {
+func (p *cluster) awaitSettled(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, settleWait)
 	defer cancel()
 	var last error
@@ -300,7 +300,7 @@
 
 // fleetCommand runs the program's fleet command in a separate process, through a member's socket, and returns its output
 // and exit code.
-func (p *cluster) ask(ctx context.Context, m *clusterMember, args ...string) (string, int) {
+func (p *cluster) fleetCommand(ctx context.Context, m *clusterMember, args ...string) (string, int) {
 	return p.command(ctx, m, "fleet", args...)
 }
 
--- a/cmd/rig/clustermember.go
+++ b/cmd/rig/clustermember.go
@@ -13,7 +13,7 @@
 
 // removalSpan is the time in which the registry did not list a server, with listPropagationTime added at its end, as a
 // changed list reaches the nodes with a delay.
-type downTime struct {
+type removalSpan struct {
 	server string
 	span
 }
@@ -27,33 +27,35 @@
 	watched      bool            // the process is a supervisor
 	wires        []*standin.Wire // path to each voter, by the voter's index; nil for the member itself
 
-	mu      sync.Mutex
-	proc    *node   // nil: no process runs
-	procs   []*node // all processes so far
-	down    []span  // times in which the member was killed or stopped and could not answer
-	stopped bool    // by SIGSTOP
+	mu        sync.Mutex
+	proc      *node   // nil: no process runs
+	procs     []*node // all processes so far
+	downSpans []span  // times in which the member was killed or stopped and could not answer
+	stopped   bool    // by SIGSTOP
 }
 
 // span is an interval of time. If to is zero, the interval has no end yet.
 type span struct{ from, to time.Time }
 
 // overlaps reports whether the interval overlaps the one between from and to.
-func (s span) touches(from, to time.Time) bool {
+func (s span) overlaps(from, to time.Time) bool {
 	return s.from.Before(to) && (s.to.IsZero() || s.to.After(from))
 }
 
 // faultsFile returns the path of the file from which a build with fault points reads which faults to cause.
-func (m *clusterMember) faults() string { return strings.TrimSuffix(m.file, "-fleet.toml") + ".faults" }
+func (m *clusterMember) faultsFile() string {
+	return strings.TrimSuffix(m.file, "-fleet.toml") + ".faults"
+}
 
 // supervisorFile returns the path of the configuration file of the member's supervisor.
-func (m *clusterMember) supervisor() string {
+func (m *clusterMember) supervisorFile() string {
 	return strings.TrimSuffix(m.file, "-fleet.toml") + "-supervise.toml"
 }
 
 // markUp ends the last interval in which the member could not answer, if it is open. The caller holds mu.
-func (m *clusterMember) up() {
-	if n := len(m.down); n > 0 && m.down[n-1].to.IsZero() {
-		m.down[n-1].to = time.Now()
+func (m *clusterMember) markUp() {
+	if n := len(m.downSpans); n > 0 && m.downSpans[n-1].to.IsZero() {
+		m.downSpans[n-1].to = time.Now()
 	}
 }
 
@@ -65,7 +67,7 @@
 		return
 	}
 	if !m.watched {
-		m.down = append(m.down, span{from: time.Now()})
+		m.downSpans = append(m.downSpans, span{from: time.Now()})
 	}
 	m.proc.kill()
 	m.proc, m.stopped = nil, false
@@ -80,11 +82,11 @@
 	}
 	m.stopped = on
 	if on {
-		m.down = append(m.down, span{from: time.Now()})
+		m.downSpans = append(m.downSpans, span{from: time.Now()})
 		m.proc.cmd.Process.Signal(syscall.SIGSTOP)
 	} else {
 		m.proc.cmd.Process.Signal(syscall.SIGCONT)
-		m.up()
+		m.markUp()
 	}
 }
 
@@ -96,10 +98,10 @@
 }
 
 // downDuring reports whether the member was killed or stopped at some moment between from and to.
-func (m *clusterMember) downIn(from, to time.Time) bool {
+func (m *clusterMember) downDuring(from, to time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.ContainsFunc(m.down, func(s span) bool { return s.touches(from, to) })
+	return slices.ContainsFunc(m.downSpans, func(s span) bool { return s.overlaps(from, to) })
 }
 
 // logs returns the logs of all processes of the member, one text for each.
@@ -109,7 +111,7 @@
 	for _, n := range m.procs {
 		all = append(all, n.log.String())
 	}
-	if text, err := os.ReadFile(m.supervisor() + ".log"); err == nil {
+	if text, err := os.ReadFile(m.supervisorFile() + ".log"); err == nil {
 		all = append(all, string(text))
 	}
 	return all
--- a/cmd/rig/configuration.go
+++ b/cmd/rig/configuration.go
@@ -21,8 +21,8 @@
 const (
 	configurationOperators = 4
 	configurationPairs     = 8                     // a pair is a service and a tenant that are always changed in one transaction
-	sampleEvery            = 50 * time.Millisecond // between two reads of a node's revision
-	cacheSampleEvery       = 500 * time.Millisecond
+	sampleInterval         = 50 * time.Millisecond // between two reads of a node's revision
+	cacheSampleInterval    = 500 * time.Millisecond
 )
 
 // configurationRun is one run in which operators change a fleet's configuration during a schedule of faults. It records
@@ -31,17 +31,17 @@
 	p   *cluster
 	dir string // directory for copies of caches
 
-	mu      sync.Mutex
-	puts    []configurationPut
-	again   int // retries of requests whose answer was lost
-	samples []configurationSample
-	caches  []configurationCache
-	refused []string // errors of caches that could not be read
+	mu         sync.Mutex
+	puts       []configurationPut
+	retries    int // retries of requests whose answer was lost
+	samples    []configurationSample
+	caches     []configurationCache
+	unreadable []string // errors of caches that could not be read
 }
 
 // configurationPut is one change of a pair, with the answer that the operator got.
 type configurationPut struct {
-	ask       string // request ID; the history has it as the author of the change
+	requestID string // request ID; the history has it as the author of the change
 	pair      int
 	condition uint64 // revision of the pair's service when the operator read it; the change depends on it
 	from, to  time.Time
@@ -66,7 +66,7 @@
 // configurationRig has operators change the configuration through random nodes, while nodes are killed and stopped and
 // paths between nodes are cut. It checks that no change is lost, applied twice, or applied in part.
 func configurationRig(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,7 @@
 	}
 	defer closeHistory()
 	zones := []string{"a", "b", "c"}
-	f, err := openZones(3, zones, 1, kampklipWork(0.2))
+	f, err := openZones(3, zones, 1, mediaWork(0.2))
 	if err != nil {
 		return err
 	}
@@ -104,31 +104,31 @@
 	defer p.close()
 	printFaults(o.out.w, list)
 	r := &configurationRun{p: p, dir: w.dir}
-	if err := r.play(ctx, o.seed, length, list, f); err != nil {
+	if err := r.run(ctx, o.seed, length, list, f); err != nil {
 		return err
 	}
 	return r.judge(ctx, o.out, len(list))
 }
 
 // run runs operators and observers until the schedule of faults is over and length has passed.
-func (r *configurationRun) play(ctx context.Context, seed uint64, length time.Duration, list []fault, f *fleet) error {
-	playing, stop := context.WithCancel(ctx)
+func (r *configurationRun) run(ctx context.Context, seed uint64, length time.Duration, list []fault, f *fleet) error {
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var work sync.WaitGroup
 	for i := range configurationOperators {
-		work.Go(func() { r.operate(playing, i, seed) })
+		work.Go(func() { r.operate(runCtx, i, seed) })
 	}
 	for _, m := range r.p.members {
-		work.Go(func() { r.observe(playing, m) })
+		work.Go(func() { r.observe(runCtx, m) })
 	}
 	began := time.Now()
-	played := r.p.inject(ctx, began, list, f)
-	if played == nil {
+	injectErr := r.p.inject(ctx, began, list, f)
+	if injectErr == nil {
 		sleepFor(ctx, time.Until(began.Add(length)))
 	}
 	stop()
 	work.Wait()
-	return errors.Join(played, ctx.Err())
+	return errors.Join(injectErr, ctx.Err())
 }
 
 // operate changes random pairs until ctx ends. Each change has the condition that the pair has not changed since the
@@ -139,10 +139,10 @@
 		pair := random.IntN(configurationPairs)
 		revision, err := r.read(ctx, random, pair)
 		if err != nil {
-			sleepFor(ctx, sampleEvery)
+			sleepFor(ctx, sampleInterval)
 			continue
 		}
-		put := configurationPut{ask: fmt.Sprintf("op%d-%d", operator, i), pair: pair, condition: revision}
+		put := configurationPut{requestID: fmt.Sprintf("op%d-%d", operator, i), pair: pair, condition: revision}
 		r.put(context.WithoutCancel(ctx), random, put, uint32(1+random.IntN(100_000)))
 		sleepFor(ctx, time.Duration(random.IntN(40))*time.Millisecond)
 	}
@@ -201,8 +201,8 @@
 // once at most.
 func (r *configurationRun) put(ctx context.Context, random *rand.Rand, put configurationPut, value uint32) {
 	tx := pairChange(put.pair, value, put.condition)
-	tx.By = put.ask
-	e := &fleetpb.Entry{Ask: put.ask, What: &fleetpb.Entry_Configure{Configure: tx}}
+	tx.By = put.requestID
+	e := &fleetpb.Entry{Ask: put.requestID, What: &fleetpb.Entry_Configure{Configure: tx}}
 	put.from = time.Now()
 	for end := put.from.Add(2 * settleWait); time.Now().Before(end); {
 		once, cancel := context.WithTimeout(ctx, 2*time.Second)
@@ -213,11 +213,11 @@
 			break
 		}
 		r.mu.Lock()
-		r.again++
+		r.retries++
 		r.mu.Unlock()
 	}
 	put.to = time.Now()
-	r.p.history.note(put.ask, "pair %d of revision %d: %v, revision %d",
+	r.p.history.note(put.requestID, "pair %d of revision %d: %v, revision %d",
 		put.pair, put.condition, put.code, put.revision)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -227,7 +227,7 @@
 // observe records the configuration revision that a member reports and the content of its cache, until ctx ends.
 func (r *configurationRun) observe(ctx context.Context, m *clusterMember) {
 	var looked time.Time
-	for ; ctx.Err() == nil; sleepFor(ctx, sampleEvery) {
+	for ; ctx.Err() == nil; sleepFor(ctx, sampleInterval) {
 		once, cancel := context.WithTimeout(ctx, time.Second)
 		h, err := control.NewAPIClient(m.socket).Status(once)
 		cancel()
@@ -236,15 +236,15 @@
 			r.samples = append(r.samples, configurationSample{m.name, h.Pid, h.ConfigurationRevision, time.Now()})
 			r.mu.Unlock()
 		}
-		if time.Since(looked) >= cacheSampleEvery {
+		if time.Since(looked) >= cacheSampleInterval {
 			looked = time.Now()
-			r.lookAtCache(m)
+			r.sampleCache(m)
 		}
 	}
 }
 
 // sampleCache copies a member's cache file and loads the copy as a node does at its start.
-func (r *configurationRun) lookAtCache(m *clusterMember) {
+func (r *configurationRun) sampleCache(m *clusterMember) {
 	raw, err := os.ReadFile(filepath.Join(m.folder, "configuration.cache"))
 	if err != nil {
 		return // no cache yet
@@ -257,7 +257,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.refused = append(r.refused, fmt.Sprintf("%s: %v", m.name, err))
+		r.unreadable = append(r.unreadable, fmt.Sprintf("%s: %v", m.name, err))
 		return
 	}
 	r.caches = append(r.caches, configurationCache{m.name, replica.Snapshot()})
@@ -265,14 +265,14 @@
 
 // judge waits until the newest revision is in force at all nodes, then prints the figures and verdicts.
 func (r *configurationRun) judge(ctx context.Context, out *report, faults int) error {
-	calm := time.Now()
+	faultsOver := time.Now()
 	text, code := "", -1
-	for end := calm.Add(settleWait); code != 0 && time.Now().Before(end) && ctx.Err() == nil; {
+	for end := faultsOver.Add(settleWait); code != 0 && time.Now().Before(end) && ctx.Err() == nil; {
 		text, code = r.p.command(ctx, r.p.members[0], "config", "status")
 	}
-	took := time.Since(calm)
+	took := time.Since(faultsOver)
 	for _, m := range r.p.members {
-		r.lookAtCache(m)
+		r.sampleCache(m)
 	}
 	history, err := r.fullHistory(ctx)
 	if err != nil {
@@ -292,7 +292,7 @@
 	out.figure("configuration.puts.applied", counts[configpb.Result_APPLIED], "changes")
 	out.figure("configuration.puts.conflict", counts[configpb.Result_CONFLICT], "changes refused, as another change of the pair came first")
 	out.figure("configuration.puts.unknown", counts[configpb.Result_UNKNOWN], "changes")
-	out.figure("configuration.puts.again", r.again, "retries, as the answer was lost")
+	out.figure("configuration.puts.again", r.retries, "retries, as the answer was lost")
 	out.figure("configuration.put.p50", times.Quantile(0.5).Seconds()*1e3, "ms, through the faults")
 	out.figure("configuration.put.p99", times.Quantile(0.99).Seconds()*1e3, "ms, through the faults")
 	out.figure("configuration.samples", len(r.samples), "revisions reported by nodes")
@@ -310,7 +310,7 @@
 		{"a change on a condition takes effect only where it holds", brokenConditions(r.puts, history)},
 		{"no node goes back, or ahead of the commit", outOfOrder(r.samples, r.puts, history)},
 		{"no revision is applied in part", appliedInPart(r.caches, history)},
-		{"every cache can be read", r.refused},
+		{"every cache can be read", r.unreadable},
 	} {
 		first := ""
 		if len(c.faults) > 0 {
--- a/cmd/rig/configuration_test.go
+++ b/cmd/rig/configuration_test.go
@@ -33,7 +33,7 @@
 
 // runConfig runs a config command through a member. It fails the test unless the exit code is code and the output
 // contains part. It returns the output.
-func (c *configured) say(member, code int, part string, args ...string) string {
+func (c *configured) runConfig(member, code int, part string, args ...string) string {
 	c.Helper()
 	text, got := c.command(c.Context(), c.members[member], "config", args...)
 	if got != code || !strings.Contains(text, part) {
@@ -43,13 +43,13 @@
 }
 
 // status returns a member's own status; it is empty if the member does not answer.
-func (c *configured) here(member int) (h control.NodeStatus) {
+func (c *configured) status(member int) (h control.NodeStatus) {
 	h, _ = control.NewAPIClient(c.members[member].socket).Status(c.Context()) // a member that does not run has an empty status
 	return h
 }
 
 // waitUntil waits until done, and fails the test if that takes longer than settleWait.
-func (c *configured) until(what string, done func() bool) {
+func (c *configured) waitUntil(what string, done func() bool) {
 	c.Helper()
 	for end := time.Now().Add(settleWait); !done(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -61,9 +61,9 @@
 // leader waits for a leader and returns its index.
 func (c *configured) leader() (index int) {
 	c.Helper()
-	c.until("a leader", func() bool {
+	c.waitUntil("a leader", func() bool {
 		for i := range c.voters {
-			if c.here(i).Voter == "leads" {
+			if c.status(i).Voter == "leads" {
 				index = i
 				return true
 			}
@@ -114,12 +114,12 @@
 	good := func() *seen {
 		s, store := &seen{}, configuration.New()
 		for i, condition := range []uint64{0, 1, 0, 2} {
-			put := configurationPut{ask: fmt.Sprint("op", i), pair: i / 2 % 2, condition: condition, from: at(100 * i)}
+			put := configurationPut{requestID: fmt.Sprint("op", i), pair: i / 2 % 2, condition: condition, from: at(100 * i)}
 			if i == 3 {
 				put.pair, put.condition = 1, 3
 			}
 			tx := pairChange(put.pair, uint32(i+1), put.condition)
-			tx.By = put.ask
+			tx.By = put.requestID
 			o, err := store.Commit(1, tx)
 			if err != nil {
 				t.Fatal(err)
@@ -129,7 +129,7 @@
 			s.samples = append(s.samples, configurationSample{"n1", 7, o.Revision, at(100*i + 60)})
 			s.caches = append(s.caches, configurationCache{"n1", proto.CloneOf(store.Snapshot())})
 		}
-		s.puts = append(s.puts, configurationPut{ask: "late", pair: 1, code: configpb.Result_CONFLICT, revision: 4})
+		s.puts = append(s.puts, configurationPut{requestID: "late", pair: 1, code: configpb.Result_CONFLICT, revision: 4})
 		s.samples = append(s.samples, configurationSample{"n1", 8, 2, at(900)}) // another process of n1, which started from its cache
 		list, err := store.History(0, 10)
 		if err != nil {
@@ -175,7 +175,7 @@
 	}
 }
 
-const service = "[[service]]\nname = \"pay\"\ntimeout_ms = "
+const serviceTable = "[[service]]\nname = \"pay\"\ntimeout_ms = "
 
 // Guards against changes that do not reach all nodes or are lost when processes end. Seven processes run, three of them
 // control machines. A valid change is in force at all nodes, an invalid one is refused with its line in the file, a change
@@ -184,27 +184,27 @@
 func TestConfigurationOnProcesses(t *testing.T) {
 	p, _ := smallCluster(t, 4, 7, drainsBudget, "a", "b")
 	c := &configured{T: t, cluster: p}
-	first := c.file(service + "1000\n[[route]]\nname = \"all\"\nhost = \"*\"\npath_prefix = \"/\"\nservice = \"pay\"\n")
-	t.Log(c.say(5, 0, "in force at all 7 nodes", "put", first, "--wait", "20s", "--why", "the first"))
-	c.say(6, 0, "revision 1, in force: 1; 7 nodes", "status")
-	c.say(0, 1, "change.toml:2: service[0].name", "put", c.file("[[service]]\nname = \"a b\"\n"))
+	first := c.file(serviceTable + "1000\n[[route]]\nname = \"all\"\nhost = \"*\"\npath_prefix = \"/\"\nservice = \"pay\"\n")
+	t.Log(c.runConfig(5, 0, "in force at all 7 nodes", "put", first, "--wait", "20s", "--why", "the first"))
+	c.runConfig(6, 0, "revision 1, in force: 1; 7 nodes", "status")
+	c.runConfig(0, 1, "change.toml:2: service[0].name", "put", c.file("[[service]]\nname = \"a b\"\n"))
 	route := "[[route]]\nname = \"r\"\nhost = \"a.org\"\npath_prefix = \"/\"\nservice = \"none\"\n"
-	c.say(1, 1, "change.toml:5: route[0].service: route/r: there is no service none", "put", c.file(route))
-	c.say(2, 3, "service/pay is of revision 1, expected of revision 9", "put", c.file(service+"5\nif_revision = 9\n"))
-	c.say(3, 0, "1 of 1 entries differ from revision 1", "diff", c.file(service+"2000\n"))
-	c.say(4, 0, "unchanged, revision 1", "put", first)
+	c.runConfig(1, 1, "change.toml:5: route[0].service: route/r: there is no service none", "put", c.file(route))
+	c.runConfig(2, 3, "service/pay is of revision 1, expected of revision 9", "put", c.file(serviceTable+"5\nif_revision = 9\n"))
+	c.runConfig(3, 0, "1 of 1 entries differ from revision 1", "diff", c.file(serviceTable+"2000\n"))
+	c.runConfig(4, 0, "unchanged, revision 1", "put", first)
 
 	leader := c.leader()
 	p.members[leader].kill()
 	other := (leader + 1) % 3
-	t.Log(c.say(other, 0, "in force at all 6 nodes", "put", c.file(service+"2000\n"), "--wait", "30s"))
-	if err := p.start(t.Context(), leader); err != nil {
+	t.Log(c.runConfig(other, 0, "in force at all 6 nodes", "put", c.file(serviceTable+"2000\n"), "--wait", "30s"))
+	if err := p.startMember(t.Context(), leader); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.settled(t.Context()); err != nil {
+	if err := p.awaitSettled(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	c.until("the old leader has the change", func() bool { return c.here(leader).ConfigurationRevision == 2 })
+	c.waitUntil("the old leader has the change", func() bool { return c.status(leader).ConfigurationRevision == 2 })
 
 	p.members[5].kill()
 	cache := filepath.Join(p.members[5].folder, "configuration.cache")
@@ -216,30 +216,30 @@
 	}
 	p.members[6].kill()
 	for _, i := range []int{5, 6} {
-		if err := p.start(t.Context(), i); err != nil {
+		if err := p.startMember(t.Context(), i); err != nil {
 			t.Fatal(err)
 		}
 	}
 	// The cache may be some seconds older than the configuration that the node had.
-	c.until("a configuration from the cache, without a control machine", func() bool { return c.here(6).ConfigurationRevision >= 1 })
-	c.until("the truncated cache is logged", func() bool {
+	c.waitUntil("a configuration from the cache, without a control machine", func() bool { return c.status(6).ConfigurationRevision >= 1 })
+	c.waitUntil("the truncated cache is logged", func() bool {
 		return strings.Contains(strings.Join(p.members[5].logs(), ""), "it is torn off; it is kept as")
 	})
-	if h := c.here(3); h.ConfigurationRevision != 2 {
+	if h := c.status(3); h.ConfigurationRevision != 2 {
 		t.Errorf("a node that went on: %+v", h)
 	}
-	c.say(3, 6, "out of reach", "status")
+	c.runConfig(3, 6, "out of reach", "status")
 	for i := range 3 {
-		if err := p.start(t.Context(), i); err != nil {
+		if err := p.startMember(t.Context(), i); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := p.settled(t.Context()); err != nil {
+	if err := p.awaitSettled(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	c.until("the configuration from a control machine, without a cache", func() bool { return c.here(5).ConfigurationRevision >= 2 })
-	t.Log(c.say(4, 0, "in force at all 7 nodes", "rollback", "1", "--wait", "20s", "--why", "too slow"))
-	c.say(5, 0, "timeout_ms = 1000", "get", "service/pay")
-	c.say(6, 0, "too slow", "history")
-	c.say(0, 1, "are known", "rollback", "99")
+	c.waitUntil("the configuration from a control machine, without a cache", func() bool { return c.status(5).ConfigurationRevision >= 2 })
+	t.Log(c.runConfig(4, 0, "in force at all 7 nodes", "rollback", "1", "--wait", "20s", "--why", "too slow"))
+	c.runConfig(5, 0, "timeout_ms = 1000", "get", "service/pay")
+	c.runConfig(6, 0, "too slow", "history")
+	c.runConfig(0, 1, "are known", "rollback", "99")
 }
--- a/cmd/rig/configurationcheck.go
+++ b/cmd/rig/configurationcheck.go
@@ -13,9 +13,9 @@
 // lostRevisions finds changes that were reported as applied but that the history lacks or has at another revision. It
 // also finds revisions that no operator requested, that one change made twice, or whose change was refused.
 func lostRevisions(puts []configurationPut, history []*configpb.Revision) (faults []string) {
-	asked, made := map[string]configurationPut{}, map[string]uint64{}
+	requested, made := map[string]configurationPut{}, map[string]uint64{}
 	for _, p := range puts {
-		asked[p.ask] = p
+		requested[p.requestID] = p
 	}
 	for i, r := range history {
 		if r.Number != uint64(i+1) {
@@ -25,15 +25,15 @@
 			faults = append(faults, fmt.Sprintf("%s made revisions %d and %d", r.By, other, r.Number))
 		}
 		made[r.By] = r.Number
-		p, known := asked[r.By]
+		p, known := requested[r.By]
 		if !known || p.code != configpb.Result_APPLIED && p.code != configpb.Result_UNKNOWN {
 			faults = append(faults, fmt.Sprintf("revision %d by %s, whose answer was %v", r.Number, r.By, p.code))
 		}
 	}
 	for _, p := range puts {
-		if p.code == configpb.Result_APPLIED && made[p.ask] != p.revision {
+		if p.code == configpb.Result_APPLIED && made[p.requestID] != p.revision {
 			faults = append(faults, fmt.Sprintf("the answer to %s was revision %d; the history has it at %d",
-				p.ask, p.revision, made[p.ask]))
+				p.requestID, p.revision, made[p.requestID]))
 		}
 	}
 	return faults
@@ -42,12 +42,12 @@
 // brokenConditions finds revisions that were applied although their condition did not hold: the service had been changed
 // after the revision that the operator had read.
 func brokenConditions(puts []configurationPut, history []*configpb.Revision) (faults []string) {
-	asked, last := map[string]configurationPut{}, map[int]uint64{}
+	requested, last := map[string]configurationPut{}, map[int]uint64{}
 	for _, p := range puts {
-		asked[p.ask] = p
+		requested[p.requestID] = p
 	}
 	for _, r := range history {
-		p := asked[r.By]
+		p := requested[r.By]
 		if p.condition != last[p.pair] {
 			faults = append(faults, fmt.Sprintf("revision %d of pair %d requires revision %d; the last one was %d",
 				r.Number, p.pair, p.condition, last[p.pair]))
@@ -65,9 +65,9 @@
 		member string
 		pid    int
 	}
-	asked, last := map[string]configurationPut{}, map[process]uint64{}
+	requested, last := map[string]configurationPut{}, map[process]uint64{}
 	for _, p := range puts {
-		asked[p.ask] = p
+		requested[p.requestID] = p
 	}
 	for _, s := range samples {
 		who := process{s.member, s.pid}
@@ -82,7 +82,7 @@
 			faults = append(faults, fmt.Sprintf("%s has revision %d, which does not exist", s.member, s.revision))
 			continue
 		}
-		if p, known := asked[history[s.revision-1].By]; known && s.at.Before(p.from) {
+		if p, known := requested[history[s.revision-1].By]; known && s.at.Before(p.from) {
 			faults = append(faults, fmt.Sprintf("%s had revision %d before it was requested", s.member, s.revision))
 		}
 	}
--- a/cmd/rig/demo.go
+++ b/cmd/rig/demo.go
@@ -12,7 +12,7 @@
 
 // mediaClasses are the request classes of a media service. Their work is scaled down so that one small machine can run
 // all servers.
-var kampklip = []standin.Class{
+var mediaClasses = []standin.Class{
 	{Name: "broadcast-clip", Method: "GET", Share: 0.12, Worth: 12, Aim: 600 * time.Millisecond, Patience: 1200 * time.Millisecond},
 	{Name: "viewer-clip", Method: "GET", Share: 0.40, Worth: 1, Aim: 600 * time.Millisecond, Patience: 2 * time.Second},
 	{Name: "cut-order", Method: "POST", Share: 0.24, Worth: 1, Aim: 2 * time.Second, Patience: 6 * time.Second, BodyBytes: 200},
@@ -21,7 +21,7 @@
 
 // mediaWork returns the work of a request of each class at a server. The mean over all requests is about 20 ms times
 // scale.
-func kampklipWork(scale float64) map[string]standin.Work {
+func mediaWork(scale float64) map[string]standin.Work {
 	ms := func(n float64) time.Duration { return time.Duration(n * scale * float64(time.Millisecond)) }
 	return map[string]standin.Work{"broadcast-clip": {Time: ms(20), Bytes: 2048}, "viewer-clip": {Time: ms(12), Bytes: 2048},
 		"cut-order": {Time: ms(30), Bytes: 256}, "tag-event": {Time: ms(24), Bytes: 256}}
@@ -32,13 +32,13 @@
 	registry *standin.Registry
 	servers  []*standin.Server
 	mu       sync.Mutex        // guards the lists while servers are replaced
-	gone     []*standin.Server // servers that were replaced; Close ends those that still run
+	replaced []*standin.Server // servers that were replaced; Close ends those that still run
 }
 
 // newFleet starts n servers of one zone, two in each cell.
-func newFleet(n, cores, room int, work map[string]standin.Work) (*fleet, error) {
+func newFleet(n, cores, maxRequests int, work map[string]standin.Work) (*fleet, error) {
 	return openFleet(n, work, func(i int) standin.ServerOptions {
-		return standin.ServerOptions{Name: fmt.Sprintf("s-%08x", 0x5be2a000+i*7919), Zone: "hall-a", Kind: "std", Cell: i / 2, Cores: cores, MaxRequests: room}
+		return standin.ServerOptions{Name: fmt.Sprintf("s-%08x", 0x5be2a000+i*7919), Zone: "hall-a", Kind: "std", Cell: i / 2, Cores: cores, MaxRequests: maxRequests}
 	})
 }
 
@@ -72,7 +72,7 @@
 
 // Close stops the registry and all servers, including replaced ones.
 func (f *fleet) Close() {
-	for _, s := range append(f.gone, f.servers...) {
+	for _, s := range append(f.replaced, f.servers...) {
 		s.Close()
 	}
 	if f.registry != nil {
@@ -95,7 +95,7 @@
 }
 
 // clearLogs empties the servers' logs.
-func (f *fleet) forget() {
+func (f *fleet) clearLogs() {
 	for _, s := range f.servers {
 		s.SetLog(false)
 		s.SetLog(true)
@@ -104,7 +104,7 @@
 
 // executions returns the logs of all servers, including replaced ones.
 func (f *fleet) executions() (all []standin.Execution) {
-	for _, s := range append(slices.Clone(f.gone), f.servers...) {
+	for _, s := range append(slices.Clone(f.replaced), f.servers...) {
 		all = append(all, s.Log()...)
 	}
 	return all
@@ -119,19 +119,19 @@
 	o := old.ServerOptions
 	o.ColdFrom, o.ColdTime = coldFrom, coldTime
 	old.Close()
-	s, err := standin.NewServer(o, kampklipWork(1))
+	s, err := standin.NewServer(o, mediaWork(1))
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gone, f.servers[i] = append(f.gone, old), s
+	f.replaced, f.servers[i] = append(f.replaced, old), s
 	f.registry.Set(standin.EntryOf(s))
 	return nil
 }
 
 // serverAt returns the server that is at index i now.
-func (f *fleet) now(i int) *standin.Server {
+func (f *fleet) serverAt(i int) *standin.Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[i]
@@ -140,7 +140,7 @@
 // demo runs two sites until it is interrupted. The first site gets slightly more load than it can serve, and hands off
 // requests to the second while the link between them is up.
 func demo(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	fmt.Printf("hall-a: two servers, nodes on %s and %s; hall-b: three servers, nodes on %s and %s. Send a request to one:\n\n",
 		n.addr, sites[0].nodes[1].addr, sites[1].nodes[0].addr, sites[1].nodes[1].addr)
 	fmt.Printf("  curl -i -H 'X-Correlation-Id: hello-1' -H 'X-Time-Left: 2.0' 'http://%s/viewer-clip?obj=match-1'\n\n", n.addr)
-	load := &standin.Load{Addr: n.addr, RetryAddrs: []string{sites[0].nodes[1].addr}, Classes: kampklip, Retries: 2, Prefix: "demo-hall-a-"}
+	load := &standin.Load{Addr: n.addr, RetryAddrs: []string{sites[0].nodes[1].addr}, Classes: mediaClasses, Retries: 2, Prefix: "demo-hall-a-"}
 	running := make(chan struct{})
 	go func() { defer close(running); load.RunOpen(ctx, demoLoad, 400) }()
 	tick := time.NewTicker(time.Second)
@@ -171,7 +171,7 @@
 		case <-tick.C:
 		}
 		state := "up"
-		if seconds++; seconds%demoRound >= demoRound-demoCut {
+		if seconds++; seconds%demoCycle >= demoCycle-demoCut {
 			state = "cut"
 		}
 		for _, h := range sites {
@@ -179,23 +179,23 @@
 				wire.Cut(state == "cut", state == "cut")
 			}
 		}
-		abroad := ranAbroad(sites, 1)
+		executedThere := executedForOtherSite(sites, 1)
 		s := load.Sums()
 		load.ResetCounts()
 		fmt.Printf("%s  link %-3s  %3d requests at hall-a, %3d served (%2d of them ran in hall-b), %3d in time, %d attempts refused, %d failed; value served %.3f\n",
-			time.Now().Format(time.TimeOnly), state, s.Orders, s.Served, abroad-before, s.InAim, s.RefusedTries, s.Failed, s.WorthFraction())
-		if before = abroad; abroad > demoForget {
+			time.Now().Format(time.TimeOnly), state, s.Orders, s.Served, executedThere-before, s.InAim, s.RefusedTries, s.Failed, s.WorthFraction())
+		if before = executedThere; executedThere > demoLogLimit {
 			before = 0
 			for _, h := range sites {
-				h.fleet.forget()
+				h.fleet.clearLogs()
 			}
 		}
 	}
 }
 
 const (
-	demoLoad   = 120    // requests a second; the two cores of hall-a can serve about 97
-	demoRound  = 20     // seconds of a cycle
-	demoCut    = 5      // seconds at the end of a cycle in which the link is cut
-	demoForget = 10_000 // executions after which the servers' logs are cleared, so that a demo can run for days
+	demoLoad     = 120    // requests a second; the two cores of hall-a can serve about 97
+	demoCycle    = 20     // seconds of a cycle
+	demoCut      = 5      // seconds at the end of a cycle in which the link is cut
+	demoLogLimit = 10_000 // executions after which the servers' logs are cleared, so that a demo can run for days
 )
--- a/cmd/rig/drains.go
+++ b/cmd/rig/drains.go
@@ -42,7 +42,7 @@
 // drainsRig has operators drain and return servers through random nodes of a fleet under constant load, while nodes are
 // killed and stopped and paths between nodes are cut.
 func drainsRig(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	defer closeHistory()
-	f, err := openZones(servers, zones, 1, kampklipWork(1))
+	f, err := openZones(servers, zones, 1, mediaWork(1))
 	if err != nil {
 		return err
 	}
@@ -78,15 +78,15 @@
 	}
 	defer p.close()
 	printFaults(o.out.w, list)
-	d := &drainsTrial{p: p, f: f, most: 2, zones: map[string]string{}}
+	d := &drainsTrial{p: p, f: f, maxOut: 2, zones: map[string]string{}}
 	for _, s := range f.servers {
 		d.zones[s.Name] = s.Zone
 	}
 	loading, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var running, operators sync.WaitGroup
-	loads := p.load(loading, &running, kampklip, rate, o.seed)
-	noise := newNoise(loading)
+	loads := p.load(loading, &running, mediaClasses, rate, o.seed)
+	noise := startNoiseMeter(loading)
 	operating, stopOperators := context.WithCancel(ctx)
 	defer stopOperators()
 	began := time.Now()
@@ -100,24 +100,24 @@
 	if injected == nil {
 		sleepFor(ctx, time.Until(began.Add(length)))
 	}
-	calm := time.Now()
+	faultsOver := time.Now()
 	stopOperators()
 	operators.Wait()
 	if err := errors.Join(injected, ctx.Err()); err != nil {
 		return err
 	}
-	settled := p.settled(ctx)
-	inAgain := time.Since(calm)
-	left, fresh := d.allIn(ctx)
+	settled := p.awaitSettled(ctx)
+	recoveryTime := time.Since(faultsOver)
+	left, unserved := d.awaitAllReturned(ctx)
 	stopLoad()
 	running.Wait()
 
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: d.cold}
-	spared := 0
+	e := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: d.cold}
+	excused := 0
 	for i, l := range loads {
 		for _, a := range l.Log() {
-			if a.Status != 200 && p.members[i].downIn(a.Sent, a.EndedAt) {
-				spared++ // the node was killed or stopped meanwhile
+			if a.Status != 200 && p.members[i].downDuring(a.Sent, a.EndedAt) {
+				excused++ // the node was killed or stopped meanwhile
 				continue
 			}
 			e.Answers = append(e.Answers, a)
@@ -129,24 +129,24 @@
 	}
 	o.out.figure("drains.faults", len(list), "faults")
 	o.out.figure("drains.asks", len(d.requests), "requests of operators")
-	for c := drainDone; c <= drainFault; c++ {
+	for c := drainDone; c <= drainUnexpected; c++ {
 		o.out.figure("drains.asks."+strings.ReplaceAll(c.String(), " ", "-"), count[c], "requests")
 	}
 	o.out.figure("drains.asks.again", d.retries, "retries of requests whose answer was lost")
-	o.out.figure("drains.unplanned", len(p.gone), "times that a server left the registry without a drain; drains of it cost no budget then")
-	o.out.figure("drains.proven", len(d.off), "drains")
+	o.out.figure("drains.unplanned", len(p.removals), "times that a server left the registry without a drain; drains of it cost no budget then")
+	o.out.figure("drains.proven", len(d.switchedOff), "drains")
 	o.out.figure("drains.cold", len(d.cold), "servers that were returned cold")
 	o.out.figure("drains.unproven", d.unproven, "drains that were not proven within 6 s")
 	o.out.figure("drains.grant.p50", d.grants.Quantile(0.5).Seconds()*1e3, "ms, including the start of the command")
 	o.out.figure("drains.grant.p99", d.grants.Quantile(0.99).Seconds()*1e3, "ms")
-	o.out.figure("drains.in-again", inAgain.Seconds(), "s after the last fault")
+	o.out.figure("drains.in-again", recoveryTime.Seconds(), "s after the last fault")
 	o.out.figure("drains.tries", len(e.Answers), "attempts of clients")
-	o.out.figure("drains.spared", spared, "attempts without an answer, as the node was killed or stopped")
+	o.out.figure("drains.spared", excused, "attempts without an answer, as the node was killed or stopped")
 	o.out.figure("drains.noise", noise.longest().Seconds()*1e3, "ms, the longest delay of the rig itself")
-	o.out.promise(settled == nil && left == "" && inAgain < settleWait, "after the last fault all servers are returned within %v: %s%s", settleWait, errText(settled), left)
-	o.out.promise(fresh == "", "every server gets work again: %s", fresh)
+	o.out.promise(settled == nil && left == "" && recoveryTime < settleWait, "after the last fault all servers are returned within %v: %s%s", settleWait, errText(settled), left)
+	o.out.promise(unserved == "", "every server gets work again: %s", unserved)
 	o.out.verdicts(standin.Check(e))
-	o.out.verdicts([]standin.Verdict{d.budgetKept(), d.linear(), silentWhenProven(d.off, e.Executions), d.heard(e.Executions), d.sane()})
+	o.out.verdicts([]standin.Verdict{d.checkBudget(), d.checkLinearizable(), checkQuietAfterProof(d.switchedOff, e.Executions), d.checkNotices(e.Executions), d.checkAnswers()})
 	return nil
 }
 
--- a/cmd/rig/drainscheck.go
+++ b/cmd/rig/drainscheck.go
@@ -15,14 +15,14 @@
 
 // removedDuring reports whether the registry had stopped listing a server without a drain at some moment between from and
 // to. An empty name stands for any server.
-func goneIn(gone []downTime, server string, from, to time.Time) bool {
-	return slices.ContainsFunc(gone, func(g downTime) bool { return (server == "" || g.server == server) && g.touches(from, to) })
+func removedDuring(gone []removalSpan, server string, from, to time.Time) bool {
+	return slices.ContainsFunc(gone, func(g removalSpan) bool { return (server == "" || g.server == server) && g.overlaps(from, to) })
 }
 
 // checkBudget checks, by the operators' own records, that no zone ever had more servers switched off than its budget
 // allows. A server that the registry did not list when its drain was requested is left out: it was out of service anyway,
 // so its drain costs no budget.
-func (d *drainsTrial) budgetKept() standin.Verdict {
+func (d *drainsTrial) checkBudget() standin.Verdict {
 	v := standin.Verdict{Rule: "never more switched off than the budget allows"}
 	type edge struct {
 		at   time.Time
@@ -30,8 +30,8 @@
 		name string
 	}
 	edges := map[string][]edge{}
-	for _, o := range d.off {
-		if v.Cases++; goneIn(d.p.gone, o.server, o.from.Add(-goneSeen), o.to) {
+	for _, o := range d.switchedOff {
+		if v.Cases++; removedDuring(d.p.removals, o.server, o.from.Add(-listPropagationTime), o.to) {
 			continue
 		}
 		edges[o.zone] = append(edges[o.zone], edge{o.from, 1, o.server}, edge{o.to, -1, o.server})
@@ -41,7 +41,7 @@
 		out := map[string]int{}
 		n := 0
 		for _, e := range list {
-			if n += e.step; n > d.most {
+			if n += e.step; n > d.maxOut {
 				v.AddViolation("%s: %d at once at %s, with %s: %v", zone, n, e.at.Format(time.StampMilli), e.name, out)
 			}
 			out[e.name] += e.step
@@ -52,7 +52,7 @@
 
 // checkQuietAfterProof checks, by the servers' own logs, that a server receives nothing from the proof of its drain until
 // its return is requested.
-func silentWhenProven(off []offTime, executions []standin.Execution) standin.Verdict {
+func checkQuietAfterProof(off []switchedOffSpan, executions []standin.Execution) standin.Verdict {
 	v := standin.Verdict{Rule: "no request reaches a server whose drain is proven"}
 	spans := map[string][]span{}
 	for _, o := range off {
@@ -74,13 +74,13 @@
 
 // drainNotice is the time in which a node knew of a server's drain: from the log line with which the node applied the
 // drain until the one with which it applied the return.
-type heardTime struct {
+type drainNotice struct {
 	node, server string
 	span
 }
 
 // drainNotices reads the log of one process of a node. A drain that is still in force at the end of the log is left out.
-func hearings(node, log string) (list []heardTime) {
+func drainNotices(node, log string) (list []drainNotice) {
 	open := map[string]time.Time{}
 	for _, m := range followsLine.FindAllStringSubmatch(log, -1) {
 		at, err := time.Parse(time.RFC3339Nano, m[1])
@@ -98,7 +98,7 @@
 		}
 		for name, from := range open {
 			if !now[name] {
-				list = append(list, heardTime{node, name, span{from, at}})
+				list = append(list, drainNotice{node, name, span{from, at}})
 				delete(open, name)
 			}
 		}
@@ -108,19 +108,19 @@
 
 // checkNotices checks, by the nodes' logs, that a node sends no new request to a server once DrainGrace has passed since
 // the node applied the server's drain.
-func (d *drainsTrial) heard(executions []standin.Execution) standin.Verdict {
-	var list []heardTime
+func (d *drainsTrial) checkNotices(executions []standin.Execution) standin.Verdict {
+	var list []drainNotice
 	for _, m := range d.p.members {
 		for _, log := range m.logs() {
-			list = append(list, hearings(m.name, log)...)
+			list = append(list, drainNotices(m.name, log)...)
 		}
 	}
-	return quietAfterHearing(list, executions)
+	return checkQuietAfterNotice(list, executions)
 }
 
 // checkQuietAfterNotice checks that no execution at a drained server came from a node that had applied the drain more
 // than DrainGrace before. The name of the node is the part of the request ID before the first dash.
-func quietAfterHearing(list []heardTime, executions []standin.Execution) standin.Verdict {
+func checkQuietAfterNotice(list []drainNotice, executions []standin.Execution) standin.Verdict {
 	v := standin.Verdict{Rule: "a node sends no new request to a server 500 ms after it applied the drain"}
 	spans := map[string][]span{}
 	for _, h := range list {
@@ -140,10 +140,10 @@
 }
 
 // checkAnswers checks that each request of an operator got one of the expected answers.
-func (d *drainsTrial) sane() standin.Verdict {
+func (d *drainsTrial) checkAnswers() standin.Verdict {
 	v := standin.Verdict{Rule: "every request of an operator gets an expected answer"}
 	for _, a := range d.requests {
-		if v.Cases++; a.code == drainFault {
+		if v.Cases++; a.code == drainUnexpected {
 			v.AddViolation("op%d, %s, return %v: %s", a.operator, a.server, a.giveBack, a.reason)
 		}
 	}
@@ -152,8 +152,8 @@
 
 // checkLinearizable checks that the answers to drains and returns are linearizable: each request took effect at one moment
 // between the request and its answer. A request without an answer may have taken effect at any later time, or never.
-func (d *drainsTrial) linear() standin.Verdict {
-	return linearizable(d.requests, d.zones, d.most, d.p.gone)
+func (d *drainsTrial) checkLinearizable() standin.Verdict {
+	return linearizable(d.requests, d.zones, d.maxOut, d.p.removals)
 }
 
 // zoneRequest is a drainRequest as the input of the checker's model.
@@ -166,7 +166,7 @@
 
 // linearizable checks the requests against a model of each zone: the set of drained servers, which may have maxOut members
 // at most. zones has the zone of each server, removals the times in which the registry did not list a server.
-func linearizable(asks []drainRequest, zones map[string]string, most int, gone []downTime) standin.Verdict {
+func linearizable(requests []drainRequest, zones map[string]string, maxOut int, removals []removalSpan) standin.Verdict {
 	v := standin.Verdict{Rule: "the answers to drains and returns are linearizable"}
 	index := map[string]int{}
 	count := map[string]int{}
@@ -179,12 +179,12 @@
 		index[name] = count[zones[name]]
 		count[zones[name]]++
 	}
-	free := porcupine.NondeterministicModel{
+	nondeterministic := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{uint64(0)} },
 		Step: func(state, input, output any) []any {
 			out, a, code := state.(uint64), input.(zoneRequest), output.(drainOutcome)
 			bit := uint64(1) << a.server
-			full := bits.OnesCount64(out) >= most
+			full := bits.OnesCount64(out) >= maxOut
 			may := func(ok bool, next uint64) []any {
 				if ok {
 					return []any{next}
@@ -205,7 +205,7 @@
 				return may(out&bit == 0 && (!full || a.free), out|bit)
 			case code == drainAlready:
 				return may(out&bit != 0, out)
-			case code == drainNotThere:
+			case code == drainNotDrained:
 				return may(out&bit == 0, out)
 			case code == drainOverBudget:
 				return may(out&bit == 0 && (full || a.lenient), out)
@@ -213,18 +213,18 @@
 			return nil
 		},
 	}
-	model := free.ToModel()
+	model := nondeterministic.ToModel()
 	end := int64(1) << 62
 	ops := map[string][]porcupine.Operation{}
-	for _, a := range asks {
+	for _, a := range requests {
 		v.Cases++
 		to := a.to.UnixNano()
 		if a.code == drainUnknown {
 			to = end
 			end-- // calls of one client must not overlap
 		}
-		lenient, free := goneIn(gone, "", a.from, a.to), goneIn(gone, a.server, a.from, a.to)
-		ops[a.zone] = append(ops[a.zone], porcupine.Operation{ClientId: len(ops[a.zone]), Input: zoneRequest{index[a.server], a.giveBack, lenient, free}, Call: a.from.UnixNano(), Output: a.code, Return: to})
+		lenient, nondeterministic := removedDuring(removals, "", a.from, a.to), removedDuring(removals, a.server, a.from, a.to)
+		ops[a.zone] = append(ops[a.zone], porcupine.Operation{ClientId: len(ops[a.zone]), Input: zoneRequest{index[a.server], a.giveBack, lenient, nondeterministic}, Call: a.from.UnixNano(), Output: a.code, Return: to})
 	}
 	for zone, list := range ops {
 		switch porcupine.CheckOperationsTimeout(model, list, time.Minute) {
--- a/cmd/rig/drainstrial.go
+++ b/cmd/rig/drainstrial.go
@@ -14,14 +14,14 @@
 
 // drainsTrial is a run in which operators drain and return servers during a schedule of faults.
 type drainsTrial struct {
-	p     *cluster
-	f     *fleet
-	most  int // how many servers of a zone may be out at once, by the budget
-	zones map[string]string
+	p      *cluster
+	f      *fleet
+	maxOut int // how many servers of a zone may be out at once, by the budget
+	zones  map[string]string
 
 	mu           sync.Mutex
 	requests     []drainRequest
-	off          []offTime
+	switchedOff  []switchedOffSpan
 	cold         []standin.ColdStart // servers that were restarted while they were switched off
 	unproven     int                 // drains that were not proven in time
 	requestCount int
@@ -47,14 +47,14 @@
 	drainDone       drainOutcome = iota
 	drainAlready                 // the server is drained already
 	drainOverBudget              // refused by a budget
-	drainNotThere                // the server is not drained
+	drainNotDrained              // the server is not drained
 	drainUnknown                 // no answer
-	drainFault                   // any other answer, which is a fault of the program
+	drainUnexpected              // any other answer, which is a fault of the program
 )
 
 // switchedOffSpan is the time in which an operator had a server switched off: from the proof of its drain to the request
 // for its return.
-type offTime struct {
+type switchedOffSpan struct {
 	server, zone string
 	span
 }
@@ -72,9 +72,9 @@
 	case code == 3 && strings.HasPrefix(r.Reason, "budget "):
 		return drainOverBudget, r.Reason
 	case code == 1 && giveBack && strings.Contains(r.Reason, "is not drained"):
-		return drainNotThere, r.Reason
+		return drainNotDrained, r.Reason
 	}
-	return drainFault, fmt.Sprintf("exit code %d: %s", code, strings.TrimSpace(text))
+	return drainUnexpected, fmt.Sprintf("exit code %d: %s", code, strings.TrimSpace(text))
 }
 
 // request requests a drain or a return through a random member. While the answer is lost it retries under the same request
@@ -96,7 +96,7 @@
 			patience = time.Duration(r.IntN(40)) * time.Millisecond
 		}
 		once, cancel := context.WithTimeout(ctx, patience)
-		text, code := d.p.ask(once, m, append([]string{verb, s.Name, "-o", "json", "--ask", number, "--by", fmt.Sprintf("op%d", operator)}, fence...)...)
+		text, code := d.p.fleetCommand(once, m, append([]string{verb, s.Name, "-o", "json", "--ask", number, "--by", fmt.Sprintf("op%d", operator)}, fence...)...)
 		cancel()
 		a.to = time.Now()
 		a.code, a.reason = parseOutcome(text, code, giveBack)
@@ -139,7 +139,7 @@
 	r := rand.New(rand.NewPCG(seed, uint64(operator)))
 	for ctx.Err() == nil {
 		i := r.IntN(len(d.f.servers))
-		s := d.f.now(i)
+		s := d.f.serverAt(i)
 		code, epoch := d.request(context.WithoutCancel(ctx), r, operator, s, false, 0)
 		if code != drainDone {
 			sleepFor(ctx, time.Duration(50+r.IntN(200))*time.Millisecond)
@@ -154,7 +154,7 @@
 // switchOff waits for the proof of a drain and then has server i switched off for a while. One time in three the server
 // is restarted meanwhile and returns cold.
 func (d *drainsTrial) switchOff(ctx context.Context, r *rand.Rand, operator, i int, s *standin.Server) {
-	text, code := d.p.ask(context.WithoutCancel(ctx), d.member(r), "wait", s.Name, "--timeout", "6s")
+	text, code := d.p.fleetCommand(context.WithoutCancel(ctx), d.member(r), "wait", s.Name, "--timeout", "6s")
 	d.p.history.note(fmt.Sprintf("op%d", operator), "wait %s: exit code %d, %s", s.Name, code, strings.TrimSpace(text))
 	if code != 0 {
 		d.mu.Lock()
@@ -163,21 +163,21 @@
 		d.explain(text)
 		return
 	}
-	off := offTime{server: s.Name, zone: s.Zone, span: span{from: time.Now()}}
+	off := switchedOffSpan{server: s.Name, zone: s.Zone, span: span{from: time.Now()}}
 	sleepFor(ctx, time.Duration(200+r.IntN(800))*time.Millisecond)
 	if r.IntN(3) == 0 { // the server returns cold
 		if err := d.f.restart(i, drainsColdFrom, drainsColdTime); err != nil {
 			d.p.history.note("rig", "%s does not start: %v", s.Name, err)
 		}
-		fresh := d.f.now(i)
+		fresh := d.f.serverAt(i)
 		d.mu.Lock()
 		d.cold = append(d.cold, standin.ColdStart{Server: fresh.Name, Started: fresh.Started, Cores: fresh.Cores, From: drainsColdFrom, Time: drainsColdTime})
 		d.mu.Unlock()
-		sleepFor(ctx, goneSeen/10) // time for the nodes to get the changed list
+		sleepFor(ctx, listPropagationTime/10) // time for the nodes to get the changed list
 	}
 	off.to = time.Now()
 	d.mu.Lock()
-	d.off = append(d.off, off)
+	d.switchedOff = append(d.switchedOff, off)
 	d.mu.Unlock()
 }
 
@@ -196,14 +196,14 @@
 }
 
 // listPropagationTime is how long a change of the registry's list takes at most to reach the replicated state.
-const goneSeen = 3 * time.Second
+const listPropagationTime = 3 * time.Second
 
 // awaitAllReturned waits until no server is drained any more and each has received a request. left is the status that
 // still shows a drain, unserved lists the servers without a request; both are empty on success.
-func (d *drainsTrial) allIn(ctx context.Context) (left, fresh string) {
+func (d *drainsTrial) awaitAllReturned(ctx context.Context) (left, unserved string) {
 	text, code := "", 0
 	for end := time.Now().Add(settleWait); time.Now().Before(end); sleepFor(ctx, 100*time.Millisecond) {
-		if text, code = d.p.ask(ctx, d.p.members[0], "status"); code == 0 && !strings.Contains(text, "out ") && !strings.Contains(text, "waits ") {
+		if text, code = d.p.fleetCommand(ctx, d.p.members[0], "status"); code == 0 && !strings.Contains(text, "out ") && !strings.Contains(text, "waits ") {
 			break
 		}
 	}
@@ -214,15 +214,15 @@
 	for end := from.Add(settleWait); time.Now().Before(end); sleepFor(ctx, 50*time.Millisecond) {
 		idle := []string{}
 		for i := range d.f.servers {
-			s := d.f.now(i)
+			s := d.f.serverAt(i)
 			log := s.Log()
 			if len(log) == 0 || log[len(log)-1].ReceivedAt.Before(from) {
 				idle = append(idle, s.Name)
 			}
 		}
-		if fresh = strings.Join(idle, ", "); fresh == "" {
+		if unserved = strings.Join(idle, ", "); unserved == "" {
 			break
 		}
 	}
-	return left, fresh
+	return left, unserved
 }
--- a/cmd/rig/failing.go
+++ b/cmd/rig/failing.go
@@ -13,13 +13,13 @@
 
 // Constants of seccomp(2) that golang.org/x/sys does not define.
 const (
-	seccompSetFilter = 1
-	seccompAllThread = 1          // SECCOMP_FILTER_FLAG_TSYNC
-	seccompAllow     = 0x7fff0000 // SECCOMP_RET_ALLOW
-	seccompError     = 0x00050000 // SECCOMP_RET_ERRNO
-	seccompNumber    = 0          // offset of the system call's number
-	seccompAddress   = 24         // offset of the low half of the second argument; of connect(2): a pointer to the address
-	addressShift     = 5          // low bits that are equal in all these pointers
+	seccompSetFilter  = 1
+	seccompAllThreads = 1          // SECCOMP_FILTER_FLAG_TSYNC
+	seccompAllow      = 0x7fff0000 // SECCOMP_RET_ALLOW
+	seccompError      = 0x00050000 // SECCOMP_RET_ERRNO
+	seccompNumber     = 0          // offset of the system call's number
+	seccompAddress    = 24         // offset of the low half of the second argument; of connect(2): a pointer to the address
+	addressShift      = 5          // low bits that are equal in all these pointers
 )
 
 // connectErrors are the errors with which connect(2) fails, by four bits of its pointer to the socket address. A seccomp
@@ -27,7 +27,7 @@
 var connectErrors = map[uint32]syscall.Errno{5: syscall.EADDRNOTAVAIL, 9: syscall.ENOBUFS, 13: syscall.ENETUNREACH}
 
 // execWithFailingCalls replaces this process by a program some of whose system calls fail. args is its path and arguments.
-func failing(args []string) error {
+func execWithFailingCalls(args []string) error {
 	if len(args) == 0 {
 		return errors.New("name a program to run")
 	}
@@ -57,7 +57,7 @@
 // setFilter installs a seccomp filter for all threads of this process.
 func setFilter(filter []unix.SockFilter) error {
 	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
-	_, _, errno := unix.Syscall(unix.SYS_SECCOMP, seccompSetFilter, seccompAllThread, uintptr(unsafe.Pointer(&program)))
+	_, _, errno := unix.Syscall(unix.SYS_SECCOMP, seccompSetFilter, seccompAllThreads, uintptr(unsafe.Pointer(&program)))
 	runtime.KeepAlive(filter)
 	if errno != 0 {
 		return errno
--- a/cmd/rig/faults.go
+++ b/cmd/rig/faults.go
@@ -30,33 +30,33 @@
 
 // Kinds of faults.
 const (
-	killMember = "kill"       // SIGKILL, and a restart at the end
-	stopMember = "stop"       // SIGSTOP, and SIGCONT at the end
-	stopLong   = "stop-30"    // SIGSTOP for 30 s: the member goes on long after its lease has expired
-	cutMember  = "cut"        // cut off from all others, in both directions
-	muteMember = "mute"       // the member receives and can't send
-	deafMember = "deaf"       // the member sends and can't receive
-	cutZone    = "cut-zone"   // the member's zone is cut off from the other zones
-	cutHalves  = "halves"     // members with even and with odd index are cut off from each other, which splits the voters too
-	slowPaths  = "slow"       // on all paths 40 ms of delay each way, and one datagram in ten is lost
-	killVoters = "all-voters" // SIGKILL to all voters, and a restart
-	serverGone = "server"     // the registry lists a server as gone, then as ready again
-	loseDisk   = "disk"       // the last voter is killed and its log deleted
-	tearDisk   = "torn"       // the last voter's log is truncated and the node runs on, perhaps without a vote; then as for loseDisk
-	killSaved  = "kill-saved" // the voter, in general the leader, ends between append and apply
-	killGrant  = "kill-grant" // the leader ends after it has applied a grant, before it answers
-	fullDisk   = "full"       // the voter's log can't be written; then there is space again, and it is restarted
-	slowDisk   = "slow-disk"  // each write of the voter's log takes 150 ms longer
-	killNode   = "node"       // SIGKILL to the node that a supervisor runs
-	stopNode   = "stop-node"  // SIGSTOP to the node that a supervisor runs, and SIGCONT at the end
-	killNodes  = "all-nodes"  // SIGKILL to the nodes of all voters
+	killMember        = "kill"       // SIGKILL, and a restart at the end
+	stopMember        = "stop"       // SIGSTOP, and SIGCONT at the end
+	stopLong          = "stop-30"    // SIGSTOP for 30 s: the member goes on long after its lease has expired
+	cutMember         = "cut"        // cut off from all others, in both directions
+	receiveOnlyMember = "mute"       // the member receives and can't send
+	sendOnlyMember    = "deaf"       // the member sends and can't receive
+	cutZone           = "cut-zone"   // the member's zone is cut off from the other zones
+	cutHalves         = "halves"     // members with even and with odd index are cut off from each other, which splits the voters too
+	slowPaths         = "slow"       // on all paths 40 ms of delay each way, and one datagram in ten is lost
+	killVoters        = "all-voters" // SIGKILL to all voters, and a restart
+	removeServer      = "server"     // the registry lists a server as gone, then as ready again
+	loseDisk          = "disk"       // the last voter is killed and its log deleted
+	truncateDisk      = "torn"       // the last voter's log is truncated and the node runs on, perhaps without a vote; then as for loseDisk
+	killAfterAppend   = "kill-saved" // the voter ends between append and apply
+	killAfterGrant    = "kill-grant" // the voter ends after it has applied a grant, before it answers
+	fullDisk          = "full"       // the voter's log can't be written; then there is space again, and it is restarted
+	slowDisk          = "slow-disk"  // each write of the voter's log takes 150 ms longer
+	killNode          = "node"       // SIGKILL to the node that a supervisor runs
+	stopNode          = "stop-node"  // SIGSTOP to the node that a supervisor runs, and SIGCONT at the end
+	killNodes         = "all-nodes"  // SIGKILL to the nodes of all voters
 )
 
 // watchedKinds are the kinds of faults for members under supervisors.
-var watchedKinds = []string{killMember, killNode, stopNode, cutMember, muteMember, deafMember, cutZone, cutHalves, slowPaths, killNodes}
+var watchedKinds = []string{killMember, killNode, stopNode, cutMember, receiveOnlyMember, sendOnlyMember, cutZone, cutHalves, slowPaths, killNodes}
 
 // faultKinds are the kinds of faults for members without supervisors.
-var faultKinds = []string{killMember, stopMember, cutMember, muteMember, deafMember, cutZone, cutHalves, slowPaths, killVoters, serverGone, loseDisk, tearDisk, killSaved, killGrant, fullDisk, slowDisk, stopLong}
+var faultKinds = []string{killMember, stopMember, cutMember, receiveOnlyMember, sendOnlyMember, cutZone, cutHalves, slowPaths, killVoters, removeServer, loseDisk, truncateDisk, killAfterAppend, killAfterGrant, fullDisk, slowDisk, stopLong}
 
 // drawFaults draws a schedule of faults that follow one another with pauses. All kinds come once, in random order, before
 // any comes again.
@@ -164,10 +164,10 @@
 	length := time.Duration(f.Length * float64(time.Second))
 	p.history.note("fault", "%s %s, leader requested: %v, %v", f.Kind, m.name, f.Node < 0, length)
 	defer p.history.note("fault", "%s %s is over", f.Kind, m.name)
-	apart := func(together func(i, j int) bool) error {
+	partition := func(connected func(i, j int) bool) error {
 		for i := range p.members {
 			for j := range p.members {
-				if i != j && !together(i, j) {
+				if i != j && !connected(i, j) {
 					p.cut(i, j, true)
 				}
 			}
@@ -180,21 +180,21 @@
 	case killMember:
 		m.kill()
 		sleepFor(ctx, length)
-		return p.start(ctx, at)
+		return p.startMember(ctx, at)
 	case stopMember, stopLong:
 		m.freeze(true)
 		sleepFor(ctx, length)
 		m.freeze(false)
 	case cutMember:
-		return apart(func(i, j int) bool { return i != at && j != at })
-	case muteMember:
-		return apart(func(i, _ int) bool { return i != at })
-	case deafMember:
-		return apart(func(_, j int) bool { return j != at })
+		return partition(func(i, j int) bool { return i != at && j != at })
+	case receiveOnlyMember:
+		return partition(func(i, _ int) bool { return i != at })
+	case sendOnlyMember:
+		return partition(func(_, j int) bool { return j != at })
 	case cutZone:
-		return apart(func(i, j int) bool { return (p.members[i].zone == m.zone) == (p.members[j].zone == m.zone) })
+		return partition(func(i, j int) bool { return (p.members[i].zone == m.zone) == (p.members[j].zone == m.zone) })
 	case cutHalves:
-		return apart(func(i, j int) bool { return i%2 == j%2 })
+		return partition(func(i, j int) bool { return i%2 == j%2 })
 	case slowPaths:
 		for _, m := range p.members {
 			for _, w := range m.wires {
@@ -234,7 +234,7 @@
 		sleepFor(ctx, length/4)
 		errs := make(chan error, p.voters)
 		for i := range p.voters {
-			go func() { errs <- p.start(ctx, i) }()
+			go func() { errs <- p.startMember(ctx, i) }()
 		}
 		var first error
 		for range p.voters {
@@ -243,23 +243,23 @@
 			}
 		}
 		return first
-	case serverGone:
+	case removeServer:
 		i := at % len(servers.servers)
-		e := standin.EntryOf(servers.now(i))
+		e := standin.EntryOf(servers.serverAt(i))
 		e.State = "gone"
 		from := time.Now()
 		servers.registry.Set(e)
 		sleepFor(ctx, length)
-		servers.registry.Set(standin.EntryOf(servers.now(i)))
-		p.gone = append(p.gone, downTime{e.ID, span{from, time.Now().Add(goneSeen)}})
-	case killSaved, killGrant, fullDisk, slowDisk:
+		servers.registry.Set(standin.EntryOf(servers.serverAt(i)))
+		p.removals = append(p.removals, removalSpan{e.ID, span{from, time.Now().Add(listPropagationTime)}})
+	case killAfterAppend, killAfterGrant, fullDisk, slowDisk:
 		if at >= p.voters {
 			at %= p.voters
 		}
-		what := map[string]string{killSaved: "saved kill", killGrant: "granted kill", fullDisk: "save full", slowDisk: "save slow"}[f.Kind]
-		return p.point(ctx, at, what, length)
-	case tearDisk:
-		if err := p.tear(ctx, f.Length); err != nil {
+		what := map[string]string{killAfterAppend: "saved kill", killAfterGrant: "granted kill", fullDisk: "save full", slowDisk: "save slow"}[f.Kind]
+		return p.injectAtFaultPoint(ctx, at, what, length)
+	case truncateDisk:
+		if err := p.truncateLog(ctx, f.Length); err != nil {
 			return err
 		}
 		f.Kind = loseDisk
@@ -271,7 +271,7 @@
 			return err
 		}
 		sleepFor(ctx, length)
-		if err := p.start(ctx, last); err != nil {
+		if err := p.startMember(ctx, last); err != nil {
 			return err
 		}
 		return p.renew(ctx, last)
@@ -281,7 +281,7 @@
 
 // injectAtFaultPoint causes a fault at a fault point of a voter's program, for a while. what is the point and the action,
 // in the format of testdata/faulty.go. A voter that has ended or stopped voting is restarted.
-func (p *cluster) point(ctx context.Context, at int, what string, length time.Duration) error {
+func (p *cluster) injectAtFaultPoint(ctx context.Context, at int, what string, length time.Duration) error {
 	m := p.members[at]
 	m.mu.Lock()
 	proc := m.proc
@@ -289,7 +289,7 @@
 	if proc == nil {
 		return nil
 	}
-	if err := os.WriteFile(m.faults(), []byte(what), 0o600); err != nil {
+	if err := os.WriteFile(m.faultsFile(), []byte(what), 0o600); err != nil {
 		return err
 	}
 	armed := time.Now()
@@ -298,7 +298,7 @@
 	case <-time.After(length):
 	case <-ctx.Done():
 	}
-	os.Remove(m.faults())
+	os.Remove(m.faultsFile())
 	h, err := control.NewAPIClient(m.socket).Status(ctx)
 	p.history.note(m.name, "%s: voter %q %s, %v", what, h.Voter, h.Reason, err)
 	if err == nil && h.Voter != "stopped" {
@@ -306,14 +306,14 @@
 	}
 	m.kill()
 	m.mu.Lock()
-	m.down[len(m.down)-1].from = armed // the process ended at some later moment that is not known
+	m.downSpans[len(m.downSpans)-1].from = armed // the process ended at some later moment that is not known
 	m.mu.Unlock()
-	return p.start(ctx, at)
+	return p.startMember(ctx, at)
 }
 
 // truncateLog kills the last voter, truncates its log file to the fraction of its size that the decimals of length name,
 // and restarts it. It waits until the voter serves and has a session, whether the voter still votes or not.
-func (p *cluster) tear(ctx context.Context, length float64) error {
+func (p *cluster) truncateLog(ctx context.Context, length float64) error {
 	last := p.voters - 1
 	m := p.members[last]
 	m.kill()
@@ -323,7 +323,7 @@
 		return err
 	}
 	at := int64(float64(info.Size()) * (length - math.Floor(length)))
-	if err := errors.Join(os.Truncate(path, at), p.start(ctx, last)); err != nil {
+	if err := errors.Join(os.Truncate(path, at), p.startMember(ctx, last)); err != nil {
 		return err
 	}
 	var h control.NodeStatus
@@ -352,7 +352,7 @@
 		sign = syscall.SIGSTOP
 	}
 	m.mu.Lock()
-	m.down = append(m.down, span{from: time.Now()})
+	m.downSpans = append(m.downSpans, span{from: time.Now()})
 	m.mu.Unlock()
 	found.Signal(sign)
 	return func() error {
@@ -364,7 +364,7 @@
 			if h, err := control.NewAPIClient(m.socket).Status(ctx); err == nil && h.CanServe {
 				m.mu.Lock()
 				defer m.mu.Unlock()
-				m.up()
+				m.markUp()
 				return nil
 			}
 		}
@@ -377,7 +377,7 @@
 	m, last := p.members[at], ""
 	for end := time.Now().Add(settleWait); time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 100*time.Millisecond) {
 		var code int
-		if last, code = p.ask(ctx, p.members[(at+1)%p.voters], "renew", m.name, "--why", "its disk was lost"); code != 0 {
+		if last, code = p.fleetCommand(ctx, p.members[(at+1)%p.voters], "renew", m.name, "--why", "its disk was lost"); code != 0 {
 			continue
 		}
 		for ; time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
--- a/cmd/rig/fleet.go
+++ b/cmd/rig/fleet.go
@@ -12,7 +12,7 @@
 // a hundred replaced each second, and with a third of the list flapping. The same load on twelve servers is the baseline.
 func fleetRig(ctx context.Context, o *options) error {
 	many := &o.servers
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 
 // measureFleet loads a node that has size servers, for length, and prints figures and verdicts. churn is how the list
 // changes: still, replaced or flapping. The result is the peak memory of the node before the load, in KiB.
-func (o *options) measureFleet(ctx context.Context, w *workshop, name string, size int, churn string, length time.Duration) (idle int, err error) {
+func (o *options) measureFleet(ctx context.Context, w *workspace, name string, size int, churn string, length time.Duration) (idle int, err error) {
 	class := scaleClass
 	work := map[string]standin.Work{class.Name: {Time: 2 * time.Millisecond, Bytes: 256}}
 	f, err := newFleet(size, 0, 0, work)
@@ -93,7 +93,7 @@
 				}
 				f.servers[next] = s
 				time.AfterFunc(2*time.Second, old.Close)
-				f.gone = append(f.gone, old)
+				f.replaced = append(f.replaced, old)
 				news = append(news, e, standin.EntryOf(s))
 				next = (next + 1) % size
 			}
@@ -119,7 +119,7 @@
 	o.out.figure(name+".idle_memory", idle, "KiB (VmHWM)")
 	o.out.figure(name+".memory", n.peakMemory(), "KiB (VmHWM)")
 	e := standin.Evidence{Classes: []standin.Class{class}, Answers: l.Log(), Executions: f.executions(), Notifications: f.registry.Notifications()}
-	for _, s := range f.gone {
+	for _, s := range f.replaced {
 		e.Executions = append(e.Executions, s.Log()...)
 	}
 	o.out.promise(s.WorthFraction() >= 0.97, "%s: worth %.3f", name, s.WorthFraction())
--- a/cmd/rig/gateway.go
+++ b/cmd/rig/gateway.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	overload  = 1.5  // load of the overloaded site, as a multiple of its capacity
-	lightLoad = 0.4  // load of the other site, as a multiple of its capacity
-	leastGain = 1.4  // least ratio of the overloaded site's worth with the link to its worth without
-	mostHarm  = 0.02 // most by which the other site's own worth may fall
+	overloadFactor  = 1.5  // load of the overloaded site, as a multiple of its capacity
+	lightLoadFactor = 0.4  // load of the other site, as a multiple of its capacity
+	minGain         = 1.4  // least ratio of the overloaded site's worth with the link to its worth without
+	maxHarm         = 0.02 // most by which the other site's own worth may fall
 )
 
 // oneOverloaded is the load of each site as a multiple of its capacity.
-var oneOverloaded = [2]float64{overload, lightLoad}
+var oneOverloaded = [2]float64{overloadFactor, lightLoadFactor}
 
 // evenSites is the number of servers of each site.
 var evenSites = [2]int{siteServers, siteServers}
@@ -26,7 +26,7 @@
 // between them, then breaks the link in many ways and checks that no promise is broken.
 func gatewayRig(ctx context.Context, o *options) error {
 	cuts, requests, doublings := o.cuts, o.requests, 6 // a break lasts 50 ms, doubled up to five times
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -35,7 +35,7 @@
 	if o.quick {
 		cuts, requests, steady, doublings = 10, 3000, 3*time.Second, 3
 	}
-	if err := o.hop(ctx, w); err != nil {
+	if err := o.measureHop(ctx, w); err != nil {
 		return fmt.Errorf("hop: %w", err)
 	}
 	capacity := siteServers * siteCores / meanWork()
@@ -63,10 +63,10 @@
 	o.out.figure("gateway.calm.gain", gain, "times the worth without the link, at the overloaded site")
 	o.out.figure("gateway.calm.gain.most", 1/max(worth[0][0], 1e-9), "times, if all were answered in time")
 	o.out.figure("gateway.calm.gain.orders", inTime[1][0]/max(inTime[0][0], 1e-9), "times the requests answered in time")
-	o.out.promise(gain >= leastGain, "calm: worth at least %.1f times that without the link", leastGain)
-	o.out.promise(worth[1][1] >= worth[0][1]-mostHarm, "calm: the other site's own worth falls by at most %.2f: %.3f, %.3f without the link", mostHarm, worth[1][1], worth[0][1])
+	o.out.promise(gain >= minGain, "calm: worth at least %.1f times that without the link", minGain)
+	o.out.promise(worth[1][1] >= worth[0][1]-maxHarm, "calm: the other site's own worth falls by at most %.2f: %.3f, %.3f without the link", maxHarm, worth[1][1], worth[0][1])
 
-	if err := o.odd(ctx, w, capacity, steady/2); err != nil {
+	if err := o.runOtherLoads(ctx, w, capacity, steady/2); err != nil {
 		return err
 	}
 	sites, err := openSites(ctx, w, true, evenSites, siteCores)
@@ -108,7 +108,7 @@
 		o.out.figure("gateway.cuts.tries."+name, statuses[name], "attempts that ended with this status")
 	}
 	o.out.promise(p.crossed() > 0, "cuts: requests cross the link")
-	o.out.promise(p.keysAbroad() == 0, "cuts: no keyed request crosses, whichever node its client tries next: %d did", p.keysAbroad())
+	o.out.promise(p.keyedCrossed() == 0, "cuts: no keyed request crosses, whichever node its client tries next: %d did", p.keyedCrossed())
 	o.out.promise(total >= cuts && p.orders() >= requests, "cuts: %d requests and %d cuts at least", requests, cuts)
 	for _, h := range sites {
 		for i, n := range h.nodes {
@@ -126,14 +126,14 @@
 // runOtherLoads runs cases other than a broken link: both sites overloaded at once, with and without the link, and a link
 // that is up but too slow for any deadline. The second site's clients use only one of its nodes. The other node refuses
 // nothing, and must not accept hand-offs for servers that the first node needs for its own clients.
-func (o *options) odd(ctx context.Context, w *workshop, capacity float64, length time.Duration) error {
+func (o *options) runOtherLoads(ctx context.Context, w *workspace, capacity float64, length time.Duration) error {
 	var alone [2]float64
 	for _, c := range []struct {
 		name  string
 		link  bool
 		load  [2]float64
 		delay time.Duration // each way
-	}{{"both-short-alone", false, [2]float64{overload, overload}, 0}, {"both-short", true, [2]float64{overload, overload}, time.Millisecond},
+	}{{"both-short-alone", false, [2]float64{overloadFactor, overloadFactor}, 0}, {"both-short", true, [2]float64{overloadFactor, overloadFactor}, time.Millisecond},
 		{"too-slow", true, oneOverloaded, 12 * time.Second}} {
 		sites, err := openSites(ctx, w, c.link, evenSites, siteCores)
 		if err != nil {
@@ -153,7 +153,7 @@
 			case "both-short-alone":
 				alone[i] = p.sums[i].WorthFraction()
 			case "both-short":
-				o.out.promise(p.sums[i].WorthFraction() >= alone[i]-mostHarm, "both overloaded: the worth of %s is as without the link: %.3f, %.3f without", h.name,
+				o.out.promise(p.sums[i].WorthFraction() >= alone[i]-maxHarm, "both overloaded: the worth of %s is as without the link: %.3f, %.3f without", h.name,
 					p.sums[i].WorthFraction(), alone[i])
 			}
 		}
@@ -165,8 +165,8 @@
 
 // meanWork returns the mean work of a request over all classes, in seconds of a core.
 func meanWork() (seconds float64) {
-	work := kampklipWork(1)
-	for _, c := range kampklip {
+	work := mediaWork(1)
+	for _, c := range mediaClasses {
 		seconds += c.Share * work[c.Name].Time.Seconds()
 	}
 	return seconds
--- a/cmd/rig/gatewaytrial.go
+++ b/cmd/rig/gatewaytrial.go
@@ -32,7 +32,7 @@
 			nodes = nodes[:1] // the second node may be killed, so it serves hand-offs only
 		}
 		for n, node := range nodes {
-			l := &standin.Load{Addr: node.addr, Classes: kampklip, Retries: 2, Prefix: fmt.Sprintf("%s-%s-%d-", prefix, h.name, n), KeepLog: true, Seed: p.seed + uint64(10*i+n)}
+			l := &standin.Load{Addr: node.addr, Classes: mediaClasses, Retries: 2, Prefix: fmt.Sprintf("%s-%s-%d-", prefix, h.name, n), KeepLog: true, Seed: p.seed + uint64(10*i+n)}
 			for m, other := range nodes {
 				if m != n {
 					l.RetryAddrs = append(l.RetryAddrs, other.addr)
@@ -73,7 +73,7 @@
 // crossed counts requests that ran in another site than the one whose clients sent them.
 func (p *gatewayTrial) crossed() (n int) {
 	for i := range p.sites {
-		n += ranAbroad(p.sites, i)
+		n += executedForOtherSite(p.sites, i)
 	}
 	return n
 }
@@ -85,7 +85,7 @@
 }
 
 // keyedCrossed counts keyed requests that reached a server of the other site.
-func (p *gatewayTrial) keysAbroad() (n int) {
+func (p *gatewayTrial) keyedCrossed() (n int) {
 	for i, h := range p.sites {
 		for _, x := range h.fleet.executions() {
 			if x.Key != "" && strings.Contains(x.ID, p.sites[1-i].name) {
@@ -97,7 +97,7 @@
 }
 
 // executedForOtherSite counts the requests of the other site's clients that ran at servers of site i.
-func ranAbroad(sites []*site, i int) (n int) {
+func executedForOtherSite(sites []*site, i int) (n int) {
 	for _, x := range sites[i].fleet.executions() {
 		if x.Ran && strings.Contains(x.ID, sites[1-i].name) {
 			n++
@@ -108,7 +108,7 @@
 
 // evidence collects the logs of all clients, servers and registries.
 func (p *gatewayTrial) evidence() standin.Evidence {
-	e := standin.Evidence{Classes: kampklip}
+	e := standin.Evidence{Classes: mediaClasses}
 	for i, h := range p.sites {
 		e.Executions = append(e.Executions, h.fleet.executions()...)
 		e.Notifications = append(e.Notifications, h.fleet.registry.Notifications()...)
--- a/cmd/rig/history.go
+++ b/cmd/rig/history.go
@@ -25,7 +25,7 @@
 
 // historyFile creates the file of a run's history: at the path keep or, if that is empty, in the temporary directory.
 // The returned function closes it.
-func (w *workshop) historyFile(keep string) (*history, func(), error) {
+func (w *workspace) historyFile(keep string) (*history, func(), error) {
 	path := keep
 	if path == "" {
 		path = filepath.Join(w.dir, "history.txt")
--- a/cmd/rig/hop.go
+++ b/cmd/rig/hop.go
@@ -11,7 +11,7 @@
 
 // measureHop measures the cost of a hand-off to another site. The first site's only server is closed, so that all its
 // requests cross the link.
-func (o *options) hop(ctx context.Context, w *workshop) error {
+func (o *options) measureHop(ctx context.Context, w *workspace) error {
 	sites, err := openSites(ctx, w, true, [2]int{1, siteServers}, 64)
 	if err != nil {
 		return err
@@ -24,7 +24,7 @@
 	if o.quick {
 		length = time.Second
 	}
-	ask := func(n *node, conns int) standin.Sums {
+	measure := func(n *node, conns int) standin.Sums {
 		ctx, cancel := context.WithTimeout(ctx, length+2*time.Second)
 		defer cancel()
 		l := &standin.Load{Addr: n.addr, Classes: []standin.Class{scaleClass}, Retries: 2, Prefix: fmt.Sprintf("hop%d-%s-", conns, n.addr), Seed: o.seed}
@@ -40,12 +40,12 @@
 		return err
 	}
 	o.out.figure("gateway.hop.wire", float64(trip)/1e6, "ms, the round trip of a datagram through the stand-in for the link, median")
-	here, abroad := ask(sites[1].nodes[0], 1), ask(sites[0].nodes[0], 1)
+	local, crossing := measure(sites[1].nodes[0], 1), measure(sites[0].nodes[0], 1)
 	for _, q := range []float64{0.5, 0.99} {
-		added := abroad.Times.Quantile(q) - here.Times.Quantile(q) - trip
-		o.out.figure(fmt.Sprintf("gateway.hop.added.p%.0f", 100*q), float64(added)/1e6, "ms beyond the time of a local request and the round trip of the link")
+		delay := crossing.Times.Quantile(q) - local.Times.Quantile(q) - trip
+		o.out.figure(fmt.Sprintf("gateway.hop.added.p%.0f", 100*q), float64(delay)/1e6, "ms beyond the time of a local request and the round trip of the link")
 	}
-	o.out.figure("gateway.hop.served", fmt.Sprintf("%d of %d", abroad.Served, abroad.Orders), "requests, one connection")
+	o.out.figure("gateway.hop.served", fmt.Sprintf("%d of %d", crossing.Served, crossing.Orders), "requests, one connection")
 	carried := func() (datagrams, bytes int64) {
 		for _, wire := range sites[1].wires {
 			d, b := wire.Carried()
@@ -55,7 +55,7 @@
 	}
 	d0, b0 := carried()
 	cpu0, ran0 := sites[0].nodes[0].cpu(), ranInSecond(sites)
-	s := ask(sites[0].nodes[0], 64)
+	s := measure(sites[0].nodes[0], 64)
 	d1, b1 := carried()
 	ran := ranInSecond(sites) - ran0
 	if ran > 0 {
@@ -64,7 +64,7 @@
 		o.out.figure("gateway.hop.bytes", (b1-b0)/int64(ran), "bytes for each hand-off, both ways, with an answer of 2 KiB")
 		o.out.figure("gateway.hop.datagrams", float64(d1-d0)/float64(ran), "datagrams for each hand-off, both ways")
 	}
-	o.out.promise(abroad.Served > 0 && ran > 0, "hop: requests cross")
+	o.out.promise(crossing.Served > 0 && ran > 0, "hop: requests cross")
 	return nil
 }
 
--- a/cmd/rig/linkfaults.go
+++ b/cmd/rig/linkfaults.go
@@ -8,17 +8,17 @@
 	"starlingvalve/internal/standin"
 )
 
-const throttled = 20_000 // bytes a second on each path, about ten answers of 2 KiB
+const throttleRate = 20_000 // bytes a second on each path, about ten answers of 2 KiB
 
 // breakLink breaks the link to a site for 50 ms, doubled a random number of times below doublings, restores it, and waits
 // a moment. i chooses the kind of fault. The result is that kind, with the suffix -failed if the link or the node could not
 // be restored.
-func breakLink(ctx context.Context, w *workshop, r *rand.Rand, far *site, i, doublings int) (kind string) {
+func breakLink(ctx context.Context, w *workspace, r *rand.Rand, target *site, i, doublings int) (kind string) {
 	kinds := []string{"silent", "no-requests", "no-answers", "slow", "lossy", "one-path", "killed", "terminated", "refused", "throttled"}
 	kind = kinds[i%len(kinds)]
 	length := time.Duration(float64(50*time.Millisecond) * float64(int(1)<<r.IntN(doublings)))
 	each := func(f func(*standin.Wire)) {
-		for _, wire := range far.wires {
+		for _, wire := range target.wires {
 			f(wire)
 		}
 	}
@@ -36,20 +36,20 @@
 	case "refused":
 		each((*standin.Wire).ClosePort)
 	case "throttled":
-		each(func(w *standin.Wire) { w.Throttle(throttled) })
+		each(func(w *standin.Wire) { w.Throttle(throttleRate) })
 	case "one-path":
-		far.wires[r.IntN(len(far.wires))].Cut(true, true)
+		target.wires[r.IntN(len(target.wires))].Cut(true, true)
 	case "killed", "terminated":
 		// All hand-offs go to the last node for a while, so that it has some when it ends.
-		last := len(far.nodes) - 1
-		far.wires[0].Cut(true, true)
+		last := len(target.nodes) - 1
+		target.wires[0].Cut(true, true)
 		sleepFor(ctx, 1500*time.Millisecond)
 		if kind == "killed" {
-			far.nodes[last].kill()
+			target.nodes[last].kill()
 		} else {
-			far.nodes[last].stop()
+			target.nodes[last].stop()
 		}
-		if err := far.start(ctx, w, last); err != nil {
+		if err := target.startNode(ctx, w, last); err != nil {
 			return kind + "-failed"
 		}
 	}
--- a/cmd/rig/main.go
+++ b/cmd/rig/main.go
@@ -30,9 +30,9 @@
 
 // rig is one of the command's test rigs.
 type rig struct {
-	about string
-	run   func(ctx context.Context, o *options) error
-	flags func(fs *pflag.FlagSet, o *options) // adds the rig's own flags; nil: none
+	summary string
+	run     func(ctx context.Context, o *options) error
+	flags   func(fs *pflag.FlagSet, o *options) // adds the rig's own flags; nil: none
 }
 
 // options are the values of the flags, both those of all rigs and those of single rigs.
@@ -134,7 +134,7 @@
 	root.PersistentFlags().BoolVar(&o.quick, "quick", false, "end within a minute on two cores")
 	root.PersistentFlags().StringVar(&o.binary, "bin", "", "`path` of the program; built if empty")
 	for name, r := range rigs {
-		c := &cobra.Command{Use: name, Short: r.about, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return r.run(c.Context(), o) }}
+		c := &cobra.Command{Use: name, Short: r.summary, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return r.run(c.Context(), o) }}
 		if r.flags != nil {
 			r.flags(c.Flags(), o)
 		}
@@ -142,24 +142,24 @@
 	}
 	// Parts of rigs that run as separate processes.
 	var listen, servers string
-	proxy := &cobra.Command{Use: "proxy", Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return plainProxy(c.Context(), listen, servers) }}
-	proxy.Flags().StringVar(&listen, "listen", "", "address")
-	proxy.Flags().StringVar(&servers, "servers", "", "addresses, separated by commas")
+	proxyCmd := &cobra.Command{Use: "proxy", Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return plainProxy(c.Context(), listen, servers) }}
+	proxyCmd.Flags().StringVar(&listen, "listen", "", "address")
+	proxyCmd.Flags().StringVar(&servers, "servers", "", "addresses, separated by commas")
 	var length time.Duration
-	busy := &cobra.Command{Use: "spin", Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return spin(c.Context(), length) }}
-	busy.Flags().DurationVar(&length, "for", time.Second, "time, at most a minute")
-	nodes := &cobra.Command{Use: "hollow FILE", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+	spinCmd := &cobra.Command{Use: "spin", Hidden: true, Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error { return spin(c.Context(), length) }}
+	spinCmd.Flags().DurationVar(&length, "for", time.Second, "time, at most a minute")
+	hollowCmd := &cobra.Command{Use: "hollow FILE", Hidden: true, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 		return hollow.Main(args[0], os.Stdin, os.Stdout)
 	}}
 	// The program's flags must not be parsed as flags of this command.
-	broken := &cobra.Command{Use: "failing PROGRAM", Hidden: true, DisableFlagParsing: true, RunE: func(_ *cobra.Command, args []string) error { return failing(args) }}
-	root.AddCommand(proxy, busy, nodes, broken)
-	root.SetArgs(dashes(args))
+	failingCmd := &cobra.Command{Use: "failing PROGRAM", Hidden: true, DisableFlagParsing: true, RunE: func(_ *cobra.Command, args []string) error { return execWithFailingCalls(args) }}
+	root.AddCommand(proxyCmd, spinCmd, hollowCmd, failingCmd)
+	root.SetArgs(doubleDashFlags(args))
 	return root
 }
 
 // doubleDashFlags lets long flags have one dash, as in -quick, by adding the second. Only -h has a short form.
-func dashes(args []string) []string {
+func doubleDashFlags(args []string) []string {
 	out := append([]string(nil), args...)
 	for i, a := range out {
 		if len(a) > 2 && a[0] == '-' && a[1] != '-' && (a[1] < '0' || a[1] > '9') {
@@ -194,12 +194,12 @@
 
 // promise prints a promise after kept or BROKEN, and counts the broken ones.
 func (r *report) promise(kept bool, format string, args ...any) {
-	word := "kept"
+	verdict := "kept"
 	if !kept {
-		word = "BROKEN"
+		verdict = "BROKEN"
 		r.broken++
 	}
-	fmt.Fprintln(r.w, word, fmt.Sprintf(format, args...))
+	fmt.Fprintln(r.w, verdict, fmt.Sprintf(format, args...))
 }
 
 // verdicts prints the verdicts of checkers, and counts the broken ones.
--- a/cmd/rig/record.go
+++ b/cmd/rig/record.go
@@ -14,12 +14,12 @@
 
 // minRecordingRateRatio is the least accepted request rate of a node that records, as a fraction of the rate of one that
 // does not.
-const leastRecorded = 0.98
+const minRecordingRateRatio = 0.98
 
 // recordRig measures the cost of recording traffic. It loads two nodes in turn on one core; one of them records all
 // requests.
 func recordRig(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
 	}
-	rate, cost, with, err := o.beside(ctx, w, f, "record", rounds, window, "-record", file)
+	rate, cost, with, err := o.compareWithFlags(ctx, w, f, "record", rounds, window, "-record", file)
 	if err != nil {
 		return err
 	}
@@ -58,14 +58,14 @@
 	o.out.figure("record.records", records, "attempts recorded")
 	o.out.figure("record.bytes", float64(size.Size())/float64(max(1, records)), "bytes for each attempt")
 	o.out.promise(err == nil && records > 0, "the trace is complete: %v", err)
-	o.out.promise(rate >= leastRecorded, "with recording at least %.2f of the requests a second", leastRecorded)
+	o.out.promise(rate >= minRecordingRateRatio, "with recording at least %.2f of the requests a second", minRecordingRateRatio)
 	return nil
 }
 
 // compareWithFlags compares a node that has the flags args with one that has none. Both run on one core and are loaded in
 // turn, for window in each of rounds. rate and cost are the requests a second and the processor time of a request, each as
 // the median over the rounds of its ratio to that of the node without flags. The node with the flags keeps running.
-func (o *options) beside(ctx context.Context, w *workshop, f *fleet, name string, rounds int, window time.Duration, args ...string) (rate, cost float64, with *node, err error) {
+func (o *options) compareWithFlags(ctx context.Context, w *workspace, f *fleet, name string, rounds int, window time.Duration, args ...string) (rate, cost float64, flagged *node, err error) {
 	var nodes [2]*node
 	for i := range nodes {
 		opts := nodeOptions{name: fmt.Sprint(name, i), registry: f.registry.Addr, classes: []standin.Class{scaleClass}, memoryMB: 192, sockets: 1024, zone: "hall-a", coldFrom: 0.3, coldTime: time.Second}
@@ -88,7 +88,7 @@
 				return 0, 0, nil, ctx.Err()
 			}
 			before := n.cpu()
-			s := r.closed(ctx, n, []standin.Class{scaleClass}, 64, window, nil)
+			s := r.runClosed(ctx, n, []standin.Class{scaleClass}, 64, window, nil)
 			rate[i] = float64(s.Served)
 			cpu[i] = float64(n.cpu()-before) / float64(max(1, s.Served))
 		}
--- a/cmd/rig/release.go
+++ b/cmd/rig/release.go
@@ -31,7 +31,7 @@
 		}
 		return nil
 	}
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 		return err
 	}
 	defer closeHistory()
-	f, err := openZones(servers, zones, 8, kampklipWork(1))
+	f, err := openZones(servers, zones, 8, mediaWork(1))
 	if err != nil {
 		return err
 	}
@@ -95,7 +95,7 @@
 		voting = append(voting, m.name)
 	}
 	r.waves = append(r.waves, voting)
-	if r.before, err = r.hold(r.program); err != nil {
+	if r.currentVersion, err = r.addProgram(r.program); err != nil {
 		return err
 	}
 	printFaults(o.out.w, list)
@@ -103,8 +103,8 @@
 	loading, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var running sync.WaitGroup
-	loads := r.p.load(loading, &running, kampklip, rate, o.seed)
-	noise := newNoise(loading)
+	loads := r.p.load(loading, &running, mediaClasses, rate, o.seed)
+	noise := startNoiseMeter(loading)
 	began := time.Now()
 	h.mu.Lock()
 	h.began = began
@@ -138,18 +138,18 @@
 	if injected != nil && !errors.Is(injected, context.Canceled) {
 		return injected
 	}
-	calm := time.Now()
-	settled := r.p.settled(ctx)
-	inAgain := time.Since(calm)
+	faultsOver := time.Now()
+	settled := r.p.awaitSettled(ctx)
+	recoveryTime := time.Since(faultsOver)
 	stopLoad()
 	running.Wait()
 
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications()}
-	spared := 0
+	e := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications()}
+	excused := 0
 	for i, l := range loads {
 		for _, a := range l.Log() {
-			if a.Status != 200 && r.p.members[i].downIn(a.Sent, a.EndedAt) {
-				spared++
+			if a.Status != 200 && r.p.members[i].downDuring(a.Sent, a.EndedAt) {
+				excused++
 				continue
 			}
 			e.Answers = append(e.Answers, a)
@@ -157,18 +157,18 @@
 	}
 	for _, run := range r.runs {
 		fmt.Fprintf(o.out.w, "release %s: %s, wave %d, %d of %d nodes met it, halted after %.1f s, over after %.1f s, %d hands: %s\n", run.kind, run.state, run.wave, run.affected, members,
-			run.halted.Seconds(), run.ended.Seconds(), run.hands, run.cause)
+			run.halted.Seconds(), run.ended.Seconds(), run.resumes, run.cause)
 	}
 	o.out.figure("release.faults", len(list), "faults drawn")
 	o.out.figure("release.runs", len(r.runs), "releases")
 	o.out.figure("release.tries", len(e.Answers), "attempts of clients")
-	o.out.figure("release.spared", spared, "attempts without an answer, as the node was killed or stopped")
+	o.out.figure("release.spared", excused, "attempts without an answer, as the node was killed or stopped")
 	o.out.figure("release.noise", noise.longest().Seconds()*1e3, "ms, the longest delay of the rig itself")
 	for _, k := range kinds {
 		o.out.promise(found[k.name] > 0, "a version that is %s ends as expected, by its own cause: %d times", strings.Replace(k.name, "fine", "bad, but fine", 1), found[k.name])
 	}
-	o.out.promise(len(r.said) == 0, "each release is done, or halts with no wave affected beyond the allowed ones and is rolled back completely: %s", strings.Join(r.said, "; "))
-	o.out.promise(settled == nil && inAgain < settleWait, "after the last fault all members have a session again within %v: %s", settleWait, errText(settled))
+	o.out.promise(len(r.violations) == 0, "each release is done, or halts with no wave affected beyond the allowed ones and is rolled back completely: %s", strings.Join(r.violations, "; "))
+	o.out.promise(settled == nil && recoveryTime < settleWait, "after the last fault all members have a session again within %v: %s", settleWait, errText(settled))
 	o.out.verdicts(standin.Check(e))
 	return nil
 }
--- a/cmd/rig/release_test.go
+++ b/cmd/rig/release_test.go
@@ -20,14 +20,14 @@
 )
 
 // downWatch records the largest number of members that refuse connections in one pass over all of them, and which ones.
-type watch struct {
+type downWatch struct {
 	mu    sync.Mutex
 	worst int
 	who   string
 }
 
 // run polls the members until ctx ends.
-func (w *watch) run(ctx context.Context, p *cluster) {
+func (w *downWatch) run(ctx context.Context, p *cluster) {
 	client := &http.Client{Timeout: 200 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}
 	for ctx.Err() == nil {
 		down := []string{}
@@ -56,12 +56,12 @@
 // under load. A program that ends at once, one that is never ready, and one that is ready but serves no request halt at the
 // canary, are rolled back completely and can't be started again. A good release goes on while a supervisor is killed.
 func TestReleasesOnProcesses(t *testing.T) {
-	w, err := newWorkshop(t.Context(), "")
+	w, err := newWorkspace(t.Context(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	f, err := openZones(6, []string{"a"}, 4, kampklipWork(0.2))
+	f, err := openZones(6, []string{"a"}, 4, mediaWork(0.2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,14 +76,14 @@
 		t.Fatal(err)
 	}
 	// hold adds a program to the store of every supervisor, and returns its version.
-	hold := func(name string, content []byte) (version string) {
+	addProgram := func(name string, content []byte) (version string) {
 		t.Helper()
 		path := filepath.Join(w.dir, name)
 		if err := os.WriteFile(path, content, 0o700); err != nil {
 			t.Fatal(err)
 		}
 		for _, m := range p.members {
-			out, err := exec.Command(w.binary, "supervise", m.supervisor(), "--add", path).Output()
+			out, err := exec.Command(w.binary, "supervise", m.supervisorFile(), "--add", path).Output()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -91,10 +91,10 @@
 		}
 		return version
 	}
-	before := hold("before", program)
-	good, crash, never := hold("good", append(program, "next"...)), hold("crash", []byte("#!/bin/sh\nexit 3\n")), hold("never", []byte("#!/bin/sh\nexec sleep 60\n"))
+	before := addProgram("before", program)
+	good, crash, never := addProgram("good", append(program, "next"...)), addProgram("crash", []byte("#!/bin/sh\nexit 3\n")), addProgram("never", []byte("#!/bin/sh\nexec sleep 60\n"))
 	// This version starts, is ready, and reaches no server: its connect timeout is a nanosecond.
-	deaf := hold("deaf", []byte("#!/bin/sh\nsed 's/\"connect_timeout_ns\": [0-9]*/\"connect_timeout_ns\": 1/' $GW_CONFIG > $GW_CONFIG.deaf\nexport GW_CONFIG=$GW_CONFIG.deaf\nexec "+w.binary+" \"$@\"\n"))
+	unreaching := addProgram("deaf", []byte("#!/bin/sh\nsed 's/\"connect_timeout_ns\": [0-9]*/\"connect_timeout_ns\": 1/' $GW_CONFIG > $GW_CONFIG.deaf\nexport GW_CONFIG=$GW_CONFIG.deaf\nexec "+w.binary+" \"$@\"\n"))
 	plan := func(name, version string, limit time.Duration) string {
 		path := filepath.Join(w.dir, name+".toml")
 		text := fmt.Sprintf("[release]\nname = %q\nversion = %q\nbefore = %q\nsoak_ms = 300\nlimit_ms = %d\nmost_crashes = 1\nhealth = true\nturn_back = true\n", name, version, before, limit.Milliseconds())
@@ -122,7 +122,7 @@
 		}
 		return s
 	}
-	until := func(what string, done func(s status) bool) status {
+	waitUntil := func(what string, done func(s status) bool) status {
 		t.Helper()
 		for end := time.Now().Add(4 * settleWait); ; sleepFor(t.Context(), 50*time.Millisecond) {
 			s := readStatus()
@@ -130,12 +130,12 @@
 				return s
 			}
 			if time.Now().After(end) {
-				text, _ := p.ask(t.Context(), p.members[0], "history")
+				text, _ := p.fleetCommand(t.Context(), p.members[0], "history")
 				t.Fatalf("%s: not within %v: %+v\n%s", what, 4*settleWait, s, text)
 			}
 		}
 	}
-	all := func(s status, version string) (n int) {
+	countReady := func(s status, version string) (n int) {
 		for _, u := range s.Units {
 			if u.Version == version && u.State == "ready" {
 				n++
@@ -143,38 +143,38 @@
 		}
 		return n
 	}
-	until("the supervisors report all nodes", func(s status) bool { return all(s, before) == 5 })
+	waitUntil("the supervisors report all nodes", func(s status) bool { return countReady(s, before) == 5 })
 
 	loading, stop := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	seen := &watch{}
-	running.Go(func() { seen.run(loading, p) })
+	downtime := &downWatch{}
+	running.Go(func() { downtime.run(loading, p) })
 	// With only two classes a wave's health is known within seconds: the judgement takes about 250 requests of each class.
 	var classes []standin.Class
-	for _, c := range kampklip {
+	for _, c := range mediaClasses {
 		if c.Name == "viewer-clip" || c.Name == "cut-order" {
 			c.Share = 0.5
 			classes = append(classes, c)
 		}
 	}
 	loads := p.load(loading, &running, classes, 120, 0)
-	say := func(want int, part string, args ...string) {
+	runRelease := func(want int, part string, args ...string) {
 		t.Helper()
 		if text, code := p.command(t.Context(), p.members[1], "release", args...); code != want || !strings.Contains(text, part) {
 			t.Fatalf("%v: exit code %d, %s; want %d with %q", args, code, text, want, part)
 		}
 	}
-	for _, bad := range []struct{ name, version, cause string }{{"crashing", crash, "crashes of version"}, {"mute", never, "crashes of version"}, {"deaf", deaf, "wave 1 does worse"}} {
+	for _, bad := range []struct{ name, version, cause string }{{"crashing", crash, "crashes of version"}, {"mute", never, "crashes of version"}, {"deaf", unreaching, "wave 1 does worse"}} {
 		file := plan(bad.name, bad.version, 20*time.Second)
-		say(0, "would be done", "plan", file)
-		say(0, "done", "start", file)
-		s := until(bad.name+" is rolled back", func(s status) bool { return s.Release.State == "turned back" })
-		if all(s, before) != 5 || s.Release.Wave != 0 || !strings.Contains(s.Release.Cause, bad.cause) {
+		runRelease(0, "would be done", "plan", file)
+		runRelease(0, "done", "start", file)
+		s := waitUntil(bad.name+" is rolled back", func(s status) bool { return s.Release.State == "turned back" })
+		if countReady(s, before) != 5 || s.Release.Wave != 0 || !strings.Contains(s.Release.Cause, bad.cause) {
 			t.Errorf("%s: %+v", bad.name, s)
 		}
-		say(3, "turned back before", "start", file)
+		runRelease(3, "turned back before", "start", file)
 	}
 	for _, m := range p.members[:4] { // only the canary got the bad versions
 		if text := strings.Join(m.logs(), ""); strings.Contains(text, "supervise: turn") {
@@ -182,23 +182,23 @@
 		}
 	}
 
-	say(0, "done", "start", plan("good", good, time.Minute))
-	until("the canary is done", func(s status) bool { return s.Release.Wave >= 1 })
+	runRelease(0, "done", "start", plan("good", good, time.Minute))
+	waitUntil("the canary is done", func(s status) bool { return s.Release.Wave >= 1 })
 	p.members[3].kill() // only the supervisor: its node runs on
-	if err := p.start(t.Context(), 3); err != nil {
+	if err := p.startMember(t.Context(), 3); err != nil {
 		t.Fatal(err)
 	}
-	s := until("the release is done", func(s status) bool { return s.Release.State != "running" })
-	if s.Release.State != "done" || all(s, good) != 5 {
-		text, _ := p.ask(t.Context(), p.members[0], "history")
+	s := waitUntil("the release is done", func(s status) bool { return s.Release.State != "running" })
+	if s.Release.State != "done" || countReady(s, good) != 5 {
+		text, _ := p.fleetCommand(t.Context(), p.members[0], "history")
 		t.Errorf("%+v\n%s", s, text)
 	}
 	stop()
 	running.Wait()
-	if seen.worst > 1 {
-		t.Errorf("%d nodes were down at one moment: %s", seen.worst, seen.who)
+	if downtime.worst > 1 {
+		t.Errorf("%d nodes were down at one moment: %s", downtime.worst, downtime.who)
 	}
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications()}
+	e := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications()}
 	for _, l := range loads {
 		e.Answers = append(e.Answers, l.Log()...)
 	}
@@ -225,11 +225,11 @@
 		}
 		// A run in which the machine delayed the rig itself is void and is repeated; the promises stay as strict.
 		_, rest, _ := strings.Cut(text, "release.noise ")
-		word, _, _ := strings.Cut(rest, " ")
-		if late, err := strconv.ParseFloat(word, 64); err != nil || late < 100 || try == 2 {
+		lateMs, _, _ := strings.Cut(rest, " ")
+		if late, err := strconv.ParseFloat(lateMs, 64); err != nil || late < 100 || try == 2 {
 			t.Fatalf("%d promises broken, %v:\n%s", broken, rigErr, text)
 		}
-		t.Logf("the machine delayed the rig by %s ms: the run is repeated", word)
+		t.Logf("the machine delayed the rig by %s ms: the run is repeated", lateMs)
 	}
 	if strings.Count(text, "turned back, wave 1, 1 of 6 nodes met it") != 2 {
 		t.Error(text)
--- a/cmd/rig/releasetable.go
+++ b/cmd/rig/releasetable.go
@@ -20,68 +20,68 @@
 //     exceed 5%, the median latency rises by half, or two processes crash, the release is rolled back at once, ten nodes at
 //     a time, 10 s apart.
 const (
-	modelNodes  = 100
-	modelZones  = 4
-	modelVoters = 5
-	modelRate   = 40.0     // requests a second at each node
-	modelFails  = 0.0005   // chance that a request fails at a good node
-	modelSpread = 0.4      // standard deviation of the logarithm of the latency
-	modelMedian = 20e-3    // seconds, the median latency
-	modelOut    = 10       // nodes that may be out at once, by the budget
-	modelOlds   = 10       // nodes of the old version whose requests are drawn; the others would be alike
-	leakRate    = 1.0      // MB a second
-	leakFrom    = 25.0     // MB at the start of a process
-	leakMost    = 192.0    // MB at which a leaking process ends
-	modelLimit  = 2 * 3600 // seconds after which a trial ends
+	modelNodes       = 100
+	modelZones       = 4
+	modelVoters      = 5
+	modelRate        = 40.0     // requests a second at each node
+	modelFailureRate = 0.0005   // chance that a request fails at a good node
+	modelSpread      = 0.4      // standard deviation of the logarithm of the latency
+	modelMedian      = 20e-3    // seconds, the median latency
+	modelMaxOut      = 10       // nodes that may be out at once, by the budget
+	modelOldSampled  = 10       // nodes of the old version whose requests are drawn; the others would be alike
+	leakRate         = 1.0      // MB a second
+	leakFrom         = 25.0     // MB at the start of a process
+	leakLimit        = 192.0    // MB at which a leaking process ends
+	modelLimit       = 2 * 3600 // seconds after which a trial ends
 )
 
 // modelKind is how a version is bad in the model.
 type modelKind struct {
-	name   string
-	fails  map[string]float64 // added chance that a request fails, by class; "" is added for each class
-	slower float64            // factor on the latency; 0: none
-	crash  bool               // crashes at its start
-	leaks  bool               // leaks memory
-	zone   int                // bad in this zone only; -1: everywhere
-	leads  bool               // crashes once the node is the leader
+	name            string
+	failureRates    map[string]float64 // added chance that a request fails, by class; "" is added for each class
+	workFactor      float64            // factor on the latency; 0: none
+	crash           bool               // crashes at its start
+	leaks           bool               // leaks memory
+	zone            int                // bad in this zone only; -1: everywhere
+	crashesAsLeader bool               // crashes once the node is the leader
 }
 
 // modelKinds are the kinds of versions in the model.
 var modelKinds = []modelKind{
 	{name: "good", zone: -1},
 	{name: "crashes at start", crash: true, zone: -1},
-	{name: "refuses everything", fails: map[string]float64{"": 1}, zone: -1},
-	{name: "fails 2% of a class", fails: map[string]float64{"cut-order": 0.02}, zone: -1},
-	{name: "10% slow", slower: 1.1, zone: -1},
+	{name: "refuses everything", failureRates: map[string]float64{"": 1}, zone: -1},
+	{name: "fails 2% of a class", failureRates: map[string]float64{"cut-order": 0.02}, zone: -1},
+	{name: "10% slow", workFactor: 1.1, zone: -1},
 	{name: "leaks 1 MB/s", leaks: true, zone: -1},
-	{name: "refuses in one zone", fails: map[string]float64{"": 1}, zone: modelZones - 1},
-	{name: "ends once it leads", leads: true, zone: -1},
+	{name: "refuses in one zone", failureRates: map[string]float64{"": 1}, zone: modelZones - 1},
+	{name: "ends once it leads", crashesAsLeader: true, zone: -1},
 }
 
 // modelNode is a node of the model. It runs a version or is being replaced.
 type modelNode struct {
-	name    string
-	zone    int
-	voter   bool
-	fresh   bool   // has the new version
-	began   int    // second at which its process started
-	until   int    // second at which its replacement is over
-	turn    uint64 // epoch of the last turn in the release
-	crashed bool
+	name       string
+	zone       int
+	voter      bool
+	fresh      bool   // has the new version
+	began      int    // second at which its process started
+	replacedAt int    // second at which its replacement is over
+	turn       uint64 // epoch of the last turn in the release
+	crashed    bool
 }
 
 // modelTrial is one release in the model.
 type modelTrial struct {
-	k       modelKind
-	r       *rand.Rand
-	now     int // seconds since the start
-	nodes   []*modelNode
-	leader  int             // index of a voter
-	met     map[string]bool // nodes that got the new version
-	harmed  float64         // requests that failed or were slowed down by the new version
-	crashes int
-	halted  int // second at which the release halted; 0: never
-	back    int // second at which the rollback was complete; 0: never
+	k             modelKind
+	r             *rand.Rand
+	now           int // seconds since the start
+	nodes         []*modelNode
+	leader        int             // index of a voter
+	replacedNodes map[string]bool // nodes that got the new version
+	harmed        float64         // requests that failed or were slowed down by the new version
+	crashes       int
+	halted        int // second at which the release halted; 0: never
+	back          int // second at which the rollback was complete; 0: never
 }
 
 // modelRun is the outcome of a modelTrial.
@@ -94,7 +94,7 @@
 
 // newModelTrial makes a trial in which all nodes have the old version.
 func newModelTrial(k modelKind, seed uint64) *modelTrial {
-	p := &modelTrial{k: k, r: rand.New(rand.NewPCG(seed, 0x7461626c65)), met: map[string]bool{}}
+	p := &modelTrial{k: k, r: rand.New(rand.NewPCG(seed, 0x7461626c65)), replacedNodes: map[string]bool{}}
 	for i := range modelNodes {
 		p.nodes = append(p.nodes, &modelNode{name: fmt.Sprintf("n%03d", i), zone: i % modelZones, voter: i < modelVoters})
 	}
@@ -107,14 +107,14 @@
 // replace begins to replace a node's process by one of the new or the old version. This takes two seconds; then
 // finishReplace is called.
 func (p *modelTrial) replace(n *modelNode, fresh bool) {
-	n.fresh, n.until, n.crashed = fresh, p.now+2, false
+	n.fresh, n.replacedAt, n.crashed = fresh, p.now+2, false
 	if fresh {
-		p.met[n.name] = true
+		p.replacedNodes[n.name] = true
 	}
 }
 
 // finishReplace starts the new process of a node whose replacement is over, and reports whether it runs.
-func (p *modelTrial) starts(n *modelNode) bool {
+func (p *modelTrial) finishReplace(n *modelNode) bool {
 	n.began = p.now
 	n.crashed = p.bad(n) && p.k.crash
 	if n.crashed {
@@ -125,31 +125,31 @@
 
 // step simulates one second: it counts the requests that the new version harms, and ends processes. It returns the nodes
 // whose process crashed.
-func (p *modelTrial) second() (ended []*modelNode) {
+func (p *modelTrial) step() (ended []*modelNode) {
 	p.now++
 	for i, n := range p.nodes {
-		if p.now < n.until || n.crashed {
+		if p.now < n.replacedAt || n.crashed {
 			continue
 		}
 		if p.bad(n) {
-			for _, c := range kampklip {
+			for _, c := range mediaClasses {
 				share := modelRate * c.Share
 				switch {
-				case p.k.slower > 1:
+				case p.k.workFactor > 1:
 					p.harmed += share
 				default:
-					p.harmed += share * min(1, p.k.fails[""]+p.k.fails[c.Name])
+					p.harmed += share * min(1, p.k.failureRates[""]+p.k.failureRates[c.Name])
 				}
 			}
 		}
-		dies := p.k.leaks && p.bad(n) && leakFrom+leakRate*float64(p.now-n.began) > leakMost || p.k.leads && p.bad(n) && i == p.leader
+		dies := p.k.leaks && p.bad(n) && leakFrom+leakRate*float64(p.now-n.began) > leakLimit || p.k.crashesAsLeader && p.bad(n) && i == p.leader
 		if dies {
 			p.harmed += modelRate // its open requests, and those that arrive before others notice the crash
 			p.crashes++
 			n.began = p.now
 			ended = append(ended, n)
 		}
-		if i == p.leader && (dies || n.until == p.now) { // another voter becomes the leader
+		if i == p.leader && (dies || n.replacedAt == p.now) { // another voter becomes the leader
 			p.leader = (p.leader + 1) % modelVoters
 		}
 	}
@@ -157,25 +157,25 @@
 }
 
 // drawRequests draws the requests of a node in one second and adds their results to into, by class.
-func (p *modelTrial) ends(n *modelNode, into map[string]health.ClassCounts) {
-	for _, c := range kampklip {
+func (p *modelTrial) drawRequests(n *modelNode, into map[string]health.ClassCounts) {
+	for _, c := range mediaClasses {
 		e := into[c.Name]
 		if e.Latencies == nil {
 			e.Latencies = make([]uint64, health.Buckets)
 		}
 		count := modelRate * c.Share
 		for range int(count) + map[bool]int{true: 1}[p.r.Float64() < count-math.Floor(count)] {
-			fails, slower := modelFails, 1.0
+			fails, slower := modelFailureRate, 1.0
 			if p.bad(n) {
-				fails += p.k.fails[""] + p.k.fails[c.Name]
-				slower = max(1, p.k.slower)
+				fails += p.k.failureRates[""] + p.k.failureRates[c.Name]
+				slower = max(1, p.k.workFactor)
 			}
 			if p.r.Float64() < fails {
 				e.Failed++
 				continue
 			}
 			e.Served++
-			at, _ := slices.BinarySearch(modelBounds[c.Name], time.Duration(modelMedian*slower*math.Exp(modelSpread*p.r.NormFloat64())*1e9))
+			at, _ := slices.BinarySearch(modelLatencyBounds[c.Name], time.Duration(modelMedian*slower*math.Exp(modelSpread*p.r.NormFloat64())*1e9))
 			e.Latencies[at]++
 		}
 		into[c.Name] = e
@@ -183,9 +183,9 @@
 }
 
 // modelLatencyBounds are the bounds of the latency histogram of each class.
-var modelBounds = func() map[string][]time.Duration {
+var modelLatencyBounds = func() map[string][]time.Duration {
 	all := map[string][]time.Duration{}
-	for _, c := range kampklip {
+	for _, c := range mediaClasses {
 		all[c.Name] = health.LatencyBounds(c.Aim)
 	}
 	return all
@@ -200,9 +200,9 @@
 }
 
 // countRunning counts the nodes that run the new version or, if fresh is false, the old one.
-func (p *modelTrial) has(fresh bool) (n int) {
+func (p *modelTrial) countRunning(fresh bool) (n int) {
 	for _, x := range p.nodes {
-		if x.fresh == fresh && !x.crashed && p.now >= x.until {
+		if x.fresh == fresh && !x.crashed && p.now >= x.replacedAt {
 			n++
 		}
 	}
@@ -210,8 +210,8 @@
 }
 
 // result returns the outcome of the trial.
-func (p *modelTrial) run() modelRun {
-	r := modelRun{met: len(p.met), halted: p.halted, back: p.back, harmed: p.harmed, done: p.has(true) == modelNodes && p.halted == 0}
+func (p *modelTrial) result() modelRun {
+	r := modelRun{met: len(p.replacedNodes), halted: p.halted, back: p.back, harmed: p.harmed, done: p.countRunning(true) == modelNodes && p.halted == 0}
 	return r
 }
 
--- a/cmd/rig/releasetrial.go
+++ b/cmd/rig/releasetrial.go
@@ -22,17 +22,17 @@
 
 // releaseTrial runs releases of good and bad versions one after another on one cluster.
 type releaseTrial struct {
-	p                     *cluster
-	f                     *fleet
-	r                     *rand.Rand
-	bad, program          []byte            // binaries: the program with testdata/bad.go, and without
-	before                string            // version that all nodes have between releases
-	number                int               // of the last request ID and version
-	slow, failing, nobody *standin.Registry // lists with slower servers, with failing ones, and with closed ports
-	waves                 [][]string        // names of the nodes in each wave
+	p                       *cluster
+	f                       *fleet
+	r                       *rand.Rand
+	bad, program            []byte            // binaries: the program with testdata/bad.go, and without
+	currentVersion          string            // version that all nodes have between releases
+	number                  int               // of the last request ID and version
+	slow, failing, refusing *standin.Registry // lists with slower servers, with failing ones, and with closed ports
+	waves                   [][]string        // names of the nodes in each wave
 
-	said []string // violations that were found
-	runs []releaseRun
+	violations []string // violations that were found
+	runs       []releaseRun
 }
 
 // releaseRun is the course of one release, as the rig observed it.
@@ -42,17 +42,17 @@
 	wave          int           // last wave that began, counted from 1
 	affected      int           // nodes that got the version
 	halted, ended time.Duration // since the start; halted is 0 if it never halted
-	hands         int           // times that the rig, as the operator, resumed it
+	resumes       int           // times that the rig, as the operator, resumed it
 }
 
 // addViolation records a violation and writes it to the history.
-func (r *releaseTrial) wrong(format string, args ...any) {
-	r.said = append(r.said, fmt.Sprintf(format, args...))
+func (r *releaseTrial) addViolation(format string, args ...any) {
+	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 	r.p.history.note("WRONG", format, args...)
 }
 
 // sideRegistry makes a registry that lists each server at an additional listener, which treats requests as side says.
-func (f *fleet) throughListeners(side standin.SideOptions) (*standin.Registry, error) {
+func (f *fleet) sideRegistry(side standin.SideOptions) (*standin.Registry, error) {
 	var entries []standin.Entry
 	for _, s := range f.servers {
 		e := standin.EntryOf(s)
@@ -67,19 +67,19 @@
 
 // registries makes the registries that bad versions use: slow, failing, and refusing.
 func (r *releaseTrial) registries(seed uint64) (err error) {
-	if r.slow, err = r.f.throughListeners(standin.SideOptions{WorkFactor: 1.1}); err != nil {
+	if r.slow, err = r.f.sideRegistry(standin.SideOptions{WorkFactor: 1.1}); err != nil {
 		return err
 	}
 	draw := rand.New(rand.NewPCG(seed, 2))
 	var mu sync.Mutex
-	if r.failing, err = r.f.throughListeners(standin.SideOptions{FailsClass: func(class string) bool {
+	if r.failing, err = r.f.sideRegistry(standin.SideOptions{FailsClass: func(class string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return class == "cut-order" && draw.IntN(50) == 0
 	}}); err != nil {
 		return err
 	}
-	if r.nobody, err = r.f.throughListeners(standin.SideOptions{}); err != nil {
+	if r.refusing, err = r.f.sideRegistry(standin.SideOptions{}); err != nil {
 		return err
 	}
 	for _, s := range r.f.servers { // at a port on which no process listens
@@ -87,14 +87,14 @@
 		if e.Addr, err = freePort("tcp"); err != nil {
 			return err
 		}
-		r.nobody.Set(e)
+		r.refusing.Set(e)
 	}
 	return nil
 }
 
 // close closes the registries.
 func (r *releaseTrial) close() {
-	for _, l := range []*standin.Registry{r.slow, r.failing, r.nobody} {
+	for _, l := range []*standin.Registry{r.slow, r.failing, r.refusing} {
 		if l != nil {
 			l.Close()
 		}
@@ -102,13 +102,13 @@
 }
 
 // addProgram adds a program to the store of every supervisor, and returns its version.
-func (r *releaseTrial) hold(content []byte) (version string, err error) {
+func (r *releaseTrial) addProgram(content []byte) (version string, err error) {
 	path := filepath.Join(r.p.w.dir, "program")
 	if err := os.WriteFile(path, content, 0o700); err != nil {
 		return "", err
 	}
 	for _, m := range r.p.members {
-		cmd := exec.Command(r.p.w.binary, "supervise", m.supervisor(), "--add", path)
+		cmd := exec.Command(r.p.w.binary, "supervise", m.supervisorFile(), "--add", path)
 		var faults bytes.Buffer
 		cmd.Stderr = &faults
 		out, err := cmd.Output()
@@ -157,15 +157,15 @@
 	run.kind = k.name
 	r.number++
 	content, tail := r.program, fmt.Sprintf("\nnext %d\n", r.number)
-	if k.tail != nil {
-		content, tail = r.bad, fmt.Sprintf("\nbad %s %d\n", k.tail(r), r.number)
+	if k.trailer != nil {
+		content, tail = r.bad, fmt.Sprintf("\nbad %s %d\n", k.trailer(r), r.number)
 	}
-	if version, err = r.hold(append(slices.Clone(content), tail...)); err != nil {
+	if version, err = r.addProgram(append(slices.Clone(content), tail...)); err != nil {
 		return run, "", err
 	}
 	name := fmt.Sprintf("r%d", r.number)
 	text := fmt.Sprintf("[release]\nname = %q\nversion = %q\nbefore = %q\nwhy = %q\nsoak_ms = 300\nlimit_ms = 90000\nmost_crashes = 3\nhealth = true\nturn_back = %v\n",
-		name, version, r.before, k.name, k.cause != "")
+		name, version, r.currentVersion, k.name, k.cause != "")
 	for i, w := range r.waves {
 		nodes, _ := json.Marshal(w)
 		text += fmt.Sprintf("\n[[wave]]\nnodes = %s\nmixed = %v\n", nodes, i == len(r.waves)-1)
@@ -200,14 +200,14 @@
 		}
 		over := l.State == agreed.Done || l.State == agreed.RolledBack || l.State == agreed.Failed
 		if k.cause == "" && l.State == agreed.Halted {
-			run.hands++
+			run.resumes++
 			r.command(ctx, "resume", name, "--why", "faults, and not the version")
 		}
 		if over && len(l.Turns) == 0 {
 			break
 		}
 		if time.Since(began) > releaseLimit {
-			r.wrong("%s: release not over within %v: %s, wave %d: %s", k.name, releaseLimit, l.State, l.Wave+1, l.Cause)
+			r.addViolation("%s: release not over within %v: %s, wave %d: %s", k.name, releaseLimit, l.State, l.Wave+1, l.Cause)
 			r.command(ctx, "back", name)
 			break
 		}
@@ -224,16 +224,16 @@
 // judge checks a run against the expected outcome of its kind. found reports that the release halted by the kind's own
 // cause; it is always true for a good version.
 func (r *releaseTrial) judge(ctx context.Context, k badKind, run releaseRun, version string) (found bool) {
-	want, all := r.before, false
+	want, all := r.currentVersion, false
 	if k.cause == "" {
 		want = version
 		if run.state != agreed.Done {
-			r.wrong("good: %s: %s", run.state, run.cause)
+			r.addViolation("good: %s: %s", run.state, run.cause)
 			return true
 		}
-		r.before = version
+		r.currentVersion = version
 	} else if run.state != agreed.RolledBack {
-		r.wrong("%s: %s: %s", k.name, run.state, run.cause)
+		r.addViolation("%s: %s: %s", k.name, run.state, run.cause)
 	}
 	have := map[string]string{}
 	for end := time.Now().Add(settleWait); !all && time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
@@ -247,7 +247,7 @@
 		}
 	}
 	if !all && ctx.Err() == nil {
-		r.wrong("%s: not all nodes are at version %s: %v", k.name, want, have)
+		r.addViolation("%s: not all nodes are at version %s: %v", k.name, want, have)
 	}
 	if k.cause == "" {
 		return true
@@ -256,8 +256,8 @@
 	for _, w := range r.waves[:min(run.wave, len(r.waves))] {
 		most += len(w)
 	}
-	if run.affected > most || run.wave > min(k.waves, len(r.waves)) {
-		r.wrong("%s: %d nodes got it, and wave %d began: %s", k.name, run.affected, run.wave, run.cause)
+	if run.affected > most || run.wave > min(k.maxWaves, len(r.waves)) {
+		r.addViolation("%s: %d nodes got it, and wave %d began: %s", k.name, run.affected, run.wave, run.cause)
 	}
 	return strings.Contains(run.cause, k.cause)
 }
--- a/cmd/rig/releaseways.go
+++ b/cmd/rig/releaseways.go
@@ -22,7 +22,7 @@
 		voters[n.name] = "birth"
 	}
 	m := agreed.NewWithVoters(voters)
-	say := func(e *fleetpb.Entry) *fleetpb.Result {
+	apply := func(e *fleetpb.Entry) *fleetpb.Result {
 		e.Level, e.AtMs = agreed.Level, 1000*int64(p.now+1)
 		raw, err := proto.Marshal(e)
 		if err != nil {
@@ -36,30 +36,30 @@
 		}
 		return "old"
 	}
-	tell := func(n *modelNode, state string) {
-		say(&fleetpb.Entry{What: &fleetpb.Entry_Supervised{Supervised: &fleetpb.Supervised{Node: n.name, Version: version(n.fresh), State: state, Turn: n.turn}}})
+	reportUnit := func(n *modelNode, state string) {
+		apply(&fleetpb.Entry{What: &fleetpb.Entry_Supervised{Supervised: &fleetpb.Supervised{Node: n.name, Version: version(n.fresh), State: state, Turn: n.turn}}})
 	}
-	say(&fleetpb.Entry{What: &fleetpb.Entry_Budgets{Budgets: &fleetpb.SetBudgets{Budgets: []*fleetpb.Budget{{Name: "nodes", On: "nodes", By: "fleet", Bounded: true, MostOut: modelOut}}}}})
+	apply(&fleetpb.Entry{What: &fleetpb.Entry_Budgets{Budgets: &fleetpb.SetBudgets{Budgets: []*fleetpb.Budget{{Name: "nodes", On: "nodes", By: "fleet", Bounded: true, MostOut: modelMaxOut}}}}})
 	for _, n := range p.nodes {
-		say(&fleetpb.Entry{What: &fleetpb.Entry_Open{Open: &fleetpb.OpenSession{Node: n.name, Zone: fmt.Sprint(n.zone), Process: "p", Level: agreed.Level, Voter: n.voter}}})
-		tell(n, agreed.UnitReady)
+		apply(&fleetpb.Entry{What: &fleetpb.Entry_Open{Open: &fleetpb.OpenSession{Node: n.name, Zone: fmt.Sprint(n.zone), Process: "p", Level: agreed.Level, Voter: n.voter}}})
+		reportUnit(n, agreed.UnitReady)
 	}
 	waves, err := m.BuildWaves(modelWaves)
 	if err != nil {
 		panic(err)
 	}
 	plan := &fleetpb.Plan{Name: "r", Version: "new", Before: "old", Waves: waves, SoakMs: 30_000, LimitMs: 600_000, MostCrashes: 1, Health: true, TurnBack: true}
-	if r := say(&fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: plan}}); r.Code != fleetpb.Result_DONE {
+	if r := apply(&fleetpb.Entry{What: &fleetpb.Entry_Plan{Plan: plan}}); r.Code != fleetpb.Result_DONE {
 		panic(r.Reason)
 	}
 	var v vitals.Vitals
 	counts, soak := map[string]map[string]health.ClassCounts{}, int64(0)
 	for p.now < modelLimit {
-		for _, n := range p.second() {
-			tell(n, agreed.UnitCrashed)
-			tell(n, agreed.UnitReady)
+		for _, n := range p.step() {
+			reportUnit(n, agreed.UnitCrashed)
+			reportUnit(n, agreed.UnitReady)
 		}
-		say(&fleetpb.Entry{What: &fleetpb.Entry_Clock{Clock: &fleetpb.Clock{}}})
+		apply(&fleetpb.Entry{What: &fleetpb.Entry_Clock{Clock: &fleetpb.Clock{}}})
 		for _, t := range m.Orders().Turns {
 			if n := p.nodes[slices.IndexFunc(p.nodes, func(n *modelNode) bool { return n.name == t.Node })]; n.turn != t.Epoch {
 				n.turn = t.Epoch
@@ -67,11 +67,11 @@
 			}
 		}
 		for _, n := range p.nodes {
-			if n.until == p.now && p.starts(n) {
-				tell(n, agreed.UnitReady)
-			} else if n.until == p.now {
-				tell(n, agreed.UnitCrashed)
-				n.until = p.now + 1 + p.r.IntN(3) // retry
+			if n.replacedAt == p.now && p.finishReplace(n) {
+				reportUnit(n, agreed.UnitReady)
+			} else if n.replacedAt == p.now {
+				reportUnit(n, agreed.UnitCrashed)
+				n.replacedAt = p.now + 1 + p.r.IntN(3) // retry
 			}
 		}
 		s := m.State()
@@ -84,7 +84,7 @@
 			for _, n := range p.nodes {
 				u := s.Units[n.name]
 				in := slices.Contains(s.Release.Plan.Waves[s.Release.Wave].Nodes, n.name)
-				if u.State != agreed.UnitReady || !in && (n.fresh || olds >= modelOlds) && !(n.fresh && p.has(false) == 0) {
+				if u.State != agreed.UnitReady || !in && (n.fresh || olds >= modelOldSampled) && !(n.fresh && p.countRunning(false) == 0) {
 					continue
 				}
 				if !in {
@@ -93,7 +93,7 @@
 				if counts[n.name] == nil {
 					counts[n.name] = map[string]health.ClassCounts{}
 				}
-				p.ends(n, counts[n.name])
+				p.drawRequests(n, counts[n.name])
 				o := &fleetpb.OpenSession{Soak: soak, Resident: p.resident(n)}
 				for class, e := range counts[n.name] {
 					x := &fleetpb.Ends{Class: class, Served: e.Served, Failed: e.Failed}
@@ -103,20 +103,20 @@
 				v.SetReport(n.name, s.Nodes[n.name].Epoch, o)
 			}
 			if j := v.Judge(s); j != nil {
-				say(&fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: j}})
+				apply(&fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: j}})
 			}
 		}
 		switch state := m.State().Release.State; {
 		case state == agreed.RollingBack && p.halted == 0:
 			p.halted = p.now
 		case state == agreed.Done:
-			return p.run()
+			return p.result()
 		case state == agreed.RolledBack || state == agreed.Failed:
 			p.back = p.now
-			return p.run()
+			return p.result()
 		}
 	}
-	return p.run()
+	return p.result()
 }
 
 // stepwise replaces the nodes batch by batch, pause seconds apart. Once seen reports a problem, it begins to roll back
@@ -125,10 +125,10 @@
 	next, at, noticed := 0, 1, 0
 	var fresh []*modelNode
 	for p.now < modelLimit {
-		p.second()
+		p.step()
 		for _, n := range p.nodes {
-			if n.until == p.now && p.now > 0 && !p.starts(n) && p.halted == 0 {
-				n.until = p.now + 5 // retry
+			if n.replacedAt == p.now && p.now > 0 && !p.finishReplace(n) && p.halted == 0 {
+				n.replacedAt = p.now + 5 // retry
 			}
 		}
 		if noticed == 0 && seen() {
@@ -140,15 +140,15 @@
 		switch {
 		case p.now < at:
 		case p.halted > 0 && len(fresh) == 0:
-			if p.has(false) == modelNodes {
+			if p.countRunning(false) == modelNodes {
 				p.back = p.now
-				return p.run()
+				return p.result()
 			}
 		case p.halted > 0:
-			for _, n := range fresh[max(0, len(fresh)-modelOut):] {
+			for _, n := range fresh[max(0, len(fresh)-modelMaxOut):] {
 				p.replace(n, false)
 			}
-			fresh, at = fresh[:max(0, len(fresh)-modelOut)], p.now+backPause
+			fresh, at = fresh[:max(0, len(fresh)-modelMaxOut)], p.now+backPause
 		case next < len(batches):
 			for _, n := range batches[next] {
 				p.replace(n, true)
@@ -156,10 +156,10 @@
 			}
 			next, at = next+1, p.now+pause
 		default:
-			return p.run()
+			return p.result()
 		}
 	}
-	return p.run()
+	return p.result()
 }
 
 // byHand releases to ten nodes at a time, in random order, as an operator would by hand.
@@ -177,7 +177,7 @@
 	return p.stepwise(batches, 300, 120, 30, func() bool {
 		harmed = append(harmed, p.harmed)
 		lost := 0.0
-		if p.k.slower <= 1 { // the figures of the whole fleet don't show that a tenth of the nodes is a tenth slower
+		if p.k.workFactor <= 1 { // the figures of the whole fleet don't show that a tenth of the nodes is a tenth slower
 			lost = harmed[len(harmed)-1] - harmed[max(0, len(harmed)-61)]
 		}
 		return lost > 0.01*60*modelRate*modelNodes || p.crashes >= 2
@@ -190,7 +190,7 @@
 	rest := p.nodes[modelVoters:]
 	for _, upTo := range []int{1, 5, 25, 50, 95} {
 		for have := modelNodes - modelVoters - len(rest); have < upTo; have = modelNodes - modelVoters - len(rest) {
-			n := min(upTo-have, modelOut)
+			n := min(upTo-have, modelMaxOut)
 			batches, rest = append(batches, rest[:n]), rest[n:]
 		}
 	}
@@ -198,9 +198,9 @@
 	var harmed []float64
 	return p.stepwise(batches, 60, 0, 10, func() bool {
 		harmed = append(harmed, p.harmed)
-		fresh := float64(max(1, p.has(true)))
+		fresh := float64(max(1, p.countRunning(true)))
 		lost := harmed[len(harmed)-1] - harmed[max(0, len(harmed)-61)]
-		return p.k.slower <= 1 && lost > 0.05*60*modelRate*fresh || p.k.slower > 1.5 || p.crashes >= 2
+		return p.k.workFactor <= 1 && lost > 0.05*60*modelRate*fresh || p.k.workFactor > 1.5 || p.crashes >= 2
 	})
 }
 
--- a/cmd/rig/rig_test.go
+++ b/cmd/rig/rig_test.go
@@ -53,21 +53,21 @@
 // Guards against rigs that judge wrongly or leave processes and files behind. The real program runs as a process with
 // stand-ins, serves, and is judged by their logs; then the process has ended in order and the directory is removed.
 func TestNodeAsAProcess(t *testing.T) {
-	w, err := newWorkshop(t.Context(), "")
+	w, err := newWorkspace(t.Context(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	f, err := newFleet(2, 4, 50, kampklipWork(0.1))
+	f, err := newFleet(2, 4, 50, mediaWork(0.1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	n, err := w.node(t.Context(), w.binary, nodeOptions{name: "n", registry: f.registry.Addr, classes: kampklip, memoryMB: 64, sockets: 256, zone: "z"})
+	n, err := w.node(t.Context(), w.binary, nodeOptions{name: "n", registry: f.registry.Addr, classes: mediaClasses, memoryMB: 64, sockets: 256, zone: "z"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &standin.Load{Addr: n.addr, Classes: kampklip, Retries: 2, KeepLog: true}
+	l := &standin.Load{Addr: n.addr, Classes: mediaClasses, Retries: 2, KeepLog: true}
 	ctx, cancel := contextUntil(t, func() bool { return len(l.Log()) >= 200 })
 	defer cancel()
 	l.RunClosed(ctx, 4, 0)
@@ -81,7 +81,7 @@
 	if served < 190 {
 		t.Errorf("%d of %d served", served, len(log))
 	}
-	e := standin.Evidence{Classes: kampklip, Answers: log, Executions: f.executions(), Notifications: f.registry.Notifications()}
+	e := standin.Evidence{Classes: mediaClasses, Answers: log, Executions: f.executions(), Notifications: f.registry.Notifications()}
 	for _, v := range standin.Check(e) {
 		if v.ViolationCount > 0 {
 			t.Error(v)
@@ -131,16 +131,16 @@
 
 // Guards against hand-offs that are not counted: requests that run in the other site are counted, and keyed ones
 // separately.
-func TestAbroadIsSeen(t *testing.T) {
+func TestCrossedRequestsAreCounted(t *testing.T) {
 	sites := []*site{{name: "hall-a"}, {name: "hall-b"}}
 	for _, h := range sites {
 		var err error
-		if h.fleet, err = newFleet(1, 1, 9, kampklipWork(0.01)); err != nil {
+		if h.fleet, err = newFleet(1, 1, 9, mediaWork(0.01)); err != nil {
 			t.Fatal(err)
 		}
 		defer h.close()
 	}
-	ask := func(at *site, class, id, key string) {
+	send := func(at *site, class, id, key string) {
 		t.Helper()
 		method := http.MethodGet
 		if key != "" {
@@ -162,15 +162,15 @@
 		resp.Body.Close()
 	}
 	p := &gatewayTrial{sites: sites}
-	ask(sites[0], "tag-event", "x-hall-a-0-o1.0", "k1")
-	ask(sites[1], "viewer-clip", "x-hall-b-0-o1.0", "")
-	if p.crossed() != 0 || p.keysAbroad() != 0 {
-		t.Errorf("%d crossed, %d keyed, want none", p.crossed(), p.keysAbroad())
-	}
-	ask(sites[1], "viewer-clip", "x-hall-a-0-o2.0", "")
-	ask(sites[0], "tag-event", "x-hall-b-0-o2.0", "k2")
-	if p.crossed() != 2 || p.keysAbroad() != 1 {
-		t.Errorf("%d crossed, %d keyed, want 2 and 1", p.crossed(), p.keysAbroad())
+	send(sites[0], "tag-event", "x-hall-a-0-o1.0", "k1")
+	send(sites[1], "viewer-clip", "x-hall-b-0-o1.0", "")
+	if p.crossed() != 0 || p.keyedCrossed() != 0 {
+		t.Errorf("%d crossed, %d keyed, want none", p.crossed(), p.keyedCrossed())
+	}
+	send(sites[1], "viewer-clip", "x-hall-a-0-o2.0", "")
+	send(sites[0], "tag-event", "x-hall-b-0-o2.0", "k2")
+	if p.crossed() != 2 || p.keyedCrossed() != 1 {
+		t.Errorf("%d crossed, %d keyed, want 2 and 1", p.crossed(), p.keyedCrossed())
 	}
 }
 
--- a/cmd/rig/rules.go
+++ b/cmd/rig/rules.go
@@ -13,15 +13,15 @@
 // one joins; a server accepts requests and answers none for a while; a server dies; clients send twice the load that the
 // servers can serve.
 func rules(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
 	defer w.Close()
 	const servers, cores = 6, 4
-	work := kampklipWork(2)
+	work := mediaWork(2)
 	mean := 0.0
-	for _, c := range kampklip {
+	for _, c := range mediaClasses {
 		mean += c.Share * work[c.Name].Time.Seconds()
 	}
 	f, err := newFleet(servers, cores, 60, work)
@@ -30,7 +30,7 @@
 	}
 	defer f.Close()
 	const coldFrom, coldTime = 0.32, 8300 * time.Millisecond
-	n, err := w.node(ctx, w.binary, nodeOptions{name: "rules", registry: f.registry.Addr, classes: kampklip, memoryMB: 192, sockets: 1024, zone: "hall-a",
+	n, err := w.node(ctx, w.binary, nodeOptions{name: "rules", registry: f.registry.Addr, classes: mediaClasses, memoryMB: 192, sockets: 1024, zone: "hall-a",
 		coldFrom: coldFrom, coldTime: coldTime})
 	if err != nil {
 		return err
@@ -45,7 +45,7 @@
 	var loads []*standin.Load
 	var running sync.WaitGroup
 	load := func(times float64, length time.Duration) {
-		l := &standin.Load{Addr: n.addr, Classes: kampklip, Retries: 2, Prefix: fmt.Sprintf("r%d-", len(loads)), KeepLog: true, Seed: o.seed + uint64(len(loads))}
+		l := &standin.Load{Addr: n.addr, Classes: mediaClasses, Retries: 2, Prefix: fmt.Sprintf("r%d-", len(loads)), KeepLog: true, Seed: o.seed + uint64(len(loads))}
 		loads = append(loads, l)
 		ctx, cancel := context.WithTimeout(ctx, length)
 		running.Go(func() { defer cancel(); l.RunOpen(ctx, times*capacity, 2000) })
@@ -92,11 +92,11 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: cold}
-	worth, asked, resent := 0.0, 0.0, 0
+	e := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: cold}
+	served, offered, resent := 0.0, 0.0, 0
 	for _, l := range loads {
 		s := l.Sums()
-		worth, asked, resent = worth+s.ServedWorth, asked+s.OfferedWorth, resent+s.Resent
+		served, offered, resent = served+s.ServedWorth, offered+s.OfferedWorth, resent+s.Resent
 		e.Answers = append(e.Answers, l.Log()...)
 	}
 	select {
@@ -107,7 +107,7 @@
 	o.out.figure("rules.tries", len(e.Answers), "attempts of clients")
 	o.out.figure("rules.executions", len(e.Executions), "at servers")
 	o.out.figure("rules.resent", resent, "requests that crossed the close of a kept connection")
-	o.out.figure("rules.worth", worth/asked, "of the worth offered")
+	o.out.figure("rules.worth", served/offered, "of the worth offered")
 	o.out.figure("rules.memory", n.peakMemory(), "KiB (VmHWM)")
 	o.out.verdicts(standin.Check(e))
 	return nil
--- a/cmd/rig/scale.go
+++ b/cmd/rig/scale.go
@@ -20,11 +20,11 @@
 const (
 	tableServers = 8
 	answerBytes  = 2048
-	leastRatio   = 0.8 // least accepted request rate, as a fraction of the plain proxy's
+	minRatio     = 0.8 // least accepted request rate, as a fraction of the plain proxy's
 	// A round of 150 ms on a core that other processes use is noise: a cell whose median is under minRatio gets up to this
 	// many further rounds.
-	againMost = 4
-	nodeCore  = 0 // processor core of the measured program
+	maxExtraRounds = 4
+	nodeCore       = 0 // processor core of the measured program
 )
 
 // target is one of the programs that are compared.
@@ -36,17 +36,17 @@
 // scaleRig compares the program with a plain proxy and, if there is one, an earlier build.
 type scaleRig struct {
 	*options
-	w       *workshop
-	targets []target
-	rounds  int
-	window  time.Duration
-	early   int // refusals of the present target while it warmed up
+	w              *workspace
+	targets        []target
+	rounds         int
+	window         time.Duration
+	warmUpRefusals int // refusals of the present target while it warmed up
 }
 
 // scale measures the table of request rates and runs the difficult cases of docs/design/limits.md.
 func scale(ctx context.Context, o *options) error {
 	base, only := o.base, o.only
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -119,7 +119,7 @@
 // runClosed sends requests to a node over conns connections, each of which waits for its answer, and returns the sums of
 // a window that begins once the node has warmed up. If script is not nil, it runs in place of the wait, and the window ends
 // when it returns.
-func (r *scaleRig) closed(ctx context.Context, n *node, classes []standin.Class, conns int, window time.Duration, script func()) standin.Sums {
+func (r *scaleRig) runClosed(ctx context.Context, n *node, classes []standin.Class, conns int, window time.Duration, script func()) standin.Sums {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	l := &standin.Load{Addr: n.addr, Classes: classes, Prefix: "c-", Seed: r.seed}
@@ -130,7 +130,7 @@
 	if len(classes) > 1 {
 		time.Sleep(time.Second) // time for the node to learn the relative cost of the classes
 	}
-	r.early += l.Sums().RefusedTries
+	r.warmUpRefusals += l.Sums().RefusedTries
 	l.ResetCounts()
 	if script != nil {
 		script()
@@ -144,12 +144,12 @@
 
 // cell is the results of one target in one cell of the table, over all rounds.
 type cell struct {
-	rate    []float64 // requests a second, one for each round
-	times   standin.Times
-	refused int
-	byNode  int // of refused: by the node's own limit
-	early   int
-	failed  int
+	rate           []float64 // requests a second, one for each round
+	times          standin.Times
+	refused        int
+	byNode         int // of refused: by the node's own limit
+	warmUpRefusals int
+	failed         int
 }
 
 // median returns the median of v, the upper one of an even number of values, and 0 for none.
@@ -178,11 +178,11 @@
 		for _, conns := range []int{1, 8, 64, 256, 1024} {
 			cells := make([]cell, len(nodes))
 			var ratios []float64
-			for round := 0; round < r.rounds || round < r.rounds+againMost && median(ratios) < leastRatio; round++ {
+			for round := 0; round < r.rounds || round < r.rounds+maxExtraRounds && median(ratios) < minRatio; round++ {
 				for i, n := range nodes {
-					s := r.closed(ctx, n, []standin.Class{scaleClass}, conns, r.window, nil)
+					s := r.runClosed(ctx, n, []standin.Class{scaleClass}, conns, r.window, nil)
 					c := &cells[i]
-					c.early, r.early = c.early+r.early, 0
+					c.warmUpRefusals, r.warmUpRefusals = c.warmUpRefusals+r.warmUpRefusals, 0
 					c.rate = append(c.rate, float64(s.Served)/r.window.Seconds())
 					c.times.Merge(s.Times)
 					c.refused, c.byNode, c.failed = c.refused+s.RefusedTries, c.byNode+s.RefusedByNode, c.failed+s.Failed
@@ -194,14 +194,14 @@
 			for i, t := range r.targets {
 				r.out.figure(name+"."+t.name+".rate", median(cells[i].rate), "requests/s")
 				r.out.figure(name+"."+t.name+".p99", float64(cells[i].times.Quantile(0.99))/1e6, "ms")
-				r.out.figure(name+"."+t.name+".refused", cells[i].refused, fmt.Sprintf("requests, %d of them by the node's own limit; %d more while it warmed up", cells[i].byNode, cells[i].early))
+				r.out.figure(name+"."+t.name+".refused", cells[i].refused, fmt.Sprintf("requests, %d of them by the node's own limit; %d more while it warmed up", cells[i].byNode, cells[i].warmUpRefusals))
 			}
 			ratio := median(ratios)
 			if n := len(ratios) - r.rounds; n > 0 {
 				r.out.figure(name+".again", n, "further rounds, all of which count, as the median of the first ones was under the bound")
 			}
 			r.out.figure(name+".ratio", fmt.Sprintf("%.2f (%.2f to %.2f)", ratio, slices.Min(ratios), slices.Max(ratios)), "of the plain proxy's rate")
-			r.out.promise(ratio >= leastRatio, "%s: at least %.1f of the plain proxy's rate", name, leastRatio)
+			r.out.promise(ratio >= minRatio, "%s: at least %.1f of the plain proxy's rate", name, minRatio)
 			if half := scaleClass.Aim / 2; cells[1].times.Quantile(0.99) <= half {
 				r.out.promise(cells[0].refused == 0, "%s: nothing is refused, as the plain proxy answers within %v", name, half)
 			}
--- a/cmd/rig/scalecases.go
+++ b/cmd/rig/scalecases.go
@@ -12,7 +12,7 @@
 )
 
 // runCase runs a case for each target in turn, prints the figures, and returns the sums by the target's name.
-func (r *scaleRig) each(ctx context.Context, name string, servers, cores int, work map[string]standin.Work, classes []standin.Class,
+func (r *scaleRig) runCase(ctx context.Context, name string, servers, cores int, work map[string]standin.Work, classes []standin.Class,
 	run func(n *node, f *fleet) standin.Sums) (map[string]standin.Sums, error) {
 	out := map[string]standin.Sums{}
 	for _, t := range r.targets {
@@ -26,10 +26,10 @@
 			f.Close()
 			return nil, fmt.Errorf("%s: %w", t.name, err)
 		}
-		r.early = 0
+		r.warmUpRefusals = 0
 		s := run(n, f)
 		n.kill()
-		r.out.figure(name+"."+t.name+".early", r.early, "requests refused while it warmed up")
+		r.out.figure(name+"."+t.name+".early", r.warmUpRefusals, "requests refused while it warmed up")
 		f.Close()
 		out[t.name] = s
 		r.out.figure(name+"."+t.name+".worth", s.WorthFraction(), "of the worth offered")
@@ -50,7 +50,7 @@
 }
 
 // checkWorth checks that the node's worth is not below that of the other targets.
-func (r *scaleRig) notBehind(name string, s map[string]standin.Sums) {
+func (r *scaleRig) checkWorth(name string, s map[string]standin.Sums) {
 	const slack = 0.03 // random variation of the worth
 	for _, other := range []string{"plain", "base"} {
 		if o, ok := s[other]; ok {
@@ -61,13 +61,13 @@
 
 // checkNothingRefused checks that the node refuses nothing and that its worth is not below the others'. It is for cases
 // in which all requests can be answered within their aim.
-func (r *scaleRig) shedsNothing(name string, s map[string]standin.Sums) {
+func (r *scaleRig) checkNothingRefused(name string, s map[string]standin.Sums) {
 	r.out.promise(s["node"].RefusedTries == 0, "%s: nothing is refused", name)
-	r.notBehind(name, s)
+	r.checkWorth(name, s)
 }
 
 // shortenIfQuick returns d or, with -quick, a fifth of it.
-func (r *scaleRig) long(d time.Duration) time.Duration {
+func (r *scaleRig) shortenIfQuick(d time.Duration) time.Duration {
 	if r.quick {
 		return d / 5
 	}
@@ -75,7 +75,7 @@
 }
 
 // lastIfQuick returns all cases or, with -quick, only the last.
-func few[T any](r *scaleRig, cases ...T) []T {
+func lastIfQuick[T any](r *scaleRig, cases ...T) []T {
 	if r.quick {
 		return cases[len(cases)-1:]
 	}
@@ -87,26 +87,26 @@
 func (r *scaleRig) step(ctx context.Context) error {
 	fast := map[string]standin.Work{scaleClass.Name: {Time: 200 * time.Microsecond, Bytes: answerBytes}}
 	cold := map[string]standin.Work{scaleClass.Name: {Time: 40 * time.Millisecond, Bytes: answerBytes}}
-	for _, conns := range few(r, 256, 1024) {
+	for _, conns := range lastIfQuick(r, 256, 1024) {
 		name := fmt.Sprintf("step.%d", conns)
-		s, err := r.each(ctx, name, tableServers, 64, fast, []standin.Class{scaleClass}, func(n *node, f *fleet) standin.Sums {
-			return r.closed(ctx, n, []standin.Class{scaleClass}, conns, 0, func() {
+		s, err := r.runCase(ctx, name, tableServers, 64, fast, []standin.Class{scaleClass}, func(n *node, f *fleet) standin.Sums {
+			return r.runClosed(ctx, n, []standin.Class{scaleClass}, conns, 0, func() {
 				for range 5 {
 					f.setWork(cold)
 					time.Sleep(100 * time.Millisecond)
 					f.setWork(fast)
-					time.Sleep(r.long(400 * time.Millisecond))
+					time.Sleep(r.shortenIfQuick(400 * time.Millisecond))
 				}
 				f.setWork(cold)
-				time.Sleep(r.long(3 * time.Second))
+				time.Sleep(r.shortenIfQuick(3 * time.Second))
 				f.setWork(fast)
-				time.Sleep(r.long(2 * time.Second))
+				time.Sleep(r.shortenIfQuick(2 * time.Second))
 			})
 		})
 		if err != nil {
 			return err
 		}
-		r.shedsNothing(name, s)
+		r.checkNothingRefused(name, s)
 	}
 	return nil
 }
@@ -117,15 +117,15 @@
 	quick.Share, slow.Share, slow.Name = 0.9, 0.1, "replay-clip"
 	classes := []standin.Class{quick, slow}
 	work := map[string]standin.Work{quick.Name: {Time: 200 * time.Microsecond, Bytes: answerBytes}, slow.Name: {Time: 200 * time.Millisecond, Bytes: answerBytes}}
-	for _, conns := range few(r, 64, 256) {
+	for _, conns := range lastIfQuick(r, 64, 256) {
 		name := fmt.Sprintf("mix.%d", conns)
-		s, err := r.each(ctx, name, tableServers, 64, work, classes, func(n *node, f *fleet) standin.Sums {
-			return r.closed(ctx, n, classes, conns, r.long(5*time.Second), nil)
+		s, err := r.runCase(ctx, name, tableServers, 64, work, classes, func(n *node, f *fleet) standin.Sums {
+			return r.runClosed(ctx, n, classes, conns, r.shortenIfQuick(5*time.Second), nil)
 		})
 		if err != nil {
 			return err
 		}
-		r.shedsNothing(name, s)
+		r.checkNothingRefused(name, s)
 	}
 	return nil
 }
@@ -144,17 +144,17 @@
 			}
 		}},
 	} {
-		s, err := r.each(ctx, c.name, tableServers, 16, work, []standin.Class{scaleClass}, func(n *node, f *fleet) standin.Sums {
-			return r.closed(ctx, n, []standin.Class{scaleClass}, 64, 0, func() {
-				time.Sleep(r.long(time.Second))
+		s, err := r.runCase(ctx, c.name, tableServers, 16, work, []standin.Class{scaleClass}, func(n *node, f *fleet) standin.Sums {
+			return r.runClosed(ctx, n, []standin.Class{scaleClass}, 64, 0, func() {
+				time.Sleep(r.shortenIfQuick(time.Second))
 				c.change(f)
-				time.Sleep(r.long(4 * time.Second))
+				time.Sleep(r.shortenIfQuick(4 * time.Second))
 			})
 		})
 		if err != nil {
 			return err
 		}
-		r.shedsNothing(c.name, s)
+		r.checkNothingRefused(c.name, s)
 	}
 	return nil
 }
@@ -166,10 +166,10 @@
 	if err != nil {
 		return err
 	}
-	s, err := r.each(ctx, "starved", tableServers, 64, work, []standin.Class{scaleClass}, func(n *node, f *fleet) standin.Sums {
-		return r.closed(ctx, n, []standin.Class{scaleClass}, 256, 0, func() {
-			time.Sleep(r.long(time.Second))
-			c, err := r.w.start(nil, self, "spin", fmt.Sprintf("-for=%v", r.long(4*time.Second)))
+	s, err := r.runCase(ctx, "starved", tableServers, 64, work, []standin.Class{scaleClass}, func(n *node, f *fleet) standin.Sums {
+		return r.runClosed(ctx, n, []standin.Class{scaleClass}, 256, 0, func() {
+			time.Sleep(r.shortenIfQuick(time.Second))
+			c, err := r.w.start(nil, self, "spin", fmt.Sprintf("-for=%v", r.shortenIfQuick(4*time.Second)))
 			if err != nil {
 				return
 			}
@@ -180,7 +180,7 @@
 	if err != nil {
 		return err
 	}
-	r.notBehind("starved", s)
+	r.checkWorth("starved", s)
 	return nil
 }
 
@@ -188,18 +188,18 @@
 // waiting for answers.
 func (r *scaleRig) overload(ctx context.Context) error {
 	const servers, cores = 8, 2
-	work := kampklipWork(1.5)
+	work := mediaWork(1.5)
 	mean := 0.0
-	for _, c := range kampklip {
+	for _, c := range mediaClasses {
 		mean += c.Share * work[c.Name].Time.Seconds()
 	}
-	for _, times := range few(r, 0.7, 1.5, 3) {
+	for _, times := range lastIfQuick(r, 0.7, 1.5, 3) {
 		name := fmt.Sprintf("overload.%.1f", times)
 		late := time.Duration(0)
-		s, err := r.each(ctx, name, servers, cores, work, kampklip, func(n *node, f *fleet) standin.Sums {
-			ctx, cancel := context.WithTimeout(ctx, r.long(12*time.Second))
+		s, err := r.runCase(ctx, name, servers, cores, work, mediaClasses, func(n *node, f *fleet) standin.Sums {
+			ctx, cancel := context.WithTimeout(ctx, r.shortenIfQuick(12*time.Second))
 			defer cancel()
-			l := &standin.Load{Addr: n.addr, Classes: kampklip, Retries: 2, Prefix: "o-", Seed: r.seed}
+			l := &standin.Load{Addr: n.addr, Classes: mediaClasses, Retries: 2, Prefix: "o-", Seed: r.seed}
 			late = max(late, l.RunOpen(ctx, times*servers*cores/mean, 4000))
 			return l.Sums()
 		})
@@ -207,7 +207,7 @@
 			return err
 		}
 		r.out.figure(name+".late", float64(late)/1e6, "ms, the most by which a request was sent late")
-		r.notBehind(name, s)
+		r.checkWorth(name, s)
 	}
 	return nil
 }
--- a/cmd/rig/site.go
+++ b/cmd/rig/site.go
@@ -46,7 +46,7 @@
 
 // openSites starts two sites with the given numbers of servers. If link is true, the sites are peers of each other over
 // wires with a delay of 1 ms.
-func openSites(ctx context.Context, w *workshop, link bool, servers [2]int, cores int) (sites []*site, err error) {
+func openSites(ctx context.Context, w *workspace, link bool, servers [2]int, cores int) (sites []*site, err error) {
 	defer func() {
 		if err != nil {
 			closeSites(sites)
@@ -55,7 +55,7 @@
 	for i, name := range []string{"hall-a", "hall-b"} {
 		h := &site{name: name}
 		sites = append(sites, h)
-		if h.fleet, err = newFleet(servers[i], cores, 60, kampklipWork(1)); err != nil {
+		if h.fleet, err = newFleet(servers[i], cores, 60, mediaWork(1)); err != nil {
 			return sites, err
 		}
 		if h.auth, err = standin.NewAuthority(); err != nil {
@@ -87,7 +87,7 @@
 				}
 				h.files = append(h.files, file)
 			}
-			if err := h.start(ctx, w, n); err != nil {
+			if err := h.startNode(ctx, w, n); err != nil {
 				return sites, err
 			}
 		}
@@ -102,8 +102,8 @@
 }
 
 // startNode starts node n of the site, or starts it again.
-func (h *site) start(ctx context.Context, w *workshop, n int) error {
-	o := nodeOptions{name: fmt.Sprintf("%s-%d", h.name, n), peers: h.peers, registry: h.fleet.registry.Addr, classes: kampklip, nodes: siteNodes, self: n, memoryMB: 192,
+func (h *site) startNode(ctx context.Context, w *workspace, n int) error {
+	o := nodeOptions{name: fmt.Sprintf("%s-%d", h.name, n), peers: h.peers, registry: h.fleet.registry.Addr, classes: mediaClasses, nodes: siteNodes, self: n, memoryMB: 192,
 		sockets: 1024, zone: "hall-a", coldFrom: 1, coldTime: time.Second}
 	if len(h.files) > 0 {
 		o.args = []string{"-gateway", h.files[n]}
@@ -122,7 +122,7 @@
 
 // gatewayFile writes the link configuration of node n, with its certificate and the root certificate of the other site, and
 // returns the path.
-func gatewayFile(w *workshop, h, other *site, n int) (string, error) {
+func gatewayFile(w *workspace, h, other *site, n int) (string, error) {
 	_, cert, key, err := h.auth.Issue(h.name+".example.org", time.Now().Add(time.Hour))
 	if err != nil {
 		return "", err
--- a/cmd/rig/soak.go
+++ b/cmd/rig/soak.go
@@ -20,14 +20,14 @@
 const (
 	soakServers = 12
 
-	soakQuick  = 26 * time.Second
-	soakLength = 3 * time.Minute
-	soakRuns   = 3 // most runs of a schedule until one is not void
-	soakShrink = 8 // most runs that look for a smaller schedule
+	soakQuick     = 26 * time.Second
+	soakLength    = 3 * time.Minute
+	soakRuns      = 3 // most runs of a schedule until one is not void
+	maxShrinkRuns = 8 // most runs that look for a smaller schedule
 )
 
 // maxSoakLateness is the longest delay of the rig's own timers with which a run still counts; beyond it the run is void.
-const soakLate = soak.LateSlack
+const maxSoakLateness = soak.LateSlack
 
 // errVoid reports a run in which the machine delayed the rig so much that no process can be judged.
 var errVoid = errors.New("the machine was late: the run is void")
@@ -35,7 +35,7 @@
 // soakRig causes random faults of all kinds, which overlap, in a fleet of real processes. It judges the nodes by the logs
 // of clients, servers and discovery, and by the violations that the nodes' own guards count.
 func soakRig(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
@@ -72,7 +72,7 @@
 
 // soakUntilValid runs a schedule, again while the run is void, and returns the verdicts. print selects whether the figures
 // are printed.
-func (o *options) soakUntilValid(ctx context.Context, w *workshop, list []soak.Fault, length time.Duration, print bool) ([]standin.Verdict, error) {
+func (o *options) soakUntilValid(ctx context.Context, w *workspace, list []soak.Fault, length time.Duration, print bool) ([]standin.Verdict, error) {
 	runs := soakRuns
 	if o.quick {
 		runs = 1
@@ -83,7 +83,7 @@
 			return nil, err
 		}
 		p.keepLogs = o.history
-		evidence, late, err := p.play(ctx, list, length)
+		evidence, late, err := p.run(ctx, list, length)
 		p.close()
 		if err != nil {
 			return nil, err
@@ -91,7 +91,7 @@
 		if print {
 			o.soakFigures(p, evidence, late)
 		}
-		if late <= soakLate {
+		if late <= maxSoakLateness {
 			return soak.Check(evidence), nil
 		}
 		if run == runs {
@@ -101,7 +101,7 @@
 }
 
 // soakFigures prints the figures of a run.
-func (o *options) soakFigures(p *soakPlay, e soak.Evidence, late time.Duration) {
+func (o *options) soakFigures(p *soakRun, e soak.Evidence, late time.Duration) {
 	served, refused := 0, 0
 	for _, a := range e.Answers {
 		switch {
@@ -126,8 +126,8 @@
 }
 
 // shrinkSoak looks for a smaller schedule that still breaks a promise, and prints the smallest one that it finds.
-func (o *options) shrinkSoak(ctx context.Context, w *workshop, list []soak.Fault, length time.Duration) {
-	smaller := soak.Shrink(list, soakShrink, func(some []soak.Fault) bool {
+func (o *options) shrinkSoak(ctx context.Context, w *workspace, list []soak.Fault, length time.Duration) {
+	smaller := soak.Shrink(list, maxShrinkRuns, func(some []soak.Fault) bool {
 		verdicts, err := o.soakUntilValid(ctx, w, some, length, false)
 		if err != nil {
 			return false
@@ -139,7 +139,7 @@
 		}
 		return false
 	})
-	fmt.Fprintf(os.Stdout, "smallest schedule that still fails, after %d runs at most: %d of %d faults\n", soakShrink, len(smaller), len(list))
+	fmt.Fprintf(os.Stdout, "smallest schedule that still fails, after %d runs at most: %d of %d faults\n", maxShrinkRuns, len(smaller), len(list))
 	soak.Print(os.Stdout, smaller)
 }
 
--- a/cmd/rig/soakfaults.go
+++ b/cmd/rig/soakfaults.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	leaveEvery  = 50 * time.Millisecond // between two clients that disconnect before the answer
-	leaveWithin = 60 * time.Millisecond // longest time from the request to the disconnection
-	stallers    = 4                     // clients that stall at once
-	stallWait   = 6 * time.Second       // within which a node has to close a stalled connection
-	pauseMost   = 120 * time.Millisecond
-	noticedLate = 700 * time.Millisecond // from the restart of a crashed server until discovery lists it
-	drainBefore = 700 * time.Millisecond // from draining to gone when a server is replaced
+	leaveInterval = 50 * time.Millisecond // between two clients that disconnect before the answer
+	leaveWithin   = 60 * time.Millisecond // longest time from the request to the disconnection
+	stallClients  = 4                     // clients that stall at once
+	stallWait     = 6 * time.Second       // within which a node has to close a stalled connection
+	maxPause      = 120 * time.Millisecond
+	relistDelay   = 700 * time.Millisecond // from the restart of a crashed server until discovery lists it
+	drainTime     = 700 * time.Millisecond // from draining to gone when a server is replaced
 )
 
 // inject causes a fault and waits until it is over.
-func (p *soakPlay) inject(ctx context.Context, f soak.Fault) error {
+func (p *soakRun) inject(ctx context.Context, f soak.Fault) error {
 	length := time.Duration(f.Length * float64(time.Second))
 	n, s := p.nodes[f.Node], p.servers[f.Server]
 	if f.ChangesProcess() {
@@ -41,12 +41,12 @@
 	case soak.Kill:
 		n.kill()
 		sleepFor(ctx, length)
-		defer n.back()
+		defer n.markBack()
 		return n.start(ctx, 0, false)
 	case soak.Handover:
 		return n.handover(ctx)
 	case soak.Pause:
-		return n.pause(ctx, min(length, pauseMost))
+		return n.pause(ctx, min(length, maxPause))
 	case soak.Reload:
 		return n.reload()
 	case soak.HupTwice:
@@ -58,13 +58,13 @@
 		sleepFor(ctx, seriesGap)
 		return n.restart(ctx, 0)
 	case soak.TermTwice:
-		return n.restartTwiceTold(ctx)
+		return n.restartWithSecondTerm(ctx)
 	case soak.TermAtStart:
 		return n.restartWithTermAtStart(ctx, length/10)
 	case soak.TermHandover:
 		return n.handoverWithTerm(ctx)
 	case soak.Crowd:
-		p.crowd(ctx, n, length)
+		p.applyConnectionPressure(ctx, n, length)
 	case soak.Leave:
 		p.leave(ctx, n, length)
 	case soak.Stall:
@@ -78,12 +78,12 @@
 	case soak.Vanish:
 		return p.vanish(ctx, s, length)
 	case soak.Hang:
-		server, _ := s.present()
+		server, _ := s.currentServer()
 		server.SetUnresponsive(true)
 		sleepFor(ctx, length)
 		server.SetUnresponsive(false)
 	case soak.Silent, soak.Resets, soak.Late:
-		_, path := s.present()
+		_, path := s.currentServer()
 		path.SetFault(map[soak.Kind]standin.PathFault{soak.Silent: standin.PathSilent, soak.Resets: standin.PathResets, soak.Late: standin.PathConnectsStall}[f.Kind])
 		sleepFor(ctx, length)
 		path.SetFault(standin.PathHealthy)
@@ -141,9 +141,9 @@
 }
 
 // replace drains and removes a server, and lists it again as a new process that starts cold.
-func (p *soakPlay) replace(ctx context.Context, s *soakServer, length time.Duration) error {
+func (p *soakRun) replace(ctx context.Context, s *soakServer, length time.Duration) error {
 	p.service.Set(s.entry("draining"))
-	sleepFor(ctx, drainBefore)
+	sleepFor(ctx, drainTime)
 	p.service.Set(s.entry("gone"))
 	sleepFor(ctx, length)
 	if err := s.start(soakColdFrom); err != nil {
@@ -155,30 +155,30 @@
 
 // vanish ends a server's process while discovery still lists it. A new process starts after length, and discovery lists
 // it relistDelay later.
-func (p *soakPlay) vanish(ctx context.Context, s *soakServer, length time.Duration) error {
-	server, path := s.present()
+func (p *soakRun) vanish(ctx context.Context, s *soakServer, length time.Duration) error {
+	server, path := s.currentServer()
 	server.Close()
 	path.Close()
 	sleepFor(ctx, length)
 	if err := s.start(soakColdFrom); err != nil {
 		return err
 	}
-	sleepFor(ctx, noticedLate)
+	sleepFor(ctx, relistDelay)
 	p.service.Set(s.entry("ready"))
 	return nil
 }
 
 // leave has clients send requests and disconnect before the answer, in turn by a FIN and by a reset, for length.
-func (p *soakPlay) leave(ctx context.Context, n *soakNode, length time.Duration) {
+func (p *soakRun) leave(ctx context.Context, n *soakNode, length time.Duration) {
 	began := time.Now()
 	for i := 0; time.Since(began) < length && ctx.Err() == nil; i++ {
 		go p.leaveOne(n.listen, fmt.Sprintf("%s-leave-%d-%d", n.name, began.UnixNano(), i), i%2 == 0)
-		sleepFor(ctx, leaveEvery)
+		sleepFor(ctx, leaveInterval)
 	}
 }
 
 // leaveOne sends a request and disconnects after a random time, by a reset if reset is true.
-func (p *soakPlay) leaveOne(addr, id string, reset bool) {
+func (p *soakRun) leaveOne(addr, id string, reset bool) {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return
@@ -192,26 +192,26 @@
 	c.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.departed[id] = at
+	p.clientGone[id] = at
 }
 
 // stall has clients stop in the middle of a request and keep the connection open.
-func (p *soakPlay) stall(n *soakNode) {
-	ended := make(chan bool, stallers)
-	for i := range stallers {
+func (p *soakRun) stall(n *soakNode) {
+	ended := make(chan bool, stallClients)
+	for i := range stallClients {
 		go func() {
 			defer func() { ended <- true }()
 			p.stallOne(n, i%2 == 0)
 		}()
 	}
-	for range stallers {
+	for range stallClients {
 		<-ended
 	}
 }
 
 // stallOne sends a part of a request, to the middle of its body or of its head, and records when the node closes the
 // connection.
-func (p *soakPlay) stallOne(n *soakNode, inBody bool) {
+func (p *soakRun) stallOne(n *soakNode, inBody bool) {
 	c, err := net.DialTimeout("tcp", n.listen, time.Second)
 	if err != nil {
 		return
--- a/cmd/rig/soaknode.go
+++ b/cmd/rig/soaknode.go
@@ -30,7 +30,7 @@
 
 // soakNode is a node of the soak test. Its processes follow one another at one address.
 type soakNode struct {
-	play    *soakPlay
+	run     *soakRun
 	index   int
 	name    string
 	listen  string
@@ -42,17 +42,17 @@
 
 	changing sync.Mutex // held by the fault that replaces the process
 
-	mu        sync.Mutex
-	callers   []*registry.Caller // discovery of this node at each address so far; the last one is in use
-	process   *child
-	ops       string          // address of the process's operations listener
-	known     uint64          // revision of the list with which a new process begins
-	killed    []soak.Span     // from SIGKILL until the next process serves
-	handovers []soak.Span     // a predecessor and a successor run
-	crowds    []soak.Span     // idle clients take all connections
-	ready     []time.Duration // from the start of each process until it could serve
-	ended     []string        // unexpected ends of processes and missing figures
-	guard     map[string]int  // violations that the guards counted, by rule
+	mu            sync.Mutex
+	discoveries   []*registry.Caller // discovery of this node at each address so far; the last one is in use
+	process       *child
+	ops           string          // address of the process's operations listener
+	knownRevision uint64          // revision of the list with which a new process begins
+	killed        []soak.Span     // from SIGKILL until the next process serves
+	handovers     []soak.Span     // a predecessor and a successor run
+	pressureSpans []soak.Span     // idle clients take all connections
+	ready         []time.Duration // from the start of each process until it could serve
+	ended         []string        // unexpected ends of processes and missing figures
+	guard         map[string]int  // violations that the guards counted, by rule
 }
 
 // reservePort binds a socket to a free port of 127.0.0.1 with SO_REUSEPORT and does not listen. It reserves the port for
@@ -78,13 +78,13 @@
 }
 
 // discovery returns the discovery server that the node uses now. The caller holds mu.
-func (n *soakNode) caller() *registry.Caller { return n.callers[len(n.callers)-1] }
+func (n *soakNode) discovery() *registry.Caller { return n.discoveries[len(n.discoveries)-1] }
 
 // config returns the node's configuration in the platform's format.
 func (n *soakNode) config() ([]byte, error) {
 	type object = map[string]any
 	var classes []object
-	for _, c := range soakClasses(n.play.profile.Patience) {
+	for _, c := range soakClasses(n.run.profile.Patience) {
 		effect := "retryable"
 		if c.Keyed {
 			effect = "dedup"
@@ -98,18 +98,18 @@
 	if n.pushed {
 		mode = "pushed"
 	}
-	caps := object{"cancel": true, "peers": n.play.profile.Peers, "connect_timeout_ns": 250 * time.Millisecond, "max_attempts": 3, "may_duplicate": true, "retry_after": true,
+	caps := object{"cancel": true, "peers": n.run.profile.Peers, "connect_timeout_ns": 250 * time.Millisecond, "max_attempts": 3, "may_duplicate": true, "retry_after": true,
 		"max_retry_after_ns": 2 * time.Second, "conn_idle_ns": 30 * time.Second}
 	rules := object{"answer_slack_ns": 20 * time.Millisecond, "ask_within_ns": 10 * time.Second, "cold_from": soakColdFrom, "cold_ns": soakColdTime,
 		"drain_grace_ns": 500 * time.Millisecond, "overload_factor": 2.5, "tip_after_ns": time.Second}
 	var peers []string
-	for _, other := range n.play.nodes {
+	for _, other := range n.run.nodes {
 		peers = append(peers, other.peer)
 	}
-	return json.MarshalIndent(object{"name": n.name, "peer_listen": n.peer, "peers": peers, "listen": n.listen, "discovery": n.caller().Addr, "seed": "5f3759df5f3759df",
+	return json.MarshalIndent(object{"name": n.name, "peer_listen": n.peer, "peers": peers, "listen": n.listen, "discovery": n.discovery().Addr, "seed": "5f3759df5f3759df",
 		"limits": object{"cores": 1.0, "memory_mb": 64, "sockets": 512},
-		"known":  object{"version": n.known, "full": true, "servers": n.play.service.ListAt(n.known)},
-		"settings": object{"balancers": n.play.profile.Balancers, "slot_no": n.index, "zone": "z", "failure_domains": []string{"z"}, "caps": caps,
+		"known":  object{"version": n.knownRevision, "full": true, "servers": n.run.service.ListAt(n.knownRevision)},
+		"settings": object{"balancers": n.run.profile.Balancers, "slot_no": n.index, "zone": "z", "failure_domains": []string{"z"}, "caps": caps,
 			"classes": classes, "membership_mode": mode, "tick_ns": 5 * time.Millisecond, "weight_kind": "none",
 			"report": object{"how": "none"}, "invariants": rules}}, "", "  ")
 }
@@ -120,7 +120,7 @@
 	if err != nil {
 		return "", err
 	}
-	path = filepath.Join(n.play.workshop.dir, n.name+".json")
+	path = filepath.Join(n.run.workspace.dir, n.name+".json")
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
@@ -132,14 +132,14 @@
 	if err != nil {
 		return err
 	}
-	return n.serves(ctx, c, began)
+	return n.awaitServing(ctx, c, began)
 }
 
 // begin starts a process without waiting for it; the parameters are those of start.
 func (n *soakNode) begin(step time.Duration, successor bool) (*child, error) {
 	n.mu.Lock()
 	if !successor {
-		n.caller().ProcessStarted(n.known)
+		n.discovery().ProcessStarted(n.knownRevision)
 	}
 	path, err := n.writeConfig()
 	n.mu.Unlock()
@@ -147,18 +147,18 @@
 		return nil, err
 	}
 	env := []string{"GW_CONFIG=" + path, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", "GW_OPS=127.0.0.1:0", "TMPDIR=" + n.folder, "RIG_WALL_STEP=" + step.String()}
-	program, args := n.play.workshop.binary, []string(nil)
+	program, args := n.run.workspace.binary, []string(nil)
 	if n.failing {
 		if program, err = os.Executable(); err != nil {
 			return nil, err
 		}
-		args = []string{"failing", n.play.workshop.binary}
+		args = []string{"failing", n.run.workspace.binary}
 	}
-	return n.play.workshop.start(env, program, args...)
+	return n.run.workspace.start(env, program, args...)
 }
 
 // awaitServing waits until a process that began at began can serve, and makes it the node's process.
-func (n *soakNode) serves(ctx context.Context, c *child, began time.Time) error {
+func (n *soakNode) awaitServing(ctx context.Context, c *child, began time.Time) error {
 	ops, err := awaitOps(ctx, c)
 	if err != nil {
 		return fmt.Errorf("%s: %w", n.name, err)
@@ -167,7 +167,7 @@
 	defer n.mu.Unlock()
 	n.process, n.ops = c, ops
 	n.ready = append(n.ready, time.Since(began))
-	n.play.watch(n, c, ops)
+	n.run.watch(n, c, ops)
 	return nil
 }
 
@@ -201,13 +201,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.killed = append(n.killed, soak.Span{From: time.Now()})
-	n.known = n.play.service.Revision()
+	n.knownRevision = n.run.service.Revision()
 	n.process.kill()
-	n.note(n.process)
+	n.countViolations(n.process)
 }
 
 // markBack ends the time in which failures of a killed node are excused.
-func (n *soakNode) back() {
+func (n *soakNode) markBack() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.killed[len(n.killed)-1].To = time.Now()
@@ -217,7 +217,7 @@
 // unanswered then count as lost; no part of that time is excused.
 func (n *soakNode) terminate(c *child) {
 	c.cmd.Process.Signal(syscall.SIGTERM)
-	n.awaitEnd(c, time.Now().Add(min(n.play.profile.Patience, longestEnd)+killAfterEnd))
+	n.awaitEnd(c, time.Now().Add(min(n.run.profile.Patience, longestEnd)+killAfterEnd))
 }
 
 // awaitEnd waits for the end of a process that got SIGTERM, and kills it at killAt. An error exit before that is recorded.
@@ -225,7 +225,7 @@
 	select {
 	case <-c.ended:
 	case <-time.After(time.Until(killAt)):
-		n.play.killedAtEnd.Add(1)
+		n.run.killedAtEnd.Add(1)
 		c.kill()
 	}
 	n.mu.Lock()
@@ -233,21 +233,21 @@
 	if c.err != nil && time.Now().Before(killAt) {
 		n.ended = append(n.ended, fmt.Sprintf("%s: at SIGTERM: %v\n%s", n.name, c.err, lastLines(c.log.String(), 20)))
 	}
-	n.note(c)
+	n.countViolations(c)
 }
 
 // countViolations adds the violations in the log of a process that has ended, and saves the log. The caller holds mu.
-func (n *soakNode) note(c *child) {
+func (n *soakNode) countViolations(c *child) {
 	for rule, count := range violationsLogged(c.log.String()) {
 		n.guard[rule] += count
 	}
-	n.play.keep(n.name, c)
+	n.run.saveLog(n.name, c)
 }
 
 // lastLines returns the last limit lines of a text.
-func lastLines(text string, most int) string {
+func lastLines(text string, limit int) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
-	return strings.Join(lines[max(0, len(lines)-most):], "\n")
+	return strings.Join(lines[max(0, len(lines)-limit):], "\n")
 }
 
 // restart ends the process by SIGTERM and starts another one.
@@ -264,7 +264,7 @@
 	n.terminate(c)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.known = n.play.service.Revision()
+	n.knownRevision = n.run.service.Revision()
 }
 
 // handover starts a successor while the present process serves, and ends the latter once the successor serves.
@@ -286,7 +286,7 @@
 
 // reload opens discovery at another address, writes the new configuration and has the process read it by SIGHUP.
 func (n *soakNode) reload() error {
-	next, err := n.play.listen(n)
+	next, err := n.run.listen(n)
 	if err != nil {
 		return err
 	}
@@ -296,8 +296,8 @@
 	if n.pushed {
 		delay = pushedReload
 	}
-	next.ContinueFrom(n.caller(), delay)
-	n.callers = append(n.callers, next)
+	next.ContinueFrom(n.discovery(), delay)
+	n.discoveries = append(n.discoveries, next)
 	if _, err := n.writeConfig(); err != nil {
 		return err
 	}
@@ -308,7 +308,7 @@
 func (n *soakNode) notifications() (all []registry.Notification) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, c := range n.callers {
+	for _, c := range n.discoveries {
 		all = append(all, c.Notifications()...)
 	}
 	return all
--- a/cmd/rig/soakplay.go
+++ b/cmd/rig/soakplay.go
@@ -29,22 +29,22 @@
 )
 
 // soakRun is one run of the soak test.
-type soakPlay struct {
-	workshop *workshop
-	service  *registry.Service
-	nodes    []*soakNode
-	servers  []*soakServer
-	profile  soak.Profile
-	injected atomic.Int64
+type soakRun struct {
+	workspace *workspace
+	service   *registry.Service
+	nodes     []*soakNode
+	servers   []*soakServer
+	profile   soak.Profile
+	injected  atomic.Int64
 	// killedAtEnd counts the processes that had not ended by the earliest SIGKILL after SIGTERM.
 	killedAtEnd atomic.Int64
 	keepLogs    string // directory for the logs of all processes; empty: logs are not saved
 
-	mu       sync.Mutex
-	departed map[string]time.Time // when clients disconnected, by request ID
-	stalled  []soak.Stalled
-	refusals map[string]int // attempts that the guard of each process refused
-	kept     int            // number of saved logs
+	mu         sync.Mutex
+	clientGone map[string]time.Time // when clients disconnected, by request ID
+	stalled    []soak.Stalled
+	refusals   map[string]int // attempts that the guard of each process refused
+	savedLogs  int            // number of saved logs
 }
 
 // soakServer is one server of the list. Its processes follow one another at different addresses.
@@ -52,18 +52,18 @@
 	name string
 	cell int
 
-	mu    sync.Mutex
-	now   *standin.Server
-	path  *standin.Path
-	old   []*standin.Server
-	paths []*standin.Path
-	cold  []soak.Cold
-	dedup *standin.Dedup
+	mu            sync.Mutex
+	current       *standin.Server
+	path          *standin.Path
+	previous      []*standin.Server
+	previousPaths []*standin.Path
+	cold          []soak.Cold
+	dedup         *standin.Dedup
 }
 
 // openSoak starts servers, discovery and nodes, and waits until all nodes can serve.
-func openSoak(ctx context.Context, w *workshop, seed uint64) (p *soakPlay, err error) {
-	p = &soakPlay{workshop: w, profile: soak.ProfileOf(seed), departed: map[string]time.Time{}, refusals: map[string]int{}}
+func openSoak(ctx context.Context, w *workspace, seed uint64) (p *soakRun, err error) {
+	p = &soakRun{workspace: w, profile: soak.ProfileOf(seed), clientGone: map[string]time.Time{}, refusals: map[string]int{}}
 	defer func() {
 		if err != nil {
 			p.close()
@@ -88,14 +88,14 @@
 }
 
 // addNode prepares node i: its addresses, directory and discovery. Every third node gets its list from an agent.
-func (p *soakPlay) addNode(i int, seed uint64) error {
-	n := &soakNode{play: p, index: i, name: soakName("n", i), pushed: i%3 == 2, failing: (uint64(i)+seed)%6 == 0, known: 1, guard: map[string]int{}}
+func (p *soakRun) addNode(i int, seed uint64) error {
+	n := &soakNode{run: p, index: i, name: soakName("n", i), pushed: i%3 == 2, failing: (uint64(i)+seed)%6 == 0, knownRevision: 1, guard: map[string]int{}}
 	p.nodes = append(p.nodes, n)
 	var err error
 	if n.port, n.listen, err = reservePort(); err != nil {
 		return err
 	}
-	n.folder = filepath.Join(p.workshop.dir, n.name)
+	n.folder = filepath.Join(p.workspace.dir, n.name)
 	if err = os.MkdirAll(n.folder, 0o700); err != nil {
 		return err
 	}
@@ -106,12 +106,12 @@
 	if err != nil {
 		return err
 	}
-	n.callers = append(n.callers, c)
+	n.discoveries = append(n.discoveries, c)
 	return nil
 }
 
 // listen opens a discovery server for a node or, if the node's list is pushed, an agent.
-func (p *soakPlay) listen(n *soakNode) (*registry.Caller, error) {
+func (p *soakRun) listen(n *soakNode) (*registry.Caller, error) {
 	if n.pushed {
 		return p.service.Agent(n.name)
 	}
@@ -119,7 +119,7 @@
 }
 
 // startAll starts all nodes at once and waits until they can serve.
-func (p *soakPlay) startAll(ctx context.Context) error {
+func (p *soakRun) startAll(ctx context.Context) error {
 	errs := make(chan error, len(p.nodes))
 	for _, n := range p.nodes {
 		go func() { errs <- n.start(ctx, 0, false) }()
@@ -132,7 +132,7 @@
 }
 
 // close ends all nodes, servers and discovery.
-func (p *soakPlay) close() {
+func (p *soakRun) close() {
 	for _, n := range p.nodes {
 		n.mu.Lock()
 		if n.process != nil {
@@ -153,11 +153,11 @@
 
 // run sends the clients' load for length, causes the faults of list, and returns the logs. late is the longest delay of
 // the rig itself.
-func (p *soakPlay) play(ctx context.Context, list []soak.Fault, length time.Duration) (e soak.Evidence, late time.Duration, err error) {
-	measured, stop := context.WithCancel(ctx)
+func (p *soakRun) run(ctx context.Context, list []soak.Fault, length time.Duration) (e soak.Evidence, late time.Duration, err error) {
+	noiseCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	noise := newNoise(measured)
-	asking, end := context.WithTimeout(ctx, length)
+	noise := startNoiseMeter(noiseCtx)
+	loadCtx, end := context.WithTimeout(ctx, length)
 	defer end()
 	var running sync.WaitGroup
 	var loads []*standin.Load
@@ -165,13 +165,13 @@
 		l := &standin.Load{Addr: n.listen, Classes: soakClasses(p.profile.Patience), Retries: 1, Prefix: n.name + "-", KeepLog: true, Seed: uint64(i) + 1, Linger: 600 * time.Millisecond,
 			CloseCrossing: 100 * time.Millisecond}
 		loads = append(loads, l)
-		running.Go(func() { l.RunOpen(asking, p.profile.Rate, soakConns) })
+		running.Go(func() { l.RunOpen(loadCtx, p.profile.Rate, soakConns) })
 	}
 	errs := make(chan error, len(list)+1)
 	began := time.Now()
 	for _, f := range list {
 		running.Go(func() {
-			if sleepFor(asking, time.Until(began.Add(time.Duration(f.At*float64(time.Second))))); asking.Err() != nil {
+			if sleepFor(loadCtx, time.Until(began.Add(time.Duration(f.At*float64(time.Second))))); loadCtx.Err() != nil {
 				return
 			}
 			p.injected.Add(1)
@@ -194,7 +194,7 @@
 }
 
 // evidence collects the logs of clients, servers, discovery and nodes.
-func (p *soakPlay) evidence(loads []*standin.Load) soak.Evidence {
+func (p *soakRun) evidence(loads []*standin.Load) soak.Evidence {
 	e := soak.Evidence{Classes: soakClasses(p.profile.Patience), Notified: map[string][]registry.Notification{}, Killed: map[string][]soak.Span{},
 		Crowded: map[string][]soak.Span{}, HandedOver: map[string][]soak.Span{}, Guard: map[string]map[string]int{}}
 	for _, l := range loads {
@@ -214,19 +214,19 @@
 				n.guard[r.String()] += f["gw.guard."+r.String()+".violated"]
 			}
 		}
-		p.keep(n.name, n.process)
-		e.Killed[n.name], e.HandedOver[n.name], e.Guard[n.name], e.Crowded[n.name] = n.killed, n.handovers, n.guard, n.crowds
+		p.saveLog(n.name, n.process)
+		e.Killed[n.name], e.HandedOver[n.name], e.Guard[n.name], e.Crowded[n.name] = n.killed, n.handovers, n.guard, n.pressureSpans
 		e.Ready, e.Ended = append(e.Ready, n.ready...), append(e.Ended, n.ended...)
 		n.mu.Unlock()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e.Departed, e.Stalled = p.departed, p.stalled
+	e.Departed, e.Stalled = p.clientGone, p.stalled
 	return e
 }
 
 // watch reads how many attempts a process's guard has refused, every soakPoll until the process has ended.
-func (p *soakPlay) watch(n *soakNode, c *child, ops string) {
+func (p *soakRun) watch(n *soakNode, c *child, ops string) {
 	name := fmt.Sprintf("%s %d", n.name, c.cmd.Process.Pid)
 	go func() {
 		for {
@@ -251,7 +251,7 @@
 }
 
 // guardRefusals returns how many attempts the guards of all processes refused, as last read.
-func (p *soakPlay) guardRefusals() (all int) {
+func (p *soakRun) guardRefusals() (all int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, n := range p.refusals {
@@ -261,13 +261,13 @@
 }
 
 // saveLog writes the log of a process to the directory for logs, if one is set.
-func (p *soakPlay) keep(name string, c *child) {
+func (p *soakRun) saveLog(name string, c *child) {
 	if p.keepLogs == "" {
 		return
 	}
 	p.mu.Lock()
-	p.kept++
-	path := filepath.Join(p.keepLogs, fmt.Sprintf("%s-%03d.log", name, p.kept))
+	p.savedLogs++
+	path := filepath.Join(p.keepLogs, fmt.Sprintf("%s-%03d.log", name, p.savedLogs))
 	p.mu.Unlock()
 	os.MkdirAll(p.keepLogs, 0o755)
 	os.WriteFile(path, []byte(c.log.String()), 0o644)
@@ -290,10 +290,10 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.now != nil {
-		s.old, s.paths = append(s.old, s.now), append(s.paths, s.path)
+	if s.current != nil {
+		s.previous, s.previousPaths = append(s.previous, s.current), append(s.previousPaths, s.path)
 	}
-	s.now, s.path = server, path
+	s.current, s.path = server, path
 	if coldFrom > 0 {
 		s.cold = append(s.cold, soak.Cold{Server: s.name, Started: server.Started, Rate: 1 / soakWork()["read"].Time.Seconds(), From: coldFrom, Time: soakColdTime})
 	}
@@ -304,23 +304,23 @@
 func (s *soakServer) entry(state string) standin.Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := standin.EntryOf(s.now)
+	e := standin.EntryOf(s.current)
 	e.Addr, e.State = s.path.Addr, state
 	return e
 }
 
 // currentServer returns the server's present process and the path to it.
-func (s *soakServer) present() (*standin.Server, *standin.Path) {
+func (s *soakServer) currentServer() (*standin.Server, *standin.Path) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.now, s.path
+	return s.current, s.path
 }
 
 // executions returns the logs of all processes of the server.
 func (s *soakServer) executions() (all []standin.Execution) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range append(s.old, s.now) {
+	for _, x := range append(s.previous, s.current) {
 		all = append(all, x.Log()...)
 	}
 	return all
@@ -330,12 +330,12 @@
 func (s *soakServer) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range append(s.old, s.now) {
+	for _, x := range append(s.previous, s.current) {
 		if x != nil {
 			x.Close()
 		}
 	}
-	for _, x := range append(s.paths, s.path) {
+	for _, x := range append(s.previousPaths, s.path) {
 		if x != nil {
 			x.Close()
 		}
