--- a/cmd/rig/soakseries.go
+++ b/cmd/rig/soakseries.go
@@ -13,10 +13,10 @@
 // Series of signals, and idle clients that take all connections.
 
 const (
-	seriesGap    = 50 * time.Millisecond // between two signals
-	crowdClients = 300                   // more than a node's file descriptors allow
+	seriesGap       = 50 * time.Millisecond // between two signals
+	pressureClients = 300                   // more than a node's file descriptors allow
 	// partialHead is a request head without its end.
-	crowdHead = "POST /order HTTP/1.1\r\nHost: api.internal\r\n"
+	partialHead = "POST /order HTTP/1.1\r\nHost: api.internal\r\n"
 )
 
 // peerAddress returns a UDP address that is free now.
@@ -30,7 +30,7 @@
 }
 
 // restartWithSecondTerm ends the process by SIGTERM, sends a second SIGTERM while it drains, and starts another one.
-func (n *soakNode) restartTwiceTold(ctx context.Context) error {
+func (n *soakNode) restartWithSecondTerm(ctx context.Context) error {
 	n.mu.Lock()
 	c := n.process
 	n.mu.Unlock()
@@ -49,15 +49,15 @@
 	}
 	sleepFor(ctx, after)
 	early.cmd.Process.Signal(syscall.SIGTERM)
-	killAt := time.Now().Add(min(n.play.profile.Patience, longestEnd) + killAfterEnd)
+	killAt := time.Now().Add(min(n.run.profile.Patience, longestEnd) + killAfterEnd)
 	select {
 	case <-early.ended: // perhaps before it could handle signals; it had accepted no request then
 	case <-time.After(time.Until(killAt)):
-		n.play.killedAtEnd.Add(1)
+		n.run.killedAtEnd.Add(1)
 		early.kill()
 	}
 	n.mu.Lock()
-	n.note(early)
+	n.countViolations(early)
 	n.mu.Unlock()
 	return n.start(ctx, 0, false)
 }
@@ -75,7 +75,7 @@
 	}
 	sleepFor(ctx, seriesGap)
 	n.terminate(before)
-	err = n.serves(ctx, next, began)
+	err = n.awaitServing(ctx, next, began)
 	n.mu.Lock()
 	n.handovers[len(n.handovers)-1].To = time.Now()
 	n.mu.Unlock()
@@ -84,10 +84,10 @@
 
 // applyConnectionPressure has idle clients take all connections that a node allows, for length. Half of the clients stop
 // in the middle of a request head.
-func (p *soakPlay) crowd(ctx context.Context, n *soakNode, length time.Duration) {
+func (p *soakRun) applyConnectionPressure(ctx context.Context, n *soakNode, length time.Duration) {
 	from := time.Now()
 	n.mu.Lock()
-	n.crowds = append(n.crowds, soak.Span{From: from, To: from.Add(length)})
+	n.pressureSpans = append(n.pressureSpans, soak.Span{From: from, To: from.Add(length)})
 	n.mu.Unlock()
 	var open []net.Conn
 	defer func() {
@@ -95,14 +95,14 @@
 			c.Close()
 		}
 	}()
-	for i := range crowdClients {
+	for i := range pressureClients {
 		c, err := net.DialTimeout("tcp", n.listen, time.Second)
 		if err != nil {
 			break
 		}
 		open = append(open, c)
 		if i%2 == 0 {
-			io.WriteString(c, crowdHead)
+			io.WriteString(c, partialHead)
 		}
 	}
 	sleepFor(ctx, max(0, length-time.Since(from)))
--- a/cmd/rig/supervise_test.go
+++ b/cmd/rig/supervise_test.go
@@ -27,12 +27,12 @@
 // the first runs, and adopts the same process once the first is killed. A supervisor that is killed in the middle of a turn
 // leaves two processes; the next one ends the process that does not serve, completes the turn, and one process is left.
 func TestSupervisors(t *testing.T) {
-	w, err := newWorkshop(t.Context(), "")
+	w, err := newWorkspace(t.Context(), "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	f, err := openZones(2, []string{"a"}, 4, kampklipWork(0.2))
+	f, err := openZones(2, []string{"a"}, 4, mediaWork(0.2))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 		}
 		return h.Pid
 	}
-	until := func(what string, done func() bool) {
+	waitUntil := func(what string, done func() bool) {
 		t.Helper()
 		for end := time.Now().Add(settleWait); !done(); sleepFor(t.Context(), 20*time.Millisecond) {
 			if time.Now().After(end) {
@@ -64,15 +64,15 @@
 		return func() bool { return strings.Contains(strings.Join(m.logs(), ""), part) }
 	}
 	node, first := pid(), m.proc
-	if err := p.start(t.Context(), 0); err != nil { // the first supervisor's node answers the readiness check
+	if err := p.startMember(t.Context(), 0); err != nil { // the first supervisor's node answers the readiness check
 		t.Fatal(err)
 	}
-	until("the second waits", logged("another supervisor keeps this node"))
+	waitUntil("the second waits", logged("another supervisor keeps this node"))
 	if list := processesOf(m); len(list) != 1 || pid() != node {
 		t.Errorf("two supervisors run %v; %d served before, %d now", list, node, pid())
 	}
 	first.kill()
-	until("the second adopts the node", logged(fmt.Sprintf("takes up the node that runs\" pid=%d", node)))
+	waitUntil("the second adopts the node", logged(fmt.Sprintf("takes up the node that runs\" pid=%d", node)))
 	if list := processesOf(m); len(list) != 1 || pid() != node {
 		t.Errorf("adopted as %v; %d served before, %d now", list, node, pid())
 	}
@@ -83,11 +83,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, err := r.hold(program)
+	before, err := r.addProgram(program)
 	if err != nil {
 		t.Fatal(err)
 	}
-	late, err := r.hold([]byte("#!/bin/sh\nsleep 2\nexec " + filepath.Join(w.dir, m.name+"-programs", before) + " \"$@\"\n"))
+	late, err := r.addProgram([]byte("#!/bin/sh\nsleep 2\nexec " + filepath.Join(w.dir, m.name+"-programs", before) + " \"$@\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,14 +99,14 @@
 	if text, code := p.command(t.Context(), m, "release", "start", plan); code != 0 {
 		t.Fatalf("%d: %s", code, text)
 	}
-	until("the turn has begun", func() bool { return len(processesOf(m)) == 2 })
+	waitUntil("the turn has begun", func() bool { return len(processesOf(m)) == 2 })
 	left := processesOf(m)
 	m.kill()
-	if err := p.start(t.Context(), 0); err != nil {
+	if err := p.startMember(t.Context(), 0); err != nil {
 		t.Fatal(err)
 	}
-	until("the process that was left is ended", logged("ends a process that a supervisor before this one has left"))
-	until("the turn is complete", func() bool {
+	waitUntil("the process that was left is ended", logged("ends a process that a supervisor before this one has left"))
+	waitUntil("the turn is complete", func() bool {
 		list, now := processesOf(m), fmt.Sprint(pid())
 		return len(list) == 1 && list[0] == now && now != left[0] && now != left[1]
 	})
