--- a/cmd/rig/agreement.go
+++ b/cmd/rig/agreement.go
@@ -23,16 +23,16 @@
 // until a killed leader is replaced, the size of the log on disk, and the cost of 12, 300 and 1,000 sessions. All
 // sessions but the voters' own are opened by this process, each over its own connection.
 func agreementRig(ctx context.Context, o *options) error {
-	w, err := newWorkspace(ctx, o.binary)
+	workspace, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
-	defer w.Close()
+	defer workspace.Close()
 	grants, kills, sizes, window := 1000, 10, []int{12, 300, 1000}, 20*time.Second
 	if o.quick {
 		grants, kills, sizes, window = 100, 2, []int{12, 100}, 5*time.Second
 	}
-	h, closeHistory, err := w.historyFile("")
+	h, closeHistory, err := workspace.historyFile("")
 	if err != nil {
 		return err
 	}
@@ -43,14 +43,14 @@
 	}
 	defer f.Close()
 	for _, voters := range []int{3, 5} {
-		if err := o.measureGrants(ctx, w, f, h, voters, grants, kills); err != nil {
+		if err := o.measureGrants(ctx, workspace, f, h, voters, grants, kills); err != nil {
 			return fmt.Errorf("%d voters: %w", voters, err)
 		}
 	}
-	if err := o.measureRequestCost(ctx, w, h); err != nil {
+	if err := o.measureRequestCost(ctx, workspace, h); err != nil {
 		return fmt.Errorf("cost of a request: %w", err)
 	}
-	return o.measureSessions(ctx, w, f, h, sizes, window)
+	return o.measureSessions(ctx, workspace, f, h, sizes, window)
 }
 
 // minFleetRateRatio is the least accepted request rate of a node with -fleet, as a fraction of the rate of one without.
@@ -164,7 +164,7 @@
 	return nil
 }
 
-// sessionsPerWireSet is how many of this process's sessions share a set of wires. A wire carries a few more than this number.
+// sessionsPerWireSet is how many of this process's sessions share a set of wires. A wire can carry a few more.
 const sessionsPerWireSet = 200
 
 // idleLoop stands in for the event loop of a node that has no requests and no servers.
@@ -207,8 +207,8 @@
 		return err
 	}
 	defer p.close()
-	// The sessions of this process reach the voters through separate wires, one set for every sessionsPerWireSet sessions. What
-	// these wires carry is the network cost of the sessions.
+	// The sessions of this process reach the voters through separate wires, one set for every sessionsPerWireSet sessions.
+	// What these wires carry is the network cost of the sessions.
 	var wires [][]*standin.Wire
 	defer func() {
 		for _, wireSet := range wires {
--- a/cmd/rig/configuration_test.go
+++ b/cmd/rig/configuration_test.go
@@ -105,14 +105,14 @@
 func TestConfigurationCheckersFindFaults(t *testing.T) {
 	began := time.Now()
 	at := func(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
-	type seen struct {
+	type observed struct {
 		puts    []configurationPut
 		history []*configpb.Revision
 		samples []configurationSample
 		caches  []configurationCache
 	}
-	good := func() *seen {
-		s, store := &seen{}, configuration.New()
+	good := func() *observed {
+		s, store := &observed{}, configuration.New()
 		for i, condition := range []uint64{0, 1, 0, 2} {
 			put := configurationPut{requestID: fmt.Sprint("op", i), pair: i / 2 % 2, condition: condition, from: at(100 * i)}
 			if i == 3 {
@@ -140,33 +140,33 @@
 		}
 		return s
 	}
-	lost := func(s *seen) []string { return lostRevisions(s.puts, s.history) }
-	conditions := func(s *seen) []string { return brokenConditions(s.puts, s.history) }
-	order := func(s *seen) []string { return outOfOrder(s.samples, s.puts, s.history) }
-	part := func(s *seen) []string { return appliedInPart(s.caches, s.history) }
-	for _, check := range []func(*seen) []string{lost, conditions, order, part} {
+	lost := func(s *observed) []string { return lostRevisions(s.puts, s.history) }
+	conditions := func(s *observed) []string { return brokenConditions(s.puts, s.history) }
+	order := func(s *observed) []string { return outOfOrder(s.samples, s.puts, s.history) }
+	partial := func(s *observed) []string { return appliedInPart(s.caches, s.history) }
+	for _, check := range []func(*observed) []string{lost, conditions, order, partial} {
 		if faults := check(good()); len(faults) > 0 {
 			t.Errorf("in a good run: %v", faults)
 		}
 	}
 	for name, c := range map[string]struct {
-		check func(*seen) []string
-		plant func(*seen)
+		check func(*observed) []string
+		plant func(*observed)
 	}{
-		"lost":           {lost, func(s *seen) { s.history = s.history[:3] }},
-		"twice":          {lost, func(s *seen) { s.history[3].By = "op2" }},
-		"told another":   {lost, func(s *seen) { s.puts[1].revision = 3 }},
-		"after conflict": {lost, func(s *seen) { s.puts[2].code = configpb.Result_CONFLICT }},
-		"nobody's":       {lost, func(s *seen) { s.puts = s.puts[1:] }},
-		"gap":            {lost, func(s *seen) { s.history[2].Number = 9 }},
-		"condition":      {conditions, func(s *seen) { s.puts[1].condition = 0 }},
-		"back":           {order, func(s *seen) { s.samples[3].revision = 1 }},
-		"ahead":          {order, func(s *seen) { s.samples[2].at = at(100) }},
-		"of nothing":     {order, func(s *seen) { s.samples[3].revision = 5 }},
-		"half":           {part, func(s *seen) { s.caches[3].snapshot.Entries[1].GetService().TimeoutMs = 99 }},
-		"missing":        {part, func(s *seen) { s.caches[3].snapshot.Entries = s.caches[3].snapshot.Entries[1:] }},
-		"no such state":  {part, func(s *seen) { s.caches[3].snapshot.Revision = 9 }},
-		"other revision": {part, func(s *seen) { s.caches[3].snapshot.Revision = 2 }},
+		"lost":           {lost, func(s *observed) { s.history = s.history[:3] }},
+		"twice":          {lost, func(s *observed) { s.history[3].By = "op2" }},
+		"told another":   {lost, func(s *observed) { s.puts[1].revision = 3 }},
+		"after conflict": {lost, func(s *observed) { s.puts[2].code = configpb.Result_CONFLICT }},
+		"nobody's":       {lost, func(s *observed) { s.puts = s.puts[1:] }},
+		"gap":            {lost, func(s *observed) { s.history[2].Number = 9 }},
+		"condition":      {conditions, func(s *observed) { s.puts[1].condition = 0 }},
+		"back":           {order, func(s *observed) { s.samples[3].revision = 1 }},
+		"ahead":          {order, func(s *observed) { s.samples[2].at = at(100) }},
+		"of nothing":     {order, func(s *observed) { s.samples[3].revision = 5 }},
+		"half":           {partial, func(s *observed) { s.caches[3].snapshot.Entries[1].GetService().TimeoutMs = 99 }},
+		"missing":        {partial, func(s *observed) { s.caches[3].snapshot.Entries = s.caches[3].snapshot.Entries[1:] }},
+		"no such state":  {partial, func(s *observed) { s.caches[3].snapshot.Revision = 9 }},
+		"other revision": {partial, func(s *observed) { s.caches[3].snapshot.Revision = 2 }},
 	} {
 		s := good()
 		if c.plant(s); len(c.check(s)) == 0 {
--- a/cmd/rig/drains.go
+++ b/cmd/rig/drains.go
@@ -78,9 +78,9 @@
 	}
 	defer p.close()
 	printFaults(o.out.w, list)
-	d := &drainsTrial{p: p, f: f, maxOut: 2, zones: map[string]string{}}
+	trial := &drainsTrial{p: p, servers: f, maxOut: 2, zones: map[string]string{}}
 	for _, s := range f.servers {
-		d.zones[s.Name] = s.Zone
+		trial.zones[s.Name] = s.Zone
 	}
 	loading, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
@@ -94,7 +94,7 @@
 	h.began = began
 	h.mu.Unlock()
 	for i := range drainsOperators {
-		operators.Go(func() { d.operate(operating, i, o.seed) })
+		operators.Go(func() { trial.operate(operating, i, o.seed) })
 	}
 	injected := p.inject(ctx, began, list, f)
 	if injected == nil {
@@ -108,11 +108,11 @@
 	}
 	settled := p.awaitSettled(ctx)
 	recoveryTime := time.Since(faultsOver)
-	left, unserved := d.awaitAllReturned(ctx)
+	left, unserved := trial.awaitAllReturned(ctx)
 	stopLoad()
 	running.Wait()
 
-	e := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: d.cold}
+	evidence := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: trial.cold}
 	excused := 0
 	for i, l := range loads {
 		for _, a := range l.Log() {
@@ -120,33 +120,33 @@
 				excused++ // the node was killed or stopped meanwhile
 				continue
 			}
-			e.Answers = append(e.Answers, a)
+			evidence.Answers = append(evidence.Answers, a)
 		}
 	}
-	count := map[drainOutcome]int{}
-	for _, a := range d.requests {
-		count[a.code]++
+	outcomes := map[drainOutcome]int{}
+	for _, a := range trial.requests {
+		outcomes[a.code]++
 	}
 	o.out.figure("drains.faults", len(list), "faults")
-	o.out.figure("drains.asks", len(d.requests), "requests of operators")
+	o.out.figure("drains.asks", len(trial.requests), "requests of operators")
 	for c := drainDone; c <= drainUnexpected; c++ {
-		o.out.figure("drains.asks."+strings.ReplaceAll(c.String(), " ", "-"), count[c], "requests")
+		o.out.figure("drains.asks."+strings.ReplaceAll(c.String(), " ", "-"), outcomes[c], "requests")
 	}
-	o.out.figure("drains.asks.again", d.retries, "retries of requests whose answer was lost")
+	o.out.figure("drains.asks.again", trial.retries, "retries of requests whose answer was lost")
 	o.out.figure("drains.unplanned", len(p.removals), "times that a server left the registry without a drain; drains of it cost no budget then")
-	o.out.figure("drains.proven", len(d.switchedOff), "drains")
-	o.out.figure("drains.cold", len(d.cold), "servers that were returned cold")
-	o.out.figure("drains.unproven", d.unproven, "drains that were not proven within 6 s")
-	o.out.figure("drains.grant.p50", d.grants.Quantile(0.5).Seconds()*1e3, "ms, including the start of the command")
-	o.out.figure("drains.grant.p99", d.grants.Quantile(0.99).Seconds()*1e3, "ms")
+	o.out.figure("drains.proven", len(trial.switchedOff), "drains")
+	o.out.figure("drains.cold", len(trial.cold), "servers that were returned cold")
+	o.out.figure("drains.unproven", trial.unproven, "drains that were not proven within 6 s")
+	o.out.figure("drains.grant.p50", trial.grants.Quantile(0.5).Seconds()*1e3, "ms, including the start of the command")
+	o.out.figure("drains.grant.p99", trial.grants.Quantile(0.99).Seconds()*1e3, "ms")
 	o.out.figure("drains.in-again", recoveryTime.Seconds(), "s after the last fault")
-	o.out.figure("drains.tries", len(e.Answers), "attempts of clients")
+	o.out.figure("drains.tries", len(evidence.Answers), "attempts of clients")
 	o.out.figure("drains.spared", excused, "attempts without an answer, as the node was killed or stopped")
 	o.out.figure("drains.noise", noise.longest().Seconds()*1e3, "ms, the longest delay of the rig itself")
 	o.out.promise(settled == nil && left == "" && recoveryTime < settleWait, "after the last fault all servers are returned within %v: %s%s", settleWait, errText(settled), left)
 	o.out.promise(unserved == "", "every server gets work again: %s", unserved)
-	o.out.verdicts(standin.Check(e))
-	o.out.verdicts([]standin.Verdict{d.checkBudget(), d.checkLinearizable(), checkQuietAfterProof(d.switchedOff, e.Executions), d.checkNotices(e.Executions), d.checkAnswers()})
+	o.out.verdicts(standin.Check(evidence))
+	o.out.verdicts([]standin.Verdict{trial.checkBudget(), trial.checkLinearizable(), checkQuietAfterProof(trial.switchedOff, evidence.Executions), trial.checkNotices(evidence.Executions), trial.checkAnswers()})
 	return nil
 }
 
--- a/cmd/rig/drainscheck.go
+++ b/cmd/rig/drainscheck.go
@@ -167,7 +167,7 @@
 // linearizable checks the requests against a model of each zone: the set of drained servers, which may have maxOut members
 // at most. zones has the zone of each server, removals the times in which the registry did not list a server.
 func linearizable(requests []drainRequest, zones map[string]string, maxOut int, removals []removalSpan) standin.Verdict {
-	v := standin.Verdict{Rule: "the answers to drains and returns are linearizable"}
+	verdict := standin.Verdict{Rule: "the answers to drains and returns are linearizable"}
 	index := map[string]int{}
 	count := map[string]int{}
 	names := []string{}
@@ -185,7 +185,7 @@
 			out, a, code := state.(uint64), input.(zoneRequest), output.(drainOutcome)
 			bit := uint64(1) << a.server
 			full := bits.OnesCount64(out) >= maxOut
-			may := func(ok bool, next uint64) []any {
+			ifValid := func(ok bool, next uint64) []any {
 				if ok {
 					return []any{next}
 				}
@@ -200,39 +200,39 @@
 				}
 				return []any{out, out | bit}
 			case code == drainDone && a.back:
-				return may(out&bit != 0, out&^bit)
+				return ifValid(out&bit != 0, out&^bit)
 			case code == drainDone:
-				return may(out&bit == 0 && (!full || a.free), out|bit)
+				return ifValid(out&bit == 0 && (!full || a.free), out|bit)
 			case code == drainAlready:
-				return may(out&bit != 0, out)
+				return ifValid(out&bit != 0, out)
 			case code == drainNotDrained:
-				return may(out&bit == 0, out)
+				return ifValid(out&bit == 0, out)
 			case code == drainOverBudget:
-				return may(out&bit == 0 && (full || a.lenient), out)
+				return ifValid(out&bit == 0 && (full || a.lenient), out)
 			}
 			return nil
 		},
 	}
 	model := nondeterministic.ToModel()
 	end := int64(1) << 62
-	ops := map[string][]porcupine.Operation{}
+	operations := map[string][]porcupine.Operation{}
 	for _, a := range requests {
-		v.Cases++
+		verdict.Cases++
 		to := a.to.UnixNano()
 		if a.code == drainUnknown {
 			to = end
 			end-- // calls of one client must not overlap
 		}
 		lenient, nondeterministic := removedDuring(removals, "", a.from, a.to), removedDuring(removals, a.server, a.from, a.to)
-		ops[a.zone] = append(ops[a.zone], porcupine.Operation{ClientId: len(ops[a.zone]), Input: zoneRequest{index[a.server], a.giveBack, lenient, nondeterministic}, Call: a.from.UnixNano(), Output: a.code, Return: to})
+		operations[a.zone] = append(operations[a.zone], porcupine.Operation{ClientId: len(operations[a.zone]), Input: zoneRequest{index[a.server], a.giveBack, lenient, nondeterministic}, Call: a.from.UnixNano(), Output: a.code, Return: to})
 	}
-	for zone, list := range ops {
+	for zone, list := range operations {
 		switch porcupine.CheckOperationsTimeout(model, list, time.Minute) {
 		case porcupine.Illegal:
-			v.AddViolation("%s: no order of its %d requests explains the answers", zone, len(list))
+			verdict.AddViolation("%s: no order of its %d requests explains the answers", zone, len(list))
 		case porcupine.Unknown:
-			v.AddViolation("%s: no verdict on its %d requests within a minute", zone, len(list))
+			verdict.AddViolation("%s: no verdict on its %d requests within a minute", zone, len(list))
 		}
 	}
-	return v
+	return verdict
 }
--- a/cmd/rig/drainstrial.go
+++ b/cmd/rig/drainstrial.go
@@ -14,10 +14,10 @@
 
 // drainsTrial is a run in which operators drain and return servers during a schedule of faults.
 type drainsTrial struct {
-	p      *cluster
-	f      *fleet
-	maxOut int // how many servers of a zone may be out at once, by the budget
-	zones  map[string]string
+	p       *cluster
+	servers *fleet
+	maxOut  int // how many servers of a zone may be out at once, by the budget
+	zones   map[string]string
 
 	mu           sync.Mutex
 	requests     []drainRequest
@@ -138,8 +138,8 @@
 func (d *drainsTrial) operate(ctx context.Context, operator int, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, uint64(operator)))
 	for ctx.Err() == nil {
-		i := r.IntN(len(d.f.servers))
-		s := d.f.serverAt(i)
+		i := r.IntN(len(d.servers.servers))
+		s := d.servers.serverAt(i)
 		code, epoch := d.request(context.WithoutCancel(ctx), r, operator, s, false, 0)
 		if code != drainDone {
 			sleepFor(ctx, time.Duration(50+r.IntN(200))*time.Millisecond)
@@ -166,10 +166,10 @@
 	off := switchedOffSpan{server: s.Name, zone: s.Zone, span: span{from: time.Now()}}
 	sleepFor(ctx, time.Duration(200+r.IntN(800))*time.Millisecond)
 	if r.IntN(3) == 0 { // the server returns cold
-		if err := d.f.restart(i, drainsColdFrom, drainsColdTime); err != nil {
+		if err := d.servers.restart(i, drainsColdFrom, drainsColdTime); err != nil {
 			d.p.history.note("rig", "%s does not start: %v", s.Name, err)
 		}
-		fresh := d.f.serverAt(i)
+		fresh := d.servers.serverAt(i)
 		d.mu.Lock()
 		d.cold = append(d.cold, standin.ColdStart{Server: fresh.Name, Started: fresh.Started, Cores: fresh.Cores, From: drainsColdFrom, Time: drainsColdTime})
 		d.mu.Unlock()
@@ -213,8 +213,8 @@
 	from := time.Now()
 	for end := from.Add(settleWait); time.Now().Before(end); sleepFor(ctx, 50*time.Millisecond) {
 		idle := []string{}
-		for i := range d.f.servers {
-			s := d.f.serverAt(i)
+		for i := range d.servers.servers {
+			s := d.servers.serverAt(i)
 			log := s.Log()
 			if len(log) == 0 || log[len(log)-1].ReceivedAt.Before(from) {
 				idle = append(idle, s.Name)
--- a/cmd/rig/faults.go
+++ b/cmd/rig/faults.go
@@ -104,7 +104,7 @@
 	lines := bufio.NewScanner(file)
 	for n := 1; lines.Scan(); n++ {
 		var f fault
-		text, ok := cutWord(lines.Text(), "schedule ")
+		text, ok := cutPrefix(lines.Text(), "schedule ")
 		if !ok {
 			continue
 		}
@@ -127,12 +127,12 @@
 	return drawFaults(o.seed, length, members, of), nil
 }
 
-// cutWord returns the rest of a line that begins with word.
-func cutWord(line, word string) (string, bool) {
-	if len(line) < len(word) || line[:len(word)] != word {
+// cutPrefix returns the rest of a line that begins with word.
+func cutPrefix(line, prefix string) (string, bool) {
+	if len(line) < len(prefix) || line[:len(prefix)] != prefix {
 		return "", false
 	}
-	return line[len(word):], true
+	return line[len(prefix):], true
 }
 
 // inject applies a schedule's faults one after another, each for its length, and waits for the end of each. began is the
--- a/cmd/rig/release.go
+++ b/cmd/rig/release.go
@@ -63,39 +63,39 @@
 		return err
 	}
 	defer f.Close()
-	r := &releaseTrial{f: f, r: rand.New(rand.NewPCG(o.seed, 0x72656c))}
-	if err := r.registries(o.seed); err != nil {
+	trial := &releaseTrial{servers: f, random: rand.New(rand.NewPCG(o.seed, 0x72656c))}
+	if err := trial.registries(o.seed); err != nil {
 		return err
 	}
-	defer r.close()
-	if r.bad, err = w.badBuild(ctx); err != nil {
+	defer trial.close()
+	if trial.bad, err = w.badBuild(ctx); err != nil {
 		return err
 	}
-	if r.program, err = os.ReadFile(w.binary); err != nil {
+	if trial.program, err = os.ReadFile(w.binary); err != nil {
 		return err
 	}
-	if r.p, err = (&cluster{w: w, registry: f.registry.Addr, voters: voters, budgets: releaseBudget, watched: true, history: h}).open(ctx, members, zones); err != nil {
+	if trial.p, err = (&cluster{w: w, registry: f.registry.Addr, voters: voters, budgets: releaseBudget, watched: true, history: h}).open(ctx, members, zones); err != nil {
 		return err
 	}
-	defer r.p.close()
-	byZone := map[string][]string{}
-	for _, m := range r.p.members[voters:] {
-		byZone[m.zone] = append(byZone[m.zone], m.name)
-	}
-	last := r.p.members[members-1]
-	byZone[last.zone] = byZone[last.zone][:len(byZone[last.zone])-1]
-	r.waves = [][]string{{last.name}}
-	for _, zone := range slices.Backward(slices.Sorted(maps.Keys(byZone))) {
-		if len(byZone[zone]) > 0 {
-			r.waves = append(r.waves, byZone[zone])
+	defer trial.p.close()
+	nonVoters := map[string][]string{}
+	for _, m := range trial.p.members[voters:] {
+		nonVoters[m.zone] = append(nonVoters[m.zone], m.name)
+	}
+	last := trial.p.members[members-1]
+	nonVoters[last.zone] = nonVoters[last.zone][:len(nonVoters[last.zone])-1]
+	trial.waves = [][]string{{last.name}}
+	for _, zone := range slices.Backward(slices.Sorted(maps.Keys(nonVoters))) {
+		if len(nonVoters[zone]) > 0 {
+			trial.waves = append(trial.waves, nonVoters[zone])
 		}
 	}
 	var voting []string
-	for _, m := range r.p.members[:voters] {
+	for _, m := range trial.p.members[:voters] {
 		voting = append(voting, m.name)
 	}
-	r.waves = append(r.waves, voting)
-	if r.currentVersion, err = r.addProgram(r.program); err != nil {
+	trial.waves = append(trial.waves, voting)
+	if trial.currentVersion, err = trial.addProgram(trial.program); err != nil {
 		return err
 	}
 	printFaults(o.out.w, list)
@@ -103,7 +103,7 @@
 	loading, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var running sync.WaitGroup
-	loads := r.p.load(loading, &running, mediaClasses, rate, o.seed)
+	loads := trial.p.load(loading, &running, mediaClasses, rate, o.seed)
 	noise := startNoiseMeter(loading)
 	began := time.Now()
 	h.mu.Lock()
@@ -113,24 +113,24 @@
 	defer stopFaults()
 	var injected error
 	var faults sync.WaitGroup
-	faults.Go(func() { injected = r.p.inject(faulting, began, list, f) })
-	found := map[string]int{}
+	faults.Go(func() { injected = trial.p.inject(faulting, began, list, f) })
+	asExpected := map[string]int{}
 	for round := 0; ctx.Err() == nil && (round == 0 || time.Since(began) < length); round++ {
 		for _, k := range kinds {
 			if round > 0 && time.Since(began) > length {
 				break
 			}
-			if round > 0 && found[k.name] > 0 && len(found) < len(kinds) { // first the kinds that so far were halted only by faults and not by their own cause
+			if round > 0 && asExpected[k.name] > 0 && len(asExpected) < len(kinds) { // first the kinds that so far were halted only by faults and not by their own cause
 				continue
 			}
-			run, version, err := r.release(ctx, k)
+			run, version, err := trial.release(ctx, k)
 			if err != nil {
 				return err
 			}
-			if r.judge(ctx, k, run, version) {
-				found[k.name]++
+			if trial.judge(ctx, k, run, version) {
+				asExpected[k.name]++
 			}
-			r.runs = append(r.runs, run)
+			trial.runs = append(trial.runs, run)
 		}
 	}
 	stopFaults()
@@ -139,36 +139,36 @@
 		return injected
 	}
 	faultsOver := time.Now()
-	settled := r.p.awaitSettled(ctx)
+	settled := trial.p.awaitSettled(ctx)
 	recoveryTime := time.Since(faultsOver)
 	stopLoad()
 	running.Wait()
 
-	e := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications()}
+	evidence := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications()}
 	excused := 0
 	for i, l := range loads {
 		for _, a := range l.Log() {
-			if a.Status != 200 && r.p.members[i].downDuring(a.Sent, a.EndedAt) {
+			if a.Status != 200 && trial.p.members[i].downDuring(a.Sent, a.EndedAt) {
 				excused++
 				continue
 			}
-			e.Answers = append(e.Answers, a)
+			evidence.Answers = append(evidence.Answers, a)
 		}
 	}
-	for _, run := range r.runs {
+	for _, run := range trial.runs {
 		fmt.Fprintf(o.out.w, "release %s: %s, wave %d, %d of %d nodes met it, halted after %.1f s, over after %.1f s, %d hands: %s\n", run.kind, run.state, run.wave, run.affected, members,
 			run.halted.Seconds(), run.ended.Seconds(), run.resumes, run.cause)
 	}
 	o.out.figure("release.faults", len(list), "faults drawn")
-	o.out.figure("release.runs", len(r.runs), "releases")
-	o.out.figure("release.tries", len(e.Answers), "attempts of clients")
+	o.out.figure("release.runs", len(trial.runs), "releases")
+	o.out.figure("release.tries", len(evidence.Answers), "attempts of clients")
 	o.out.figure("release.spared", excused, "attempts without an answer, as the node was killed or stopped")
 	o.out.figure("release.noise", noise.longest().Seconds()*1e3, "ms, the longest delay of the rig itself")
 	for _, k := range kinds {
-		o.out.promise(found[k.name] > 0, "a version that is %s ends as expected, by its own cause: %d times", strings.Replace(k.name, "fine", "bad, but fine", 1), found[k.name])
+		o.out.promise(asExpected[k.name] > 0, "a version that is %s ends as expected, by its own cause: %d times", strings.Replace(k.name, "fine", "bad, but fine", 1), asExpected[k.name])
 	}
-	o.out.promise(len(r.violations) == 0, "each release is done, or halts with no wave affected beyond the allowed ones and is rolled back completely: %s", strings.Join(r.violations, "; "))
+	o.out.promise(len(trial.violations) == 0, "each release is done, or halts with no wave affected beyond the allowed ones and is rolled back completely: %s", strings.Join(trial.violations, "; "))
 	o.out.promise(settled == nil && recoveryTime < settleWait, "after the last fault all members have a session again within %v: %s", settleWait, errText(settled))
-	o.out.verdicts(standin.Check(e))
+	o.out.verdicts(standin.Check(evidence))
 	return nil
 }
--- a/cmd/rig/releasetable.go
+++ b/cmd/rig/releasetable.go
@@ -72,8 +72,8 @@
 
 // modelTrial is one release in the model.
 type modelTrial struct {
-	k             modelKind
-	r             *rand.Rand
+	kind          modelKind
+	random        *rand.Rand
 	now           int // seconds since the start
 	nodes         []*modelNode
 	leader        int             // index of a voter
@@ -94,7 +94,7 @@
 
 // newModelTrial makes a trial in which all nodes have the old version.
 func newModelTrial(k modelKind, seed uint64) *modelTrial {
-	p := &modelTrial{k: k, r: rand.New(rand.NewPCG(seed, 0x7461626c65)), replacedNodes: map[string]bool{}}
+	p := &modelTrial{kind: k, random: rand.New(rand.NewPCG(seed, 0x7461626c65)), replacedNodes: map[string]bool{}}
 	for i := range modelNodes {
 		p.nodes = append(p.nodes, &modelNode{name: fmt.Sprintf("n%03d", i), zone: i % modelZones, voter: i < modelVoters})
 	}
@@ -102,7 +102,9 @@
 }
 
 // bad reports whether a node has the new version and is in a zone where that version is bad.
-func (p *modelTrial) bad(n *modelNode) bool { return n.fresh && (p.k.zone < 0 || n.zone == p.k.zone) }
+func (p *modelTrial) bad(n *modelNode) bool {
+	return n.fresh && (p.kind.zone < 0 || n.zone == p.kind.zone)
+}
 
 // replace begins to replace a node's process by one of the new or the old version. This takes two seconds; then
 // finishReplace is called.
@@ -116,7 +118,7 @@
 // finishReplace starts the new process of a node whose replacement is over, and reports whether it runs.
 func (p *modelTrial) finishReplace(n *modelNode) bool {
 	n.began = p.now
-	n.crashed = p.bad(n) && p.k.crash
+	n.crashed = p.bad(n) && p.kind.crash
 	if n.crashed {
 		p.crashes++
 	}
@@ -135,14 +137,14 @@
 			for _, c := range mediaClasses {
 				share := modelRate * c.Share
 				switch {
-				case p.k.workFactor > 1:
+				case p.kind.workFactor > 1:
 					p.harmed += share
 				default:
-					p.harmed += share * min(1, p.k.failureRates[""]+p.k.failureRates[c.Name])
+					p.harmed += share * min(1, p.kind.failureRates[""]+p.kind.failureRates[c.Name])
 				}
 			}
 		}
-		dies := p.k.leaks && p.bad(n) && leakFrom+leakRate*float64(p.now-n.began) > leakLimit || p.k.crashesAsLeader && p.bad(n) && i == p.leader
+		dies := p.kind.leaks && p.bad(n) && leakFrom+leakRate*float64(p.now-n.began) > leakLimit || p.kind.crashesAsLeader && p.bad(n) && i == p.leader
 		if dies {
 			p.harmed += modelRate // its open requests, and those that arrive before others notice the crash
 			p.crashes++
@@ -164,18 +166,18 @@
 			e.Latencies = make([]uint64, health.Buckets)
 		}
 		count := modelRate * c.Share
-		for range int(count) + map[bool]int{true: 1}[p.r.Float64() < count-math.Floor(count)] {
+		for range int(count) + map[bool]int{true: 1}[p.random.Float64() < count-math.Floor(count)] {
 			fails, slower := modelFailureRate, 1.0
 			if p.bad(n) {
-				fails += p.k.failureRates[""] + p.k.failureRates[c.Name]
-				slower = max(1, p.k.workFactor)
+				fails += p.kind.failureRates[""] + p.kind.failureRates[c.Name]
+				slower = max(1, p.kind.workFactor)
 			}
-			if p.r.Float64() < fails {
+			if p.random.Float64() < fails {
 				e.Failed++
 				continue
 			}
 			e.Served++
-			at, _ := slices.BinarySearch(modelLatencyBounds[c.Name], time.Duration(modelMedian*slower*math.Exp(modelSpread*p.r.NormFloat64())*1e9))
+			at, _ := slices.BinarySearch(modelLatencyBounds[c.Name], time.Duration(modelMedian*slower*math.Exp(modelSpread*p.random.NormFloat64())*1e9))
 			e.Latencies[at]++
 		}
 		into[c.Name] = e
@@ -193,7 +195,7 @@
 
 // resident returns the resident memory of a node's process in bytes.
 func (p *modelTrial) resident(n *modelNode) uint64 {
-	if p.k.leaks && p.bad(n) {
+	if p.kind.leaks && p.bad(n) {
 		return uint64((leakFrom + leakRate*float64(p.now-n.began)) * (1 << 20))
 	}
 	return uint64(leakFrom * (1 << 20))
--- a/cmd/rig/releasetrial.go
+++ b/cmd/rig/releasetrial.go
@@ -23,8 +23,8 @@
 // releaseTrial runs releases of good and bad versions one after another on one cluster.
 type releaseTrial struct {
 	p                       *cluster
-	f                       *fleet
-	r                       *rand.Rand
+	servers                 *fleet
+	random                  *rand.Rand
 	bad, program            []byte            // binaries: the program with testdata/bad.go, and without
 	currentVersion          string            // version that all nodes have between releases
 	number                  int               // of the last request ID and version
@@ -67,22 +67,22 @@
 
 // registries makes the registries that bad versions use: slow, failing, and refusing.
 func (r *releaseTrial) registries(seed uint64) (err error) {
-	if r.slow, err = r.f.sideRegistry(standin.SideOptions{WorkFactor: 1.1}); err != nil {
+	if r.slow, err = r.servers.sideRegistry(standin.SideOptions{WorkFactor: 1.1}); err != nil {
 		return err
 	}
 	draw := rand.New(rand.NewPCG(seed, 2))
 	var mu sync.Mutex
-	if r.failing, err = r.f.sideRegistry(standin.SideOptions{FailsClass: func(class string) bool {
+	if r.failing, err = r.servers.sideRegistry(standin.SideOptions{FailsClass: func(class string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return class == "cut-order" && draw.IntN(50) == 0
 	}}); err != nil {
 		return err
 	}
-	if r.refusing, err = r.f.sideRegistry(standin.SideOptions{}); err != nil {
+	if r.refusing, err = r.servers.sideRegistry(standin.SideOptions{}); err != nil {
 		return err
 	}
-	for _, s := range r.f.servers { // at a port on which no process listens
+	for _, s := range r.servers.servers { // at a port on which no process listens
 		e := standin.EntryOf(s)
 		if e.Addr, err = freePort("tcp"); err != nil {
 			return err
@@ -94,9 +94,9 @@
 
 // close closes the registries.
 func (r *releaseTrial) close() {
-	for _, l := range []*standin.Registry{r.slow, r.failing, r.refusing} {
-		if l != nil {
-			l.Close()
+	for _, list := range []*standin.Registry{r.slow, r.failing, r.refusing} {
+		if list != nil {
+			list.Close()
 		}
 	}
 }
@@ -122,7 +122,7 @@
 
 // state returns the replicated state, read through a random member that answers; nil if none does.
 func (r *releaseTrial) state(ctx context.Context) *fleetpb.State {
-	for _, i := range r.r.Perm(len(r.p.members)) {
+	for _, i := range r.random.Perm(len(r.p.members)) {
 		once, cancel := context.WithTimeout(ctx, 2*time.Second)
 		s, err := control.NewAPIClient(r.p.members[i].socket).State(once)
 		cancel()
@@ -139,7 +139,7 @@
 	r.number++
 	args = append(args, "--ask", fmt.Sprintf("release-%d", r.number), "-o", "json")
 	for end := time.Now().Add(2 * settleWait); time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
-		m := r.p.members[r.r.IntN(len(r.p.members))]
+		m := r.p.members[r.random.IntN(len(r.p.members))]
 		if text, code = r.p.command(ctx, m, "release", args...); code != 6 && code >= 0 {
 			break
 		}
@@ -153,19 +153,19 @@
 
 // release releases one version and waits for the end of the release. It resumes the release of a good version that faults
 // have halted.
-func (r *releaseTrial) release(ctx context.Context, k badKind) (run releaseRun, version string, err error) {
-	run.kind = k.name
+func (r *releaseTrial) release(ctx context.Context, kind badKind) (run releaseRun, version string, err error) {
+	run.kind = kind.name
 	r.number++
 	content, tail := r.program, fmt.Sprintf("\nnext %d\n", r.number)
-	if k.trailer != nil {
-		content, tail = r.bad, fmt.Sprintf("\nbad %s %d\n", k.trailer(r), r.number)
+	if kind.trailer != nil {
+		content, tail = r.bad, fmt.Sprintf("\nbad %s %d\n", kind.trailer(r), r.number)
 	}
 	if version, err = r.addProgram(append(slices.Clone(content), tail...)); err != nil {
 		return run, "", err
 	}
 	name := fmt.Sprintf("r%d", r.number)
 	text := fmt.Sprintf("[release]\nname = %q\nversion = %q\nbefore = %q\nwhy = %q\nsoak_ms = 300\nlimit_ms = 90000\nmost_crashes = 3\nhealth = true\nturn_back = %v\n",
-		name, version, r.currentVersion, k.name, k.cause != "")
+		name, version, r.currentVersion, kind.name, kind.cause != "")
 	for i, w := range r.waves {
 		nodes, _ := json.Marshal(w)
 		text += fmt.Sprintf("\n[[wave]]\nnodes = %s\nmixed = %v\n", nodes, i == len(r.waves)-1)
@@ -175,89 +175,89 @@
 		return run, "", err
 	}
 	if text, code := r.command(ctx, "start", file); code != 0 {
-		return run, "", fmt.Errorf("%s: start: exit code %d: %s", k.name, code, text)
+		return run, "", fmt.Errorf("%s: start: exit code %d: %s", kind.name, code, text)
 	}
-	began, met, was := time.Now(), map[string]bool{}, ""
+	began, gotVersion, lastState := time.Now(), map[string]bool{}, ""
 	for ; ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
 		s := r.state(ctx)
 		if s == nil || s.Release == nil || s.Release.Plan.Name != name {
 			continue
 		}
-		l := s.Release
-		for n, t := range l.Turns {
-			met[n] = met[n] || t.Version == version
+		release := s.Release
+		for n, t := range release.Turns {
+			gotVersion[n] = gotVersion[n] || t.Version == version
 		}
 		for n, u := range s.Units {
-			met[n] = met[n] || u.Version == version
+			gotVersion[n] = gotVersion[n] || u.Version == version
 		}
-		run.state, run.wave = l.State, max(run.wave, int(l.Wave)+1)
-		if l.State != was {
-			r.p.history.note("op", "%s %s: %s, wave %d: %s", name, k.name, l.State, l.Wave+1, l.Cause)
-			was = l.State
-			if run.cause == "" && l.State != agreed.Running && l.State != agreed.Done {
-				run.halted, run.cause = time.Since(began), l.Cause
+		run.state, run.wave = release.State, max(run.wave, int(release.Wave)+1)
+		if release.State != lastState {
+			r.p.history.note("op", "%s %s: %s, wave %d: %s", name, kind.name, release.State, release.Wave+1, release.Cause)
+			lastState = release.State
+			if run.cause == "" && release.State != agreed.Running && release.State != agreed.Done {
+				run.halted, run.cause = time.Since(began), release.Cause
 			}
 		}
-		over := l.State == agreed.Done || l.State == agreed.RolledBack || l.State == agreed.Failed
-		if k.cause == "" && l.State == agreed.Halted {
+		over := release.State == agreed.Done || release.State == agreed.RolledBack || release.State == agreed.Failed
+		if kind.cause == "" && release.State == agreed.Halted {
 			run.resumes++
 			r.command(ctx, "resume", name, "--why", "faults, and not the version")
 		}
-		if over && len(l.Turns) == 0 {
+		if over && len(release.Turns) == 0 {
 			break
 		}
 		if time.Since(began) > releaseLimit {
-			r.addViolation("%s: release not over within %v: %s, wave %d: %s", k.name, releaseLimit, l.State, l.Wave+1, l.Cause)
+			r.addViolation("%s: release not over within %v: %s, wave %d: %s", kind.name, releaseLimit, release.State, release.Wave+1, release.Cause)
 			r.command(ctx, "back", name)
 			break
 		}
 	}
-	for n, yes := range met {
+	for n, yes := range gotVersion {
 		if !yes {
-			delete(met, n)
+			delete(gotVersion, n)
 		}
 	}
-	run.ended, run.affected = time.Since(began), len(met)
+	run.ended, run.affected = time.Since(began), len(gotVersion)
 	return run, version, ctx.Err()
 }
 
 // judge checks a run against the expected outcome of its kind. found reports that the release halted by the kind's own
 // cause; it is always true for a good version.
-func (r *releaseTrial) judge(ctx context.Context, k badKind, run releaseRun, version string) (found bool) {
-	want, all := r.currentVersion, false
-	if k.cause == "" {
-		want = version
+func (r *releaseTrial) judge(ctx context.Context, kind badKind, run releaseRun, version string) (found bool) {
+	wantVersion, allReady := r.currentVersion, false
+	if kind.cause == "" {
+		wantVersion = version
 		if run.state != agreed.Done {
 			r.addViolation("good: %s: %s", run.state, run.cause)
 			return true
 		}
 		r.currentVersion = version
 	} else if run.state != agreed.RolledBack {
-		r.addViolation("%s: %s: %s", k.name, run.state, run.cause)
+		r.addViolation("%s: %s: %s", kind.name, run.state, run.cause)
 	}
-	have := map[string]string{}
-	for end := time.Now().Add(settleWait); !all && time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
+	versions := map[string]string{}
+	for end := time.Now().Add(settleWait); !allReady && time.Now().Before(end) && ctx.Err() == nil; sleepFor(ctx, 50*time.Millisecond) {
 		if s := r.state(ctx); s != nil {
-			all = true
+			allReady = true
 			for _, m := range r.p.members {
 				u := s.Units[m.name]
-				have[m.name] = fmt.Sprintf("%s %s", u.GetVersion(), u.GetState())
-				all = all && u.GetVersion() == want && u.GetState() == agreed.UnitReady
+				versions[m.name] = fmt.Sprintf("%s %s", u.GetVersion(), u.GetState())
+				allReady = allReady && u.GetVersion() == wantVersion && u.GetState() == agreed.UnitReady
 			}
 		}
 	}
-	if !all && ctx.Err() == nil {
-		r.addViolation("%s: not all nodes are at version %s: %v", k.name, want, have)
+	if !allReady && ctx.Err() == nil {
+		r.addViolation("%s: not all nodes are at version %s: %v", kind.name, wantVersion, versions)
 	}
-	if k.cause == "" {
+	if kind.cause == "" {
 		return true
 	}
-	most := 0
+	allowed := 0
 	for _, w := range r.waves[:min(run.wave, len(r.waves))] {
-		most += len(w)
+		allowed += len(w)
 	}
-	if run.affected > most || run.wave > min(k.maxWaves, len(r.waves)) {
-		r.addViolation("%s: %d nodes got it, and wave %d began: %s", k.name, run.affected, run.wave, run.cause)
+	if run.affected > allowed || run.wave > min(kind.maxWaves, len(r.waves)) {
+		r.addViolation("%s: %d nodes got it, and wave %d began: %s", kind.name, run.affected, run.wave, run.cause)
 	}
-	return strings.Contains(run.cause, k.cause)
+	return strings.Contains(run.cause, kind.cause)
 }
--- a/cmd/rig/releaseways.go
+++ b/cmd/rig/releaseways.go
@@ -21,14 +21,14 @@
 	for _, n := range p.nodes[:modelVoters] {
 		voters[n.name] = "birth"
 	}
-	m := agreed.NewWithVoters(voters)
+	machine := agreed.NewWithVoters(voters)
 	apply := func(e *fleetpb.Entry) *fleetpb.Result {
 		e.Level, e.AtMs = agreed.Level, 1000*int64(p.now+1)
 		raw, err := proto.Marshal(e)
 		if err != nil {
 			panic(err)
 		}
-		return m.Apply(raw)
+		return machine.Apply(raw)
 	}
 	version := func(fresh bool) string {
 		if fresh {
@@ -44,7 +44,7 @@
 		apply(&fleetpb.Entry{What: &fleetpb.Entry_Open{Open: &fleetpb.OpenSession{Node: n.name, Zone: fmt.Sprint(n.zone), Process: "p", Level: agreed.Level, Voter: n.voter}}})
 		reportUnit(n, agreed.UnitReady)
 	}
-	waves, err := m.BuildWaves(modelWaves)
+	waves, err := machine.BuildWaves(modelWaves)
 	if err != nil {
 		panic(err)
 	}
@@ -60,7 +60,7 @@
 			reportUnit(n, agreed.UnitReady)
 		}
 		apply(&fleetpb.Entry{What: &fleetpb.Entry_Clock{Clock: &fleetpb.Clock{}}})
-		for _, t := range m.Orders().Turns {
+		for _, t := range machine.Orders().Turns {
 			if n := p.nodes[slices.IndexFunc(p.nodes, func(n *modelNode) bool { return n.name == t.Node })]; n.turn != t.Epoch {
 				n.turn = t.Epoch
 				p.replace(n, t.Version == "new")
@@ -71,42 +71,42 @@
 				reportUnit(n, agreed.UnitReady)
 			} else if n.replacedAt == p.now {
 				reportUnit(n, agreed.UnitCrashed)
-				n.replacedAt = p.now + 1 + p.r.IntN(3) // retry
+				n.replacedAt = p.now + 1 + p.random.IntN(3) // retry
 			}
 		}
-		s := m.State()
-		at, wanted := vitals.ActiveSoak(s)
+		state := machine.State()
+		at, wanted := vitals.ActiveSoak(state)
 		if at != soak {
 			soak, counts = at, map[string]map[string]health.ClassCounts{}
 		}
 		if wanted && soak > 0 {
-			olds := 0
+			oldSampled := 0
 			for _, n := range p.nodes {
-				u := s.Units[n.name]
-				in := slices.Contains(s.Release.Plan.Waves[s.Release.Wave].Nodes, n.name)
-				if u.State != agreed.UnitReady || !in && (n.fresh || olds >= modelOldSampled) && !(n.fresh && p.countRunning(false) == 0) {
+				unit := state.Units[n.name]
+				inWave := slices.Contains(state.Release.Plan.Waves[state.Release.Wave].Nodes, n.name)
+				if unit.State != agreed.UnitReady || !inWave && (n.fresh || oldSampled >= modelOldSampled) && !(n.fresh && p.countRunning(false) == 0) {
 					continue
 				}
-				if !in {
-					olds++
+				if !inWave {
+					oldSampled++
 				}
 				if counts[n.name] == nil {
 					counts[n.name] = map[string]health.ClassCounts{}
 				}
 				p.drawRequests(n, counts[n.name])
-				o := &fleetpb.OpenSession{Soak: soak, Resident: p.resident(n)}
+				report := &fleetpb.OpenSession{Soak: soak, Resident: p.resident(n)}
 				for class, e := range counts[n.name] {
 					x := &fleetpb.Ends{Class: class, Served: e.Served, Failed: e.Failed}
 					vitals.SetTrimmedLatencies(x, e.Latencies)
-					o.Ends = append(o.Ends, x)
+					report.Ends = append(report.Ends, x)
 				}
-				v.SetReport(n.name, s.Nodes[n.name].Epoch, o)
+				v.SetReport(n.name, state.Nodes[n.name].Epoch, report)
 			}
-			if j := v.Judge(s); j != nil {
+			if j := v.Judge(state); j != nil {
 				apply(&fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: j}})
 			}
 		}
-		switch state := m.State().Release.State; {
+		switch state := machine.State().Release.State; {
 		case state == agreed.RollingBack && p.halted == 0:
 			p.halted = p.now
 		case state == agreed.Done:
@@ -165,7 +165,7 @@
 // byHand releases to ten nodes at a time, in random order, as an operator would by hand.
 func (p *modelTrial) byHand() modelRun {
 	var batches [][]*modelNode
-	order := p.r.Perm(modelNodes)
+	order := p.random.Perm(modelNodes)
 	for from := 0; from < modelNodes; from += modelNodes / 10 {
 		var b []*modelNode
 		for _, i := range order[from : from+modelNodes/10] {
@@ -177,7 +177,7 @@
 	return p.stepwise(batches, 300, 120, 30, func() bool {
 		harmed = append(harmed, p.harmed)
 		lost := 0.0
-		if p.k.workFactor <= 1 { // the figures of the whole fleet don't show that a tenth of the nodes is a tenth slower
+		if p.kind.workFactor <= 1 { // the figures of the whole fleet don't show that a tenth of the nodes is a tenth slower
 			lost = harmed[len(harmed)-1] - harmed[max(0, len(harmed)-61)]
 		}
 		return lost > 0.01*60*modelRate*modelNodes || p.crashes >= 2
@@ -200,7 +200,7 @@
 		harmed = append(harmed, p.harmed)
 		fresh := float64(max(1, p.countRunning(true)))
 		lost := harmed[len(harmed)-1] - harmed[max(0, len(harmed)-61)]
-		return p.k.workFactor <= 1 && lost > 0.05*60*modelRate*fresh || p.k.workFactor > 1.5 || p.crashes >= 2
+		return p.kind.workFactor <= 1 && lost > 0.05*60*modelRate*fresh || p.kind.workFactor > 1.5 || p.crashes >= 2
 	})
 }
 
--- a/cmd/rig/rules.go
+++ b/cmd/rig/rules.go
@@ -51,9 +51,9 @@
 		running.Go(func() { defer cancel(); l.RunOpen(ctx, times*capacity, 2000) })
 	}
 	set := func(s *standin.Server, state string) {
-		e := standin.EntryOf(s)
-		e.State = state
-		f.registry.Set(e)
+		evidence := standin.EntryOf(s)
+		evidence.State = state
+		f.registry.Set(evidence)
 	}
 	load(0.55, 22*unit)
 	var cold []standin.ColdStart
@@ -92,24 +92,24 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	e := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: cold}
+	evidence := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: cold}
 	served, offered, resent := 0.0, 0.0, 0
 	for _, l := range loads {
 		s := l.Sums()
 		served, offered, resent = served+s.ServedWorth, offered+s.OfferedWorth, resent+s.Resent
-		e.Answers = append(e.Answers, l.Log()...)
+		evidence.Answers = append(evidence.Answers, l.Log()...)
 	}
 	select {
 	case <-n.ended:
 		o.out.promise(false, "the node runs on: %v\n%s", n.err, n.log.String())
 	default:
 	}
-	o.out.figure("rules.tries", len(e.Answers), "attempts of clients")
-	o.out.figure("rules.executions", len(e.Executions), "at servers")
+	o.out.figure("rules.tries", len(evidence.Answers), "attempts of clients")
+	o.out.figure("rules.executions", len(evidence.Executions), "at servers")
 	o.out.figure("rules.resent", resent, "requests that crossed the close of a kept connection")
 	o.out.figure("rules.worth", served/offered, "of the worth offered")
 	o.out.figure("rules.memory", n.peakMemory(), "KiB (VmHWM)")
-	o.out.verdicts(standin.Check(e))
+	o.out.verdicts(standin.Check(evidence))
 	return nil
 }
 
