--- a/cmd/rig/rules.go
+++ b/cmd/rig/rules.go
@@ -13,15 +13,15 @@
 // one joins; a server accepts requests and answers none for a while; a server dies; clients send twice the load that the
 // servers can serve.
 func rules(ctx context.Context, o *options) error {
-	w, err := newWorkshop(ctx, o.binary)
+	w, err := newWorkspace(ctx, o.binary)
 	if err != nil {
 		return err
 	}
 	defer w.Close()
 	const servers, cores = 6, 4
-	work := kampklipWork(2)
+	work := mediaWork(2)
 	mean := 0.0
-	for _, c := range kampklip {
+	for _, c := range mediaClasses {
 		mean += c.Share * work[c.Name].Time.Seconds()
 	}
 	f, err := newFleet(servers, cores, 60, work)
@@ -30,7 +30,7 @@
 	}
 	defer f.Close()
 	const coldFrom, coldTime = 0.32, 8300 * time.Millisecond
-	n, err := w.node(ctx, w.binary, nodeOptions{name: "rules", registry: f.registry.Addr, classes: kampklip, memoryMB: 192, sockets: 1024, zone: "hall-a",
+	n, err := w.node(ctx, w.binary, nodeOptions{name: "rules", registry: f.registry.Addr, classes: mediaClasses, memoryMB: 192, sockets: 1024, zone: "hall-a",
 		coldFrom: coldFrom, coldTime: coldTime})
 	if err != nil {
 		return err
@@ -45,15 +45,15 @@
 	var loads []*standin.Load
 	var running sync.WaitGroup
 	load := func(times float64, length time.Duration) {
-		l := &standin.Load{Addr: n.addr, Classes: kampklip, Retries: 2, Prefix: fmt.Sprintf("r%d-", len(loads)), KeepLog: true, Seed: o.seed + uint64(len(loads))}
+		l := &standin.Load{Addr: n.addr, Classes: mediaClasses, Retries: 2, Prefix: fmt.Sprintf("r%d-", len(loads)), KeepLog: true, Seed: o.seed + uint64(len(loads))}
 		loads = append(loads, l)
 		ctx, cancel := context.WithTimeout(ctx, length)
 		running.Go(func() { defer cancel(); l.RunOpen(ctx, times*capacity, 2000) })
 	}
 	set := func(s *standin.Server, state string) {
-		e := standin.EntryOf(s)
-		e.State = state
-		f.registry.Set(e)
+		evidence := standin.EntryOf(s)
+		evidence.State = state
+		f.registry.Set(evidence)
 	}
 	load(0.55, 22*unit)
 	var cold []standin.ColdStart
@@ -92,24 +92,24 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	e := standin.Evidence{Classes: kampklip, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: cold}
-	worth, asked, resent := 0.0, 0.0, 0
+	evidence := standin.Evidence{Classes: mediaClasses, Executions: f.executions(), Notifications: f.registry.Notifications(), ColdStarts: cold}
+	served, offered, resent := 0.0, 0.0, 0
 	for _, l := range loads {
 		s := l.Sums()
-		worth, asked, resent = worth+s.ServedWorth, asked+s.OfferedWorth, resent+s.Resent
-		e.Answers = append(e.Answers, l.Log()...)
+		served, offered, resent = served+s.ServedWorth, offered+s.OfferedWorth, resent+s.Resent
+		evidence.Answers = append(evidence.Answers, l.Log()...)
 	}
 	select {
 	case <-n.ended:
 		o.out.promise(false, "the node runs on: %v\n%s", n.err, n.log.String())
 	default:
 	}
-	o.out.figure("rules.tries", len(e.Answers), "attempts of clients")
-	o.out.figure("rules.executions", len(e.Executions), "at servers")
+	o.out.figure("rules.tries", len(evidence.Answers), "attempts of clients")
+	o.out.figure("rules.executions", len(evidence.Executions), "at servers")
 	o.out.figure("rules.resent", resent, "requests that crossed the close of a kept connection")
-	o.out.figure("rules.worth", worth/asked, "of the worth offered")
+	o.out.figure("rules.worth", served/offered, "of the worth offered")
 	o.out.figure("rules.memory", n.peakMemory(), "KiB (VmHWM)")
-	o.out.verdicts(standin.Check(e))
+	o.out.verdicts(standin.Check(evidence))
 	return nil
 }
 
