--- a/cmd/rehearse/journal.go
+++ b/cmd/rehearse/journal.go
@@ -52,7 +52,8 @@
 		}
 		if n == 1 {
 			var head journalHead
-			if err := json.Unmarshal(lines.Bytes(), &head); err != nil || head.Plan != want.Plan || !slices.Equal(head.Measures, want.Measures) {
+			if err := json.Unmarshal(lines.Bytes(), &head); err != nil || head.Plan != want.Plan ||
+				!slices.Equal(head.Measures, want.Measures) {
 				return nil, fmt.Errorf("%s:1: this is of another scenario or other versions; name another file", path)
 			}
 		} else {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -59,8 +59,11 @@
 // command returns the root command. Progress and warnings go to progress.
 func command(out, progress io.Writer) *cobra.Command {
 	opts := &options{out: out, progress: progress}
-	root := &cobra.Command{Use: "rehearse", Short: "Compare two versions in a model of the fleet, with confidence intervals", SilenceErrors: true, SilenceUsage: true}
-	compare := &cobra.Command{Use: "compare SCENARIO", Short: "Run pairs of simulations until the interval is narrow enough", Args: cobra.ExactArgs(1),
+	root := &cobra.Command{Use: "rehearse",
+		Short:         "Compare two versions in a model of the fleet, with confidence intervals",
+		SilenceErrors: true, SilenceUsage: true}
+	compare := &cobra.Command{Use: "compare SCENARIO",
+		Short: "Run pairs of simulations until the interval is narrow enough", Args: cobra.ExactArgs(1),
 		Long: "Simulates SCENARIO with two versions, a and b: each a policy (see rehearse policies) or a version file (*.toml).\n" +
 			"Exit status 0; 1 if a file or a flag is invalid; 3 with --gate if b is worse.",
 		RunE: func(c *cobra.Command, args []string) error { return opts.compare(c.Context(), args[0]) }}
@@ -69,18 +72,21 @@
 	flags.StringVarP(&opts.b, "b", "b", "", "the other version")
 	flags.Float64Var(&opts.width, "width", 0.005, "wanted half-width of the interval of worth")
 	flags.IntVar(&opts.pairs, "pairs", 400, "maximum number of pairs")
-	flags.DurationVar(&opts.budget, "budget", 2*time.Minute, "time limit, as estimated from the first ten pairs; 0: none")
+	flags.DurationVar(&opts.budget, "budget", 2*time.Minute,
+		"time limit, as estimated from the first ten pairs; 0: none")
 	flags.Uint64Var(&opts.seed, "seed", 1, "seed of the first pair")
 	flags.IntVar(&opts.workers, "workers", 0, "parallel runs; 0: one for each core")
 	flags.StringVar(&opts.json, "json", "", "write the figures to this `FILE`")
 	flags.StringVar(&opts.html, "html", "", "write a page with plots to this `FILE`")
 	flags.StringVar(&opts.resume, "resume", "", "store the pairs in this `FILE`, and continue from those in it")
 	flags.StringVar(&opts.trace, "trace", "", "replay the orders of this trace `FILE` in place of the scenario's")
-	flags.Float64Var(&opts.scale, "trace-scale", 1, "orders replayed for each order of the trace, for a fleet of another size")
+	flags.Float64Var(&opts.scale, "trace-scale", 1,
+		"orders replayed for each order of the trace, for a fleet of another size")
 	flags.BoolVar(&opts.gate, "gate", false, "exit with status 3 if b is worse")
 	compare.MarkFlagRequired("b")
 
-	curve := &cobra.Command{Use: "curve SCENARIO", Short: "Worth against load for several policies", Args: cobra.ExactArgs(1),
+	curve := &cobra.Command{Use: "curve SCENARIO", Short: "Worth against load for several policies",
+		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error { return opts.curve(c.Context(), args[0]) }}
 	flags = curve.Flags()
 	flags.StringSliceVar(&opts.policies, "policies", policyNames(), "policies")
@@ -92,22 +98,24 @@
 	flags.StringVar(&opts.html, "html", "", "write a page with plots to this `FILE`")
 
 	root.AddCommand(compare, curve, opts.traceCommand(),
-		&cobra.Command{Use: "policies", Short: "List the policies and their sources", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-			for _, p := range model.Policies() {
-				fmt.Fprintf(out, "%-14s %s\n", p.Name, p.Source)
-			}
-			fmt.Fprintln(out, "\nSuffixes for a baseline's name: +retry adds Envoy's retry budget, +eject its outlier ejection.")
-			return nil
-		}},
-		&cobra.Command{Use: "check FILE...", Short: "Check scenario and version files", Args: cobra.MinimumNArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			for _, path := range args {
-				if err := checkFile(path); err != nil {
-					return err
+		&cobra.Command{Use: "policies", Short: "List the policies and their sources", Args: cobra.NoArgs,
+			RunE: func(*cobra.Command, []string) error {
+				for _, p := range model.Policies() {
+					fmt.Fprintf(out, "%-14s %s\n", p.Name, p.Source)
 				}
-				fmt.Fprintf(out, "%s: good\n", path)
-			}
-			return nil
-		}})
+				fmt.Fprintln(out, "\nSuffixes for a baseline's name: +retry adds Envoy's retry budget, +eject its outlier ejection.")
+				return nil
+			}},
+		&cobra.Command{Use: "check FILE...", Short: "Check scenario and version files", Args: cobra.MinimumNArgs(1),
+			RunE: func(_ *cobra.Command, args []string) error {
+				for _, path := range args {
+					if err := checkFile(path); err != nil {
+						return err
+					}
+					fmt.Fprintf(out, "%s: good\n", path)
+				}
+				return nil
+			}})
 	return root
 }
 
@@ -161,7 +169,8 @@
 			return model.SimulateFull(sc, seed).Values()
 		}
 	}
-	plan := experiment.Plan{Measures: sc.Measures(), A: values(sides[0]), B: values(sides[1]), Width: o.width, MaxPairs: o.pairs, Budget: o.budget, FirstSeed: o.seed, Workers: o.workers,
+	plan := experiment.Plan{Measures: sc.Measures(), A: values(sides[0]), B: values(sides[1]), Width: o.width,
+		MaxPairs: o.pairs, Budget: o.budget, FirstSeed: o.seed, Workers: o.workers,
 		Progress: func(done, wanted int) { fmt.Fprintf(o.progress, "\r%d of %d pairs ", done, wanted) }}
 	if o.resume != "" {
 		journal, err := openJournal(o.resume, depends, sc.Measures())
@@ -182,7 +191,8 @@
 	if err != nil {
 		return err
 	}
-	comparison := &report.Comparison{Scenario: strings.TrimSuffix(filepath.Base(path), ".toml"), A: o.a, B: o.b, Seed: o.seed, Width: o.width, Wanted: result.WantedPairs, Intervals: result.Intervals}
+	comparison := &report.Comparison{Scenario: strings.TrimSuffix(filepath.Base(path), ".toml"), A: o.a, B: o.b,
+		Seed: o.seed, Width: o.width, Wanted: result.WantedPairs, Intervals: result.Intervals}
 	if err := comparison.Text(o.out); err != nil {
 		return err
 	}
@@ -232,14 +242,17 @@
 		}
 		fmt.Fprintln(o.out)
 	}
-	return o.write(&report.Comparison{Scenario: strings.TrimSuffix(filepath.Base(path), ".toml"), Seed: o.seed, Curve: curve})
+	return o.write(&report.Comparison{Scenario: strings.TrimSuffix(filepath.Base(path), ".toml"), Seed: o.seed,
+		Curve: curve})
 }
 
 // estimate returns the mean worth in time over some runs, with its interval. It compares with a version that
 // always measures 0, so that the difference is the worth itself.
 func estimate(ctx context.Context, sc *model.Scenario, o *options) (report.Estimate, error) {
-	r, err := experiment.Run(ctx, experiment.Plan{Measures: []string{"worth in time"}, FirstSeed: o.seed, PilotPairs: max(2, o.runs), MaxPairs: max(2, o.runs), Width: 1, Workers: o.workers,
-		A: func(uint64) []float64 { return []float64{0} }, B: func(seed uint64) []float64 { return []float64{model.Simulate(sc, seed).WorthFraction()} }})
+	r, err := experiment.Run(ctx, experiment.Plan{Measures: []string{"worth in time"}, FirstSeed: o.seed,
+		PilotPairs: max(2, o.runs), MaxPairs: max(2, o.runs), Width: 1, Workers: o.workers,
+		A: func(uint64) []float64 { return []float64{0} },
+		B: func(seed uint64) []float64 { return []float64{model.Simulate(sc, seed).WorthFraction()} }})
 	if err != nil {
 		return report.Estimate{}, err
 	}
--- a/cmd/rehearse/main_test.go
+++ b/cmd/rehearse/main_test.go
@@ -84,7 +84,8 @@
 	if err != nil || resumed != uninterrupted {
 		t.Errorf("%v\n%s\nwant\n%s", err, resumed, uninterrupted)
 	}
-	if _, err := run(t, "compare", sc, "-b", "random", "--resume", journalPath); err == nil || !strings.Contains(err.Error(), "of another scenario or other versions") {
+	if _, err := run(t, "compare", sc, "-b", "random", "--resume", journalPath); err == nil ||
+		!strings.Contains(err.Error(), "of another scenario or other versions") {
 		t.Errorf("other versions: %v", err)
 	}
 	if _, err := run(t, append(args, "--gate")...); !errors.Is(err, errWorse) {
@@ -100,11 +101,13 @@
 	if out, err := run(t, "policies"); err != nil || !strings.Contains(out, "peak-ewma") {
 		t.Errorf("%v: %s", err, out)
 	}
-	if out, err := run(t, "curve", sc, "--policies", "module,least-request", "--loads", "0.5,2", "--runs", "2"); err != nil || strings.Count(out, "\n") != 3 {
+	if out, err := run(t, "curve", sc, "--policies", "module,least-request", "--loads", "0.5,2",
+		"--runs", "2"); err != nil || strings.Count(out, "\n") != 3 {
 		t.Errorf("%v: %s", err, out)
 	}
 	for want, args := range map[string][]string{
-		"s.toml:3: nodes":          {"check", write(t, "s.toml", strings.Replace(scenario, "nodes = 1", "nodes = 0", 1))},
+		"s.toml:3: nodes": {"check",
+			write(t, "s.toml", strings.Replace(scenario, "nodes = 1", "nodes = 0", 1))},
 		"there are module":         {"compare", sc, "-b", "best"},
 		"--loads":                  {"curve", sc, "--loads", "0"},
 		`required flag(s) "b" not`: {"compare", sc},
@@ -121,7 +124,8 @@
 func TestTraces(t *testing.T) {
 	sc, dir := write(t, "s.toml", scenario), t.TempDir()
 	tracePath, anonymousPath := filepath.Join(dir, "t"), filepath.Join(dir, "h")
-	if _, err := run(t, "trace", "synth", sc, "-o", tracePath, "--shape", "flash", "--sessions", "3", "--think", "100ms"); err != nil {
+	if _, err := run(t, "trace", "synth", sc, "-o", tracePath, "--shape", "flash", "--sessions", "3", "--think",
+		"100ms"); err != nil {
 		t.Fatal(err)
 	}
 	info, err := run(t, "trace", "info", tracePath)
@@ -147,10 +151,13 @@
 	var progress bytes.Buffer
 	c := command(io.Discard, &progress)
 	c.SetArgs([]string{"trace", "info", write(t, "cut", string(raw[:len(raw)-5]))})
-	if err := c.ExecuteContext(t.Context()); err != nil || strings.Count(progress.String(), "\n") != 1 || !strings.Contains(progress.String(), "cut within the block") {
+	if err := c.ExecuteContext(t.Context()); err != nil || strings.Count(progress.String(), "\n") != 1 ||
+		!strings.Contains(progress.String(), "cut within the block") {
 		t.Errorf("%v: %q", err, progress.String())
 	}
-	for want, args := range map[string][]string{"--shape": {"trace", "synth", sc, "-o", tracePath, "--shape", "odd"}, "this is no trace": {"trace", "info", sc}, "want a scale": {"compare", sc, "-b", "random", "--trace", anonymousPath, "--trace-scale", "0"}} {
+	for want, args := range map[string][]string{"--shape": {"trace", "synth", sc, "-o", tracePath, "--shape", "odd"},
+		"this is no trace": {"trace", "info", sc},
+		"want a scale":     {"compare", sc, "-b", "random", "--trace", anonymousPath, "--trace-scale", "0"}} {
 		if _, err := run(t, args...); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v: %v, want %q", args, err, want)
 		}
--- a/cmd/rehearse/trace.go
+++ b/cmd/rehearse/trace.go
@@ -28,26 +28,29 @@
 	var length, think time.Duration
 	var rate, sessions float64
 	var seed uint64
-	synth := &cobra.Command{Use: "synth SCENARIO", Short: "Generate a trace with a scenario's classes", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-		sc, err := model.LoadScenario(args[0])
-		if err != nil {
-			return err
-		}
-		s := trace.Synth{Length: length, Rate: rate, Shape: trace.Shape(shape), OrdersPerSession: sessions, ThinkTime: think, Seed: seed}
-		if !slices.Contains(trace.Shapes, s.Shape) {
-			return fmt.Errorf("--shape: want one of %v, have %q", trace.Shapes, shape)
-		}
-		if length == 0 {
-			s.Length = sc.Length
-		}
-		if rate == 0 {
-			s.Rate = sc.Rate
-		}
-		for _, c := range sc.Classes {
-			s.Classes = append(s.Classes, trace.SynthClass{Name: c.Name, Share: c.Share, Work: c.Work, WorkCV: c.WorkCV, Patience: c.Deadline})
-		}
-		return writeTrace(outPath, s.Generate)
-	}}
+	synth := &cobra.Command{Use: "synth SCENARIO", Short: "Generate a trace with a scenario's classes",
+		Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
+			sc, err := model.LoadScenario(args[0])
+			if err != nil {
+				return err
+			}
+			s := trace.Synth{Length: length, Rate: rate, Shape: trace.Shape(shape), OrdersPerSession: sessions,
+				ThinkTime: think, Seed: seed}
+			if !slices.Contains(trace.Shapes, s.Shape) {
+				return fmt.Errorf("--shape: want one of %v, have %q", trace.Shapes, shape)
+			}
+			if length == 0 {
+				s.Length = sc.Length
+			}
+			if rate == 0 {
+				s.Rate = sc.Rate
+			}
+			for _, c := range sc.Classes {
+				s.Classes = append(s.Classes, trace.SynthClass{Name: c.Name, Share: c.Share, Work: c.Work,
+					WorkCV: c.WorkCV, Patience: c.Deadline})
+			}
+			return writeTrace(outPath, s.Generate)
+		}}
 	flags := synth.Flags()
 	flags.StringVarP(&outPath, "out", "o", "", "write to this `FILE`")
 	flags.StringVar(&shape, "shape", "steady", fmt.Sprintf("course of the rate over time: one of %v", trace.Shapes))
@@ -58,7 +61,9 @@
 	flags.Uint64Var(&seed, "seed", 1, "")
 	synth.MarkFlagRequired("out")
 	var anonymous string
-	anonymise := &cobra.Command{Use: "anonymise FILE", Short: "Copy a trace with new hashes for tenants and orders, under a random key that is not kept", Args: cobra.ExactArgs(1),
+	anonymise := &cobra.Command{Use: "anonymise FILE",
+		Short: "Copy a trace with new hashes for tenants and orders, under a random key that is not kept",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			var key [16]byte
 			if _, err := rand.Read(key[:]); err != nil {
@@ -80,12 +85,15 @@
 	anonymise.Flags().StringVarP(&anonymous, "out", "o", "", "write to this `FILE`")
 	anonymise.MarkFlagRequired("out")
 	root.AddCommand(synth, anonymise,
-		&cobra.Command{Use: "cat FILE", Short: "Print the records as JSON lines", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			out := bufio.NewWriter(o.out)
-			lines := json.NewEncoder(out)
-			return errors.Join(o.readTrace(args[0], func(r *trace.Record) error { return lines.Encode(r) }), out.Flush())
-		}},
-		&cobra.Command{Use: "info FILE", Short: "Summarise a trace", Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error { return o.traceInfo(args[0]) }})
+		&cobra.Command{Use: "cat FILE", Short: "Print the records as JSON lines", Args: cobra.ExactArgs(1),
+			RunE: func(_ *cobra.Command, args []string) error {
+				out := bufio.NewWriter(o.out)
+				lines := json.NewEncoder(out)
+				return errors.Join(o.readTrace(args[0], func(r *trace.Record) error { return lines.Encode(r) }),
+					out.Flush())
+			}},
+		&cobra.Command{Use: "info FILE", Short: "Summarise a trace", Args: cobra.ExactArgs(1),
+			RunE: func(_ *cobra.Command, args []string) error { return o.traceInfo(args[0]) }})
 	return root
 }
 
@@ -177,7 +185,8 @@
 				outcomes = append(outcomes, fmt.Sprintf("%d %v", n, out))
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", name, classSums.tries, classSums.orders, work, strings.Join(outcomes, ", "))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%s\t%s\n", name, classSums.tries, classSums.orders, work,
+			strings.Join(outcomes, ", "))
 	}
 	return w.Flush()
 }
@@ -192,6 +201,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	fmt.Fprintf(out, "%s: %d orders in %v; left out: %d repeated tries, %d of other classes\n", path, info.Orders, replay.Length.Round(time.Millisecond), info.Repeats, info.Unknown)
+	fmt.Fprintf(out, "%s: %d orders in %v; left out: %d repeated tries, %d of other classes\n", path, info.Orders,
+		replay.Length.Round(time.Millisecond), info.Repeats, info.Unknown)
 	return replay, nil
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -101,14 +101,16 @@
 // other measures are ordinary ones for the resulting number of pairs.
 func Run(ctx context.Context, p Plan) (*Result, error) {
 	p.Confidence = orDefault(p.Confidence, defaultConfidence)
-	p.PilotPairs, p.MaxPairs, p.Workers = orDefault(p.PilotPairs, defaultPilotPairs), orDefault(p.MaxPairs, defaultMaxPairs), orDefault(p.Workers, runtime.GOMAXPROCS(0))
+	p.PilotPairs, p.MaxPairs, p.Workers = orDefault(p.PilotPairs, defaultPilotPairs),
+		orDefault(p.MaxPairs, defaultMaxPairs), orDefault(p.Workers, runtime.GOMAXPROCS(0))
 	switch {
 	case len(p.Measures) == 0 || p.A == nil || p.B == nil:
 		return nil, errors.New("experiment: want measures and two versions")
 	case p.PilotPairs < 2 || p.MaxPairs < p.PilotPairs:
 		return nil, fmt.Errorf("experiment: want a pilot of at least 2 pairs, and a maximum of pairs that is not smaller, have %d and %d", p.PilotPairs, p.MaxPairs)
 	case !(p.Confidence > 0 && p.Confidence < 1) || !(p.Width > 0):
-		return nil, fmt.Errorf("experiment: want a confidence between 0 and 1 and a width above 0, have %v and %v", p.Confidence, p.Width)
+		return nil, fmt.Errorf("experiment: want a confidence between 0 and 1 and a width above 0, have %v and %v",
+			p.Confidence, p.Width)
 	}
 	began := time.Now()
 	pairs, err := p.runPairs(ctx, nil, p.PilotPairs, p.PilotPairs)
@@ -152,7 +154,8 @@
 	knownPairs := map[uint64]Pair{}
 	for _, k := range p.KnownPairs {
 		if len(k.A) != len(p.Measures) || len(k.B) != len(p.Measures) {
-			return nil, fmt.Errorf("experiment: seed %d has %d and %d measures, want %d: it belongs to another plan", k.Seed, len(k.A), len(k.B), len(p.Measures))
+			return nil, fmt.Errorf("experiment: seed %d has %d and %d measures, want %d: it belongs to another plan",
+				k.Seed, len(k.A), len(k.B), len(p.Measures))
 		}
 		knownPairs[k.Seed] = k
 	}
@@ -228,7 +231,8 @@
 	d, a, b := differences(pairs, i)
 	mean, standardError := stat.Mean(d, nil), deviation/math.Sqrt(float64(len(d)))
 	t := quantile(0.5+confidence/2, degrees)
-	return Interval{Name: name, Mean: mean, Low: mean - t*standardError, High: mean + t*standardError, Pairs: len(d), A: stat.Mean(a, nil), B: stat.Mean(b, nil),
+	return Interval{Name: name, Mean: mean, Low: mean - t*standardError, High: mean + t*standardError, Pairs: len(d),
+		A: stat.Mean(a, nil), B: stat.Mean(b, nil),
 		Smallest: (t + quantile(power, degrees)) * standardError}
 }
 
@@ -241,7 +245,8 @@
 	if pairs < 2 || !(confidence > 0 && confidence < 1) {
 		return Interval{}, errors.New("experiment: want at least 2 pairs and a confidence between 0 and 1")
 	}
-	r, err := Run(context.Background(), Plan{Measures: []string{""}, A: one(a), B: one(b), FirstSeed: first, PilotPairs: pairs, MaxPairs: pairs, Width: math.MaxFloat64,
+	r, err := Run(context.Background(), Plan{Measures: []string{""}, A: one(a), B: one(b), FirstSeed: first,
+		PilotPairs: pairs, MaxPairs: pairs, Width: math.MaxFloat64,
 		Confidence: confidence, Workers: 1})
 	if err != nil {
 		return Interval{}, err
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -37,7 +37,8 @@
 	if different < trials*98/100 {
 		t.Errorf("a difference of two deviations is detected %d times of %d", different, trials)
 	}
-	if i, _ := Compare(func(s uint64) float64 { return float64(s) }, func(s uint64) float64 { return float64(s) }, 1, 5, 0.95); i.Differs() || i.Mean != 0 || i.A != 3 {
+	if i, _ := Compare(func(s uint64) float64 { return float64(s) },
+		func(s uint64) float64 { return float64(s) }, 1, 5, 0.95); i.Differs() || i.Mean != 0 || i.A != 3 {
 		t.Errorf("a version against itself: %v", i)
 	}
 	for _, bad := range []struct {
@@ -79,7 +80,8 @@
 			tooWide++
 		}
 		for n := 3; ; n++ { // checks after each pair from the third on
-			if i := interval("", r.firstPairs(p, n), 0, standardDeviation(r.firstPairs(p, n), 0), n-1, 0.95); i.High-i.Low <= 2*width {
+			if i := interval("", r.firstPairs(p, n), 0,
+				standardDeviation(r.firstPairs(p, n), 0), n-1, 0.95); i.High-i.Low <= 2*width {
 				if i.Covers(0.3) {
 					sequential++
 				}
@@ -91,7 +93,8 @@
 		t.Errorf("%d of %d intervals cover the truth, %d are too wide", covered, trials, tooWide)
 	}
 	if sequential >= covered {
-		t.Errorf("stopping after each pair covers %d of %d, two stages %d: this test shows nothing", sequential, trials, covered)
+		t.Errorf("stopping after each pair covers %d of %d, two stages %d: this test shows nothing", sequential,
+			trials, covered)
 	}
 }
 
--- a/internal/model/baseline.go
+++ b/internal/model/baseline.go
@@ -51,7 +51,8 @@
 		return func(_ *Fleet, s decide.Settings, seed int64) Decider { return newBaseline(s, seed, pick) }
 	}
 	return []Policy{
-		{"module", "package decide", func(_ *Fleet, s decide.Settings, seed int64) Decider { return decide.New(s, seed) }},
+		{"module", "package decide",
+			func(_ *Fleet, s decide.Settings, seed int64) Decider { return decide.New(s, seed) }},
 		{"random", "Envoy, RANDOM", plain(pickRandom)},
 		{"round-robin", "Envoy, ROUND_ROBIN", plain(pickRoundRobin)},
 		{"least-request", "Envoy, LEAST_REQUEST, of two", plain(pickLeastRequest)},
@@ -66,7 +67,8 @@
 			b.concurrencyLimit = gradientMinLimit
 			return b
 		}},
-		{"oracle", "sees all servers' true state and each order's work", func(f *Fleet, _ decide.Settings, _ int64) Decider { return &oracle{fleet: f} }},
+		{"oracle", "sees all servers' true state and each order's work",
+			func(f *Fleet, _ decide.Settings, _ int64) Decider { return &oracle{fleet: f} }},
 	}
 }
 
@@ -177,7 +179,8 @@
 }
 
 func newBaseline(s decide.Settings, seed int64, pick picker) *baseline {
-	return &baseline{settings: s, pick: pick, rng: NewStreams(uint64(seed)).Of("baseline", "pick"), requests: map[decide.RequestID]*baselineRequest{}}
+	return &baseline{settings: s, pick: pick, rng: NewStreams(uint64(seed)).Of("baseline", "pick"),
+		requests: map[decide.RequestID]*baselineRequest{}}
 }
 
 // Handle implements Decider.
@@ -291,7 +294,8 @@
 		return nil
 	}
 	neverRan := e.Code == decide.Full || e.Code == decide.ConnectFailed || e.Code == decide.Moot
-	if b.retryEnabled && (neverRan || t.class.Effect == decide.Safe && e.Code != decide.TimedOut) && len(t.tried) < max(1, b.settings.MaxAttempts) &&
+	if b.retryEnabled && (neverRan || t.class.Effect == decide.Safe && e.Code != decide.TimedOut) &&
+		len(t.tried) < max(1, b.settings.MaxAttempts) &&
 		b.now < t.deadline && b.retriesInFlight < math.Max(minRetryConcurrency, retryBudgetFraction*b.inFlight) {
 		return b.send(e.ID, t)
 	}
@@ -334,7 +338,8 @@
 		}
 		gradient := math.Max(0.5, math.Min(1, gradientTolerance*b.longLatency/took))
 		next := b.concurrencyLimit*gradient + 4
-		b.concurrencyLimit = math.Max(gradientMinLimit, math.Min(gradientMaxLimit, b.concurrencyLimit*(1-gradientSmoothing)+next*gradientSmoothing))
+		b.concurrencyLimit = math.Max(gradientMinLimit, math.Min(gradientMaxLimit,
+			b.concurrencyLimit*(1-gradientSmoothing)+next*gradientSmoothing))
 	}
 }
 
--- a/internal/model/fleet.go
+++ b/internal/model/fleet.go
@@ -166,7 +166,8 @@
 
 // NewFleet prepares a run of a scenario. The seed determines all random numbers.
 func NewFleet(scenario *Scenario, seed uint64) *Fleet {
-	fleet := &Fleet{scenario: scenario, streams: NewStreams(seed), byID: map[decide.ServerID]*server{}, classSums: map[*Class]*ClassSums{}}
+	fleet := &Fleet{scenario: scenario, streams: NewStreams(seed), byID: map[decide.ServerID]*server{},
+		classSums: map[*Class]*ClassSums{}}
 	fleet.listVersion = 1
 	fleet.Outcome = newOutcome(scenario)
 	for i := range scenario.Classes {
@@ -175,7 +176,8 @@
 	fleet.At(0, fleet.sampleSecond)
 	list := decide.ListUpdate{Kind: decide.ListFull, Version: fleet.listVersion}
 	for i, spec := range scenario.Servers {
-		s := &server{ServerSpec: spec, fleet: fleet, id: decide.ServerID(i + 1), started: -time.Hour, workStream: fleet.streams.Of("server "+spec.Name, "work")}
+		s := &server{ServerSpec: spec, fleet: fleet, id: decide.ServerID(i + 1), started: -time.Hour,
+			workStream: fleet.streams.Of("server "+spec.Name, "work")}
 		fleet.servers, fleet.byID[s.id] = append(fleet.servers, s), s
 		list.Entries = append(list.Entries, decide.Server{ID: s.id, Zone: spec.Zone, Cell: spec.Cell, Size: 1})
 	}
@@ -187,7 +189,8 @@
 		settings := scenario.Settings
 		settings.Nodes, settings.Self = scenario.Nodes, i
 		name := fmt.Sprint("node ", i)
-		n := &node{fleet: fleet, name: name, decider: newDecider(fleet, settings, int64(fleet.streams.Of(name, "seed"+scenario.Salt).Uint64())), tries: map[decide.RequestID]*try{}}
+		n := &node{fleet: fleet, name: name, decider: newDecider(fleet, settings,
+			int64(fleet.streams.Of(name, "seed"+scenario.Salt).Uint64())), tries: map[decide.RequestID]*try{}}
 		fleet.nodes = append(fleet.nodes, n)
 		fleet.At(0, func() { n.deliver(list) })
 	}
@@ -195,9 +198,11 @@
 		fleet.At(fault.At, func() { fleet.startFault(fault) })
 	}
 	arrivals, classes := fleet.streams.Of("clients", "arrivals"), fleet.streams.Of("clients", "classes")
-	works, nodes, holdOffs := fleet.streams.Of("clients", "work"), fleet.streams.Of("clients", "node"), fleet.streams.Of("clients", "manners")
+	works, nodes, holdOffs := fleet.streams.Of("clients", "work"), fleet.streams.Of("clients", "node"),
+		fleet.streams.Of("clients", "manners")
 	addOrder := func(c *Class, work time.Duration) {
-		o := &order{number: fleet.Orders, class: c, began: fleet.Now(), deadline: fleet.Now() + c.Deadline, firstNode: nodes.IntN(scenario.Nodes), work: work.Seconds(),
+		o := &order{number: fleet.Orders, class: c, began: fleet.Now(), deadline: fleet.Now() + c.Deadline,
+			firstNode: nodes.IntN(scenario.Nodes), work: work.Seconds(),
 			ignoresHoldOff: holdOffs.Chance(scenario.IgnoresHoldOff)}
 		fleet.Orders++
 		fleet.OfferedWorth += c.Worth
@@ -375,35 +380,36 @@
 		})
 		return
 	}
-	sent := &attempt{sent: f.Now()}
+	current := &attempt{sent: f.Now()}
 	number := len(t.attempts)
-	t.attempts = append(t.attempts, sent)
+	t.attempts = append(t.attempts, current)
 	end := func(code decide.OutcomeCode, nodeTime time.Duration) {
-		if sent.ended {
+		if current.ended {
 			return
 		}
-		sent.ended = true
-		f.Cancel(sent.timeout)
-		if sent.job != nil {
-			sent.job.abandoned = true
+		current.ended = true
+		f.Cancel(current.timeout)
+		if current.job != nil {
+			current.job.abandoned = true
 		}
 		if code == decide.OK {
 			t.end(true, 0, false)
 		}
-		n.deliver(decide.AttemptEnded{ID: a.ID, Attempt: number, Server: a.Server, RequestDone: t.ended, Elapsed: f.Now() - sent.sent, NodeTime: nodeTime, Code: code})
+		n.deliver(decide.AttemptEnded{ID: a.ID, Attempt: number, Server: a.Server, RequestDone: t.ended,
+			Elapsed: f.Now() - current.sent, NodeTime: nodeTime, Code: code})
 	}
 	limit := t.deadline - f.Now()
 	if a.Timeout > 0 {
 		limit = min(limit, a.Timeout)
 	}
-	sent.timeout = f.After(limit, func() { end(decide.TimedOut, 0) })
-	sent.job = &job{try: t, work: t.order.work, done: func(code decide.OutcomeCode) {
+	current.timeout = f.After(limit, func() { end(decide.TimedOut, 0) })
+	current.job = &job{try: t, work: t.order.work, done: func(code decide.OutcomeCode) {
 		f.After(f.scenario.Hop, func() {
 			receivedAt := f.Now()
 			n.runOnCore(func() { end(code, f.Now()-receivedAt) })
 		})
 	}}
-	f.After(f.scenario.Hop, func() { s.accept(sent.job) })
+	f.After(f.scenario.Hop, func() { s.accept(current.job) })
 }
 
 // probe asks a server how many requests it has and how long a request that comes now would take. A probe costs the
@@ -534,8 +540,9 @@
 // publishState notifies the nodes of a server's present state, after the registry's delay.
 func (f *Fleet) publishState(s *server) {
 	f.listVersion++
-	e := decide.ListUpdate{Kind: decide.ListChanges, Version: f.listVersion, Entries: []decide.Server{{ID: s.id, Zone: s.Zone, Cell: s.Cell, Size: 1,
-		StartedAt: s.started + startOfRun}}}
+	e := decide.ListUpdate{Kind: decide.ListChanges, Version: f.listVersion,
+		Entries: []decide.Server{{ID: s.id, Zone: s.Zone, Cell: s.Cell, Size: 1,
+			StartedAt: s.started + startOfRun}}}
 	if s.down {
 		e.Entries[0].State = decide.Removed
 	}
--- a/internal/model/fleet_test.go
+++ b/internal/model/fleet_test.go
@@ -15,31 +15,39 @@
 // the work offered, as a part of the servers' capacity.
 func kampklipScenario(load float64, faults ...Fault) *Scenario {
 	class := func(name string, share, worth float64, work, aim, patience time.Duration, e decide.Effect) Class {
-		return Class{Class: decide.Class{Name: name, Worth: worth, Aim: aim, Deadline: patience, Effect: e, KeyScope: decide.ScopeCell, DedupWindow: 8 * time.Second},
+		return Class{Class: decide.Class{Name: name, Worth: worth, Aim: aim, Deadline: patience, Effect: e,
+			KeyScope: decide.ScopeCell, DedupWindow: 8 * time.Second},
 			Share: share, Work: work, WorkCV: 0.5, Wait: 100 * time.Millisecond}
 	}
 	const ms = time.Millisecond
-	sc := &Scenario{Length: 20 * time.Second, Nodes: 2, Hop: ms, Retries: 2, NodeCost: 30 * time.Microsecond, Faults: faults, Classes: []Class{
-		class("broadcast-clip", 0.12, 12, 100*ms, 600*ms, 1200*ms, decide.Safe), class("viewer-clip", 0.40, 1, 70*ms, 600*ms, 2*time.Second, decide.Safe),
-		class("cut-order", 0.24, 1, 200*ms, 2*time.Second, 6*time.Second, decide.Unsafe), class("tag-event", 0.24, 1, 150*ms, 1500*ms, 4*time.Second, decide.Keyed)}}
+	sc := &Scenario{Length: 20 * time.Second, Nodes: 2, Hop: ms, Retries: 2, NodeCost: 30 * time.Microsecond,
+		Faults: faults, Classes: []Class{
+			class("broadcast-clip", 0.12, 12, 100*ms, 600*ms, 1200*ms, decide.Safe),
+			class("viewer-clip", 0.40, 1, 70*ms, 600*ms, 2*time.Second, decide.Safe),
+			class("cut-order", 0.24, 1, 200*ms, 2*time.Second, 6*time.Second, decide.Unsafe),
+			class("tag-event", 0.24, 1, 150*ms, 1500*ms, 4*time.Second, decide.Keyed)}}
 	mean := 0.0
 	for _, c := range sc.Classes {
 		mean += c.Share * c.Work.Seconds()
 		sc.Settings.Classes = append(sc.Settings.Classes, c.Class)
 	}
 	for i := range 6 {
-		sc.Servers = append(sc.Servers, ServerSpec{Name: fmt.Sprint("s-", i), Zone: "hall-a", Cell: i / 2, Cores: 4, Speed: 1, MaxRequests: 60, ColdFrom: 0.32, ColdTime: 8 * time.Second})
+		sc.Servers = append(sc.Servers, ServerSpec{Name: fmt.Sprint("s-", i), Zone: "hall-a", Cell: i / 2, Cores: 4,
+			Speed: 1, MaxRequests: 60, ColdFrom: 0.32, ColdTime: 8 * time.Second})
 	}
 	sc.Rate = load * 24 / mean
-	sc.Settings.Zone, sc.Settings.Zones, sc.Settings.MaxAttempts, sc.Settings.MayCancel, sc.Settings.HoldOffs = "hall-a", []string{"hall-a"}, 4, true, true
-	sc.Settings.MaxHoldOff, sc.Settings.ConnectTimeout, sc.Settings.ColdFrom, sc.Settings.ColdTime = 2*time.Second, 250*time.Millisecond, 0.32, 8*time.Second
+	sc.Settings.Zone, sc.Settings.Zones, sc.Settings.MaxAttempts, sc.Settings.MayCancel,
+		sc.Settings.HoldOffs = "hall-a", []string{"hall-a"}, 4, true, true
+	sc.Settings.MaxHoldOff, sc.Settings.ConnectTimeout, sc.Settings.ColdFrom, sc.Settings.ColdTime = 2*time.Second,
+		250*time.Millisecond, 0.32, 8*time.Second
 	return sc
 }
 
 // Guards against runs that depend on more than the scenario and the seed, such as the order of goroutines, and
 // against orders that end twice or never.
 func TestSameSeedSameRun(t *testing.T) {
-	sc := kampklipScenario(0.8, Fault{At: 5 * time.Second, For: 5 * time.Second, Server: 1, Kind: Unresponsive}, Fault{At: 8 * time.Second, For: 3 * time.Second, Server: 2, Kind: Crash})
+	sc := kampklipScenario(0.8, Fault{At: 5 * time.Second, For: 5 * time.Second, Server: 1, Kind: Unresponsive},
+		Fault{At: 8 * time.Second, For: 3 * time.Second, Server: 2, Kind: Crash})
 	first := Simulate(sc, 1)
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	if again := Simulate(sc, 1); again != first {
@@ -66,10 +74,12 @@
 	}
 	var faults []Fault
 	for i, kind := range []FaultKind{Unresponsive, Crash, Slow, Crash} {
-		faults = append(faults, Fault{At: time.Duration(4+3*i) * time.Second, For: 4 * time.Second, Server: i, Kind: kind})
+		faults = append(faults, Fault{At: time.Duration(4+3*i) * time.Second, For: 4 * time.Second, Server: i,
+			Kind: kind})
 	}
 	faulty := Simulate(kampklipScenario(0.6, faults...), 3)
-	if faulty.WorthFraction() < 0.5 || faulty.WorthFraction() > light.WorthFraction() || faulty.DuplicateRuns > 0 || faulty.Failed == 0 {
+	if faulty.WorthFraction() < 0.5 || faulty.WorthFraction() > light.WorthFraction() || faulty.DuplicateRuns > 0 ||
+		faulty.Failed == 0 {
 		t.Errorf("faults: worth %.3f, %+v", faulty.WorthFraction(), faulty)
 	}
 }
@@ -107,7 +117,8 @@
 
 func (l *listRecorder) Handle(now decide.Time, e decide.Event) []decide.Action {
 	if e, ok := e.(decide.ListUpdate); ok && e.Kind == decide.ListChanges {
-		*l.received = append(*l.received, fmt.Sprint(now-startOfRun, " ", e.Entries[0].ID, " ", e.Entries[0].State, " ", e.Entries[0].StartedAt-startOfRun))
+		*l.received = append(*l.received, fmt.Sprint(now-startOfRun, " ", e.Entries[0].ID, " ", e.Entries[0].State,
+			" ", e.Entries[0].StartedAt-startOfRun))
 	}
 	return nil
 }
@@ -117,7 +128,9 @@
 	scenario := kampklipScenario(0.01, Fault{At: 5 * time.Second, For: 4 * time.Second, Server: 2, Kind: Crash})
 	scenario.Nodes, scenario.RegistryLag = 1, 3*time.Second
 	var received []string
-	scenario.Policy = Policy{newDecider: func(*Fleet, decide.Settings, int64) Decider { return &listRecorder{&received} }}
+	scenario.Policy = Policy{newDecider: func(*Fleet, decide.Settings, int64) Decider {
+		return &listRecorder{&received}
+	}}
 	Simulate(scenario, 1)
 	want := []string{fmt.Sprint("8s 3 ", decide.Removed, " ", -time.Hour), fmt.Sprint("12s 3 ", decide.Ready, " 9s")}
 	if !slices.Equal(received, want) {
--- a/internal/model/model_test.go
+++ b/internal/model/model_test.go
@@ -90,7 +90,8 @@
 		even += s.Between(0, 2*mean).Seconds()
 	}
 	cv := math.Sqrt(square/n-log/n*log/n) / (log / n)
-	for name, got := range map[string]float64{"exponential": exp / n, "log-normal": log / n, "even": even / n, "coefficient of variation": 2 * cv} {
+	for name, got := range map[string]float64{"exponential": exp / n, "log-normal": log / n, "even": even / n,
+		"coefficient of variation": 2 * cv} {
 		if math.Abs(got-1) > 0.02 {
 			t.Errorf("%s: %.3f, want 1", name, got)
 		}
--- a/internal/model/outcome.go
+++ b/internal/model/outcome.go
@@ -41,9 +41,11 @@
 }
 
 func newOutcome(sc *Scenario) Outcome {
-	o := Outcome{Times: hdrhistogram.New(1, maxMicroseconds, significantDigits), Timeline: make([]Second, int(sc.Length/time.Second)+1)}
+	o := Outcome{Times: hdrhistogram.New(1, maxMicroseconds, significantDigits),
+		Timeline: make([]Second, int(sc.Length/time.Second)+1)}
 	for _, c := range sc.Classes {
-		o.Classes = append(o.Classes, ClassSums{Name: c.Name, Times: hdrhistogram.New(1, maxMicroseconds, significantDigits)})
+		o.Classes = append(o.Classes, ClassSums{Name: c.Name,
+			Times: hdrhistogram.New(1, maxMicroseconds, significantDigits)})
 	}
 	return o
 }
@@ -75,12 +77,14 @@
 	for _, n := range f.nodes {
 		if d, ok := n.decider.(modeCounter); ok {
 			c := d.ModeCounts()
-			s.Normal, s.Overloaded, s.Blocking, s.Excluded = s.Normal+c.Normal, s.Overloaded+c.Overloaded, s.Blocking+c.Blocking, s.Excluded+c.Excluded
+			s.Normal, s.Overloaded, s.Blocking, s.Excluded = s.Normal+c.Normal, s.Overloaded+c.Overloaded,
+				s.Blocking+c.Blocking, s.Excluded+c.Excluded
 		}
 	}
 	if i := int(f.Now() / time.Second); i > 0 && i < len(f.Timeline) {
 		before := &f.Timeline[i-1]
-		f.ModeChanges += max(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking) - min(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking)
+		f.ModeChanges += max(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking) -
+			min(s.Overloaded+s.Blocking, before.Overloaded+before.Blocking)
 	}
 	if f.Now()+time.Second < f.scenario.Length {
 		f.After(time.Second, f.sampleSecond)
--- a/internal/model/replay.go
+++ b/internal/model/replay.go
@@ -85,7 +85,8 @@
 		return nil, info, fmt.Errorf("replay: nothing to play: %d repeated tries, %d orders of classes that the scenario lacks (%s)", info.Repeats, info.Unknown, strings.Join(names, ", "))
 	}
 	if len(replay.arrivals) > maxReplayedOrders {
-		return nil, info, fmt.Errorf("replay: %d orders, at most %d are allowed", len(replay.arrivals), maxReplayedOrders)
+		return nil, info, fmt.Errorf("replay: %d orders, at most %d are allowed", len(replay.arrivals),
+			maxReplayedOrders)
 	}
 	slices.SortStableFunc(replay.arrivals, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
 	replay.Length = min(sc.Length, info.Length+1)
--- a/internal/model/replay_test.go
+++ b/internal/model/replay_test.go
@@ -10,7 +10,8 @@
 
 func traceOf(n int, apart time.Duration, class string, work time.Duration) (records []trace.Record) {
 	for i := range n {
-		records = append(records, trace.Record{At: time.Duration(i) * apart, Class: class, Order: uint64(i + 1), Work: work})
+		records = append(records, trace.Record{At: time.Duration(i) * apart, Class: class, Order: uint64(i + 1),
+			Work: work})
 	}
 	return records
 }
@@ -21,8 +22,10 @@
 	sc := kampklipScenario(0.5)
 	records := traceOf(500, 10*time.Millisecond, "viewer-clip", 60*time.Millisecond)
 	for i := range 300 { // repeated tries of an outage
-		records = append(records, trace.Record{At: time.Duration(i) * 10 * time.Millisecond, Class: "viewer-clip", Order: uint64(i + 1)},
-			trace.Record{At: time.Duration(i) * 10 * time.Millisecond, Class: "viewer-clip", Order: uint64(10_000 + i), Repeat: true})
+		records = append(records,
+			trace.Record{At: time.Duration(i) * 10 * time.Millisecond, Class: "viewer-clip", Order: uint64(i + 1)},
+			trace.Record{At: time.Duration(i) * 10 * time.Millisecond, Class: "viewer-clip",
+				Order: uint64(10_000 + i), Repeat: true})
 	}
 	c, info, err := sc.Replay(records, 1)
 	if err != nil || info.Orders != 500 || info.Repeats != 600 || info.Unknown != 0 {
@@ -56,7 +59,8 @@
 			t.Errorf("scale %v: %d orders, %d announced", scale, s.Orders, info.Orders)
 		}
 	}
-	for want, bad := range map[string][]trace.Record{"of classes that the scenario lacks (other)": traceOf(3, time.Second, "other", 0), "nothing to play": nil} {
+	for want, bad := range map[string][]trace.Record{
+		"of classes that the scenario lacks (other)": traceOf(3, time.Second, "other", 0), "nothing to play": nil} {
 		if _, _, err := sc.Replay(bad, 1); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
--- a/internal/model/scenario.go
+++ b/internal/model/scenario.go
@@ -102,9 +102,14 @@
 		}
 		return nil
 	}
-	scenario := &Scenario{Length: file.Length.Duration, Nodes: file.Nodes, Hop: file.Hop.Duration, Retries: file.Retries, IgnoresHoldOff: file.IgnoresHoldOff, NodeCost: file.NodeCost.Duration, RegistryLag: file.RegistryLag.Duration}
-	for _, err := range []error{duration("length", file.Length, time.Second, maxLength), within("load", file.Load, 0.01, 10), within("nodes", float64(file.Nodes), 1, maxNodes),
-		duration("hop", file.Hop, 0, time.Second), within("retries", float64(file.Retries), 0, 10), within("heedless", file.IgnoresHoldOff, 0, 1), duration("node_cost", file.NodeCost, 0, time.Second), duration("registry_lag", file.RegistryLag, 0, time.Minute)} {
+	scenario := &Scenario{Length: file.Length.Duration, Nodes: file.Nodes, Hop: file.Hop.Duration,
+		Retries: file.Retries, IgnoresHoldOff: file.IgnoresHoldOff, NodeCost: file.NodeCost.Duration,
+		RegistryLag: file.RegistryLag.Duration}
+	for _, err := range []error{duration("length", file.Length, time.Second, maxLength),
+		within("load", file.Load, 0.01, 10), within("nodes", float64(file.Nodes), 1, maxNodes),
+		duration("hop", file.Hop, 0, time.Second), within("retries", float64(file.Retries), 0, 10),
+		within("heedless", file.IgnoresHoldOff, 0, 1), duration("node_cost", file.NodeCost, 0, time.Second),
+		duration("registry_lag", file.RegistryLag, 0, time.Minute)} {
 		if err != nil {
 			return nil, err
 		}
@@ -126,15 +131,19 @@
 			return nil, keyError(at+"dedup_window", "a keyed class wants one")
 		}
 		names[c.Name] = true
-		for _, err := range []error{within(at+"share", c.Share, 1e-6, 1e6), within(at+"worth", c.Worth, 0, 1e6), within(at+"work_cv", c.WorkCV, 0, 10),
-			duration(at+"work", c.Work, time.Microsecond, time.Minute), duration(at+"patience", c.Patience, time.Millisecond, time.Minute),
-			duration(at+"aim", c.Aim, time.Millisecond, c.Patience.Duration), duration(at+"wait", c.Wait, 0, time.Minute)} {
+		for _, err := range []error{within(at+"share", c.Share, 1e-6, 1e6), within(at+"worth", c.Worth, 0, 1e6),
+			within(at+"work_cv", c.WorkCV, 0, 10),
+			duration(at+"work", c.Work, time.Microsecond, time.Minute),
+			duration(at+"patience", c.Patience, time.Millisecond, time.Minute),
+			duration(at+"aim", c.Aim, time.Millisecond, c.Patience.Duration),
+			duration(at+"wait", c.Wait, 0, time.Minute)} {
 			if err != nil {
 				return nil, err
 			}
 		}
-		class := Class{Share: c.Share, Work: c.Work.Duration, WorkCV: c.WorkCV, Wait: c.Wait.Duration, Class: decide.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.Duration,
-			Deadline: c.Patience.Duration, Effect: effect, KeyScope: decide.ScopeCell, DedupWindow: c.Window.Duration}}
+		class := Class{Share: c.Share, Work: c.Work.Duration, WorkCV: c.WorkCV, Wait: c.Wait.Duration,
+			Class: decide.Class{Name: c.Name, Worth: c.Worth, Aim: c.Aim.Duration,
+				Deadline: c.Patience.Duration, Effect: effect, KeyScope: decide.ScopeCell, DedupWindow: c.Window.Duration}}
 		scenario.Classes = append(scenario.Classes, class)
 		scenario.Settings.Classes = append(scenario.Settings.Classes, class.Class)
 		share, meanWork = share+c.Share, meanWork+c.Share*c.Work.Seconds()
@@ -143,22 +152,29 @@
 	zones := map[string]bool{}
 	for i, spec := range file.Servers {
 		at := fmt.Sprintf("servers[%d].", i)
-		for _, err := range []error{within(at+"count", float64(spec.Count), 1, maxServers), within(at+"cores", float64(spec.Cores), 1, maxCores), within(at+"speed", spec.Speed, 0.01, 100),
-			within(at+"room", float64(spec.Room), 1, 1e6), within(at+"cold_from", spec.ColdFrom, 0.01, 1), within(at+"crowd_from", float64(spec.CrowdAt), 0, 1e6), within(at+"crowd_slow", spec.Crowd, 0, 100), duration(at+"cold_time", spec.ColdTime, 0, maxLength)} {
+		for _, err := range []error{within(at+"count", float64(spec.Count), 1, maxServers),
+			within(at+"cores", float64(spec.Cores), 1, maxCores), within(at+"speed", spec.Speed, 0.01, 100),
+			within(at+"room", float64(spec.Room), 1, 1e6), within(at+"cold_from", spec.ColdFrom, 0.01, 1),
+			within(at+"crowd_from", float64(spec.CrowdAt), 0, 1e6), within(at+"crowd_slow", spec.Crowd, 0, 100),
+			duration(at+"cold_time", spec.ColdTime, 0, maxLength)} {
 			if err != nil {
 				return nil, err
 			}
 		}
 		if len(scenario.Servers)+spec.Count > maxServers {
-			return nil, keyError(at+"count", "%d servers in all, %d at most", len(scenario.Servers)+spec.Count, maxServers)
+			return nil, keyError(at+"count", "%d servers in all, %d at most", len(scenario.Servers)+spec.Count,
+				maxServers)
 		}
 		for range spec.Count {
 			n := len(scenario.Servers)
-			scenario.Servers = append(scenario.Servers, ServerSpec{Name: fmt.Sprint("s-", n), Zone: spec.Zone, Cell: n / 2, Cores: spec.Cores, Speed: spec.Speed, MaxRequests: spec.Room,
-				ColdFrom: spec.ColdFrom, ColdTime: spec.ColdTime.Duration, CongestedFrom: spec.CrowdAt, CongestionSlowdown: spec.Crowd})
+			scenario.Servers = append(scenario.Servers, ServerSpec{Name: fmt.Sprint("s-", n), Zone: spec.Zone,
+				Cell: n / 2, Cores: spec.Cores, Speed: spec.Speed, MaxRequests: spec.Room,
+				ColdFrom: spec.ColdFrom, ColdTime: spec.ColdTime.Duration, CongestedFrom: spec.CrowdAt,
+				CongestionSlowdown: spec.Crowd})
 			capacity += float64(spec.Cores) * spec.Speed
 		}
-		scenario.Settings.ColdFrom, scenario.Settings.ColdTime = spec.ColdFrom, max(scenario.Settings.ColdTime, spec.ColdTime.Duration)
+		scenario.Settings.ColdFrom, scenario.Settings.ColdTime = spec.ColdFrom,
+			max(scenario.Settings.ColdTime, spec.ColdTime.Duration)
 		if !zones[spec.Zone] {
 			zones[spec.Zone] = true
 			scenario.Settings.Zones = append(scenario.Settings.Zones, spec.Zone)
@@ -176,16 +192,19 @@
 		if !known {
 			return nil, keyError(at+"kind", "want mute, crash or slow, have %q", entry.Kind)
 		}
-		for _, err := range []error{duration(at+"at", entry.At, 0, scenario.Length), duration(at+"for", entry.For, time.Millisecond, maxLength)} {
+		for _, err := range []error{duration(at+"at", entry.At, 0, scenario.Length),
+			duration(at+"for", entry.For, time.Millisecond, maxLength)} {
 			if err != nil {
 				return nil, err
 			}
 		}
 		for _, n := range entry.Servers {
 			if n < 0 || n >= len(scenario.Servers) {
-				return nil, keyError(at+"servers", "there is no server %d: they are 0 to %d", n, len(scenario.Servers)-1)
+				return nil, keyError(at+"servers", "there is no server %d: they are 0 to %d", n,
+					len(scenario.Servers)-1)
 			}
-			scenario.Faults = append(scenario.Faults, Fault{At: entry.At.Duration, For: entry.For.Duration, Server: n, Kind: kind})
+			scenario.Faults = append(scenario.Faults, Fault{At: entry.At.Duration, For: entry.For.Duration, Server: n,
+				Kind: kind})
 		}
 	}
 	scenario.Rate = file.Load * capacity / (meanWork / share)
@@ -193,6 +212,7 @@
 		return nil, keyError("load", "that is %.0f orders a second, %.0f at most", scenario.Rate, maxRate)
 	}
 	settings := &scenario.Settings
-	settings.Zone, settings.MaxAttempts, settings.MayCancel, settings.HoldOffs, settings.MaxHoldOff, settings.ConnectTimeout = scenario.Servers[0].Zone, 4, true, true, 2*time.Second, 250*time.Millisecond
+	settings.Zone, settings.MaxAttempts, settings.MayCancel, settings.HoldOffs, settings.MaxHoldOff,
+		settings.ConnectTimeout = scenario.Servers[0].Zone, 4, true, true, 2*time.Second, 250*time.Millisecond
 	return scenario, nil
 }
--- a/internal/model/scenario_test.go
+++ b/internal/model/scenario_test.go
@@ -20,7 +20,8 @@
 			continue
 		}
 		s := Simulate(sc, 1)
-		if s.Orders < 1000 || s.Served+s.Refused+s.Failed != s.Orders || s.DuplicateRuns > 0 || s.WorthFraction() < 0.3 {
+		if s.Orders < 1000 || s.Served+s.Refused+s.Failed != s.Orders || s.DuplicateRuns > 0 ||
+			s.WorthFraction() < 0.3 {
 			t.Errorf("%s: worth %.3f, %+v", path, s.WorthFraction(), s)
 		}
 		t.Logf("%s: worth %.3f, %d orders", filepath.Base(path), s.WorthFraction(), s.Orders)
@@ -33,17 +34,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range [][3]string{{`nodes = 3`, `ndoes = 3`, ":4: ndoes: unknown key"}, {`length = "60s"`, `length = "60"`, ":2: length"},
-		{`load = 0.45`, `load = nan`, ":3: load: "}, {`load = 0.45`, `load = "much"`, ":3: load: "}, {`effect = "keyed"`, `effect = "odd"`, "class[3].effect: want safe"},
-		{`dedup_window = "8s"`, ``, "class[3].dedup_window: a keyed class"}, {`name = "viewer-clip"`, `name = "cut-order"`, "class[2].name: "},
-		{`aim = "2s"`, `aim = "7s"`, "class[2].aim: "}, {`cores = 6`, `cores = 0`, "servers[0].cores: "}, {`count = 5`, `count = 999999`, "servers[0].count: "},
-		{`kind = "crash"`, `kind = "tired"`, "fault[0].kind: "}, {`[0, 1, 2, 3, 4]`, `[0, 12]`, "fault[0].servers: there is no server 12"}, {`at = "15s"`, `at = "2m"`, "fault[0].at: "}} {
+	for _, bad := range [][3]string{{`nodes = 3`, `ndoes = 3`, ":4: ndoes: unknown key"},
+		{`length = "60s"`, `length = "60"`, ":2: length"},
+		{`load = 0.45`, `load = nan`, ":3: load: "}, {`load = 0.45`, `load = "much"`, ":3: load: "},
+		{`effect = "keyed"`, `effect = "odd"`, "class[3].effect: want safe"},
+		{`dedup_window = "8s"`, ``, "class[3].dedup_window: a keyed class"},
+		{`name = "viewer-clip"`, `name = "cut-order"`, "class[2].name: "},
+		{`aim = "2s"`, `aim = "7s"`, "class[2].aim: "}, {`cores = 6`, `cores = 0`, "servers[0].cores: "},
+		{`count = 5`, `count = 999999`, "servers[0].count: "},
+		{`kind = "crash"`, `kind = "tired"`, "fault[0].kind: "},
+		{`[0, 1, 2, 3, 4]`, `[0, 12]`, "fault[0].servers: there is no server 12"}, {`at = "15s"`, `at = "2m"`, "fault[0].at: "}} {
 		text := strings.Replace(string(raw), bad[0], bad[1], 1)
 		if text == string(raw) {
 			t.Fatalf("the file lacks %q", bad[0])
 		}
 		_, err := parseScenario("x.toml", []byte(text))
-		if err == nil || !strings.HasPrefix(err.Error(), "x.toml:") || !strings.Contains(err.Error(), bad[2]) || strings.Contains(err.Error(), "\n") {
+		if err == nil || !strings.HasPrefix(err.Error(), "x.toml:") || !strings.Contains(err.Error(), bad[2]) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, want %q", bad[1], err, bad[2])
 		}
 	}
--- a/internal/model/streams.go
+++ b/internal/model/streams.go
@@ -23,7 +23,8 @@
 func (s *Streams) Of(entity, purpose string) *Stream {
 	key := [2]string{entity, purpose}
 	if s.streams[key] == nil {
-		s.streams[key] = &Stream{rand.New(rand.NewPCG(s.seed, mix(xxhash.Sum64String(entity), xxhash.Sum64String(purpose))))}
+		s.streams[key] = &Stream{rand.New(rand.NewPCG(s.seed,
+			mix(xxhash.Sum64String(entity), xxhash.Sum64String(purpose))))}
 	}
 	return s.streams[key]
 }
@@ -31,7 +32,8 @@
 // At returns a new stream for the n-th item of an entity, for a purpose. It always starts anew and is not kept. It
 // serves draws whose order differs from version to version, such as a client's waits.
 func (s *Streams) At(entity, purpose string, n uint64) *Stream {
-	return &Stream{rand.New(rand.NewPCG(s.seed^mix(n, 1), mix(xxhash.Sum64String(entity), xxhash.Sum64String(purpose))))}
+	return &Stream{rand.New(rand.NewPCG(s.seed^mix(n, 1),
+		mix(xxhash.Sum64String(entity), xxhash.Sum64String(purpose))))}
 }
 
 // mix hashes two numbers into one; their order matters.
--- a/internal/model/version.go
+++ b/internal/model/version.go
@@ -70,11 +70,18 @@
 	}
 	settings, fleet := file.Settings, file.Fleet
 	for _, err := range []error{
-		inRange(keyError, "settings.max_attempts", settings.MaxAttempts, 1, 100), inRange(keyError, "settings.cold_from", settings.ColdFrom, 0.01, 1),
-		inRange(keyError, "fleet.speed", fleet.Speed, 0.01, 100), inRange(keyError, "fleet.load", fleet.Load, 0.01, 100), inRange(keyError, "fleet.nodes", fleet.Nodes, 1, maxNodes),
-		inRange(keyError, "fleet.heedless", fleet.Heedless, 0, 1), inRange(keyError, "fleet.retries", fleet.Retries, 0, 10),
-		durationInRange(keyError, "settings.max_hold_off", settings.MaxHoldOff, 0, time.Minute), durationInRange(keyError, "settings.connect_timeout", settings.ConnectTimeout, time.Millisecond, time.Minute),
-		durationInRange(keyError, "settings.cold_time", settings.ColdTime, 0, maxLength), durationInRange(keyError, "fleet.registry_lag", fleet.Lag, 0, time.Minute),
+		inRange(keyError, "settings.max_attempts", settings.MaxAttempts, 1, 100),
+		inRange(keyError, "settings.cold_from", settings.ColdFrom, 0.01, 1),
+		inRange(keyError, "fleet.speed", fleet.Speed, 0.01, 100),
+		inRange(keyError, "fleet.load", fleet.Load, 0.01, 100),
+		inRange(keyError, "fleet.nodes", fleet.Nodes, 1, maxNodes),
+		inRange(keyError, "fleet.heedless", fleet.Heedless, 0, 1),
+		inRange(keyError, "fleet.retries", fleet.Retries, 0, 10),
+		durationInRange(keyError, "settings.max_hold_off", settings.MaxHoldOff, 0, time.Minute),
+		durationInRange(keyError, "settings.connect_timeout", settings.ConnectTimeout,
+			time.Millisecond, time.Minute),
+		durationInRange(keyError, "settings.cold_time", settings.ColdTime, 0, maxLength),
+		durationInRange(keyError, "fleet.registry_lag", fleet.Lag, 0, time.Minute),
 	} {
 		if err != nil {
 			return nil, err
@@ -172,7 +179,8 @@
 func (o *Outcome) Values() []float64 {
 	part := func(n, of int) float64 { return float64(n) / float64(max(1, of)) }
 	time := func(q float64) float64 { return float64(o.Times.ValueAtQuantile(q)) / 1e3 }
-	v := []float64{o.WorthFraction(), part(o.Refused, o.Orders), part(o.Failed, o.Orders), part(o.Tries, o.Orders), time(50), time(99), time(99.9), float64(o.ModeChanges)}
+	v := []float64{o.WorthFraction(), part(o.Refused, o.Orders), part(o.Failed, o.Orders), part(o.Tries, o.Orders),
+		time(50), time(99), time(99.9), float64(o.ModeChanges)}
 	for _, c := range o.Classes {
 		v = append(v, part(c.InAim, c.Orders))
 	}
--- a/internal/model/version_test.go
+++ b/internal/model/version_test.go
@@ -16,10 +16,12 @@
 func TestPolicies(t *testing.T) {
 	crash := Fault{At: 6 * time.Second, For: 6 * time.Second, Server: 1, Kind: Crash}
 	worth := map[string]float64{}
-	for _, p := range append(Policies(), mustFindPolicy("peak-ewma+retry+eject"), mustFindPolicy("least-request+retry")) {
+	for _, p := range append(Policies(), mustFindPolicy("peak-ewma+retry+eject"),
+		mustFindPolicy("least-request+retry")) {
 		light := kampklipScenario(0.5)
 		light.Policy = p
-		if s := Simulate(light, 2); s.WorthFraction() < 0.9 || s.DuplicateRuns > 0 || s.Served+s.Refused+s.Failed != s.Orders {
+		if s := Simulate(light, 2); s.WorthFraction() < 0.9 || s.DuplicateRuns > 0 ||
+			s.Served+s.Refused+s.Failed != s.Orders {
 			t.Errorf("%s at a light load: worth %.3f, %+v", p.Name, s.WorthFraction(), s)
 		}
 		faulty := kampklipScenario(1.2, crash)
@@ -42,7 +44,8 @@
 }
 
 func TestPolicyNames(t *testing.T) {
-	for name, want := range map[string]string{"peak": "there are module, random", "module+retry": "takes no options", "random+fast": "want +retry or +eject", "oracle+eject": "takes no options"} {
+	for name, want := range map[string]string{"peak": "there are module, random", "module+retry": "takes no options",
+		"random+fast": "want +retry or +eject", "oracle+eject": "takes no options"} {
 		if _, err := FindPolicy(name); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", name, err, want)
 		}
@@ -53,20 +56,25 @@
 // the line and the key in one line.
 func TestVersionFiles(t *testing.T) {
 	sc := kampklipScenario(0.5)
-	v, err := parseVersion("v.toml", []byte("policy = \"random\"\n[settings]\nmax_hold_off = \"1s\"\n[fleet]\nspeed = 0.5\nload = 2.0\n"))
+	v, err := parseVersion("v.toml",
+		[]byte("policy = \"random\"\n[settings]\nmax_hold_off = \"1s\"\n[fleet]\nspeed = 0.5\nload = 2.0\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c := v.Apply(sc, "b")
-	if c.Policy.Name != "random" || c.Settings.MaxHoldOff != time.Second || c.Servers[0].Speed != 0.5 || c.Rate != 2*sc.Rate || c.Settings.MaxAttempts != sc.Settings.MaxAttempts || c.Salt != "b" {
+	if c.Policy.Name != "random" || c.Settings.MaxHoldOff != time.Second || c.Servers[0].Speed != 0.5 ||
+		c.Rate != 2*sc.Rate || c.Settings.MaxAttempts != sc.Settings.MaxAttempts || c.Salt != "b" {
 		t.Errorf("%+v", c)
 	}
 	if sc.Servers[0].Speed != 1 || sc.Policy.Name != "" {
 		t.Error("the scenario itself has changed")
 	}
-	for text, want := range map[string]string{"policy = \"best\"": "v.toml:1: policy", "\n[fleet]\nspeed = 0.0": "v.toml:3: fleet.speed: want 0.01 to 100", "[fleet]\nspeeed = 1.0": "v.toml:2",
-		"[settings]\nmax_attempts = 0": "v.toml:2: settings.max_attempts", "[fleet]\nregistry_lag = \"2h\"": "v.toml:2: fleet.registry_lag"} {
-		if _, err := parseVersion("v.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+	for text, want := range map[string]string{"policy = \"best\"": "v.toml:1: policy",
+		"\n[fleet]\nspeed = 0.0": "v.toml:3: fleet.speed: want 0.01 to 100", "[fleet]\nspeeed = 1.0": "v.toml:2",
+		"[settings]\nmax_attempts = 0":   "v.toml:2: settings.max_attempts",
+		"[fleet]\nregistry_lag = \"2h\"": "v.toml:2: fleet.registry_lag"} {
+		if _, err := parseVersion("v.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
@@ -93,7 +101,8 @@
 		t.Fatal(err)
 	}
 	same := &Version{"same", func(*Scenario) {}}
-	plan := experiment.Plan{Measures: sc.Measures()[:1], A: measure(same.Apply(sc, "a")), B: measure(same.Apply(sc, "b")), Width: 1, PilotPairs: 6, MaxPairs: 6}
+	plan := experiment.Plan{Measures: sc.Measures()[:1], A: measure(same.Apply(sc, "a")),
+		B: measure(same.Apply(sc, "b")), Width: 1, PilotPairs: 6, MaxPairs: 6}
 	const trials = 20
 	covered := 0
 	for i := range uint64(trials) {
@@ -112,7 +121,8 @@
 	if covered < trials*8/10 {
 		t.Errorf("%d of %d intervals of identical versions cover zero", covered, trials)
 	}
-	plan.B, plan.Width, plan.PilotPairs, plan.MaxPairs, plan.FirstSeed = measure(slower.Apply(sc, "b")), 0.004, 10, 120, 1
+	plan.B, plan.Width, plan.PilotPairs, plan.MaxPairs, plan.FirstSeed = measure(slower.Apply(sc, "b")), 0.004, 10,
+		120, 1
 	r, err := experiment.Run(t.Context(), plan)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -62,7 +62,8 @@
 	case i.High < 0:
 		return fmt.Sprintf("b is worse: %s %+.4f (%+.4f to %+.4f)", i.Name, i.Mean, i.Low, i.High)
 	}
-	return fmt.Sprintf("no difference seen: %s %+.4f (%+.4f to %+.4f); %d pairs would see %.4f four times in five", i.Name, i.Mean, i.Low, i.High, i.Pairs, i.Smallest)
+	return fmt.Sprintf("no difference seen: %s %+.4f (%+.4f to %+.4f); %d pairs would see %.4f four times in five",
+		i.Name, i.Mean, i.Low, i.High, i.Pairs, i.Smallest)
 }
 
 // Short reports that there were fewer pairs than the wanted width needs; it is empty if there were enough. The
@@ -71,7 +72,8 @@
 	if len(c.Intervals) == 0 || c.Intervals[0].Pairs >= c.Wanted {
 		return ""
 	}
-	return fmt.Sprintf("%d pairs of the %d that a half-width of %.4f wants: the interval is wider", c.Intervals[0].Pairs, c.Wanted, c.Width)
+	return fmt.Sprintf("%d pairs of the %d that a half-width of %.4f wants: the interval is wider",
+		c.Intervals[0].Pairs, c.Wanted, c.Width)
 }
 
 // Text writes the table for a terminal.
@@ -83,7 +85,8 @@
 		if i.Differs() {
 			mark = " *"
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g%s\t%.3g\n", i.Name, i.A, i.B, i.Mean, i.Low, i.High, mark, i.Smallest)
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%+.4g\t%+.4g to %+.4g%s\t%.3g\n", i.Name, i.A, i.B, i.Mean, i.Low, i.High,
+			mark, i.Smallest)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -189,17 +192,22 @@
 // plotOrders plots the orders asked, answered in time and refused in each second.
 func (c *Comparison) plotOrders() (*plot.Plot, error) {
 	return c.plotTimeline("Orders answered in time and refused, one run of each", "orders a second", []timelineLine{
-		{"asked", 0, func(s model.Second) int { return s.Orders }}, {"a, in time", 0, func(s model.Second) int { return s.InAim }},
-		{"b, in time", 1, func(s model.Second) int { return s.InAim }}, {"a, refused", 0, func(s model.Second) int { return s.Refused }},
+		{"asked", 0, func(s model.Second) int { return s.Orders }},
+		{"a, in time", 0, func(s model.Second) int { return s.InAim }},
+		{"b, in time", 1, func(s model.Second) int { return s.InAim }},
+		{"a, refused", 0, func(s model.Second) int { return s.Refused }},
 		{"b, refused", 1, func(s model.Second) int { return s.Refused }}})
 }
 
 // plotModes plots the requests at servers and the servers that are not normal, in each second.
 func (c *Comparison) plotModes() (*plot.Plot, error) {
 	return c.plotTimeline("Requests at servers, and servers that are not normal (over all nodes)", "", []timelineLine{
-		{"a, requests", 0, func(s model.Second) int { return s.InFlight }}, {"b, requests", 1, func(s model.Second) int { return s.InFlight }},
-		{"a, overloaded or blocking", 0, func(s model.Second) int { return s.Overloaded + s.Blocking }}, {"b, the same", 1, func(s model.Second) int { return s.Overloaded + s.Blocking }},
-		{"a, suspect or cold", 0, func(s model.Second) int { return s.Excluded }}, {"b, the same", 1, func(s model.Second) int { return s.Excluded }}})
+		{"a, requests", 0, func(s model.Second) int { return s.InFlight }},
+		{"b, requests", 1, func(s model.Second) int { return s.InFlight }},
+		{"a, overloaded or blocking", 0, func(s model.Second) int { return s.Overloaded + s.Blocking }},
+		{"b, the same", 1, func(s model.Second) int { return s.Overloaded + s.Blocking }},
+		{"a, suspect or cold", 0, func(s model.Second) int { return s.Excluded }},
+		{"b, the same", 1, func(s model.Second) int { return s.Excluded }}})
 }
 
 // timelineLine is one line of a plot over time: the side (0: a, 1: b) and the figure plotted.
@@ -239,7 +247,8 @@
 		return nil, nil
 	}
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Worth in time against load", "times the scenario's load", "of what was asked"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Worth in time against load", "times the scenario's load",
+		"of what was asked"
 	p.Y.Min, p.Y.Max = 0, 1
 	for n, name := range c.Curve.Names {
 		var at plotter.XYs
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -12,11 +12,15 @@
 )
 
 func sample() *Comparison {
-	seconds := []model.Second{{Orders: 10, InAim: 8, Refused: 1, InFlight: 3, Normal: 6}, {Orders: 12, InAim: 9, InFlight: 5, Overloaded: 2}, {}}
-	return &Comparison{Scenario: "calm", A: "module", B: "<b>.toml", Seed: 3, Width: 0.01, Wanted: 30, Timelines: [2][]model.Second{seconds, seconds},
-		Intervals: []experiment.Interval{{Name: "worth in time", Mean: -0.02, Low: -0.03, High: -0.01, Pairs: 20, A: 0.9, B: 0.88, Smallest: 0.01},
+	seconds := []model.Second{{Orders: 10, InAim: 8, Refused: 1, InFlight: 3, Normal: 6},
+		{Orders: 12, InAim: 9, InFlight: 5, Overloaded: 2}, {}}
+	return &Comparison{Scenario: "calm", A: "module", B: "<b>.toml", Seed: 3, Width: 0.01, Wanted: 30,
+		Timelines: [2][]model.Second{seconds, seconds},
+		Intervals: []experiment.Interval{{Name: "worth in time", Mean: -0.02, Low: -0.03, High: -0.01, Pairs: 20,
+			A: 0.9, B: 0.88, Smallest: 0.01},
 			{Name: "p99 ms", Mean: 3, Low: -5, High: 11, Pairs: 20, A: 400, B: 403}},
-		Curve: &Curve{Loads: []float64{0.5, 1}, Names: []string{"module"}, Lines: map[string][]Estimate{"module": {{1, 0.99, 1}, {0.9, 0.88, 0.92}}}}}
+		Curve: &Curve{Loads: []float64{0.5, 1}, Names: []string{"module"},
+			Lines: map[string][]Estimate{"module": {{1, 0.99, 1}, {0.9, 0.88, 0.92}}}}}
 }
 
 // Guards against a page that lacks a plot, loads something from elsewhere, or takes names as HTML.
@@ -29,7 +33,8 @@
 	if n := strings.Count(text, "<svg"); n != 4 {
 		t.Errorf("%d plots, want 4", n)
 	}
-	for _, want := range []string{"b is worse: worth in time -0.0200", "20 pairs of the 30", "&lt;b&gt;.toml", "Worth in time against load"} {
+	for _, want := range []string{"b is worse: worth in time -0.0200", "20 pairs of the 30", "&lt;b&gt;.toml",
+		"Worth in time against load"} {
 		if !strings.Contains(text, want) {
 			t.Errorf("the page lacks %q", want)
 		}
@@ -81,7 +86,8 @@
 		t.Fatal(err)
 	}
 	var back Comparison
-	if err := json.Unmarshal(raw.Bytes(), &back); err != nil || back.Intervals[0].Low != -0.03 || back.Curve.Lines["module"][1].Mean != 0.9 {
+	if err := json.Unmarshal(raw.Bytes(), &back); err != nil || back.Intervals[0].Low != -0.03 ||
+		back.Curve.Lines["module"][1].Mean != 0.9 {
 		t.Errorf("%+v, %v", back, err)
 	}
 }
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -25,7 +25,8 @@
 		return nil, err
 	}
 	now := time.Now()
-	root := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test root"}, NotBefore: now.Add(-time.Hour), NotAfter: now.Add(24 * time.Hour),
+	root := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test root"},
+		NotBefore: now.Add(-time.Hour), NotAfter: now.Add(24 * time.Hour),
 		IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
 	der, err := x509.CreateCertificate(rand.Reader, root, root, &key.PublicKey, key)
 	if err != nil {
@@ -54,7 +55,8 @@
 	if err != nil {
 		return cert, nil, nil, err
 	}
-	leaf := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name}, DNSNames: []string{name},
+	leaf := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
+		DNSNames:  []string{name},
 		NotBefore: time.Now().Add(-48 * time.Hour), NotAfter: notAfter, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, leaf, a.cert, &key.PublicKey, a.key)
--- a/internal/standin/check.go
+++ b/internal/standin/check.go
@@ -72,7 +72,8 @@
 	for _, c := range e.Classes {
 		classes[c.Name] = c
 	}
-	return []Verdict{checkAnswered(e), checkUnchanged(e), checkEffectsOnce(e, classes), checkRefusedNotRun(e, classes), checkDrains(e), checkColdOverload(e)}
+	return []Verdict{checkAnswered(e), checkUnchanged(e), checkEffectsOnce(e, classes),
+		checkRefusedNotRun(e, classes), checkDrains(e), checkColdOverload(e)}
 }
 
 // checkAnswered: each try that reached a node has exactly one answer, before its client gives up. A try that was
@@ -94,12 +95,16 @@
 		switch {
 		case seen[answer.ID]:
 			verdict.AddViolation("%s: a second answer", answer.ID)
-		case !answer.ResentAt.IsZero() && !receivedAt[answer.ID].IsZero() && receivedAt[answer.ID].Before(answer.ResentAt):
-			verdict.AddViolation("%s %s: lost, though a server received it %v before it was sent again", answer.Class, answer.ID, answer.ResentAt.Sub(receivedAt[answer.ID]))
+		case !answer.ResentAt.IsZero() && !receivedAt[answer.ID].IsZero() &&
+			receivedAt[answer.ID].Before(answer.ResentAt):
+			verdict.AddViolation("%s %s: lost, though a server received it %v before it was sent again", answer.Class,
+				answer.ID, answer.ResentAt.Sub(receivedAt[answer.ID]))
 		case answer.Status == 0:
-			verdict.AddViolation("%s %s: no answer, %s after %v", answer.Class, answer.ID, answer.Failure, answer.EndedAt.Sub(answer.Sent))
+			verdict.AddViolation("%s %s: no answer, %s after %v", answer.Class, answer.ID, answer.Failure,
+				answer.EndedAt.Sub(answer.Sent))
 		case answer.EndedAt.After(answer.Deadline.Add(AnswerSlack)):
-			verdict.AddViolation("%s %s: %v past the deadline", answer.Class, answer.ID, answer.EndedAt.Sub(answer.Deadline))
+			verdict.AddViolation("%s %s: %v past the deadline", answer.Class, answer.ID,
+				answer.EndedAt.Sub(answer.Deadline))
 		case answer.Failure != "" && answer.Status != 200:
 			verdict.AddViolation("%s %s: %s", answer.Class, answer.ID, answer.Failure)
 		}
@@ -145,7 +150,8 @@
 		if runs[name]++; runs[name] == 1 {
 			verdict.Cases++
 		} else {
-			verdict.AddViolation("%s: run %d times, the last as %s at %s", name, runs[name], execution.ID, execution.Server)
+			verdict.AddViolation("%s: run %d times, the last as %s at %s", name, runs[name], execution.ID,
+				execution.Server)
 		}
 	}
 	return verdict
@@ -193,8 +199,10 @@
 	}
 	for _, execution := range e.Executions {
 		for _, s := range drainSpans[execution.Server] {
-			if execution.ReceivedAt.After(s.from.Add(DrainGrace)) && (s.to.IsZero() || execution.ReceivedAt.Before(s.to)) {
-				verdict.AddViolation("%s received %s %v after the node was notified", execution.Server, execution.ID, execution.ReceivedAt.Sub(s.from))
+			if execution.ReceivedAt.After(s.from.Add(DrainGrace)) &&
+				(s.to.IsZero() || execution.ReceivedAt.Before(s.to)) {
+				verdict.AddViolation("%s received %s %v after the node was notified", execution.Server, execution.ID,
+					execution.ReceivedAt.Sub(s.from))
 			}
 		}
 	}
@@ -209,7 +217,8 @@
 		verdict.Cases++
 		var executions []Execution
 		for _, x := range e.Executions {
-			if x.Server == c.Server && !x.ReceivedAt.Before(c.Started) && x.ReceivedAt.Before(c.Started.Add(c.Time+ColdOverloadWindow)) {
+			if x.Server == c.Server && !x.ReceivedAt.Before(c.Started) &&
+				x.ReceivedAt.Before(c.Started.Add(c.Time+ColdOverloadWindow)) {
 				executions = append(executions, x)
 			}
 		}
@@ -223,7 +232,8 @@
 			}
 			speed := min(1, c.From+(1-c.From)*x.ReceivedAt.Sub(c.Started).Seconds()/c.Time.Seconds())
 			if limit := ColdOverloadFactor * speed * float64(c.Cores) * ColdOverloadWindow.Seconds(); windowWork.Seconds() > limit {
-				verdict.AddViolation("%s: %.2f s of work within %v, %v after its start; the limit is %.2f s", c.Server, windowWork.Seconds(), ColdOverloadWindow,
+				verdict.AddViolation("%s: %.2f s of work within %v, %v after its start; the limit is %.2f s",
+					c.Server, windowWork.Seconds(), ColdOverloadWindow,
 					x.ReceivedAt.Sub(c.Started).Round(time.Millisecond), limit)
 				break
 			}
--- a/internal/standin/check_test.go
+++ b/internal/standin/check_test.go
@@ -9,7 +9,8 @@
 
 var (
 	t0      = time.Unix(1_700_000_000, 0)
-	classes = []Class{{Name: "read", Method: "GET"}, {Name: "order", Method: "POST"}, {Name: "tag", Method: "POST", Keyed: true}}
+	classes = []Class{{Name: "read", Method: "GET"}, {Name: "order", Method: "POST"},
+		{Name: "tag", Method: "POST", Keyed: true}}
 )
 
 func at(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
@@ -19,30 +20,37 @@
 	evidence := Evidence{Classes: classes}
 	add := func(order, class, key string, ms int) {
 		id := order + ".0"
-		evidence.Executions = append(evidence.Executions, Execution{Server: "s1", ID: id, Class: class, Order: order, Key: key, ReceivedAt: at(ms), Work: time.Millisecond, Ran: true})
-		evidence.Answers = append(evidence.Answers, Answer{Order: order, ID: id, Class: class, Key: key, Sent: at(ms), EndedAt: at(ms + 20), Deadline: at(ms + 500),
+		evidence.Executions = append(evidence.Executions, Execution{Server: "s1", ID: id, Class: class, Order: order,
+			Key: key, ReceivedAt: at(ms), Work: time.Millisecond, Ran: true})
+		evidence.Answers = append(evidence.Answers, Answer{Order: order, ID: id, Class: class, Key: key, Sent: at(ms),
+			EndedAt: at(ms + 20), Deadline: at(ms + 500),
 			Status: 200, FirstLine: "s1 " + id})
 	}
 	add("a", "read", "", 0)
 	add("b", "order", "", 10)
 	add("c", "tag", "k", 20)
 	// An order that was refused unprocessed, and tried again.
-	evidence.Answers = append(evidence.Answers, Answer{Order: "d", ID: "d.0", Class: "order", Sent: at(30), EndedAt: at(31), Deadline: at(600), Status: 503})
-	evidence.Executions = append(evidence.Executions, Execution{Server: "s1", ID: "d.0", Class: "order", Order: "d", ReceivedAt: at(30)})
+	evidence.Answers = append(evidence.Answers, Answer{Order: "d", ID: "d.0", Class: "order", Sent: at(30),
+		EndedAt: at(31), Deadline: at(600), Status: 503})
+	evidence.Executions = append(evidence.Executions, Execution{Server: "s1", ID: "d.0", Class: "order", Order: "d",
+		ReceivedAt: at(30)})
 	add("d", "order", "", 40)
 	evidence.Answers[len(evidence.Answers)-1].ID, evidence.Executions[len(evidence.Executions)-1].ID = "d.1", "d.1"
 	evidence.Answers[len(evidence.Answers)-1].FirstLine = "s1 d.1"
 	// An idempotency key that came twice to its cell, which recognized it.
-	evidence.Executions = append(evidence.Executions, Execution{Server: "s2", ID: "c.0", Class: "tag", Order: "c", Key: "k", ReceivedAt: at(60), Ran: true, Repeat: true})
+	evidence.Executions = append(evidence.Executions, Execution{Server: "s2", ID: "c.0", Class: "tag", Order: "c",
+		Key: "k", ReceivedAt: at(60), Ran: true, Repeat: true})
 	// A server that drained, and one that became ready again after a drain.
-	evidence.Notifications = []Notification{{"s1", "ready", at(0)}, {"s1", "draining", at(100)}, {"s3", "draining", at(100)}, {"s3", "ready", at(3000)}}
+	evidence.Notifications = []Notification{{"s1", "ready", at(0)}, {"s1", "draining", at(100)},
+		{"s3", "draining", at(100)}, {"s3", "ready", at(3000)}}
 	evidence.Executions = append(evidence.Executions,
 		Execution{Server: "s1", ID: "late", Class: "read", ReceivedAt: at(100 + 540), Ran: true},
 		Execution{Server: "s3", ID: "back", Class: "read", ReceivedAt: at(3100), Ran: true})
 	// A cold server that got just as much work as the rule allows.
 	evidence.ColdStarts = []ColdStart{{Server: "s4", Started: at(5000), Cores: 2, From: 0.3, Time: 8 * time.Second}}
 	for i := range 15 {
-		evidence.Executions = append(evidence.Executions, Execution{Server: "s4", ID: fmt.Sprint("w", i), Class: "read", ReceivedAt: at(5000 + 10*i), Work: 100 * time.Millisecond, Ran: true})
+		evidence.Executions = append(evidence.Executions, Execution{Server: "s4", ID: fmt.Sprint("w", i),
+			Class: "read", ReceivedAt: at(5000 + 10*i), Work: 100 * time.Millisecond, Ran: true})
 	}
 	// A request that crossed the close of a kept connection: no server had received it by then.
 	evidence.Answers[1].ResentAt = at(9)
@@ -74,11 +82,21 @@
 		"bytes behind one":  {one, func(e *Evidence) { e.Answers[3].Failure = "bytes behind the answer" }},
 		"an invented one":   {own, func(e *Evidence) { e.Answers[0].FirstLine = "s9 a.0" }},
 		"another's":         {own, func(e *Evidence) { e.Answers[0].Failure = "another request's answer" }},
-		"an order twice":    {twice, func(e *Evidence) { e.Executions = append(e.Executions, again(e, "b.0", "s2", "b.0")) }},
-		"over two tries":    {twice, func(e *Evidence) { e.Executions = append(e.Executions, again(e, "d.1", "s2", "d.2")) }},
-		"a key twice":       {twice, func(e *Evidence) { e.Executions = append(e.Executions, again(e, "c.0", "s9", "c.0")) }},
-		"refused, but run":  {refused, func(e *Evidence) { e.Executions[3].Ran, e.Executions[3].Order = true, "other" }},
-		"sent while drains": {drain, func(e *Evidence) { e.Executions = append(e.Executions, execution("s1", 100+551)) }},
+		"an order twice": {twice, func(e *Evidence) {
+			e.Executions = append(e.Executions, again(e, "b.0", "s2", "b.0"))
+		}},
+		"over two tries": {twice, func(e *Evidence) {
+			e.Executions = append(e.Executions, again(e, "d.1", "s2", "d.2"))
+		}},
+		"a key twice": {twice, func(e *Evidence) {
+			e.Executions = append(e.Executions, again(e, "c.0", "s9", "c.0"))
+		}},
+		"refused, but run": {refused, func(e *Evidence) {
+			e.Executions[3].Ran, e.Executions[3].Order = true, "other"
+		}},
+		"sent while drains": {drain, func(e *Evidence) {
+			e.Executions = append(e.Executions, execution("s1", 100+551))
+		}},
 		"sent once gone": {drain, func(e *Evidence) {
 			e.Notifications = append(e.Notifications, Notification{"s2", "gone", at(200)})
 			e.Executions = append(e.Executions, execution("s2", 900))
@@ -121,7 +139,8 @@
 
 // Guards against a checker that overlooks a request on a server which no client sent.
 func TestAccounted(t *testing.T) {
-	e := Evidence{Answers: []Answer{{ID: "a.0"}, {ID: "a.1"}}, Executions: []Execution{execution("s1", 1), execution("s1", 2)}}
+	e := Evidence{Answers: []Answer{{ID: "a.0"}, {ID: "a.1"}}, Executions: []Execution{execution("s1", 1),
+		execution("s1", 2)}}
 	e.Executions[0].ID, e.Executions[1].ID = "a.0", "a.1"
 	if v := CheckAccounted(e); v.ViolationCount != 0 || v.Cases != 2 {
 		t.Error(v)
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -110,7 +110,8 @@
 // client then sends the request again on a new connection, as the protocol says. A connection that carried no
 // request before, or that ends later than within after the sending (0: 20 ms), has delivered the request.
 func (c *clientConn) closeCrossed(used bool, a *Answer, within time.Duration) bool {
-	return used && a.Status == 0 && a.Failure != "" && !c.answerStarted && a.EndedAt.Sub(a.Sent) < cmp.Or(within, defaultCloseCrossing)
+	return used && a.Status == 0 && a.Failure != "" && !c.answerStarted &&
+		a.EndedAt.Sub(a.Sent) < cmp.Or(within, defaultCloseCrossing)
 }
 
 const defaultCloseCrossing = 20 * time.Millisecond
@@ -234,7 +235,8 @@
 
 // runOrder carries one order to its end: its tries, the waits between them, and the counting. getConn returns a
 // connection for a first try, and putConn takes it back, to be closed unless it can be reused.
-func (l *Load) runOrder(ctx context.Context, class Class, getConn func() (*clientConn, error), putConn func(*clientConn, bool)) {
+func (l *Load) runOrder(ctx context.Context, class Class, getConn func() (*clientConn, error),
+	putConn func(*clientConn, bool)) {
 	number := l.lastOrder.Add(1)
 	name := fmt.Sprintf("%so%d", l.Prefix, number)
 	key := ""
@@ -246,10 +248,13 @@
 	var answer Answer
 	var resent time.Time // when a close crossed the try, after its first sending
 	for try := 0; ; try++ {
-		answer = Answer{Order: name, ID: fmt.Sprintf("%s.%d", name, try), Class: class.Name, Key: key, Try: try, Deadline: deadline, Sent: time.Now(), ResentAt: resent}
+		answer = Answer{Order: name, ID: fmt.Sprintf("%s.%d", name, try), Class: class.Name, Key: key, Try: try,
+			Deadline: deadline, Sent: time.Now(), ResentAt: resent}
 		getConn, putConn := getConn, putConn
 		if try > 0 && len(l.RetryAddrs) > 0 {
-			getConn = func() (*clientConn, error) { return dialNode(l.RetryAddrs[(try-1)%len(l.RetryAddrs)], 2*time.Second) }
+			getConn = func() (*clientConn, error) {
+				return dialNode(l.RetryAddrs[(try-1)%len(l.RetryAddrs)], 2*time.Second)
+			}
 			putConn = func(connection *clientConn, _ bool) { connection.Close() }
 		}
 		connection, err := getConn()
@@ -285,7 +290,8 @@
 		// After a failure, as opposed to a refusal, only a safe request is tried again: a failure does not promise
 		// that the request was not run, and an idempotency key is known to one cell only.
 		mayRetry := answer.Refused() || !answer.Served() && class.Method == "GET" && err == nil
-		if !mayRetry || try >= l.Retries || !sleep(ctx, max(answer.HoldOff, time.Millisecond)) || !time.Now().Before(deadline) {
+		if !mayRetry || try >= l.Retries || !sleep(ctx, max(answer.HoldOff, time.Millisecond)) ||
+			!time.Now().Before(deadline) {
 			break
 		}
 	}
--- a/internal/standin/discovery/service.go
+++ b/internal/standin/discovery/service.go
@@ -69,7 +69,8 @@
 
 // New makes a service that takes perCall to process a call, and that lists these servers as revision 1.
 func New(perCall time.Duration, entries ...standin.Entry) *Service {
-	s := &Service{perCall: perCall, changeSignal: make(chan struct{}), reachableSince: time.Now(), entries: []map[string]standin.Entry{{}}}
+	s := &Service{perCall: perCall, changeSignal: make(chan struct{}), reachableSince: time.Now(),
+		entries: []map[string]standin.Entry{{}}}
 	s.Set(entries...)
 	return s
 }
--- a/internal/standin/path_test.go
+++ b/internal/standin/path_test.go
@@ -53,7 +53,8 @@
 	c = dial()
 	answer(c, 5*time.Second)
 	path.SetFault(PathResets)
-	if err := answer(c, 5*time.Second); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) && !errors.Is(err, io.EOF) {
+	if err := answer(c, 5*time.Second); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, syscall.EPIPE) &&
+		!errors.Is(err, io.EOF) {
 		t.Errorf("resets: %v", err)
 	}
 	path.SetFault(PathHealthy)
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -59,7 +59,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Registry{Addr: l.Addr().String(), entries: map[string]Entry{}, changedIn: map[string]uint64{}, changeSignal: make(chan struct{})}
+	r := &Registry{Addr: l.Addr().String(), entries: map[string]Entry{}, changedIn: map[string]uint64{},
+		changeSignal: make(chan struct{})}
 	r.Set(entries...)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /registry/instances", r.serve)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -96,8 +96,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("server %s: %w", o.Name, err)
 	}
-	s := &Server{ServerOptions: o, Addr: l.Addr().String(), Started: time.Now(), listener: l, stopped: make(chan struct{}),
-		work: work, conns: map[net.Conn]bool{}}
+	s := &Server{ServerOptions: o, Addr: l.Addr().String(), Started: time.Now(), listener: l,
+		stopped: make(chan struct{}), work: work, conns: map[net.Conn]bool{}}
 	s.workPerMille.Store(1000)
 	if o.Cores > 0 {
 		s.cores = make(chan struct{}, o.Cores)
@@ -256,7 +256,8 @@
 	if !known || request.id == "" {
 		return append(out, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"...)
 	}
-	execution := Execution{Server: s.Name, ID: request.id, Class: class, Key: request.key, ReceivedAt: receivedAt, Work: work.Time}
+	execution := Execution{Server: s.Name, ID: request.id, Class: class, Key: request.key, ReceivedAt: receivedAt,
+		Work: work.Time}
 	if seconds, err := strconv.ParseFloat(request.timeLeft, 64); err == nil {
 		execution.TimeLeft = time.Duration(seconds * float64(time.Second))
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -49,7 +49,8 @@
 		t.Errorf("an unknown class: %d", status)
 	}
 	executions := s.Log()
-	if len(executions) != 2 || !executions[0].Ran || executions[0].Repeat || !executions[1].Repeat || executions[0].Order != "o" || executions[0].Key != "k" || executions[0].ID != "i" {
+	if len(executions) != 2 || !executions[0].Ran || executions[0].Repeat || !executions[1].Repeat ||
+		executions[0].Order != "o" || executions[0].Key != "k" || executions[0].ID != "i" {
 		t.Errorf("%+v", executions)
 	}
 	s.SetUnresponsive(true)
@@ -79,7 +80,8 @@
 }
 
 func TestRegistryWatch(t *testing.T) {
-	registry, err := NewRegistry(Entry{ID: "s-00000001", Addr: "127.0.0.1:1", State: "ready"}, Entry{ID: "s-00000002", Addr: "127.0.0.1:2", State: "ready"})
+	registry, err := NewRegistry(Entry{ID: "s-00000001", Addr: "127.0.0.1:1", State: "ready"},
+		Entry{ID: "s-00000002", Addr: "127.0.0.1:2", State: "ready"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +170,8 @@
 // against clients that try again where a second execution would do harm.
 func TestClientsSeeFaults(t *testing.T) {
 	const refusal = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.001\r\nX-Refused-By: node\r\nContent-Length: 0\r\n\r\n"
-	class := Class{Name: "order", Method: "POST", Worth: 3, Aim: time.Minute, Patience: time.Minute, Share: 1, BodyBytes: 5}
+	class := Class{Name: "order", Method: "POST", Worth: 3, Aim: time.Minute, Patience: time.Minute, Share: 1,
+		BodyBytes: 5}
 	read := class
 	read.Method = "GET"
 	for name, c := range map[string]struct {
@@ -182,9 +185,11 @@
 		"served":            {class, okResponse, 1, true, "", 0},
 		"no answer, unsafe": {class, func(string) string { return "" }, 1, false, "EOF", 0},
 		"no answer, safe":   {read, func(string) string { return "" }, 3, false, "EOF", 0},
-		"another's answer":  {class, func(string) string { return okResponse("other") }, 1, false, "another request's", 0},
-		"two answers":       {class, func(id string) string { return okResponse(id) + okResponse(id) }, 1, false, "second", 0},
-		"refused":           {class, func(string) string { return refusal }, 3, false, "", 3},
+		"another's answer": {class, func(string) string { return okResponse("other") }, 1, false,
+			"another request's", 0},
+		"two answers": {class, func(id string) string { return okResponse(id) + okResponse(id) }, 1, false,
+			"second", 0},
+		"refused": {class, func(string) string { return refusal }, 3, false, "", 3},
 		"refused, then served": {class, func(id string) string {
 			if strings.HasSuffix(id, ".0") {
 				return refusal
@@ -201,7 +206,8 @@
 		}, func(c *clientConn, _ bool) { c.Close() })
 		log, s := load.Log(), load.Sums()
 		last := log[len(log)-1]
-		if len(log) != c.tries || last.Served() != c.served || !strings.Contains(last.Failure, c.fault) || s.RefusedTries != c.refusedTries ||
+		if len(log) != c.tries || last.Served() != c.served || !strings.Contains(last.Failure, c.fault) ||
+			s.RefusedTries != c.refusedTries ||
 			s.RefusedByNode != c.refusedTries || s.Orders != 1 || (s.WorthFraction() == 1) != c.served {
 			t.Errorf("%s: %+v, %+v", name, log, s)
 		}
@@ -241,14 +247,15 @@
 	for lost, want := range map[int]bool{2: true, 1: false} {
 		var mu sync.Mutex
 		n := 0
-		load := &Load{Classes: []Class{class}, KeepLog: true, CloseCrossing: time.Minute, Addr: serveReplies(t, func(id string) string {
-			mu.Lock()
-			defer mu.Unlock()
-			if n++; n == lost {
-				return ""
-			}
-			return okResponse(id)
-		})}
+		load := &Load{Classes: []Class{class}, KeepLog: true, CloseCrossing: time.Minute,
+			Addr: serveReplies(t, func(id string) string {
+				mu.Lock()
+				defer mu.Unlock()
+				if n++; n == lost {
+					return ""
+				}
+				return okResponse(id)
+			})}
 		for range lost {
 			load.runOrder(t.Context(), class, load.takeConn, load.putConn)
 		}
--- a/internal/standin/wire.go
+++ b/internal/standin/wire.go
@@ -56,7 +56,8 @@
 	if err != nil {
 		return nil, err
 	}
-	wire := &Wire{Addr: listener.LocalAddr().String(), listener: listener, target: targetAddr, startedAt: time.Now(), done: make(chan struct{}), flows: map[string]*net.UDPConn{}}
+	wire := &Wire{Addr: listener.LocalAddr().String(), listener: listener, target: targetAddr, startedAt: time.Now(),
+		done: make(chan struct{}), flows: map[string]*net.UDPConn{}}
 	wire.cutCountdown.Store(cutDisarmed)
 	wire.workers.Go(func() { wire.receive(listener) })
 	return wire, nil
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -121,7 +121,8 @@
 func ReadyList(addrs ...string) core.List {
 	l := core.List{Version: 1, Full: true}
 	for i, a := range addrs {
-		l.Entries = append(l.Entries, core.Entry{Addr: a, Server: decide.Server{ID: decide.ServerID(i + 1), Zone: "z", State: decide.Ready, Size: 1}})
+		l.Entries = append(l.Entries, core.Entry{Addr: a, Server: decide.Server{ID: decide.ServerID(i + 1), Zone: "z",
+			State: decide.Ready, Size: 1}})
 	}
 	return l
 }
