--- a/internal/configuration/configfile/configfile.go
+++ b/internal/configuration/configfile/configfile.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/tomlfile"
 )
 
-// fileFormat is the content of a fileFormat. Each table puts or deletes one entry. With if_revision, the fileFormat is applied only
+// fileFormat is the content of a file. Each table puts or deletes one entry. With if_revision, the file is applied only
 // if the last change of the entry was at that revision, or, for 0, if there is no such entry.
 type fileFormat struct {
 	Service []service `toml:"service,omitempty"`
--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -77,7 +77,8 @@
 func (r *Replica) stage(pending *staged, revision *configpb.Revision) *InvalidError {
 	for _, c := range revision.GetChanges() {
 		if entry := c.GetPut(); entry != nil && entry.Revision != revision.Number {
-			return invalid(truncateKey(Key(entry)), "", "the entry has revision %d, but is part of revision %d", entry.Revision, revision.Number)
+			return invalid(truncateKey(Key(entry)), "", "the entry has revision %d, but is part of revision %d",
+				entry.Revision, revision.Number)
 		}
 		key := changeKey(c)
 		if kindOf(key) == "" {
--- a/internal/configuration/watch/server.go
+++ b/internal/configuration/watch/server.go
@@ -221,7 +221,8 @@
 	sendTime := func(rate float64) time.Duration {
 		return time.Duration(float64(s.options.Limits.ChunkBytes) / rate * float64(time.Second))
 	}
-	s.nextChunkAt, w.nextChunkAt = sendAt.Add(sendTime(s.options.Limits.MachineRate)), sendAt.Add(sendTime(s.options.Limits.NodeRate))
+	s.nextChunkAt, w.nextChunkAt = sendAt.Add(sendTime(s.options.Limits.MachineRate)),
+		sendAt.Add(sendTime(s.options.Limits.NodeRate))
 	return sendAt.Sub(now), true
 }
 
--- a/internal/configuration/watch/simulation_test.go
+++ b/internal/configuration/watch/simulation_test.go
@@ -38,7 +38,7 @@
 	name   string
 	server *Server
 	mu     sync.Mutex
-	cut    bool // requests and answers are lost, without an error to the node
+	cut    bool // requests and answers are lost; a call ends with its context
 	calls  int
 	bytes  int
 }
--- a/internal/configuration/watch/snapshot.go
+++ b/internal/configuration/watch/snapshot.go
@@ -84,7 +84,8 @@
 		return nil, err
 	}
 	offset := uint64(0)
-	if request.Snapshot == snapshot.revision && bytes.Equal(request.Checksum, snapshot.checksum[:]) && request.Offset <= uint64(len(snapshot.data)) {
+	if request.Snapshot == snapshot.revision && bytes.Equal(request.Checksum, snapshot.checksum[:]) &&
+		request.Offset <= uint64(len(snapshot.data)) {
 		offset = request.Offset
 	}
 	end := min(len(snapshot.data), int(offset)+s.options.Limits.ChunkBytes)
@@ -183,7 +184,8 @@
 		return nil, fmt.Errorf("%w: %w", errChunk, err)
 	}
 	if s.Revision != whole.revision {
-		return nil, fmt.Errorf("%w: the parts are of revision %d, the snapshot of revision %d", errChunk, whole.revision, s.Revision)
+		return nil, fmt.Errorf("%w: the parts are of revision %d, the snapshot of revision %d",
+			errChunk, whole.revision, s.Revision)
 	}
 	return s, nil
 }
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -134,7 +134,8 @@
 	for n.ctx.Err() == nil {
 		requestedAt := time.Now()
 		ctx, cancel := context.WithTimeout(n.ctx, n.config.SessionTimeout)
-		report := &fleetpb.OpenSession{Node: n.config.Name, Zone: n.config.Zone, Process: n.process, Level: fleet.Level, Voter: n.config.IsVoter(), Dead: n.ejectedServers()}
+		report := &fleetpb.OpenSession{Node: n.config.Name, Zone: n.config.Zone, Process: n.process, Level: fleet.Level,
+			Voter: n.config.IsVoter(), Dead: n.ejectedServers()}
 		if counts.enabled {
 			report.Ends, report.Resident, report.Soak = counts.delta(n.node.ClassCounts()), n.node.ResidentBytes(), counts.soak
 		}
--- a/internal/control/config.go
+++ b/internal/control/config.go
@@ -102,8 +102,10 @@
 	keyError := tomlfile.KeyErrors(path, raw)
 	pathOf := tomlfile.RelativeTo(path)
 	node := content.Node
-	config := &Config{Path: path, Name: node.Name, Domain: node.Domain, Zone: node.Zone, Folder: pathOf(node.Folder), Socket: pathOf(node.Socket),
-		SessionTimeout: time.Duration(content.Timing.SessionMs) * time.Millisecond, TickInterval: time.Duration(content.Timing.TickMs) * time.Millisecond}
+	config := &Config{Path: path, Name: node.Name, Domain: node.Domain, Zone: node.Zone,
+		Folder: pathOf(node.Folder), Socket: pathOf(node.Socket),
+		SessionTimeout: time.Duration(content.Timing.SessionMs) * time.Millisecond,
+		TickInterval:   time.Duration(content.Timing.TickMs) * time.Millisecond}
 	if !nodeNamePattern.MatchString(node.Name) {
 		return nil, keyError("node.name", "want a name of letters, digits and hyphens, have %q", node.Name)
 	}
@@ -118,13 +120,15 @@
 	for _, l := range []struct {
 		key               string
 		have, least, most int
-	}{{"timing.session_ms", content.Timing.SessionMs, minSessionMs, maxSessionMs}, {"timing.tick_ms", content.Timing.TickMs, minTickMs, maxTickMs}} {
+	}{{"timing.session_ms", content.Timing.SessionMs, minSessionMs, maxSessionMs},
+		{"timing.tick_ms", content.Timing.TickMs, minTickMs, maxTickMs}} {
 		if l.have < l.least || l.have > l.most {
 			return nil, keyError(l.key, "want %d to %d, have %d", l.least, l.most, l.have)
 		}
 	}
 	if content.Timing.SessionMs < minSessionTicks*content.Timing.TickMs {
-		return nil, keyError("timing.session_ms", "want %d ticks at least, so that a new leader is elected within a session", minSessionTicks)
+		return nil, keyError("timing.session_ms",
+			"want %d ticks at least, so that a new leader is elected within a session", minSessionTicks)
 	}
 	if len(content.Voter) != 3 && len(content.Voter) != 5 {
 		return nil, keyError("voter", "want 3 or 5, have %d", len(content.Voter))
@@ -156,7 +160,8 @@
 		config.Listen = at
 	}
 	for _, b := range content.Budget {
-		budget := &fleetpb.Budget{Name: b.Name, On: b.On, By: b.By, Only: b.Only, MostShare: b.MostShare, LeastLeft: b.LeastLeft}
+		budget := &fleetpb.Budget{Name: b.Name, On: b.On, By: b.By, Only: b.Only,
+			MostShare: b.MostShare, LeastLeft: b.LeastLeft}
 		if b.MostOut != nil {
 			budget.Bounded, budget.MostOut = true, *b.MostOut
 		}
--- a/internal/control/config_test.go
+++ b/internal/control/config_test.go
@@ -24,7 +24,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, content := range map[string][]byte{"n1.crt": cert, "n1.key": key, "fleet.roots": authority.RootPEM(), "fleet.toml": []byte(text)} {
+	for name, content := range map[string][]byte{
+		"n1.crt": cert, "n1.key": key, "fleet.roots": authority.RootPEM(), "fleet.toml": []byte(text),
+	} {
 		if err := os.WriteFile(filepath.Join(dir, name), content, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -41,7 +43,8 @@
 	}
 	good := string(raw)
 	c, err := Load(writeFolder(t, good), time.Now())
-	if err != nil || !c.IsVoter() || len(c.Voters) != 3 || len(c.Budgets) != 2 || c.SessionTimeout != 5*time.Second || !c.Budgets[0].Bounded || c.Budgets[1].Bounded {
+	if err != nil || !c.IsVoter() || len(c.Voters) != 3 || len(c.Budgets) != 2 ||
+		c.SessionTimeout != 5*time.Second || !c.Budgets[0].Bounded || c.Budgets[1].Bounded {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for name, x := range map[string]struct{ from, to, want string }{
@@ -65,11 +68,13 @@
 			t.Fatalf("%s: the example has no %q", name, x.from)
 		}
 		_, err := Load(writeFolder(t, strings.Replace(good, x.from, x.to, 1)), time.Now())
-		if x.want == "" && err != nil || x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n")) {
+		if x.want == "" && err != nil ||
+			x.want != "" && (err == nil || !strings.Contains(err.Error(), x.want) || strings.Contains(err.Error(), "\n")) {
 			t.Errorf("%s: %v, want %q", name, err, x.want)
 		}
 	}
-	if _, err := Load(writeFolder(t, good), time.Now().Add(48*time.Hour)); err == nil || !strings.Contains(err.Error(), "node.certificate") {
+	if _, err := Load(writeFolder(t, good), time.Now().Add(48*time.Hour)); err == nil ||
+		!strings.Contains(err.Error(), "node.certificate") {
 		t.Errorf("an expired certificate: %v", err)
 	}
 }
@@ -84,7 +89,8 @@
 		"another's session": {&fleetpb.Entry{What: &fleetpb.Entry_Open{Open: &fleetpb.OpenSession{Node: "n2"}}}, false},
 		"another's end":     {&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: "n2"}}}, false},
 		"a lapsed session":  {&fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: "n1", Lapsed: true}}}, false},
-		"another's ack":     {&fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: []*fleetpb.Ack{{Node: "n1"}, {Node: "n2"}}}}}, false},
+		"another's ack": {&fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{
+			Acks: []*fleetpb.Ack{{Node: "n1"}, {Node: "n2"}}}}}, false},
 		"another's leaving": {&fleetpb.Entry{What: &fleetpb.Entry_Leaving{Leaving: &fleetpb.Leaving{Node: "n2"}}}, false},
 		"the registry":      {&fleetpb.Entry{What: &fleetpb.Entry_Listed{Listed: &fleetpb.Listed{}}}, false},
 		"the leader's view": {&fleetpb.Entry{What: &fleetpb.Entry_Observed{Observed: &fleetpb.Observed{}}}, false},
@@ -128,12 +134,14 @@
 // Checks that all differences between the registry's list and the state are found, and none while the list is not
 // known.
 func TestDifference(t *testing.T) {
-	known := map[string]*fleetpb.Server{"a": {Id: "a", State: "ready", Weight: 1}, "b": {Id: "b", State: "ready"}, "c": {Id: "c", State: "gone"}}
+	known := map[string]*fleetpb.Server{"a": {Id: "a", State: "ready", Weight: 1}, "b": {Id: "b", State: "ready"},
+		"c": {Id: "c", State: "gone"}}
 	if d := changedServers(known, nil); d != nil {
 		t.Errorf("changes by a list that is not known: %v", d)
 	}
 	var got []string
-	for _, s := range changedServers(known, []*fleetpb.Server{{Id: "a", State: "ready", Weight: 2}, {Id: "d", State: "draining"}}) {
+	for _, s := range changedServers(known, []*fleetpb.Server{{Id: "a", State: "ready", Weight: 2},
+		{Id: "d", State: "draining"}}) {
 		got = append(got, s.Id+" "+s.State)
 	}
 	if strings.Join(got, ", ") != "a ready, b gone, d draining" {
--- a/internal/control/configuration_test.go
+++ b/internal/control/configuration_test.go
@@ -75,7 +75,8 @@
 }
 
 // writeNode writes a node's files to dir and loads its fleet file. voter is whether the node has to be one.
-func writeNode(t *testing.T, dir string, authority *standin.Authority, name string, addresses []string, voter bool) *Config {
+func writeNode(t *testing.T, dir string, authority *standin.Authority, name string, addresses []string,
+	voter bool) *Config {
 	t.Helper()
 	_, cert, key, err := authority.Issue(name+".f.example.org", time.Now().Add(time.Hour))
 	if err != nil {
--- a/internal/control/door.go
+++ b/internal/control/door.go
@@ -60,7 +60,8 @@
 	mux.HandleFunc("GET /here", func(w http.ResponseWriter, r *http.Request) {
 		json.NewEncoder(w).Encode(n.Status())
 	})
-	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: apiTimeout, WriteTimeout: 2 * apiTimeout, IdleTimeout: time.Minute}
+	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: apiTimeout,
+		WriteTimeout: 2 * apiTimeout, IdleTimeout: time.Minute}
 	stop := context.AfterFunc(n.ctx, func() { srv.Close() })
 	defer stop()
 	srv.Serve(&accept.Listener{Listener: l})
@@ -123,7 +124,7 @@
 	Node          string            `json:"node"`
 	Session       uint64            `json:"session"`         // epoch of the node's session; 0: none
 	OrdersVersion uint64            `json:"version"`         // of the orders that it follows
-	Out           map[string]uint64 `json:"out"`             // drained targets by these orders, with the epochs of their drains
+	Out           map[string]uint64 `json:"out"`             // drained targets, with the epochs of their drains
 	Voter         string            `json:"voter,omitempty"` // leads, follows, waits, stopped; empty: it is no voter
 	Term          uint64            `json:"term,omitempty"`
 	Leader        string            `json:"leader,omitempty"`
@@ -145,7 +146,8 @@
 // Status returns the node's own view of the agreement.
 func (n *Control) Status() NodeStatus {
 	n.mu.Lock()
-	status := NodeStatus{Node: n.config.Name, Session: n.epoch, OrdersVersion: n.orders.Version, Out: n.orders.Out, Succeeded: n.succeeded}
+	status := NodeStatus{Node: n.config.Name, Session: n.epoch, OrdersVersion: n.orders.Version,
+		Out: n.orders.Out, Succeeded: n.succeeded}
 	voteErr, voter, calls := n.voteErr, n.voter, n.calls
 	n.mu.Unlock()
 	configured := n.configuration.Status()
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -101,7 +101,8 @@
 		work.voters = append(work.voters, raftIDOf(name, birth))
 	}
 	if !state.BudgetsSet {
-		work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_Budgets{Budgets: &fleetpb.SetBudgets{Budgets: v.config.Budgets, By: v.config.Name}}})
+		work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_Budgets{
+			Budgets: &fleetpb.SetBudgets{Budgets: v.config.Budgets, By: v.config.Name}}})
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -118,17 +119,20 @@
 			v.heardAt[name] = now
 		} else if now.Sub(heardAt) > v.config.SessionTimeout {
 			v.endingSessions[name] = n.Epoch
-			work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_End{End: &fleetpb.EndSession{Node: name, Epoch: n.Epoch, Lapsed: true}}})
+			work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_End{
+				End: &fleetpb.EndSession{Node: name, Epoch: n.Epoch, Lapsed: true}}})
 		}
 	}
 	if judged := v.vitals.Judge(state); judged != nil {
 		work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_Judged{Judged: judged}})
 	}
 	if unchanged, dead := deadServers(state, v.deadReports); !unchanged {
-		work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_Observed{Observed: &fleetpb.Observed{Dead: dead}}})
+		work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_Observed{
+			Observed: &fleetpb.Observed{Dead: dead}}})
 	}
 	if changes := changedServers(state.Servers, list); len(changes) > 0 {
-		work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_Listed{Listed: &fleetpb.Listed{Servers: changes[:min(len(changes), maxListedServers)]}}})
+		work.entries = append(work.entries, &fleetpb.Entry{What: &fleetpb.Entry_Listed{
+			Listed: &fleetpb.Listed{Servers: changes[:min(len(changes), maxListedServers)]}}})
 	}
 	return work
 }
--- a/internal/control/follow.go
+++ b/internal/control/follow.go
@@ -83,7 +83,8 @@
 			updated.Out[x.Target] = x.Epoch
 		}
 		n.applyOrders(updated)
-		n.log.Info("fleet: follows", "version", updated.Version, "out", strings.Join(slices.Sorted(maps.Keys(updated.Out)), ","))
+		n.log.Info("fleet: follows", "version", updated.Version,
+			"out", strings.Join(slices.Sorted(maps.Keys(updated.Out)), ","))
 		if err := n.saveOrders(updated); err != nil {
 			n.log.Error("fleet: this node's orders can't be kept in its folder; it acknowledges nothing", "err", err)
 			n.sleep(n.config.SessionTimeout / keepAlivesPerTimeout) // the next request gets the same orders at once
--- a/internal/control/leak_test.go
+++ b/internal/control/leak_test.go
@@ -64,7 +64,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text := fmt.Sprintf("[node]\nname = %q\ndomain = \"f.example.org\"\nzone = \"a\"\ncertificate = \"%s.crt\"\nkey = \"%s.key\"\nroots = \"roots\"\nfolder = %q\nsocket = %q\n", name, name, name, name+"-f", name+".sock")
+		text := fmt.Sprintf("[node]\nname = %q\ndomain = \"f.example.org\"\nzone = \"a\"\ncertificate = \"%s.crt\"\nkey = \"%s.key\"\nroots = \"roots\"\nfolder = %q\nsocket = %q\n",
+			name, name, name, name+"-f", name+".sock")
 		if i < 3 {
 			text += fmt.Sprintf("listen = %q\n", addrs[i])
 		}
@@ -72,7 +73,9 @@
 		for j, addr := range addrs {
 			text += fmt.Sprintf("\n[[voter]]\nname = \"n%d\"\naddress = %q\n", j+1, addr)
 		}
-		for file, content := range map[string][]byte{name + ".crt": cert, name + ".key": key, "roots": authority.RootPEM(), name + ".toml": []byte(text)} {
+		for file, content := range map[string][]byte{
+			name + ".crt": cert, name + ".key": key, "roots": authority.RootPEM(), name + ".toml": []byte(text),
+		} {
 			if err := os.WriteFile(filepath.Join(dir, file), content, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -94,7 +97,8 @@
 		ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitLimit)
 		defer cancel()
 		for {
-			r, err := n.Propose(ctx, &fleetpb.Entry{Ask: target, What: &fleetpb.Entry_Hold{Hold: &fleetpb.Hold{Target: target, By: "eva"}}})
+			r, err := n.Propose(ctx, &fleetpb.Entry{Ask: target, What: &fleetpb.Entry_Hold{
+				Hold: &fleetpb.Hold{Target: target, By: "eva"}}})
 			if err == nil && r.Code == fleetpb.Result_DONE {
 				return
 			}
@@ -147,7 +151,8 @@
 		served uint64
 		age    time.Duration
 		want   uint64 // reported after 10 more requests
-	}{{0, 100, time.Second, 10}, {0, 200, time.Minute, 110}, {7, 300, time.Minute, 10}, {7, 400, time.Minute, 110}, {9, 500, time.Second, 10}, {9, 600, 2 * time.Second, 10}, {9, 700, time.Minute, 110}} {
+	}{{0, 100, time.Second, 10}, {0, 200, time.Minute, 110}, {7, 300, time.Minute, 10},
+		{7, 400, time.Minute, 110}, {9, 500, time.Second, 10}, {9, 600, 2 * time.Second, 10}, {9, 700, time.Minute, 110}} {
 		c.update(&fleetpb.Result{Tell: true, Soak: x.soak}, func() map[string]health.ClassCounts { return ends(x.served) }, x.age)
 		if got := c.delta(ends(x.served + 10)); len(got) != 1 || got[0].Served != x.want || c.soak != x.soak {
 			t.Errorf("soak %d, %d served: reported %v, want %d", x.soak, x.served, got, x.want)
--- a/internal/control/node.go
+++ b/internal/control/node.go
@@ -33,7 +33,8 @@
 
 // Node is the part of the rest of the node that this package uses.
 type Node interface {
-	// SetDrained drains the node, or ends that. A drained node reports that it is not ready and has its clients disconnect.
+	// SetDrained drains the node, or ends that. A drained node reports that it is not ready and has its clients
+	// disconnect.
 	SetDrained(on bool)
 	// ClassCounts returns the counts of completed requests, by class.
 	ClassCounts() map[string]health.ClassCounts
@@ -89,7 +90,8 @@
 	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
 		return nil, fmt.Errorf("%s: node.folder: %w", c.Path, err)
 	}
-	n := &Control{config: c, loop: loop, node: node, log: log, process: rand.Text(), ordersChanged: make(chan struct{}), leaderChanged: make(chan struct{})}
+	n := &Control{config: c, loop: loop, node: node, log: log, process: rand.Text(),
+		ordersChanged: make(chan struct{}), leaderChanged: make(chan struct{})}
 	var err error
 	if n.orders, err = n.loadOrders(); err != nil {
 		log.Warn("fleet: can't read the orders that this node followed before", "err", err)
@@ -167,7 +169,8 @@
 		}
 		if time.Since(loggedAt) >= reopenLogInterval {
 			loggedAt = time.Now()
-			n.log.Error("fleet: this node takes no part in the fleet's control yet; it serves without it and tries again", "err", err)
+			n.log.Error("fleet: this node takes no part in the fleet's control yet; it serves without it and tries again",
+				"err", err)
 		}
 	}
 	n.work.Go(n.keepSession)
@@ -196,7 +199,8 @@
 		}
 		if !logged {
 			logged = true
-			n.log.Info("fleet: another process has the lock of this node's folder; waiting for its end", "folder", n.config.Folder)
+			n.log.Info("fleet: another process has the lock of this node's folder; waiting for its end",
+				"folder", n.config.Folder)
 		}
 	})
 }
@@ -297,7 +301,8 @@
 			state = fleet.Draining
 		}
 		if e.Name != "" {
-			list = append(list, &fleetpb.Server{Id: e.Name, Zone: e.Zone, Kind: e.Kind, Cell: int32(e.Cell), Weight: e.Size, State: state})
+			list = append(list, &fleetpb.Server{Id: e.Name, Zone: e.Zone, Kind: e.Kind,
+				Cell: int32(e.Cell), Weight: e.Size, State: state})
 		}
 	}
 	return list
--- a/internal/control/voter.go
+++ b/internal/control/voter.go
@@ -42,7 +42,7 @@
 const (
 	statusOK             = iota
 	statusNotLeader      // the answer is the leader's name, or empty if the voter does not know it
-	statusOutcomeUnknown // the entry may or may not have been applied, or may be applied later; the answer is the error's text
+	statusOutcomeUnknown // the entry may have been applied, or may be applied later; the answer is the error
 	statusRejected       // the request was rejected; the answer is the reason
 )
 
@@ -136,7 +136,9 @@
 	if err != nil {
 		return nil, err
 	}
-	v := &voter{config: config, registryServers: registryServers, log: log, machine: fleet.New(), disk: disk, ordersChanged: make(chan struct{}), heardAt: map[string]time.Time{}, endingSessions: map[string]uint64{}, deadReports: map[string][]string{}}
+	v := &voter{config: config, registryServers: registryServers, log: log, machine: fleet.New(), disk: disk,
+		ordersChanged: make(chan struct{}), heardAt: map[string]time.Time{},
+		endingSessions: map[string]uint64{}, deadReports: map[string][]string{}}
 	v.birth = disk.Birth()
 	v.watch = v.newWatchServer()
 	if v.founding, err = disk.Founding(); err != nil {
@@ -161,12 +163,14 @@
 	if !v.founding.Joined {
 		*v.machine = *fleet.NewWithVoters(v.founding.Voters)
 	}
-	core, err := agree.NewCore(agree.Options{ID: raftIDOf(v.config.Name, v.birth), Voters: ids, Join: v.founding.Joined, Disk: v.disk, Machine: stateMachine{v.machine}, Log: v.log})
+	core, err := agree.NewCore(agree.Options{ID: raftIDOf(v.config.Name, v.birth), Voters: ids,
+		Join: v.founding.Joined, Disk: v.disk, Machine: stateMachine{v.machine}, Log: v.log})
 	if err == nil && len(v.machine.State().Voters) > 0 {
 		v.setRaftIDs(v.machine.State().Voters)
 	}
 	if err != nil {
-		v.log.Error("fleet: can't use this voter's log; the node continues without a vote", "folder", v.config.Folder, "err", err)
+		v.log.Error("fleet: can't use this voter's log; the node continues without a vote",
+			"folder", v.config.Folder, "err", err)
 		return
 	}
 	v.minLevel.Store(v.machine.MinLevel())
@@ -289,7 +293,8 @@
 		info := foundingInfo{Birth: v.birth, Founding: v.founding.Log}
 		v.mu.Unlock()
 		if member := v.currentMember(); member != nil {
-			info.Voters, _ = agree.View(ctx, member, func() (map[string]string, error) { return maps.Clone(v.machine.State().Voters), nil })
+			info.Voters, _ = agree.View(ctx, member,
+				func() (map[string]string, error) { return maps.Clone(v.machine.State().Voters), nil })
 		}
 		out, _ := json.Marshal(info)
 		return statusOK, out
@@ -299,11 +304,11 @@
 		return statusNotLeader, nil
 	}
 	if kind == kindOrders { // a long poll, so without entryTimeout
-		entry := &fleetpb.Orders{}
-		if err := proto.Unmarshal(raw, entry); err != nil {
+		known := &fleetpb.Orders{}
+		if err := proto.Unmarshal(raw, known); err != nil {
 			return statusRejected, []byte(err.Error())
 		}
-		return statusOK, v.awaitOrders(ctx, entry)
+		return statusOK, v.awaitOrders(ctx, known)
 	}
 	if kind == kindWatch { // a long poll, too
 		return v.handleWatch(ctx, member, v.config.shortName(from), raw)
@@ -325,8 +330,8 @@
 		if r := entry.GetRenew(); r != nil {
 			return v.encodeResult(v.renewVoter(ctx, member, entry, r))
 		}
-		if info := entry.GetStopped(); info != nil {
-			return v.encodeResult(v.batchAcks(ctx, member, info.Acks))
+		if stopped := entry.GetStopped(); stopped != nil {
+			return v.encodeResult(v.batchAcks(ctx, member, stopped.Acks))
 		}
 		if r, err := v.precheckChange(ctx, member, entry); r != nil || err != nil {
 			return v.encodeResult(r, err)
@@ -377,7 +382,8 @@
 			}
 		}
 		return nil
-	case *fleetpb.Entry_Budgets, *fleetpb.Entry_Drain, *fleetpb.Entry_Return, *fleetpb.Entry_Withdraw, *fleetpb.Entry_Forget, *fleetpb.Entry_Hold, *fleetpb.Entry_Renew,
+	case *fleetpb.Entry_Budgets, *fleetpb.Entry_Drain, *fleetpb.Entry_Return, *fleetpb.Entry_Withdraw,
+		*fleetpb.Entry_Forget, *fleetpb.Entry_Hold, *fleetpb.Entry_Renew,
 		*fleetpb.Entry_Plan, *fleetpb.Entry_Steer, *fleetpb.Entry_Configure, *fleetpb.Entry_RollBack:
 		return nil
 	}
@@ -409,7 +415,9 @@
 	minLevel := v.minLevel.Load()
 	e.AtMs, e.Level = time.Now().UnixMilli(), max(fleet.RequiredLevel(e), min(minLevel, fleet.Level))
 	if e.Level > minLevel {
-		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf("the entry needs level %d, and some member understands only %d: release this version to all members first", e.Level, minLevel)}, nil
+		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf(
+			"the entry needs level %d, and some member understands only %d: release this version to all members first",
+			e.Level, minLevel)}, nil
 	}
 	raw, err := proto.Marshal(e)
 	if err != nil {
@@ -423,7 +431,8 @@
 }
 
 // renewVoter admits a voter whose disk is new: it requests the birth ID of the disk from the voter and proposes it.
-func (v *voter) renewVoter(ctx context.Context, m *agree.Member, e *fleetpb.Entry, r *fleetpb.RenewVoter) (*fleetpb.Result, error) {
+func (v *voter) renewVoter(ctx context.Context, m *agree.Member, e *fleetpb.Entry, r *fleetpb.RenewVoter) (
+	*fleetpb.Result, error) {
 	if err := m.ConfirmLeadership(ctx); err != nil {
 		return nil, err
 	}
@@ -436,7 +445,8 @@
 	}
 	info, err := v.requestFounding(ctx, v.config.Voters[index])
 	if err != nil {
-		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf("renew: %s does not answer; start it with its new disk first: %v", r.Node, err)}, nil
+		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf(
+			"renew: %s does not answer; start it with its new disk first: %v", r.Node, err)}, nil
 	}
 	r.Birth = info.Birth
 	return v.propose(ctx, m, e)
@@ -483,7 +493,8 @@
 		v.openBatch = nil
 	}
 	v.mu.Unlock()
-	batch.result, batch.err = v.propose(ctx, m, &fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: batch.acks}}})
+	batch.result, batch.err = v.propose(ctx, m, &fleetpb.Entry{What: &fleetpb.Entry_Stopped{
+		Stopped: &fleetpb.Stopped{Acks: batch.acks}}})
 	close(batch.done)
 	return batch.result, batch.err
 }
@@ -491,7 +502,8 @@
 // keepSessionAlive opens a node's session with an entry of the log, or records the keep-alive of a live one, which
 // needs no entry. It first confirms that this voter still leads. So a later leader, which counts timeouts from the
 // begin of its own term, counts from a later time than the node does, and can't end the session too early.
-func (v *voter) keepSessionAlive(ctx context.Context, m *agree.Member, e *fleetpb.Entry, open *fleetpb.OpenSession) (*fleetpb.Result, error) {
+func (v *voter) keepSessionAlive(ctx context.Context, m *agree.Member, e *fleetpb.Entry, open *fleetpb.OpenSession) (
+	*fleetpb.Result, error) {
 	dead, report := open.Dead, &fleetpb.OpenSession{Ends: open.Ends, Resident: open.Resident, Soak: open.Soak}
 	// The log gets the leader's conclusions from these, not each node's report.
 	open.Dead, open.Ends, open.Resident, open.Soak = nil, nil, 0, 0
