--- a/internal/configuration/watch/server.go
+++ b/internal/configuration/watch/server.go
@@ -125,15 +125,15 @@
 	if request.Node != from {
 		return nil, fmt.Errorf("%w: %s sent a request in the name of %s", ErrBadRequest, from, request.Node)
 	}
-	w, err := s.beginRequest(time.Now(), request)
+	watched, err := s.beginRequest(time.Now(), request)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { s.endRequest(time.Now(), request, w, ctx.Err() != nil) }()
+	defer func() { s.endRequest(time.Now(), request, watched, ctx.Err() != nil) }()
 	timeout := time.NewTimer(s.options.Limits.LongPollTimeout)
 	defer timeout.Stop()
 	for {
-		pending := s.findNews(time.Now(), request, w)
+		pending := s.findNews(time.Now(), request, watched)
 		if pending.chunk {
 			pending.answer, err = s.delayedChunk(ctx, request, pending.wait)
 		}
@@ -170,7 +170,7 @@
 }
 
 // findNews returns what a node is to get now.
-func (s *Server) findNews(now time.Time, request *configpb.WatchRequest, w *watcher) pendingNews {
+func (s *Server) findNews(now time.Time, request *configpb.WatchRequest, watched *watcher) pendingNews {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	applied, known := request.Applied, max(request.Applied, request.Refused)
@@ -185,7 +185,7 @@
 	case applied >= s.backlogAfter:
 		return pendingNews{answer: s.delta(applied, request.Refused > 0)}
 	}
-	wait, reserved := s.reserveChunk(now, w)
+	wait, reserved := s.reserveChunk(now, watched)
 	if !reserved {
 		return pendingNews{changed: s.changed}
 	}
@@ -208,9 +208,9 @@
 
 // reserveChunk reserves the sending of a part of a snapshot at the next time that both rates allow, and returns the
 // wait until then. It reserves nothing if the wait would reach Limits.LongPollTimeout.
-func (s *Server) reserveChunk(now time.Time, w *watcher) (wait time.Duration, reserved bool) {
+func (s *Server) reserveChunk(now time.Time, watched *watcher) (wait time.Duration, reserved bool) {
 	sendAt := now
-	for _, t := range []time.Time{s.nextChunkAt, w.nextChunkAt} {
+	for _, t := range []time.Time{s.nextChunkAt, watched.nextChunkAt} {
 		if t.After(sendAt) {
 			sendAt = t
 		}
@@ -221,7 +221,7 @@
 	sendTime := func(rate float64) time.Duration {
 		return time.Duration(float64(s.options.Limits.ChunkBytes) / rate * float64(time.Second))
 	}
-	s.nextChunkAt, w.nextChunkAt = sendAt.Add(sendTime(s.options.Limits.MachineRate)),
+	s.nextChunkAt, watched.nextChunkAt = sendAt.Add(sendTime(s.options.Limits.MachineRate)),
 		sendAt.Add(sendTime(s.options.Limits.NodeRate))
 	return sendAt.Sub(now), true
 }
--- a/internal/control/ask.go
+++ b/internal/control/ask.go
@@ -139,19 +139,19 @@
 		if counts.enabled {
 			report.Ends, report.Resident, report.Soak = counts.delta(n.node.ClassCounts()), n.node.ResidentBytes(), counts.soak
 		}
-		r, err := n.Propose(ctx, &fleetpb.Entry{What: &fleetpb.Entry_Open{Open: report}})
+		result, err := n.Propose(ctx, &fleetpb.Entry{What: &fleetpb.Entry_Open{Open: report}})
 		cancel()
 		delay := n.config.SessionTimeout / keepAlivesPerTimeout
 		if err == nil {
-			counts.update(r, n.node.ClassCounts, time.Since(startedAt))
+			counts.update(result, n.node.ClassCounts, time.Since(startedAt))
 		}
 		n.mu.Lock()
 		previous := n.epoch
 		switch {
-		case err == nil && r.Code == fleetpb.Result_DONE:
-			n.epoch, n.validUntil = r.Epoch, requestedAt.Add(n.config.SessionTimeout)
+		case err == nil && result.Code == fleetpb.Result_DONE:
+			n.epoch, n.validUntil = result.Epoch, requestedAt.Add(n.config.SessionTimeout)
 		case err == nil:
-			n.epoch, err = 0, errors.New(r.Reason)
+			n.epoch, err = 0, errors.New(result.Reason)
 			n.process, delay = rand.Text(), retryPause
 		case time.Now().After(n.validUntil):
 			n.epoch = 0
--- a/internal/control/configuration.go
+++ b/internal/control/configuration.go
@@ -115,15 +115,15 @@
 // precheckChange checks a change of the configuration before it is proposed, so that a change that is refused needs no
 // entry of the log. It returns the refusal, or nil if the change is to be proposed. A request that already has a result
 // is not checked again: its repetition has to get the first result.
-func (v *voter) precheckChange(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
+func (v *voter) precheckChange(ctx context.Context, member *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
 	tx := e.GetConfigure()
 	if tx == nil {
 		return nil, nil
 	}
-	if err := m.ConfirmLeadership(ctx); err != nil {
+	if err := member.ConfirmLeadership(ctx); err != nil {
 		return nil, err
 	}
-	return agree.View(ctx, m, func() (*fleetpb.Result, error) {
+	return agree.View(ctx, member, func() (*fleetpb.Result, error) {
 		store := v.machine.Configuration()
 		if v.machine.HasResult(e.Ask) {
 			return nil, nil
@@ -136,27 +136,27 @@
 }
 
 // handleQuery answers an operator's query. Only the leader answers it, from a state confirmed to be current.
-func (v *voter) handleQuery(ctx context.Context, m *agree.Member, raw []byte) (uint64, []byte) {
-	q := &configpb.Query{}
-	if err := proto.Unmarshal(raw, q); err != nil {
+func (v *voter) handleQuery(ctx context.Context, member *agree.Member, raw []byte) (uint64, []byte) {
+	query := &configpb.Query{}
+	if err := proto.Unmarshal(raw, query); err != nil {
 		return statusRejected, []byte(err.Error())
 	}
-	if err := m.ConfirmLeadership(ctx); err != nil {
+	if err := member.ConfirmLeadership(ctx); err != nil {
 		return v.encodeResult(nil, err)
 	}
-	switch about := q.About.(type) {
+	switch about := query.About.(type) {
 	case *configpb.Query_Snapshot:
-		return v.encodeResult(agree.View(ctx, m, func() (*configpb.Answer, error) {
+		return v.encodeResult(agree.View(ctx, member, func() (*configpb.Answer, error) {
 			return &configpb.Answer{Snapshot: v.machine.Configuration().Snapshot()}, nil
 		}))
 	case *configpb.Query_History:
-		a, err := agree.View(ctx, m, func() (*configpb.Answer, error) {
+		a, err := agree.View(ctx, member, func() (*configpb.Answer, error) {
 			list, err := revisionsAfter(v.machine.Configuration(), about.History)
 			return &configpb.Answer{History: list}, err
 		})
 		return v.encodeResult(a, err)
 	case *configpb.Query_Status:
-		return v.encodeResult(v.configurationStatus(ctx, m))
+		return v.encodeResult(v.configurationStatus(ctx, member))
 	}
 	return statusRejected, []byte("unknown query about the configuration")
 }
@@ -173,12 +173,12 @@
 }
 
 // configurationStatus combines the reports of all voters into the status of the configuration's rollout to the nodes.
-func (v *voter) configurationStatus(ctx context.Context, m *agree.Member) (*configpb.Answer, error) {
+func (v *voter) configurationStatus(ctx context.Context, member *agree.Member) (*configpb.Answer, error) {
 	type known struct {
 		revision, compacted uint64
 		sessions            map[string]uint64
 	}
-	now, err := agree.View(ctx, m, func() (known, error) {
+	now, err := agree.View(ctx, member, func() (known, error) {
 		store := v.machine.Configuration()
 		return known{store.Revision(), store.Compacted(), v.machine.Sessions()}, nil
 	})
--- a/internal/control/founding.go
+++ b/internal/control/founding.go
@@ -37,18 +37,18 @@
 	}
 	for {
 		births, missing, founded := map[string]string{v.config.Name: v.birth}, []string{}, map[string]foundingInfo{}
-		for _, o := range v.config.Voters {
-			if o.Name == v.config.Name {
+		for _, other := range v.config.Voters {
+			if other.Name == v.config.Name {
 				continue
 			}
-			info, err := v.requestFounding(ctx, o)
+			info, err := v.requestFounding(ctx, other)
 			if err != nil {
-				missing = append(missing, o.Name)
+				missing = append(missing, other.Name)
 				continue
 			}
-			births[o.Name] = info.Birth
+			births[other.Name] = info.Birth
 			if info.Founding != "" {
-				founded[o.Name] = info
+				founded[other.Name] = info
 			}
 		}
 		founding, conflicting := agree.Founding{Log: logName(births), Voters: births}, ""
--- a/internal/control/voter.go
+++ b/internal/control/voter.go
@@ -203,8 +203,8 @@
 // a snapshot.
 func (v *voter) send(m *raftpb.Message) {
 	to := v.voterName(m.GetTo())
-	for _, o := range v.config.Voters {
-		if o.Name != to {
+	for _, other := range v.config.Voters {
+		if other.Name != to {
 			continue
 		}
 		raw, err := proto.Marshal(m)
@@ -212,7 +212,7 @@
 			return
 		}
 		isSnapshot := m.GetType() == raftpb.MsgSnap
-		v.calls.Post(v.config.fullName(o.Name), o.Address, kindRaft, raw, func(err error) {
+		v.calls.Post(v.config.fullName(other.Name), other.Address, kindRaft, raw, func(err error) {
 			if isSnapshot {
 				v.member.SnapshotSent(m.GetTo(), err == nil)
 			}
@@ -226,14 +226,14 @@
 // transferLeadership transfers the leadership, if this voter has it, to a voter that is connected. It gives up after
 // within.
 func (v *voter) transferLeadership(within time.Duration) {
-	m := v.currentMember()
-	if m == nil {
+	member := v.currentMember()
+	if member == nil {
 		return
 	}
-	for end := time.Now().Add(within); m.Status().IsLeader && time.Now().Before(end); time.Sleep(v.config.TickInterval / 4) {
+	for end := time.Now().Add(within); member.Status().IsLeader && time.Now().Before(end); time.Sleep(v.config.TickInterval / 4) {
 		for _, o := range v.config.Voters {
 			if o.Name != v.config.Name && v.calls.Connected(v.config.fullName(o.Name), o.Address) {
-				m.Transfer(v.raftID(o.Name))
+				member.Transfer(v.raftID(o.Name))
 				break
 			}
 		}
@@ -411,45 +411,45 @@
 
 // propose appends an entry to the log, with the time of this leader's clock, and returns its result. The entry gets the
 // highest level that all members understand; one that needs a higher level is refused.
-func (v *voter) propose(ctx context.Context, m *agree.Member, e *fleetpb.Entry) (*fleetpb.Result, error) {
+func (v *voter) propose(ctx context.Context, member *agree.Member, entry *fleetpb.Entry) (*fleetpb.Result, error) {
 	minLevel := v.minLevel.Load()
-	e.AtMs, e.Level = time.Now().UnixMilli(), max(fleet.RequiredLevel(e), min(minLevel, fleet.Level))
-	if e.Level > minLevel {
+	entry.AtMs, entry.Level = time.Now().UnixMilli(), max(fleet.RequiredLevel(entry), min(minLevel, fleet.Level))
+	if entry.Level > minLevel {
 		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf(
 			"the entry needs level %d, and some member understands only %d: release this version to all members first",
-			e.Level, minLevel)}, nil
+			entry.Level, minLevel)}, nil
 	}
-	raw, err := proto.Marshal(e)
+	raw, err := proto.Marshal(entry)
 	if err != nil {
 		return nil, err
 	}
-	r, err := m.Propose(ctx, raw)
+	result, err := member.Propose(ctx, raw)
 	if err != nil {
 		return nil, err
 	}
-	return r.(*fleetpb.Result), faultpoint.Reached(faultpoint.AfterApply)
+	return result.(*fleetpb.Result), faultpoint.Reached(faultpoint.AfterApply)
 }
 
 // renewVoter admits a voter whose disk is new: it requests the birth ID of the disk from the voter and proposes it.
-func (v *voter) renewVoter(ctx context.Context, m *agree.Member, e *fleetpb.Entry, r *fleetpb.RenewVoter) (
-	*fleetpb.Result, error) {
-	if err := m.ConfirmLeadership(ctx); err != nil {
+func (v *voter) renewVoter(ctx context.Context, member *agree.Member, entry *fleetpb.Entry,
+	renewal *fleetpb.RenewVoter) (*fleetpb.Result, error) {
+	if err := member.ConfirmLeadership(ctx); err != nil {
 		return nil, err
 	}
-	index := slices.IndexFunc(v.config.Voters, func(o Voter) bool { return o.Name == r.Node })
+	index := slices.IndexFunc(v.config.Voters, func(o Voter) bool { return o.Name == renewal.Node })
 	switch {
 	case index < 0:
-		return &fleetpb.Result{Code: fleetpb.Result_INVALID, Reason: fmt.Sprintf("renew: %s is no voter", r.Node)}, nil
-	case r.Node == v.config.Name:
-		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: r.Node + " is the leader, so it has not lost its disk"}, nil
+		return &fleetpb.Result{Code: fleetpb.Result_INVALID, Reason: fmt.Sprintf("renew: %s is no voter", renewal.Node)}, nil
+	case renewal.Node == v.config.Name:
+		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: renewal.Node + " is the leader, so it has not lost its disk"}, nil
 	}
 	info, err := v.requestFounding(ctx, v.config.Voters[index])
 	if err != nil {
 		return &fleetpb.Result{Code: fleetpb.Result_REFUSED, Reason: fmt.Sprintf(
-			"renew: %s does not answer; start it with its new disk first: %v", r.Node, err)}, nil
+			"renew: %s does not answer; start it with its new disk first: %v", renewal.Node, err)}, nil
 	}
-	r.Birth = info.Birth
-	return v.propose(ctx, m, e)
+	renewal.Birth = info.Birth
+	return v.propose(ctx, member, entry)
 }
 
 // ackBatch is a batch of acknowledgements for one entry of the log. All nodes stop sending to a drained target at about
@@ -463,7 +463,7 @@
 
 // batchAcks adds acknowledgements to the open batch and returns the result of the batch's entry. The call that opens a
 // batch waits for ackBatchDelay and then proposes it.
-func (v *voter) batchAcks(ctx context.Context, m *agree.Member, acks []*fleetpb.Ack) (*fleetpb.Result, error) {
+func (v *voter) batchAcks(ctx context.Context, member *agree.Member, acks []*fleetpb.Ack) (*fleetpb.Result, error) {
 	v.mu.Lock()
 	batch := v.openBatch
 	first := batch == nil
@@ -493,7 +493,7 @@
 		v.openBatch = nil
 	}
 	v.mu.Unlock()
-	batch.result, batch.err = v.propose(ctx, m, &fleetpb.Entry{What: &fleetpb.Entry_Stopped{
+	batch.result, batch.err = v.propose(ctx, member, &fleetpb.Entry{What: &fleetpb.Entry_Stopped{
 		Stopped: &fleetpb.Stopped{Acks: batch.acks}}})
 	close(batch.done)
 	return batch.result, batch.err
@@ -502,16 +502,16 @@
 // keepSessionAlive opens a node's session with an entry of the log, or records the keep-alive of a live one, which
 // needs no entry. It first confirms that this voter still leads. So a later leader, which counts timeouts from the
 // begin of its own term, counts from a later time than the node does, and can't end the session too early.
-func (v *voter) keepSessionAlive(ctx context.Context, m *agree.Member, e *fleetpb.Entry, open *fleetpb.OpenSession) (
-	*fleetpb.Result, error) {
+func (v *voter) keepSessionAlive(ctx context.Context, member *agree.Member, entry *fleetpb.Entry,
+	open *fleetpb.OpenSession) (*fleetpb.Result, error) {
 	dead, report := open.Dead, &fleetpb.OpenSession{Ends: open.Ends, Resident: open.Resident, Soak: open.Soak}
 	// The log gets the leader's conclusions from these, not each node's report.
 	open.Dead, open.Ends, open.Resident, open.Soak = nil, nil, 0, 0
-	if err := m.ConfirmLeadership(ctx); err != nil {
+	if err := member.ConfirmLeadership(ctx); err != nil {
 		return nil, err
 	}
 	answer := &fleetpb.Result{Code: fleetpb.Result_DONE}
-	epoch, err := agree.View(ctx, m, func() (uint64, error) {
+	epoch, err := agree.View(ctx, member, func() (uint64, error) {
 		answer.Soak, answer.Tell = vitals.ActiveSoak(v.machine.State())
 		if n := v.machine.State().Nodes[open.Node]; n != nil && n.State == fleet.Live && n.Process == open.Process {
 			return n.Epoch, nil
@@ -522,7 +522,7 @@
 		return nil, err
 	}
 	if epoch == 0 {
-		r, err := v.propose(ctx, m, e)
+		r, err := v.propose(ctx, member, entry)
 		if err != nil || r.Code != fleetpb.Result_DONE {
 			return r, err
 		}
