--- a/internal/cross/cross_test.go
+++ b/internal/cross/cross_test.go
@@ -73,25 +73,25 @@
 // Guards against hand-offs to a site that keeps failing. Uncertain outcomes open its circuit breaker; trials with one
 // safe request each follow at growing intervals, and the first answer closes the breaker.
 func TestBreakerOpensAndTries(t *testing.T) {
-	d := newReadyDecider(9, 9)
+	decider := newReadyDecider(9, 9)
 	now := time.Duration(0)
-	renewCredit := func() { d.SetCredit(now, 0, 9, 2*ms) }
+	renewCredit := func() { decider.SetCredit(now, 0, 9, 2*ms) }
 	for range breakerThreshold {
-		if d.ChooseSite(now, safeRequest) != 0 {
+		if decider.ChooseSite(now, safeRequest) != 0 {
 			t.Fatal("the breaker opened too early")
 		}
-		d.HandOffEnded(now, 0, Uncertain, time.Second)
+		decider.HandOffEnded(now, 0, Uncertain, time.Second)
 	}
 	last := time.Duration(0)
 	for round := range 6 {
 		began := now
-		for renewCredit(); d.ChooseSite(now, safeRequest) < 0; renewCredit() {
+		for renewCredit(); decider.ChooseSite(now, safeRequest) < 0; renewCredit() {
 			now += 10 * ms
 			if now-began > 2*maxBreakerWait {
 				t.Fatal("no trial was allowed in time")
 			}
 		}
-		if d.ChooseSite(now, safeRequest) >= 0 || d.ChooseSite(now, Request{Effect: decide.Unsafe, TimeLeft: time.Second}) >= 0 {
+		if decider.ChooseSite(now, safeRequest) >= 0 || decider.ChooseSite(now, Request{Effect: decide.Unsafe, TimeLeft: time.Second}) >= 0 {
 			t.Error("a second hand-off was allowed during a trial")
 		}
 		if pause := now - began; round > 0 && pause < last/4 {
@@ -99,19 +99,19 @@
 		} else {
 			last = pause
 		}
-		d.HandOffEnded(now, 0, NotReceived, 0)
+		decider.HandOffEnded(now, 0, NotReceived, 0)
 	}
 	now += 2 * maxBreakerWait
 	renewCredit()
-	if d.ChooseSite(now, Request{Effect: decide.Unsafe, TimeLeft: time.Second}) >= 0 {
+	if decider.ChooseSite(now, Request{Effect: decide.Unsafe, TimeLeft: time.Second}) >= 0 {
 		t.Error("an unsafe request was allowed as the trial")
 	}
-	if d.ChooseSite(now, safeRequest) < 0 {
+	if decider.ChooseSite(now, safeRequest) < 0 {
 		t.Fatal("no trial was allowed")
 	}
-	d.HandOffEnded(now, 0, Served, 10*ms)
+	decider.HandOffEnded(now, 0, Served, 10*ms)
 	for range 2 {
-		if d.ChooseSite(now, safeRequest) < 0 {
+		if decider.ChooseSite(now, safeRequest) < 0 {
 			t.Error("the breaker is still open after an answer")
 		}
 	}
@@ -122,37 +122,37 @@
 func TestNeverMoreThanCredit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 5).Draw(t, "most")
-		d := New([]string{"b", "c"}, most, 3)
+		decider := New([]string{"b", "c"}, most, 3)
 		now := time.Duration(0)
 		credit, at, up, out := [2]int{}, [2]time.Duration{}, [2]bool{}, [2]int{}
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
-			i := rapid.IntRange(0, 1).Draw(t, "site")
+			index := rapid.IntRange(0, 1).Draw(t, "site")
 			switch rapid.SampledFrom([]string{"credit", "offer", "offer", "end", "link", "wait"}).Draw(t, "step") {
 			case "credit":
-				credit[i], at[i] = rapid.IntRange(-1, 8).Draw(t, "n"), now
-				d.SetCredit(now, i, credit[i], 0)
+				credit[index], at[index] = rapid.IntRange(-1, 8).Draw(t, "n"), now
+				decider.SetCredit(now, index, credit[index], 0)
 			case "offer":
-				if got := d.ChooseSite(now, safeRequest); got >= 0 {
+				if got := decider.ChooseSite(now, safeRequest); got >= 0 {
 					if !up[got] || now-at[got] > CreditLifetime || out[got] >= min(credit[got], most) {
 						t.Fatalf("site %d was chosen: up %v, credit %d, %v old, %d in flight", got, up[got], credit[got], now-at[got], out[got])
 					}
 					out[got]++
 				}
 			case "end":
-				if out[i] > 0 {
-					out[i]--
-					d.HandOffEnded(now, i, rapid.SampledFrom([]Outcome{Served, Rejected, NotReceived, Uncertain, ClientGone}).Draw(t, "outcome"), ms)
+				if out[index] > 0 {
+					out[index]--
+					decider.HandOffEnded(now, index, rapid.SampledFrom([]Outcome{Served, Rejected, NotReceived, Uncertain, ClientGone}).Draw(t, "outcome"), ms)
 				}
 			case "link":
-				if up[i] = !up[i]; !up[i] {
-					credit[i] = 0
+				if up[index] = !up[index]; !up[index] {
+					credit[index] = 0
 				}
-				d.SetLink(now, i, up[i])
+				decider.SetLink(now, index, up[index])
 			case "wait":
 				now += time.Duration(rapid.IntRange(0, 800).Draw(t, "pause")) * ms
 			}
-			if v := d.Views(now)[i]; v.InFlight != out[i] || v.Up != up[i] {
-				t.Fatalf("got %+v, want %d in flight", v, out[i])
+			if view := decider.Views(now)[index]; view.InFlight != out[index] || view.Up != up[index] {
+				t.Fatalf("got %+v, want %d in flight", view, out[index])
 			}
 		}
 	})
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -27,7 +27,7 @@
 	SpareShare                    float64 // share of the headroom that is offered to other sites, 0 to 1
 }
 
-// fileFormat is the layout of the TOML fileFormat.
+// fileFormat is the layout of the TOML file.
 type fileFormat struct {
 	Site struct {
 		Name        string `toml:"name"`
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 // that its limits are reached all the time; each reply is checked against what has run.
 func TestNeverSeenStaysTrue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(Limits{Entries: 6, Bytes: 40, Sessions: 2, Retention: time.Second})
+		ledger := New(Limits{Entries: 6, Bytes: 40, Sessions: 2, Retention: time.Second})
 		now := time.Duration(0)
 		type near struct {
 			name     string
@@ -25,78 +25,78 @@
 			never    map[uint64]bool // the sender was assured that the hand-off never runs
 			finished map[uint64]bool
 		}
-		var nears []*near
+		var senders []*near
 		for i := range 3 {
-			nears = append(nears, &near{name: fmt.Sprint(i), next: 1, ran: map[uint64]bool{}, never: map[uint64]bool{}, finished: map[uint64]bool{}})
+			senders = append(senders, &near{name: fmt.Sprint(i), next: 1, ran: map[uint64]bool{}, never: map[uint64]bool{}, finished: map[uint64]bool{}})
 		}
 		for range rapid.IntRange(50, 300).Draw(t, "steps") {
-			n := nears[rapid.IntRange(0, 2).Draw(t, "near")]
-			number := uint64(rapid.IntRange(0, int(n.next)+1).Draw(t, "number"))
+			sender := senders[rapid.IntRange(0, 2).Draw(t, "near")]
+			number := uint64(rapid.IntRange(0, int(sender.next)+1).Draw(t, "number"))
 			switch rapid.SampledFrom([]string{"attach", "attach", "detach", "send", "slow", "slow", "late", "late", "late", "finish", "ask", "ask", "ask", "ack", "wait"}).Draw(t, "step") {
 			case "attach":
-				if n.s == nil {
-					n.s = l.Attach(now, n.name, n.next)
+				if sender.s == nil {
+					sender.s = ledger.Attach(now, sender.name, sender.next)
 				}
 			case "detach":
-				if n.s != nil {
-					n.s.Detach(now)
-					n.s = nil
+				if sender.s != nil {
+					sender.s.Detach(now)
+					sender.s = nil
 				}
 			case "slow": // sent; it arrives later or never
-				if n.s != nil {
-					n.next++
+				if sender.s != nil {
+					sender.next++
 				}
 			case "send": // the sender uses new numbers only while it is connected
-				if n.s != nil {
-					number = n.next
-					n.next++
+				if sender.s != nil {
+					number = sender.next
+					sender.next++
 				}
 				fallthrough
 			case "late":
-				if n.s == nil || number >= n.next && number != 0 {
+				if sender.s == nil || number >= sender.next && number != 0 {
 					break
 				}
-				if ok, _ := n.s.Accept(now, number, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "left"))*time.Millisecond); ok {
-					if n.never[number] {
+				if ok, _ := sender.s.Accept(now, number, now+time.Duration(rapid.IntRange(0, 2000).Draw(t, "left"))*time.Millisecond); ok {
+					if sender.never[number] {
 						t.Fatalf("hand-off %d runs, though the sender was assured that it never will", number)
 					}
-					if n.ran[number] {
+					if sender.ran[number] {
 						t.Fatalf("hand-off %d runs twice", number)
 					}
-					n.ran[number] = true
+					sender.ran[number] = true
 				}
 			case "finish":
-				if n.s != nil && n.ran[number] && !n.finished[number] {
-					n.finished[number] = true
-					n.s.Finish(now, number, Done, make([]byte, rapid.IntRange(0, 30).Draw(t, "answer")))
+				if sender.s != nil && sender.ran[number] && !sender.finished[number] {
+					sender.finished[number] = true
+					sender.s.Finish(now, number, Done, make([]byte, rapid.IntRange(0, 30).Draw(t, "answer")))
 				}
 			case "ask":
-				if n.s == nil || number == 0 || number >= n.next {
+				if sender.s == nil || number == 0 || number >= sender.next {
 					break
 				}
-				switch state, answer, kept := n.s.Query(now, number); state {
+				switch state, answer, kept := sender.s.Query(now, number); state {
 				case Fenced, Refused:
-					if n.ran[number] {
+					if sender.ran[number] {
 						t.Fatalf("hand-off %d has run, but is reported as %v", number, state)
 					}
-					n.never[number] = true
+					sender.never[number] = true
 				case Running, Done:
-					if !n.ran[number] || state == Done && !n.finished[number] || !kept && answer != nil {
+					if !sender.ran[number] || state == Done && !sender.finished[number] || !kept && answer != nil {
 						t.Fatalf("hand-off %d is reported as %v, which contradicts what has run", number, state)
 					}
 				}
 			case "ack":
-				if n.s != nil && number <= n.next && number > n.acked {
-					n.acked = number
-					n.s.Ack(number)
+				if sender.s != nil && number <= sender.next && number > sender.acked {
+					sender.acked = number
+					sender.s.Ack(number)
 				}
 			case "wait":
 				now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "pause")) * time.Millisecond
 			}
-			entries, bytes, sessions := l.Size()
-			running, held := 0, 0
-			for _, s := range l.sessions {
-				held += len(s.entries)
+			entries, bytes, sessions := ledger.Size()
+			running, inSessions := 0, 0
+			for _, s := range ledger.sessions {
+				inSessions += len(s.entries)
 				count := 0
 				for _, e := range s.entries {
 					if e.state == Running {
@@ -108,8 +108,8 @@
 				}
 				running += count
 			}
-			if entries > 6 || bytes > 40 || sessions > 2 || entries != held || entries != len(l.expiry) {
-				t.Fatalf("%d entries counted (%d in sessions, %d in the heap), %d bytes, %d sessions", entries, held, len(l.expiry), bytes, sessions)
+			if entries > 6 || bytes > 40 || sessions > 2 || entries != inSessions || entries != len(ledger.expiry) {
+				t.Fatalf("%d entries counted (%d in sessions, %d in the heap), %d bytes, %d sessions", entries, inSessions, len(ledger.expiry), bytes, sessions)
 			}
 		}
 	})
--- a/internal/link/calls_test.go
+++ b/internal/link/calls_test.go
@@ -65,12 +65,12 @@
 // the named node, which gets the caller's name from its certificate. Callers and callees whose certificate is by
 // another authority, or for a name outside the domain, get no answer.
 func TestCalls(t *testing.T) {
-	a, err := standin.NewAuthority()
+	authority, err := standin.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ := standin.NewAuthority()
-	n1, n2 := newCaller(t, "n1."+callDomain, a, a), newCaller(t, "n2."+callDomain, a, a)
+	otherAuthority, _ := standin.NewAuthority()
+	n1, n2 := newCaller(t, "n1."+callDomain, authority, authority), newCaller(t, "n2."+callDomain, authority, authority)
 	ctx, cancel := context.WithTimeout(t.Context(), testkit.WaitLimit)
 	defer cancel()
 	large := bytes.Repeat([]byte("x"), 1<<20)
@@ -88,10 +88,10 @@
 		"another node is at the address":         {n1, "n3." + callDomain},
 		"a callee outside the domain":            {n1, "n2.elsewhere.example.org"},
 		"a callee named as the domain":           {n1, callDomain},
-		"a caller of another authority":          {newCaller(t, "n3."+callDomain, b, a), "n2." + callDomain},
-		"a caller outside the domain":            {newCaller(t, "n1.elsewhere.example.org", a, a), "n2." + callDomain},
-		"a caller two labels below the domain":   {newCaller(t, "x.n1."+callDomain, a, a), "n2." + callDomain},
-		"a caller that trusts another authority": {newCaller(t, "n4."+callDomain, a, b), "n2." + callDomain},
+		"a caller of another authority":          {newCaller(t, "n3."+callDomain, otherAuthority, authority), "n2." + callDomain},
+		"a caller outside the domain":            {newCaller(t, "n1.elsewhere.example.org", authority, authority), "n2." + callDomain},
+		"a caller two labels below the domain":   {newCaller(t, "x.n1."+callDomain, authority, authority), "n2." + callDomain},
+		"a caller that trusts another authority": {newCaller(t, "n4."+callDomain, authority, otherAuthority), "n2." + callDomain},
 	} {
 		short, cancel := context.WithTimeout(ctx, 3*time.Second)
 		if _, answer, err := c.from.Call(short, c.to, n2.addr, 4, nil); err == nil {
@@ -105,11 +105,11 @@
 // the path. Messages arrive in order, and arrive again after the path was cut; messages beyond the queue are reported
 // as lost.
 func TestCallsCut(t *testing.T) {
-	a, err := standin.NewAuthority()
+	authority, err := standin.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	n1, n2 := newCaller(t, "n1."+callDomain, a, a), newCaller(t, "n2."+callDomain, a, a)
+	n1, n2 := newCaller(t, "n1."+callDomain, authority, authority), newCaller(t, "n2."+callDomain, authority, authority)
 	wire, err := standin.NewWire(n2.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -149,7 +149,7 @@
 		return strings.Contains(n2.postedText(), "again")
 	})
 	lost := make(chan error, postQueueLength+100)
-	n3 := newCaller(t, "n3."+callDomain, a, a)
+	n3 := newCaller(t, "n3."+callDomain, authority, authority)
 	for range postQueueLength + 100 { // no sender has been started, so they stay in the queue
 		n3.Post("n1."+callDomain, "127.0.0.1:1", 1, nil, func(err error) { lost <- err })
 	}
@@ -161,11 +161,11 @@
 // Guards against wrong traffic counters: both ends count the bytes of a call, only the calling side counts calls, by
 // kind, and the counters of a connection are kept after its end.
 func TestTraffic(t *testing.T) {
-	a, err := standin.NewAuthority()
+	authority, err := standin.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	caller, callee := newCaller(t, "n1."+callDomain, a, a), newCaller(t, "n2."+callDomain, a, a)
+	caller, callee := newCaller(t, "n1."+callDomain, authority, authority), newCaller(t, "n2."+callDomain, authority, authority)
 	if s := caller.Traffic(); s.DatagramsOut != 0 || len(s.Calls) != 0 {
 		t.Errorf("before the first call: %+v, want zero", s)
 	}
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -33,7 +33,7 @@
 // sitePair is a sending and a receiving site in one process. The wire between them can delay, lose or cut datagrams.
 type sitePair struct {
 	t                                    testing.TB
-	a, b                                 *standin.Authority
+	senderAuthority, receiverAuthority   *standin.Authority
 	senderIdentities, receiverIdentities *IdentityStore
 	server                               *Server
 	wire                                 *standin.Wire
@@ -58,7 +58,7 @@
 // newSitePair starts both sites, with certificates from two authorities.
 func newSitePair(t testing.TB) *sitePair {
 	t.Helper()
-	s := &sitePair{t: t}
+	pair := &sitePair{t: t}
 	var err error
 	must := func(err error) {
 		t.Helper()
@@ -66,30 +66,30 @@
 			t.Fatal(err)
 		}
 	}
-	s.a, err = standin.NewAuthority()
+	pair.senderAuthority, err = standin.NewAuthority()
 	must(err)
-	s.b, err = standin.NewAuthority()
+	pair.receiverAuthority, err = standin.NewAuthority()
 	must(err)
 	later := time.Now().Add(time.Hour)
-	certA, _, _, err := s.a.Issue("hall-a.example.org", later)
+	certA, _, _, err := pair.senderAuthority.Issue("hall-a.example.org", later)
 	must(err)
-	certB, _, _, err := s.b.Issue("hall-b.example.org", later)
+	certB, _, _, err := pair.receiverAuthority.Issue("hall-b.example.org", later)
 	must(err)
-	s.receiverIdentities = NewIdentityStore(&Identity{Site: "hall-b.example.org", Certificate: certB, Peers: []Peer{{Name: "hall-a.example.org", Roots: s.a.Roots()}}})
-	s.setHandler(answerOK)
-	s.start("127.0.0.1:0")
-	s.wire, err = standin.NewWire(s.server.transport.Conn.LocalAddr().String())
+	pair.receiverIdentities = NewIdentityStore(&Identity{Site: "hall-b.example.org", Certificate: certB, Peers: []Peer{{Name: "hall-a.example.org", Roots: pair.senderAuthority.Roots()}}})
+	pair.setHandler(answerOK)
+	pair.start("127.0.0.1:0")
+	pair.wire, err = standin.NewWire(pair.server.transport.Conn.LocalAddr().String())
 	must(err)
-	s.senderIdentities = NewIdentityStore(&Identity{Site: "hall-a.example.org", Certificate: certA,
-		Peers: []Peer{{Name: "hall-b.example.org", Roots: s.b.Roots(), Addresses: []string{s.wire.Addr}}}})
-	s.dialer, err = NewDialer(DialerOptions{Identities: s.senderIdentities, Log: testkit.DiscardLog})
+	pair.senderIdentities = NewIdentityStore(&Identity{Site: "hall-a.example.org", Certificate: certA,
+		Peers: []Peer{{Name: "hall-b.example.org", Roots: pair.receiverAuthority.Roots(), Addresses: []string{pair.wire.Addr}}}})
+	pair.dialer, err = NewDialer(DialerOptions{Identities: pair.senderIdentities, Log: testkit.DiscardLog})
 	must(err)
 	t.Cleanup(func() {
-		s.dialer.Close()
-		s.wire.Close()
-		s.stop()
+		pair.dialer.Close()
+		pair.wire.Close()
+		pair.stop()
 	})
-	return s
+	return pair
 }
 
 // setHandler sets how the receiving site handles the hand-offs to come.
@@ -135,9 +135,9 @@
 // offer offers a request until there is credit for it, and returns the hand-off.
 func (s *sitePair) offer(r *core.Request, effect decide.Effect) core.HandOff {
 	s.t.Helper()
-	for end := time.Now().Add(testkit.WaitLimit); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if c := s.dialer.Offer(r, effect, false); c != nil {
-			return c
+	for deadline := time.Now().Add(testkit.WaitLimit); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+		if handOff := s.dialer.Offer(r, effect, false); handOff != nil {
+			return handOff
 		}
 	}
 	s.t.Fatal("timed out: no hand-off was accepted")
@@ -186,7 +186,7 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	handOff := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	go func() {
 		<-started
 		s.wire.Cut(true, true)
@@ -198,7 +198,7 @@
 		}
 		s.wire.Cut(false, false)
 	}()
-	if a, how := c.Run(t.Context()); how != core.HandOffServed || string(a.Body) != "ok" || s.runs.Load() != 1 {
+	if a, how := handOff.Run(t.Context()); how != core.HandOffServed || string(a.Body) != "ok" || s.runs.Load() != 1 {
 		t.Errorf("got result %v, answer %+v, %d runs; want HandOffServed, ok, 1 run", how, a, s.runs.Load())
 	}
 }
@@ -210,10 +210,10 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	handOff := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	served := make(chan core.HandOffResult, 1)
 	go func() {
-		_, how := c.Run(t.Context())
+		_, how := handOff.Run(t.Context())
 		served <- how
 	}()
 	<-started
@@ -244,16 +244,16 @@
 	t.Parallel()
 	s := newSitePair(t)
 	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	handOff := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	ctx, leave := context.WithCancel(t.Context())
 	crossing := make(chan struct{})
-	go func() { defer close(crossing); c.Run(ctx) }()
+	go func() { defer close(crossing); handOff.Run(ctx) }()
 	<-started
 	s.wire.Cut(true, true)
 	close(release)
-	from := time.Now()
-	s.server.Drain(from.Add(testkit.WaitLimit))
-	if took := time.Since(from); took > testkit.WaitLimit/2 {
+	start := time.Now()
+	s.server.Drain(start.Add(testkit.WaitLimit))
+	if took := time.Since(start); took > testkit.WaitLimit/2 {
 		t.Errorf("Drain took %v, want about %v", took, maxAckWait)
 	}
 	leave()
@@ -265,11 +265,11 @@
 func TestNeverArrived(t *testing.T) {
 	t.Parallel()
 	s := newSitePair(t)
-	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	handOff := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	s.wire.Cut(true, false)
-	back := time.AfterFunc(2*beatTimeout, func() { s.wire.Cut(false, false) })
-	defer back.Stop()
-	if _, how := c.Run(t.Context()); how != core.HandOffNotRun || s.runs.Load() != 0 {
+	restore := time.AfterFunc(2*beatTimeout, func() { s.wire.Cut(false, false) })
+	defer restore.Stop()
+	if _, how := handOff.Run(t.Context()); how != core.HandOffNotRun || s.runs.Load() != 0 {
 		t.Errorf("got result %v, %d runs; want HandOffNotRun, 0 runs", how, s.runs.Load())
 	}
 }
@@ -303,7 +303,7 @@
 		<-ctx.Done()
 		return ledger.Failed, nil
 	})
-	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	handOff := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	go func() {
 		for s.runs.Load() == 0 {
 			time.Sleep(time.Millisecond)
@@ -314,7 +314,7 @@
 		s.wire.Cut(false, false)
 	}()
 	began := time.Now()
-	if _, how := c.Run(t.Context()); how != core.HandOffUncertain || time.Since(began) > testkit.WaitLimit/2 {
+	if _, how := handOff.Run(t.Context()); how != core.HandOffUncertain || time.Since(began) > testkit.WaitLimit/2 {
 		t.Errorf("got result %v after %v, want HandOffUncertain well before the deadline", how, time.Since(began))
 	}
 	if s.runs.Load() != 1 {
@@ -336,14 +336,14 @@
 			for _, restored := range []bool{true, false} {
 				t.Run(fmt.Sprintf("%s/%s/back=%v", direction.name, moment, restored), func(t *testing.T) {
 					t.Parallel()
-					s := newSitePair(t)
+					pair := newSitePair(t)
 					cut := func(after int) {
-						s.wire.CutAfter(after, direction.toFar, direction.toNear)
+						pair.wire.CutAfter(after, direction.toFar, direction.toNear)
 						if restored {
-							time.AfterFunc(300*time.Millisecond, func() { s.wire.Cut(false, false) })
+							time.AfterFunc(300*time.Millisecond, func() { pair.wire.Cut(false, false) })
 						}
 					}
-					s.setHandler(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
+					pair.setHandler(func(context.Context, string, []byte, time.Duration) (ledger.State, []byte) {
 						switch moment {
 						case "running":
 							cut(0)
@@ -359,31 +359,31 @@
 					if !restored {
 						left = 1500 * time.Millisecond
 					}
-					r := request("order", left)
-					r.Body = make([]byte, 60<<10)
-					c := s.offer(r, decide.Unsafe)
+					req := request("order", left)
+					req.Body = make([]byte, 60<<10)
+					handOff := pair.offer(req, decide.Unsafe)
 					switch moment {
 					case "before":
 						cut(0)
 					case "within the request":
 						cut(15)
 					}
-					a, how := c.Run(t.Context())
-					runs := s.runs.Load()
-					if time.Now().After(r.Deadline.Add(schedulingMargin)) {
-						t.Errorf("the hand-off ended %v after the client's deadline", time.Since(r.Deadline))
+					answered, how := handOff.Run(t.Context())
+					runs := pair.runs.Load()
+					if time.Now().After(req.Deadline.Add(schedulingMargin)) {
+						t.Errorf("the hand-off ended %v after the client's deadline", time.Since(req.Deadline))
 					}
 					switch {
-					case runs > 1, how == core.HandOffNotRun && runs > 0, how == core.HandOffServed && (runs != 1 || len(a.Body) != 100<<10):
-						t.Errorf("result %v contradicts %d runs and an answer of %d bytes", how, runs, len(a.Body))
+					case runs > 1, how == core.HandOffNotRun && runs > 0, how == core.HandOffServed && (runs != 1 || len(answered.Body) != 100<<10):
+						t.Errorf("result %v contradicts %d runs and an answer of %d bytes", how, runs, len(answered.Body))
 					case restored && how == core.HandOffUncertain:
 						t.Errorf("the result is uncertain although the link was restored")
 					}
 					// Delayed datagrams may still arrive. A hand-off that was reported as not run must not run then.
-					s.wire.Cut(false, false)
+					pair.wire.Cut(false, false)
 					if how == core.HandOffNotRun {
 						time.Sleep(200 * time.Millisecond)
-						if s.runs.Load() > 0 {
+						if pair.runs.Load() > 0 {
 							t.Error("the hand-off ran after it was reported as not run")
 						}
 					}
@@ -397,22 +397,22 @@
 // are not affected.
 func TestMalformed(t *testing.T) {
 	t.Parallel()
-	s := newSitePair(t)
-	s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context())
-	before := s.runs.Load()
+	pair := newSitePair(t)
+	pair.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context())
+	before := pair.runs.Load()
 	dial := func() *quic.Conn {
 		t.Helper()
-		addr := s.server.transport.Conn.LocalAddr().(*net.UDPAddr)
-		c, err := quic.DialAddr(t.Context(), addr.String(), s.senderIdentities.clientTLS("hall-b.example.org"), quicConfig(-1))
+		addr := pair.server.transport.Conn.LocalAddr().(*net.UDPAddr)
+		conn, err := quic.DialAddr(t.Context(), addr.String(), pair.senderIdentities.clientTLS("hall-b.example.org"), quicConfig(-1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { c.CloseWithError(0, "") })
-		return c
+		t.Cleanup(func() { conn.CloseWithError(0, "") })
+		return conn
 	}
 	hello := appendFrame(nil, typeHello, []uint64{version, 99, 1}, nil)
-	send := func(c *quic.Conn, raw []byte) *quic.Stream {
-		stream, err := c.OpenStream()
+	send := func(conn *quic.Conn, raw []byte) *quic.Stream {
+		stream, err := conn.OpenStream()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -421,19 +421,19 @@
 	}
 	for name, raw := range map[string][]byte{"noise": {0xff, 0x00, 0x13}, "a beat first": appendFrame(nil, typeBeat, []uint64{1, 1}, nil),
 		"another version": appendFrame(nil, typeHello, []uint64{version + 1, 99, 1}, nil), "oversized": appendFrame(nil, typeHello, []uint64{version, 99, 1}, make([]byte, 1<<12))} {
-		c := dial()
-		send(c, raw)
+		conn := dial()
+		send(conn, raw)
 		select {
-		case <-c.Context().Done():
+		case <-conn.Context().Done():
 		case <-time.After(testkit.WaitLimit):
 			t.Errorf("%s on the control stream: the connection was not closed", name)
 		}
 	}
-	c := dial()
-	send(c, hello)
+	conn := dial()
+	send(conn, hello)
 	for name, raw := range map[string][]byte{"noise": {0x3f, 0x01}, "a hello": hello, "a hand-off without its time": appendFrame(nil, typeHandoff, []uint64{1, 1}, nil),
 		"an oversized one": appendFrame(nil, typeHandoff, []uint64{1, 1, 9}, make([]byte, requestLimit))} {
-		stream := send(c, raw)
+		stream := send(conn, raw)
 		stream.SetReadDeadline(time.Now().Add(testkit.WaitLimit))
 		var broken *quic.StreamError
 		if _, err := stream.Read(make([]byte, 1)); !errors.As(err, &broken) {
@@ -442,15 +442,15 @@
 	}
 	// It queries a number that another sender has used. It learns nothing about that hand-off, and fences only its
 	// own number.
-	stream := send(c, appendFrame(nil, typeAsk, []uint64{1, 0}, nil))
-	_, f, text, err := readFrame(bufio.NewReader(stream), answerLimit, 2, typeAnswer)
-	if err != nil || ledger.State(f[1]) != ledger.Fenced || len(text) > 0 {
-		t.Errorf("query for another sender's number: got fields %v, text %q, error %v; want fenced and no text", f, text, err)
+	stream := send(conn, appendFrame(nil, typeAsk, []uint64{1, 0}, nil))
+	_, fields, text, err := readFrame(bufio.NewReader(stream), answerLimit, 2, typeAnswer)
+	if err != nil || ledger.State(fields[1]) != ledger.Fenced || len(text) > 0 {
+		t.Errorf("query for another sender's number: got fields %v, text %q, error %v; want fenced and no text", fields, text, err)
 	}
-	if s.runs.Load() != before {
+	if pair.runs.Load() != before {
 		t.Error("a malformed hand-off was run")
 	}
-	if _, how := s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
+	if _, how := pair.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("hand-off of another sender: got result %v, want HandOffServed", how)
 	}
 }
@@ -458,15 +458,15 @@
 // Guards against one slow hand-off that blocks others on the same connection: each has a stream of its own.
 func TestStalledBlocksNone(t *testing.T) {
 	t.Parallel()
-	s := newSitePair(t)
-	started, release := s.blockHandler()
-	first := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	pair := newSitePair(t)
+	started, release := pair.blockHandler()
+	first := pair.offer(request("order", testkit.WaitLimit), decide.Unsafe)
 	ended := make(chan core.HandOffResult, 1)
 	go func() { _, how := first.Run(t.Context()); ended <- how }()
 	<-started
-	s.setHandler(answerOK)
+	pair.setHandler(answerOK)
 	for range 20 {
-		if _, how := s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
+		if _, how := pair.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()); how != core.HandOffServed {
 			t.Errorf("got result %v beside a blocked hand-off, want HandOffServed", how)
 		}
 	}
@@ -553,32 +553,32 @@
 // site that is removed afterwards is disconnected.
 func TestReplacedIdentity(t *testing.T) {
 	t.Parallel()
-	s := newSitePair(t)
-	started, release := s.blockHandler()
-	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
-	old := *s.senderIdentities.Get()
+	pair := newSitePair(t)
+	started, release := pair.blockHandler()
+	handOff := pair.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	old := *pair.senderIdentities.Get()
 	go func() {
 		<-started
 		a, _ := standin.NewAuthority()
 		certA, _, _, _ := a.Issue("hall-a.example.org", time.Now().Add(time.Hour))
-		near, far := *s.senderIdentities.Get(), *s.receiverIdentities.Get()
+		near, far := *pair.senderIdentities.Get(), *pair.receiverIdentities.Get()
 		near.Certificate, far.Peers = certA, []Peer{{Name: "hall-a.example.org", Roots: a.Roots()}}
-		s.senderIdentities.Set(&near)
-		s.receiverIdentities.Set(&far)
+		pair.senderIdentities.Set(&near)
+		pair.receiverIdentities.Set(&far)
 		close(release)
 	}()
-	if _, how := c.Run(t.Context()); how != core.HandOffServed {
+	if _, how := handOff.Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("got result %v, want HandOffServed", how)
 	}
-	s.setHandler(answerOK)
-	for keeper, good := range map[*IdentityStore]bool{s.senderIdentities: true, NewIdentityStore(&old): false} {
-		d, err := NewDialer(DialerOptions{Identities: keeper, Log: testkit.DiscardLog})
+	pair.setHandler(answerOK)
+	for keeper, good := range map[*IdentityStore]bool{pair.senderIdentities: true, NewIdentityStore(&old): false} {
+		dialer, err := NewDialer(DialerOptions{Identities: keeper, Log: testkit.DiscardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
 		up := false
 		for end := time.Now().Add(500 * time.Millisecond); !up && (time.Now().Before(end) || good && time.Now().Before(end.Add(testkit.WaitLimit))); time.Sleep(time.Millisecond) {
-			crossing := d.Offer(request("order", testkit.WaitLimit), decide.Unsafe, false)
+			crossing := dialer.Offer(request("order", testkit.WaitLimit), decide.Unsafe, false)
 			if up = crossing != nil; up {
 				crossing.Run(t.Context())
 			}
@@ -586,12 +586,12 @@
 		if up != good {
 			t.Errorf("connected: %v, want %v", up, good)
 		}
-		d.Close()
+		dialer.Close()
 	}
-	none := *s.receiverIdentities.Get()
+	none := *pair.receiverIdentities.Get()
 	none.Peers = nil
-	s.receiverIdentities.Set(&none)
-	for s.dialer.Views()[0].Up {
+	pair.receiverIdentities.Set(&none)
+	for pair.dialer.Views()[0].Up {
 		time.Sleep(time.Millisecond)
 	}
 }
@@ -603,41 +603,41 @@
 	for name, change := range map[string]func(s *sitePair) (id Identity){
 		"expired": func(s *sitePair) Identity {
 			id := *s.senderIdentities.Get()
-			id.Certificate, _, _, _ = s.a.Issue("hall-a.example.org", time.Now().Add(-time.Hour))
+			id.Certificate, _, _, _ = s.senderAuthority.Issue("hall-a.example.org", time.Now().Add(-time.Hour))
 			return id
 		},
 		"another name": func(s *sitePair) Identity {
 			id := *s.senderIdentities.Get()
-			id.Certificate, _, _, _ = s.a.Issue("hall-c.example.org", time.Now().Add(time.Hour))
+			id.Certificate, _, _, _ = s.senderAuthority.Issue("hall-c.example.org", time.Now().Add(time.Hour))
 			return id
 		},
 		"another authority": func(s *sitePair) Identity {
 			id := *s.senderIdentities.Get()
-			id.Certificate, _, _, _ = s.b.Issue("hall-a.example.org", time.Now().Add(time.Hour))
+			id.Certificate, _, _, _ = s.receiverAuthority.Issue("hall-a.example.org", time.Now().Add(time.Hour))
 			return id
 		},
 		"the receiver by another authority": func(s *sitePair) Identity {
 			id := *s.senderIdentities.Get()
-			id.Peers = []Peer{{Name: "hall-b.example.org", Roots: s.a.Roots(), Addresses: id.Peers[0].Addresses}}
+			id.Peers = []Peer{{Name: "hall-b.example.org", Roots: s.senderAuthority.Roots(), Addresses: id.Peers[0].Addresses}}
 			return id
 		},
 	} {
 		s := newSitePair(t)
 		s.offer(request("order", testkit.WaitLimit), decide.Unsafe).Run(t.Context()) // the first sender is connected
 		id := change(s)
-		d, err := NewDialer(DialerOptions{Identities: NewIdentityStore(&id), Log: testkit.DiscardLog})
+		dialer, err := NewDialer(DialerOptions{Identities: NewIdentityStore(&id), Log: testkit.DiscardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
 		before := s.runs.Load()
-		err = d.connect(d.sites[0].paths[0])
+		err = dialer.connect(dialer.sites[0].paths[0])
 		if err == nil || !strings.Contains(err.Error(), "certificate") && !strings.Contains(err.Error(), "CRYPTO_ERROR") {
 			t.Errorf("%s: got error %v, want a certificate error", name, err)
 		}
-		if d.Offer(request("order", time.Second), decide.Unsafe, false) != nil || s.runs.Load() != before {
+		if dialer.Offer(request("order", time.Second), decide.Unsafe, false) != nil || s.runs.Load() != before {
 			t.Errorf("%s: a hand-off was accepted or run", name)
 		}
-		d.Close()
+		dialer.Close()
 	}
 }
 
--- a/internal/link/tls.go
+++ b/internal/link/tls.go
@@ -48,7 +48,7 @@
 // Get returns the current identity.
 func (k *IdentityStore) Get() *Identity { return k.current.Load() }
 
-// peerFor returns the peerFor that a certificate name belongs to, or nil.
+// peerFor returns the peer that a certificate name belongs to, or nil.
 func (id *Identity) peerFor(name string) *Peer {
 	for i := range id.Peers {
 		if p := &id.Peers[i]; p.Name == name && !p.NameIsDomain || p.NameIsDomain && p.isMember(name) {
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -33,7 +33,7 @@
 	Key       []byte  // key of the hashes; nodes with the same key write the same hashes for a tenant and an order
 }
 
-// fileFormat is the layout of the TOML fileFormat.
+// fileFormat is the layout of the TOML file.
 type fileFormat struct {
 	Record struct {
 		Path      string   `toml:"path"`
@@ -133,8 +133,8 @@
 }
 
 // New returns a recorder. Its tries are written only while Run runs.
-func New(c *Config, log *slog.Logger) *Recorder {
-	return &Recorder{config: c, log: log, startedAt: time.Now(), limit: rate.NewLimiter(rate.Limit(c.PerSecond), int(math.Ceil(c.PerSecond))),
+func New(config *Config, log *slog.Logger) *Recorder {
+	return &Recorder{config: config, log: log, startedAt: time.Now(), limit: rate.NewLimiter(rate.Limit(config.PerSecond), int(math.Ceil(config.PerSecond))),
 		tries: make(chan trace.Record, queueLength), create: func(path string) (io.WriteCloser, error) { return os.Create(path) }}
 }
 
--- a/internal/recorder/recorder_test.go
+++ b/internal/recorder/recorder_test.go
@@ -134,9 +134,9 @@
 	if err != nil || len(files) != 3 {
 		t.Fatalf("got files %v, error %v; want 3 files", files, err)
 	}
-	for _, f := range files {
-		if len(readTrace(t, f)) == 0 {
-			t.Errorf("%s is empty", f)
+	for _, file := range files {
+		if len(readTrace(t, file)) == 0 {
+			t.Errorf("%s is empty", file)
 		}
 	}
 	if written, lost := r.Counts(); written != 20_000 || lost != 0 {
--- a/internal/trace/synth_test.go
+++ b/internal/trace/synth_test.go
@@ -23,8 +23,8 @@
 	for _, shape := range Shapes {
 		for _, sessions := range []float64{0, 5} {
 			records := generate(t, Synth{Length: length, Rate: rate, Shape: shape, Seed: 5, OrdersPerSession: sessions, ThinkTime: 200 * time.Millisecond})
-			if n, want := float64(len(records)), rate*length.Seconds(); math.Abs(n-want) > 0.06*want {
-				t.Errorf("%s, %v orders per session: %v orders, want about %v", shape, sessions, n, want)
+			if count, want := float64(len(records)), rate*length.Seconds(); math.Abs(count-want) > 0.06*want {
+				t.Errorf("%s, %v orders per session: %v orders, want about %v", shape, sessions, count, want)
 			}
 			reads, work, middle := 0, 0.0, 0
 			tenants, seen := map[uint64]bool{}, map[uint64]bool{}
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -89,7 +89,7 @@
 
 // appendTo appends the record as a protobuf message. Fields that are zero are left out, except the class.
 func (r *Record) appendTo(to []byte) []byte {
-	number := func(field protowire.Number, v uint64) {
+	varint := func(field protowire.Number, v uint64) {
 		if v != 0 {
 			to = protowire.AppendVarint(protowire.AppendTag(to, field, protowire.VarintType), v)
 		}
@@ -99,19 +99,19 @@
 			to = protowire.AppendFixed64(protowire.AppendTag(to, field, protowire.Fixed64Type), v)
 		}
 	}
-	number(fieldAt, uint64(r.At/time.Microsecond))
+	varint(fieldAt, uint64(r.At/time.Microsecond))
 	to = protowire.AppendString(protowire.AppendTag(to, fieldClass, protowire.BytesType), r.Class)
 	fixed(fieldTenant, r.Tenant)
 	fixed(fieldOrder, r.Order)
-	number(fieldSize, uint64(r.BodySize))
-	number(fieldAnswer, uint64(r.AnswerSize))
+	varint(fieldSize, uint64(r.BodySize))
+	varint(fieldAnswer, uint64(r.AnswerSize))
 	if r.Repeat {
-		number(fieldRepeat, 1)
+		varint(fieldRepeat, 1)
 	}
-	number(fieldOutcome, uint64(r.Outcome))
-	number(fieldTook, uint64(r.Duration/time.Microsecond))
-	number(fieldWork, uint64(r.Work/time.Microsecond))
-	number(fieldPatience, uint64(r.Patience/time.Microsecond))
+	varint(fieldOutcome, uint64(r.Outcome))
+	varint(fieldTook, uint64(r.Duration/time.Microsecond))
+	varint(fieldWork, uint64(r.Work/time.Microsecond))
+	varint(fieldPatience, uint64(r.Patience/time.Microsecond))
 	return to
 }
 
@@ -224,8 +224,8 @@
 	if !w.headerWritten {
 		out = append(out, fileMagic...)
 	}
-	n := w.pendingRecords
-	if n > 0 {
+	records := w.pendingRecords
+	if records > 0 {
 		w.compressed = w.encoder.EncodeAll(w.pending, w.compressed[:0])
 		data := w.compressed
 		out = binary.AppendUvarint(out, uint64(len(data)))
@@ -239,7 +239,7 @@
 		return err
 	}
 	w.headerWritten = true
-	w.Records += n
+	w.Records += records
 	return nil
 }
 
@@ -263,9 +263,9 @@
 // error, an error if the file is no trace or of another version, or, after all readable records, a *Damage if blocks
 // were skipped.
 func Read(from io.Reader, each func(*Record) error) error {
-	in := bufio.NewReader(from)
+	reader := bufio.NewReader(from)
 	var head [len(fileMagic)]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil || string(head[:len(fileMagic)-1]) != fileMagic[:len(fileMagic)-1] {
+	if _, err := io.ReadFull(reader, head[:]); err != nil || string(head[:len(fileMagic)-1]) != fileMagic[:len(fileMagic)-1] {
 		return errors.New("this is no trace")
 	}
 	if head[len(fileMagic)-1] != fileMagic[len(fileMagic)-1] {
@@ -285,13 +285,13 @@
 	}
 	offset := int64(len(fileMagic))
 	for {
-		size, err := binary.ReadUvarint(in)
+		size, err := binary.ReadUvarint(reader)
 		if err == io.EOF {
 			break
 		}
 		var sum [8]byte
 		if err == nil {
-			_, err = io.ReadFull(in, sum[:])
+			_, err = io.ReadFull(reader, sum[:])
 		}
 		if err != nil || size > maxBlockSize {
 			// Without a valid length the start of the next block is unknown.
@@ -301,7 +301,7 @@
 			break
 		}
 		data := make([]byte, size)
-		if _, err := io.ReadFull(in, data); err != nil {
+		if _, err := io.ReadFull(reader, data); err != nil {
 			if addDamage(offset, "the file ends within it"); damage.Blocks == 1 {
 				damage.Truncated = true
 			}
--- a/internal/trace/trace_test.go
+++ b/internal/trace/trace_test.go
@@ -69,12 +69,12 @@
 	bad := bytes.Clone(good)
 	bad[len(bad)/2] ^= 1
 	got, err := ReadAll(bad)
-	var d *Damage
-	if !errors.As(err, &d) || d.Blocks != 1 || d.Truncated || len(got) < len(records)*7/10 || len(got) == len(records) || strings.Contains(err.Error(), "\n") {
+	var damage *Damage
+	if !errors.As(err, &damage) || damage.Blocks != 1 || damage.Truncated || len(got) < len(records)*7/10 || len(got) == len(records) || strings.Contains(err.Error(), "\n") {
 		t.Errorf("one bit flipped: read %d of %d records, error %v", len(got), len(records), err)
 	}
 	got, err = ReadAll(good[:len(good)-10])
-	if !errors.As(err, &d) || !d.Truncated || len(got) < len(records)*7/10 || len(got) == len(records) {
+	if !errors.As(err, &damage) || !damage.Truncated || len(got) < len(records)*7/10 || len(got) == len(records) {
 		t.Errorf("truncated: read %d of %d records, error %v", len(got), len(records), err)
 	}
 	for text, want := range map[string]string{"": "no trace", "PK\x03\x04 something": "no trace", "SLVTRC\x00\x02": "version 2"} {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -125,7 +125,7 @@
 func decodeEvent(name string, raw json.RawMessage) (InstanceEvent, error) {
 	switch name {
 	case "submit":
-		var e struct {
+		var event struct {
 			Req      *string `json:"req"`
 			Band     string  `json:"band"`
 			Group    any     `json:"user_group"`
@@ -134,55 +134,55 @@
 			Cost     int64   `json:"cost_guess_ns"`
 			Flags    int     `json:"flags"`
 		}
-		if err := json.Unmarshal(raw, &e); err != nil {
+		if err := json.Unmarshal(raw, &event); err != nil {
 			return InstanceEvent{}, err
 		}
-		if e.Req == nil {
+		if event.Req == nil {
 			return InstanceEvent{}, missingField("req")
 		}
-		if e.Patience == nil {
+		if event.Patience == nil {
 			return InstanceEvent{}, missingField("patience_left_ns")
 		}
-		tenant, _ := e.Group.(string)
-		return InstanceEvent{Event: decide.RequestArrived{ID: decide.RequestID(*e.Req), Class: e.Band, Tenant: tenant,
-			Key: e.Key, Patience: time.Duration(*e.Patience), WorkHint: time.Duration(e.Cost),
-			HasHint: e.Flags&flagHint != 0, Repeat: e.Flags&flagRepeat != 0, Write: e.Flags&flagWrite != 0}}, nil
+		tenant, _ := event.Group.(string)
+		return InstanceEvent{Event: decide.RequestArrived{ID: decide.RequestID(*event.Req), Class: event.Band, Tenant: tenant,
+			Key: event.Key, Patience: time.Duration(*event.Patience), WorkHint: time.Duration(event.Cost),
+			HasHint: event.Flags&flagHint != 0, Repeat: event.Flags&flagRepeat != 0, Write: event.Flags&flagWrite != 0}}, nil
 	case "attempt_end", "probe_result", "streaming":
 		return decodeOutcome(name, raw)
 	case "due":
-		var e struct {
+		var event struct {
 			Label *int64 `json:"label"`
 		}
-		if err := json.Unmarshal(raw, &e); err != nil {
+		if err := json.Unmarshal(raw, &event); err != nil {
 			return InstanceEvent{}, err
 		}
-		if e.Label == nil {
+		if event.Label == nil {
 			return InstanceEvent{}, missingField("label")
 		}
-		return InstanceEvent{Event: decide.TimerFired{Token: *e.Label}}, nil
+		return InstanceEvent{Event: decide.TimerFired{Token: *event.Label}}, nil
 	case "abandoned":
-		var e struct {
+		var event struct {
 			Req *string `json:"req"`
 		}
-		if err := json.Unmarshal(raw, &e); err != nil {
+		if err := json.Unmarshal(raw, &event); err != nil {
 			return InstanceEvent{}, err
 		}
-		if e.Req == nil {
+		if event.Req == nil {
 			return InstanceEvent{}, missingField("req")
 		}
-		return InstanceEvent{Event: decide.RequestAbandoned{ID: decide.RequestID(*e.Req)}}, nil
+		return InstanceEvent{Event: decide.RequestAbandoned{ID: decide.RequestID(*event.Req)}}, nil
 	case "note_from":
-		var e struct {
+		var event struct {
 			From  *int   `json:"from"`
 			Bytes []byte `json:"bytes"`
 		}
-		if err := json.Unmarshal(raw, &e); err != nil {
+		if err := json.Unmarshal(raw, &event); err != nil {
 			return InstanceEvent{}, err
 		}
-		if e.From == nil {
+		if event.From == nil {
 			return InstanceEvent{}, missingField("from")
 		}
-		return InstanceEvent{Event: decide.MessageReceived{From: *e.From, Data: e.Bytes}}, nil
+		return InstanceEvent{Event: decide.MessageReceived{From: *event.From, Data: event.Bytes}}, nil
 	case "roster_change":
 		return decodeList(raw)
 	case "up":
@@ -195,7 +195,7 @@
 
 // decodeOutcome decodes the events attempt_end, probe_result and streaming.
 func decodeOutcome(name string, raw json.RawMessage) (InstanceEvent, error) {
-	var e struct {
+	var event struct {
 		Req         *string                    `json:"req"`
 		Leg         *int                       `json:"leg"`
 		Backend     *uint32                    `json:"backend"`
@@ -204,38 +204,38 @@
 		Disposition *int                       `json:"disposition"`
 		Feedback    map[string]json.RawMessage `json:"feedback"`
 	}
-	if err := json.Unmarshal(raw, &e); err != nil {
+	if err := json.Unmarshal(raw, &event); err != nil {
 		return InstanceEvent{}, err
 	}
-	if e.Backend == nil {
+	if event.Backend == nil {
 		return InstanceEvent{}, missingField("backend")
 	}
-	server, took := decide.ServerID(*e.Backend), time.Duration(e.Delay)
+	server, took := decide.ServerID(*event.Backend), time.Duration(event.Delay)
 	var id decide.RequestID
 	if name != "probe_result" {
-		if e.Req == nil {
+		if event.Req == nil {
 			return InstanceEvent{}, missingField("req")
 		}
-		if e.Leg == nil {
+		if event.Leg == nil {
 			return InstanceEvent{}, missingField("leg")
 		}
-		id = decide.RequestID(*e.Req)
+		id = decide.RequestID(*event.Req)
 	}
 	if name == "streaming" {
-		return InstanceEvent{Event: decide.StreamStarted{ID: id, Attempt: *e.Leg, Server: server, Elapsed: took}}, nil
+		return InstanceEvent{Event: decide.StreamStarted{ID: id, Attempt: *event.Leg, Server: server, Elapsed: took}}, nil
 	}
-	if e.Disposition == nil {
+	if event.Disposition == nil {
 		return InstanceEvent{}, missingField("disposition")
 	}
-	code, ok := outcomes[*e.Disposition]
+	code, ok := outcomes[*event.Disposition]
 	if !ok {
-		return InstanceEvent{}, fmt.Errorf("unknown disposition %d", *e.Disposition)
+		return InstanceEvent{}, fmt.Errorf("unknown disposition %d", *event.Disposition)
 	}
-	report := decodeReport(e.Feedback)
+	report := decodeReport(event.Feedback)
 	if name == "probe_result" {
 		return InstanceEvent{Event: decide.ProbeEnded{Server: server, Code: code, Elapsed: took, Report: report}}, nil
 	}
-	return InstanceEvent{Event: decide.AttemptEnded{ID: id, Attempt: *e.Leg, Server: server, RequestDone: e.Over,
+	return InstanceEvent{Event: decide.AttemptEnded{ID: id, Attempt: *event.Leg, Server: server, RequestDone: event.Over,
 		Elapsed: took, Code: code, Report: report}}, nil
 }
 
@@ -289,31 +289,31 @@
 
 // decodeList decodes a roster_change event: a list of servers, or changes to it.
 func decodeList(raw json.RawMessage) (InstanceEvent, error) {
-	var e struct {
+	var event struct {
 		How     string      `json:"how"`
 		Version uint64      `json:"version"`
 		Items   []listEntry `json:"items"`
 	}
-	if err := json.Unmarshal(raw, &e); err != nil {
+	if err := json.Unmarshal(raw, &event); err != nil {
 		return InstanceEvent{}, err
 	}
-	kind, ok := listKinds[e.How]
+	kind, ok := listKinds[event.How]
 	if !ok {
-		return InstanceEvent{}, fmt.Errorf("unknown how %q", e.How)
+		return InstanceEvent{}, fmt.Errorf("unknown how %q", event.How)
 	}
-	l := decide.ListUpdate{Kind: kind, Version: e.Version}
-	for i, it := range e.Items {
-		if it.Backend == nil {
+	update := decide.ListUpdate{Kind: kind, Version: event.Version}
+	for i, item := range event.Items {
+		if item.Backend == nil {
 			return InstanceEvent{}, fmt.Errorf("entry %d: %w", i, missingField("backend"))
 		}
-		state, ok := states[it.State]
+		state, ok := states[item.State]
 		if !ok {
-			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, it.State)
+			return InstanceEvent{}, fmt.Errorf("entry %d: unknown state %q", i, item.State)
 		}
-		l.Entries = append(l.Entries, decide.Server{ID: decide.ServerID(*it.Backend), Zone: it.Zone, Kind: it.Model,
-			Cell: it.Pod, State: state, Size: it.Nominal, StartedAt: time.Duration(it.ReadyAt)})
+		update.Entries = append(update.Entries, decide.Server{ID: decide.ServerID(*item.Backend), Zone: item.Zone, Kind: item.Model,
+			Cell: item.Pod, State: state, Size: item.Nominal, StartedAt: time.Duration(item.ReadyAt)})
 	}
-	return InstanceEvent{Event: l}, nil
+	return InstanceEvent{Event: update}, nil
 }
 
 var effects = map[string]decide.Effect{"retryable": decide.Safe, "dedup": decide.Keyed, "fragile": decide.Unsafe}
@@ -327,32 +327,32 @@
 // decodeStart decodes an up event. A seed that is no unsigned 64-bit integer is taken as a float64, and its bits are
 // the seed.
 func decodeStart(raw json.RawMessage) (InstanceEvent, error) {
-	var e struct {
+	var event struct {
 		Seed    *json.Number    `json:"seed"`
 		Profile json.RawMessage `json:"profile_data"`
 	}
-	if err := json.Unmarshal(raw, &e); err != nil {
+	if err := json.Unmarshal(raw, &event); err != nil {
 		return InstanceEvent{}, err
 	}
-	if e.Seed == nil {
+	if event.Seed == nil {
 		return InstanceEvent{}, missingField("seed")
 	}
-	if e.Profile == nil {
+	if event.Profile == nil {
 		return InstanceEvent{}, missingField("profile_data")
 	}
-	seed, err := strconv.ParseUint(e.Seed.String(), 10, 64)
+	seed, err := strconv.ParseUint(event.Seed.String(), 10, 64)
 	if err != nil {
-		f, ferr := e.Seed.Float64()
+		f, ferr := event.Seed.Float64()
 		if ferr != nil {
 			return InstanceEvent{}, fmt.Errorf("seed: %w", err)
 		}
 		seed = math.Float64bits(f)
 	}
-	s, err := DecodeSettings(e.Profile)
+	settings, err := DecodeSettings(event.Profile)
 	if err != nil {
 		return InstanceEvent{}, err
 	}
-	return InstanceEvent{Start: &Start{Settings: s, Seed: int64(seed)}}, nil
+	return InstanceEvent{Start: &Start{Settings: settings, Seed: int64(seed)}}, nil
 }
 
 // DecodeSettings decodes the settings of the decision module from the profile_data object of an up event. A real node
@@ -472,21 +472,21 @@
 			CrossZone: profile.Charges.CrossZone, Waste: profile.Charges.Waste, LateFail: profile.Charges.LateFail,
 			Probe: profile.Charges.Probe, Message: profile.Charges.Peer, Moves: profile.Charges.Moves, Origin: profile.Charges.Origin,
 			ListLines: profile.Charges.Lines, Fleet: profile.Charges.Fleet}}
-	for _, c := range profile.Classes {
-		effect, ok := effects[c.Effect]
+	for _, class := range profile.Classes {
+		effect, ok := effects[class.Effect]
 		if !ok {
-			return decide.Settings{}, fmt.Errorf("class %s: unknown effect %q", c.Name, c.Effect)
+			return decide.Settings{}, fmt.Errorf("class %s: unknown effect %q", class.Name, class.Effect)
 		}
-		scope, ok := scopes[c.KeyScope]
+		scope, ok := scopes[class.KeyScope]
 		if !ok && effect == decide.Keyed {
-			return decide.Settings{}, fmt.Errorf("class %s: unknown key_scope %q", c.Name, c.KeyScope)
+			return decide.Settings{}, fmt.Errorf("class %s: unknown key_scope %q", class.Name, class.KeyScope)
 		}
-		settings.Classes = append(settings.Classes, decide.Class{Name: c.Name, Worth: c.Importance, Aim: time.Duration(c.Aim),
-			AimStretch: c.AimStretch, Deadline: time.Duration(c.GiveUp), LateWorth: c.LateWorth, Effect: effect,
-			KeyScope: scope, DedupWindow: time.Duration(c.Dedup), Streamed: c.Streamed})
+		settings.Classes = append(settings.Classes, decide.Class{Name: class.Name, Worth: class.Importance, Aim: time.Duration(class.Aim),
+			AimStretch: class.AimStretch, Deadline: time.Duration(class.GiveUp), LateWorth: class.LateWorth, Effect: effect,
+			KeyScope: scope, DedupWindow: time.Duration(class.Dedup), Streamed: class.Streamed})
 	}
-	for _, t := range profile.Accounts {
-		settings.Tenants = append(settings.Tenants, decide.Tenant{Name: t.Name, Quota: t.Quota, Share: t.Fraction})
+	for _, tenant := range profile.Accounts {
+		settings.Tenants = append(settings.Tenants, decide.Tenant{Name: tenant.Name, Quota: tenant.Quota, Share: tenant.Fraction})
 	}
 	return settings, nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -20,7 +20,7 @@
 "charges":{"cross_zone":0.02,"membership_mode":0.5},"goal":{"whole":0.6,"worst_window":0.4},"family":"proxy","tiers":["a","b"],
 "tier":1,"specifics":{"warm_keys":true},"zone":"n","key_of_tomorrow":[1]}}}`
 
-// batchOf returns a batchOf with events for one instance.
+// batchOf returns a batch with events for one instance.
 func batchOf(events string) string {
 	return `{"sim_time_ns":1,"groups":[{"node_id":3,"happened":[` + events + `]}]}`
 }
