--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -46,7 +46,7 @@
 	Entries   int           // in all sessions together; default 10,000
 	Bytes     int           // of kept answers; default 16 MiB
 	Sessions  int           // sender processes at once; default 64
-	Retention time.Duration // how long an entry is kept after its deadline, and a session after its last connection; default 10 s
+	Retention time.Duration // of an entry after its deadline, of a session after its last connection; default 10 s
 }
 
 // withDefaults returns the limits with the defaults in place of zero or negative values.
--- a/internal/link/calls.go
+++ b/internal/link/calls.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxCallSize       = 16 << 20               // bytes of a request, an answer or a message; the snapshot of a large fleet has to fit
+	maxCallSize       = 16 << 20               // bytes of a request, answer or message; a large fleet's snapshot has to fit
 	maxCallsPerCaller = 128                    // calls served at once for one connection
 	maxCallers        = 4096                   // connections served at once
 	keepAliveInterval = time.Second            // of QUIC; keeps a connection without calls from its idle timeout
--- a/internal/link/frame.go
+++ b/internal/link/frame.go
@@ -94,7 +94,8 @@
 	if length > uint64(limit) {
 		return typ, nil, nil, fmt.Errorf("%w: type %d has a payload of %d bytes, limit %d", errFrame, typ, length, limit)
 	}
-	payload, err := io.ReadAll(io.LimitReader(reader, int64(length))) // allocates for the bytes received, not for the length that the peer claims
+	// ReadAll allocates for the bytes received, not for the length that the peer claims.
+	payload, err := io.ReadAll(io.LimitReader(reader, int64(length)))
 	if err == nil && uint64(len(payload)) < length {
 		err = io.ErrUnexpectedEOF
 	}
--- a/internal/link/server.go
+++ b/internal/link/server.go
@@ -33,7 +33,7 @@
 	codeDone          = 0x0               // QUIC application error code: normal end
 	codeMalformed     = 0x1               // malformed frame, or unknown certificate
 	codeCancelled     = 0x2               // the client has disconnected
-	codeTimeout       = 0x3               // timeout
+	codeTimeout       = 0x3               // the peer has sent nothing, or not read, for too long
 	codeFull          = 0x4               // too many connections or sessions
 	epochMask         = uint64(1)<<62 - 1 // a variable-length integer has 62 bits
 )
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -110,7 +110,7 @@
 type Try struct {
 	StartedAt            time.Time
 	Class                string
-	Tenant, Order        string // Order is the same for all tries of an order: the idempotency key, or else the id of the request
+	Tenant, Order        string // Order is the same for all tries of an order: an idempotency key, or else the request id
 	BodySize, AnswerSize int
 	Repeat               bool
 	Outcome              trace.Outcome
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -66,7 +66,7 @@
 const (
 	fileMagic      = "SLVTRC\x00\x01"     // the last byte is the version
 	blockSize      = 64 << 10             // bytes of records after which a block is written
-	maxBlockSize   = 1 << 20              // bytes of a block's data, compressed or not; a block with a larger length is damaged
+	maxBlockSize   = 1 << 20              // bytes of a block's data, compressed or not; a larger block is damaged
 	maxClassLength = 256                  // bytes of a class name
 	maxDuration    = 24 * time.Hour       // of any duration in a record except At
 	maxAt          = 366 * 24 * time.Hour // of At
