--- a/internal/link/calls.go
+++ b/internal/link/calls.go
@@ -67,18 +67,18 @@
 }
 
 // NewCalls starts to accept calls on a UDP socket, which it owns and closes. Without o.Handle it only makes calls.
-func NewCalls(conn net.PacketConn, options CallsOptions) (*Calls, error) {
-	calls := &Calls{options: options, transport: &quic.Transport{Conn: conn}, endpoints: map[string]*endpoint{}}
-	calls.ctx, calls.stop = context.WithCancel(context.Background())
-	if options.Handle != nil {
+func NewCalls(conn net.PacketConn, o CallsOptions) (*Calls, error) {
+	c := &Calls{options: o, transport: &quic.Transport{Conn: conn}, endpoints: map[string]*endpoint{}}
+	c.ctx, c.stop = context.WithCancel(context.Background())
+	if o.Handle != nil {
 		var err error
-		if calls.listener, err = calls.transport.Listen(options.Identities.serverTLS(), callConfig(maxCallsPerCaller)); err != nil {
+		if c.listener, err = c.transport.Listen(o.Identities.serverTLS(), callConfig(maxCallsPerCaller)); err != nil {
 			conn.Close()
 			return nil, fmt.Errorf("fleet link: %w", err)
 		}
-		calls.wg.Go(calls.acceptCallers)
+		c.wg.Go(c.acceptCallers)
 	}
-	return calls, nil
+	return c, nil
 }
 
 // callConfig returns the QUIC settings of connections for calls: at most streams incoming streams each, and
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -553,32 +553,32 @@
 // site that is removed afterwards is disconnected.
 func TestReplacedIdentity(t *testing.T) {
 	t.Parallel()
-	pair := newSitePair(t)
-	started, release := pair.blockHandler()
-	handOff := pair.offer(request("order", testkit.WaitLimit), decide.Unsafe)
-	old := *pair.senderIdentities.Get()
+	s := newSitePair(t)
+	started, release := s.blockHandler()
+	c := s.offer(request("order", testkit.WaitLimit), decide.Unsafe)
+	old := *s.senderIdentities.Get()
 	go func() {
 		<-started
 		a, _ := standin.NewAuthority()
 		certA, _, _, _ := a.Issue("hall-a.example.org", time.Now().Add(time.Hour))
-		near, far := *pair.senderIdentities.Get(), *pair.receiverIdentities.Get()
+		near, far := *s.senderIdentities.Get(), *s.receiverIdentities.Get()
 		near.Certificate, far.Peers = certA, []Peer{{Name: "hall-a.example.org", Roots: a.Roots()}}
-		pair.senderIdentities.Set(&near)
-		pair.receiverIdentities.Set(&far)
+		s.senderIdentities.Set(&near)
+		s.receiverIdentities.Set(&far)
 		close(release)
 	}()
-	if _, how := handOff.Run(t.Context()); how != core.HandOffServed {
+	if _, how := c.Run(t.Context()); how != core.HandOffServed {
 		t.Errorf("got result %v, want HandOffServed", how)
 	}
-	pair.setHandler(answerOK)
-	for keeper, good := range map[*IdentityStore]bool{pair.senderIdentities: true, NewIdentityStore(&old): false} {
-		dialer, err := NewDialer(DialerOptions{Identities: keeper, Log: testkit.DiscardLog})
+	s.setHandler(answerOK)
+	for keeper, good := range map[*IdentityStore]bool{s.senderIdentities: true, NewIdentityStore(&old): false} {
+		d, err := NewDialer(DialerOptions{Identities: keeper, Log: testkit.DiscardLog})
 		if err != nil {
 			t.Fatal(err)
 		}
 		up := false
 		for end := time.Now().Add(500 * time.Millisecond); !up && (time.Now().Before(end) || good && time.Now().Before(end.Add(testkit.WaitLimit))); time.Sleep(time.Millisecond) {
-			crossing := dialer.Offer(request("order", testkit.WaitLimit), decide.Unsafe, false)
+			crossing := d.Offer(request("order", testkit.WaitLimit), decide.Unsafe, false)
 			if up = crossing != nil; up {
 				crossing.Run(t.Context())
 			}
@@ -586,12 +586,12 @@
 		if up != good {
 			t.Errorf("connected: %v, want %v", up, good)
 		}
-		dialer.Close()
+		d.Close()
 	}
-	none := *pair.receiverIdentities.Get()
+	none := *s.receiverIdentities.Get()
 	none.Peers = nil
-	pair.receiverIdentities.Set(&none)
-	for pair.dialer.Views()[0].Up {
+	s.receiverIdentities.Set(&none)
+	for s.dialer.Views()[0].Up {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -133,8 +133,8 @@
 }
 
 // New returns a recorder. Its tries are written only while Run runs.
-func New(config *Config, log *slog.Logger) *Recorder {
-	return &Recorder{config: config, log: log, startedAt: time.Now(), limit: rate.NewLimiter(rate.Limit(config.PerSecond), int(math.Ceil(config.PerSecond))),
+func New(c *Config, log *slog.Logger) *Recorder {
+	return &Recorder{config: c, log: log, startedAt: time.Now(), limit: rate.NewLimiter(rate.Limit(c.PerSecond), int(math.Ceil(c.PerSecond))),
 		tries: make(chan trace.Record, queueLength), create: func(path string) (io.WriteCloser, error) { return os.Create(path) }}
 }
 
