--- a/internal/recorder/recorder.go
+++ b/internal/recorder/recorder.go
@@ -33,7 +33,7 @@
 	Key       []byte  // key of the hashes; nodes with the same key write the same hashes for a tenant and an order
 }
 
-// fileFormat is the layout of the TOML fileFormat.
+// fileFormat is the layout of the TOML file.
 type fileFormat struct {
 	Record struct {
 		Path      string   `toml:"path"`
@@ -110,7 +110,7 @@
 type Try struct {
 	StartedAt            time.Time
 	Class                string
-	Tenant, Order        string // Order is the same for all tries of an order: the idempotency key, or else the id of the request
+	Tenant, Order        string // Order is the same for all tries of an order: an idempotency key, or else the request id
 	BodySize, AnswerSize int
 	Repeat               bool
 	Outcome              trace.Outcome
