--- a/cmd/rig/testdata/bad.go
+++ b/cmd/rig/testdata/bad.go
@@ -1,5 +1,5 @@
-// A file beside the program's main, in a build of its own: a version that is bad. What is wrong with it stands at the end of the program's
-// file, as "\nbad KIND VALUE", so that one build makes all of them.
+// This file is added to the program's main package in a separate build, to make faulty releases. The fault is read from
+// the end of the executable, as "\nbad KIND VALUE", so that a single build serves all faulty versions.
 
 package main
 
@@ -18,13 +18,13 @@
 
 func init() {
 	if len(os.Args) < 3 || os.Args[1] != "-fleet" {
-		return // a command, and no node
+		return // an operator's command, not a node
 	}
 	self, err := os.Open("/proc/self/exe")
 	if err != nil {
 		panic(err)
 	}
-	raw := make([]byte, 100) // not all of it: that would be memory of this version's
+	raw := make([]byte, 100) // the end only: reading the whole file would add to this version's memory use
 	if _, err := self.Seek(-int64(len(raw)), io.SeekEnd); err != nil {
 		panic(err)
 	}
@@ -34,13 +34,13 @@
 	self.Close()
 	tail := string(raw)
 	kind, value, _ := strings.Cut(strings.TrimSpace(tail[strings.LastIndex(tail, "\nbad ")+5:]), " ")
-	value, _, _ = strings.Cut(value, " ") // what is behind it makes the version another one
+	value, _, _ = strings.Cut(value, " ") // text after the value only makes the version's content differ
 	switch kind {
 	case "crash":
 		os.Exit(3)
 	case "never":
 		time.Sleep(time.Hour)
-	case "discovery": // it finds the servers worse than they are
+	case "discovery": // overrides the discovery address: discovery reports the servers as worse than they are
 		os.Setenv("GW_DISCOVERY", value)
 	case "leak":
 		go func() {
@@ -52,19 +52,19 @@
 				leaked = append(leaked, piece)
 			}
 		}()
-	case "zone": // it does not start there
+	case "zone": // exits at startup in the given zone
 		var c struct{ Settings struct{ Zone string } }
 		if raw, err := os.ReadFile(os.Getenv("GW_CONFIG")); err != nil || json.Unmarshal(raw, &c) != nil || c.Settings.Zone == value {
 			os.Exit(3)
 		}
-	case "leader": // it ends once it leads
+	case "leader": // exits once it is the leader
 		c, err := control.Load(os.Args[2], time.Now())
 		if err != nil {
 			panic(err)
 		}
 		go func() {
 			for ; ; time.Sleep(50 * time.Millisecond) {
-				h, err := control.Knock(c.Socket).Here(context.Background())
+				h, err := control.NewAPIClient(c.Socket).Status(context.Background())
 				if err == nil && h.Pid == os.Getpid() && h.Voter == "leads" {
 					os.Exit(7)
 				}
--- a/cmd/rig/testdata/faulty.go
+++ b/cmd/rig/testdata/faulty.go
@@ -1,5 +1,5 @@
-// A file beside the program's fault points, in a build of the rig's: what happens at a point stands in the file that RIG_FAULTS names, as
-// "POINT ACTION".
+// This file is added to package faultpoint in the rig's builds. The file that RIG_FAULTS names holds the fault to inject,
+// as "POINT ACTION".
 
 package faultpoint
 
--- a/cmd/rig/testdata/wallstep.go
+++ b/cmd/rig/testdata/wallstep.go
@@ -1,5 +1,5 @@
-// A file beside the program's fault points, in a build of the rig's: RIG_WALL_STEP is by how much the wall clock was stepped before the process
-// began.
+// This file is added to package faultpoint in the rig's builds. RIG_WALL_STEP is the duration by which the wall clock was
+// stepped before the process started.
 
 package faultpoint
 
