--- a/cmd/rig/configuration_test.go
+++ b/cmd/rig/configuration_test.go
@@ -153,20 +153,20 @@
 		check func(*observed) []string
 		plant func(*observed)
 	}{
-		"lost":           {lost, func(s *observed) { s.history = s.history[:3] }},
-		"twice":          {lost, func(s *observed) { s.history[3].By = "op2" }},
-		"told another":   {lost, func(s *observed) { s.puts[1].revision = 3 }},
-		"after conflict": {lost, func(s *observed) { s.puts[2].code = configpb.Result_CONFLICT }},
-		"nobody's":       {lost, func(s *observed) { s.puts = s.puts[1:] }},
-		"gap":            {lost, func(s *observed) { s.history[2].Number = 9 }},
-		"condition":      {conditions, func(s *observed) { s.puts[1].condition = 0 }},
-		"back":           {order, func(s *observed) { s.samples[3].revision = 1 }},
-		"ahead":          {order, func(s *observed) { s.samples[2].at = at(100) }},
-		"of nothing":     {order, func(s *observed) { s.samples[3].revision = 5 }},
-		"half":           {partial, func(s *observed) { s.caches[3].snapshot.Entries[1].GetService().TimeoutMs = 99 }},
-		"missing":        {partial, func(s *observed) { s.caches[3].snapshot.Entries = s.caches[3].snapshot.Entries[1:] }},
-		"no such state":  {partial, func(s *observed) { s.caches[3].snapshot.Revision = 9 }},
-		"other revision": {partial, func(s *observed) { s.caches[3].snapshot.Revision = 2 }},
+		"lost":                    {lost, func(s *observed) { s.history = s.history[:3] }},
+		"twice":                   {lost, func(s *observed) { s.history[3].By = "op2" }},
+		"other revision returned": {lost, func(s *observed) { s.puts[1].revision = 3 }},
+		"after conflict":          {lost, func(s *observed) { s.puts[2].code = configpb.Result_CONFLICT }},
+		"nobody's":                {lost, func(s *observed) { s.puts = s.puts[1:] }},
+		"gap":                     {lost, func(s *observed) { s.history[2].Number = 9 }},
+		"condition":               {conditions, func(s *observed) { s.puts[1].condition = 0 }},
+		"back":                    {order, func(s *observed) { s.samples[3].revision = 1 }},
+		"ahead":                   {order, func(s *observed) { s.samples[2].at = at(100) }},
+		"of nothing":              {order, func(s *observed) { s.samples[3].revision = 5 }},
+		"half":                    {partial, func(s *observed) { s.caches[3].snapshot.Entries[1].GetService().TimeoutMs = 99 }},
+		"missing":                 {partial, func(s *observed) { s.caches[3].snapshot.Entries = s.caches[3].snapshot.Entries[1:] }},
+		"no such state":           {partial, func(s *observed) { s.caches[3].snapshot.Revision = 9 }},
+		"other revision":          {partial, func(s *observed) { s.caches[3].snapshot.Revision = 2 }},
 	} {
 		s := good()
 		if c.plant(s); len(c.check(s)) == 0 {
--- a/decide/behaviour_test.go
+++ b/decide/behaviour_test.go
@@ -36,14 +36,14 @@
 	event decide.Event
 }
 
-// harnessSettings are those of a fleet of one node. Its classes are "dear", safe requests of high worth, "cheap", safe
+// harnessSettings are those of a fleet of one node. Its classes are "expensive", safe requests of high worth, "cheap", safe
 // ones of low worth, and "once", unsafe ones of low worth.
 func harnessSettings() decide.Settings {
 	return decide.Settings{Nodes: 1, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond,
 		MaxListRequestInterval: 10 * time.Second, ConnectTimeout: 100 * time.Millisecond, ColdFrom: 0.3,
 		ColdTime: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: time.Second, HoldOffs: true, MaxHoldOff: time.Second,
 		Classes: []decide.Class{
-			{Name: "dear", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond,
+			{Name: "expensive", Worth: 12, Aim: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond,
 				Effect: decide.Safe},
 			{Name: "cheap", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 4 * time.Second, Effect: decide.Safe},
 			{Name: "once", Worth: 1, Aim: 1500 * time.Millisecond, Deadline: 2 * time.Second, Effect: decide.Unsafe}}}
@@ -295,7 +295,7 @@
 	}
 	refused := map[string]int{}
 	for range 400 {
-		for _, c := range []string{"dear", "cheap", "cheap", "cheap"} {
+		for _, c := range []string{"expensive", "cheap", "cheap", "cheap"} {
 			before := harness.refused
 			harness.lastID++
 			harness.handle(decide.RequestArrived{ID: decide.RequestID(fmt.Sprint(harness.lastID)), Class: c,
@@ -304,7 +304,7 @@
 		}
 		harness.run(15*time.Millisecond, 0, "")
 	}
-	if refused["cheap"] < 200 || refused["dear"]*6 > refused["cheap"] {
+	if refused["cheap"] < 200 || refused["expensive"]*6 > refused["cheap"] {
 		t.Errorf("refused on arrival: %v", refused)
 	}
 }
@@ -490,7 +490,7 @@
 	mixed := func(length time.Duration, rate float64) int {
 		start := harness.lastID
 		for end := harness.now + length; harness.now < end; {
-			harness.run(50*time.Millisecond, 40, "dear")
+			harness.run(50*time.Millisecond, 40, "expensive")
 			harness.run(50*time.Millisecond, rate, "cheap")
 		}
 		return harness.lastID - start
@@ -498,8 +498,8 @@
 	mixed(10*time.Second, 60)
 	harness.inTime, longest, harness.holdOffs = map[string]int{}, 0, nil
 	mixed(10*time.Second, 600) // 20 and 300 per second; the servers can do 200
-	if harness.inTime["dear"] < 170 {
-		t.Errorf("%d of 200 requests of the class of high worth in time", harness.inTime["dear"])
+	if harness.inTime["expensive"] < 170 {
+		t.Errorf("%d of 200 requests of the class of high worth in time", harness.inTime["expensive"])
 	}
 	if harness.inTime["cheap"] < 1000 {
 		t.Errorf("%d requests of the class of low worth in time, of some 1800 that the servers could do",
--- a/decide/closedloop_test.go
+++ b/decide/closedloop_test.go
@@ -292,7 +292,7 @@
 		simulation := newNodeSimulation(singleNodeSettings(), 8)
 		simulation.stepCost = coreStepCost
 		simulation.workOf = func(_ ServerID, class string) time.Duration {
-			if class == "dear" {
+			if class == "expensive" {
 				return 200 * time.Millisecond
 			}
 			// Pauses of a millisecond don't make a server slow, though that is five times what this class costs.
@@ -300,16 +300,16 @@
 		}
 		simulation.openConnections(conns, 500*time.Millisecond, func() string {
 			if simulation.random.IntN(10) == 0 {
-				return "dear"
+				return "expensive"
 			}
 			return "cheap"
 		})
 		simulation.run(2 * time.Second)
 		simulation.resetCounts()
 		simulation.run(6 * time.Second)
-		if n := simulation.refusals(); n > 0 || simulation.tallyOf("dear").withinAim < 1000 ||
+		if n := simulation.refusals(); n > 0 || simulation.tallyOf("expensive").withinAim < 1000 ||
 			simulation.tallyOf("cheap").withinAim < 5000 {
-			t.Errorf("%d connections: %d refused, expensive %+v, cheap %+v", conns, n, *simulation.tallyOf("dear"),
+			t.Errorf("%d connections: %d refused, expensive %+v, cheap %+v", conns, n, *simulation.tallyOf("expensive"),
 				*simulation.tallyOf("cheap"))
 		}
 	}
@@ -393,7 +393,7 @@
 		const capacity = 8 * 2 * 250
 		class := func() string {
 			if simulation.random.IntN(8) == 0 {
-				return "dear"
+				return "expensive"
 			}
 			return "cheap"
 		}
@@ -403,7 +403,7 @@
 		simulation.run(2 * time.Second)
 		simulation.resetCounts()
 		simulation.run(5 * time.Second)
-		expensive, cheap := *simulation.tallyOf("dear"), *simulation.tallyOf("cheap")
+		expensive, cheap := *simulation.tallyOf("expensive"), *simulation.tallyOf("cheap")
 		if got := expensive.withinAim * 100 / expensive.arrived; got < 95 {
 			t.Errorf("%v times: %d%% of the class of high worth in time: %+v", times, got, expensive)
 		}
@@ -425,7 +425,7 @@
 	simulation.workOf = func(ServerID, string) time.Duration { return 2 * time.Millisecond }
 	class := func() string {
 		if simulation.random.IntN(8) == 0 {
-			return "dear"
+			return "expensive"
 		}
 		return "cheap"
 	}
--- a/decide/coldscenario_test.go
+++ b/decide/coldscenario_test.go
@@ -48,7 +48,7 @@
 
 func (c coldScenario) String() string {
 	return fmt.Sprintf("seed %d (%d nodes, %d servers of %.0f/s, %d cold, load %.2f, messages %v, traffic %v, "+
-		"burst %v, lull %v, lost %v, restarts %v, rejoin %v)", c.seed, c.nodeCount, c.serverCount, c.capacity,
+		"burst %v, idle period %v, lost %v, restarts %v, rejoin %v)", c.seed, c.nodeCount, c.serverCount, c.capacity,
 		c.coldCount, c.load,
 		c.messages, c.traffic, c.burst, c.idlePeriod, c.warmLost, c.restarts, c.rejoin)
 }
--- a/decide/coldworld_test.go
+++ b/decide/coldworld_test.go
@@ -17,7 +17,7 @@
 	coldLeadTime      = 12 * time.Second // of traffic before the cold servers start
 	coldShiftInterval = 2 * time.Second  // between two draws of the nodes' shares of the traffic
 	coldMessageLoss   = 0.3              // part of the datagrams that a lossy path drops
-	coldNotifySeconds = 2.5              // s; a node is notified of a start at most this long, and 50 ms, after it
+	coldNotifySeconds = 2.5              // in seconds; a node is notified of a start at most this long plus 50 ms after it
 	coldAbsence       = 2 * time.Second  // for which a server that rejoins was unreachable
 	coldServerCores   = 6                // requests that a server works on at once
 	coldPatience      = 2 * time.Second  // until a client gives up, over all its tries
@@ -29,7 +29,7 @@
 var coldClasses = []struct {
 	name        string
 	share, work float64
-}{{"cheap", 0.625, 0.6}, {"dear", 0.375, 5.0 / 3}}
+}{{"cheap", 0.625, 0.6}, {"expensive", 0.375, 5.0 / 3}}
 
 // coldSend is one attempt that a cold server was sent.
 type coldSend struct {
--- a/decide/handoff_test.go
+++ b/decide/handoff_test.go
@@ -18,7 +18,7 @@
 		const capacity = 8 * 2 * 250
 		class := func() string {
 			if simulation.random.IntN(8) == 0 {
-				return "dear"
+				return "expensive"
 			}
 			return "cheap"
 		}
@@ -26,7 +26,7 @@
 		simulation.run(2 * time.Second)
 		simulation.resetCounts()
 		if handedOff > 0 {
-			simulation.sendHandedOff(handedOff*capacity, 4*time.Second, "dear", &handedOffServed, &handedOffArrived)
+			simulation.sendHandedOff(handedOff*capacity, 4*time.Second, "expensive", &handedOffServed, &handedOffArrived)
 		}
 		simulation.run(4 * time.Second)
 		for _, c := range simulation.tallies {
@@ -79,7 +79,7 @@
 		module := New(settings(0, notify), 7) // it knows no server, and refuses every request
 		for i := range 500 {
 			for _, a := range module.Handle(time.Hour+Time(i)*time.Millisecond,
-				RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: time.Second}) {
+				RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "expensive", Patience: time.Second}) {
 				if w, ok := a.(SendMessage); ok {
 					notices = append(notices, w)
 				}
@@ -102,9 +102,9 @@
 	served := func() bool {
 		ok := false
 		simulation.lastID++
-		id := RequestID(fmt.Sprint("dear ", simulation.lastID, " from elsewhere"))
+		id := RequestID(fmt.Sprint("expensive ", simulation.lastID, " from elsewhere"))
 		simulation.onEnd[id] = func(served bool) { ok = served }
-		simulation.handle(RequestArrived{ID: id, Class: "dear", Patience: 2 * time.Second, HandedOff: true})
+		simulation.handle(RequestArrived{ID: id, Class: "expensive", Patience: 2 * time.Second, HandedOff: true})
 		simulation.run(500 * time.Millisecond)
 		return ok
 	}
--- a/decide/listrequest_test.go
+++ b/decide/listrequest_test.go
@@ -99,7 +99,7 @@
 	t.Parallel()
 	checkRestarts(t, []restartCase{
 		{"with a list", true, callRound(8 * time.Second), 3, 8 * time.Second, 20 * time.Second},
-		{"no list, roomy", false, callRound(2 * time.Second), 1, 0, 20 * time.Second},
+		{"no list, long enough", false, callRound(2 * time.Second), 1, 0, 20 * time.Second},
 		{"no list, short", false, callRound(5 * time.Second), 3, 0, 20 * time.Second},
 		{"no list, shortest", false, callRound(8 * time.Second), 1, 0, 20 * time.Second},
 		{"no list, down for 3 s", false, callRound(4 * time.Second), 3, 3 * time.Second, 20 * time.Second},
--- a/decide/many_test.go
+++ b/decide/many_test.go
@@ -15,7 +15,7 @@
 	return Settings{Nodes: nodes, MaxAttempts: 3, MayCancel: true, MinTick: 5 * time.Millisecond, ColdFrom: 0.2,
 		ColdTime: 20 * time.Second, OverloadFactor: 3, OverloadTime: 2 * time.Second,
 		Classes: []Class{
-			{Name: "dear", Worth: 8, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe},
+			{Name: "expensive", Worth: 8, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe},
 			{Name: "cheap", Worth: 1, Aim: 600 * time.Millisecond, Deadline: 2 * time.Second, Effect: Safe}}}
 }
 
@@ -50,7 +50,7 @@
 			continue
 		}
 		id++
-		class := []string{"dear", "cheap"}[id%2]
+		class := []string{"expensive", "cheap"}[id%2]
 		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(from, id)), Class: class,
 			Patience: 2 * time.Second}) {
 			if send, ok := a.(Send); ok {
@@ -94,7 +94,7 @@
 	m.Handle(time.Hour, cachedServerList(20))
 	for i := range 400 {
 		now := time.Hour + time.Duration(i)*10*time.Millisecond
-		m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "dear", Patience: time.Second})
+		m.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(i)), Class: "expensive", Patience: time.Second})
 		m.Handle(now, TimerFired{})
 	}
 	if len(m.subset) != 20 {
@@ -109,19 +109,19 @@
 	module := New(lowTrafficSettings(600), 3)
 	module.Handle(time.Hour, cachedServerList(180))
 	light, now := runTraffic(module, time.Hour, 20, 60*time.Millisecond, nil)
-	if light["dear"] < 39 || light["cheap"] < 39 {
+	if light["expensive"] < 39 || light["cheap"] < 39 {
 		t.Errorf("light load: %v sent of 40 each", light)
 	}
 	overloaded, now := runTraffic(module, now, 10, 240*time.Millisecond, nil)
-	if overloaded["cheap"] > 15 || overloaded["dear"] < 6 || module.q2 == 0 {
+	if overloaded["cheap"] > 15 || overloaded["expensive"] < 6 || module.q2 == 0 {
 		t.Errorf("overload: %v sent of 20 each, q2 %v", overloaded, module.q2)
 	}
 	saturated, now := runTraffic(module, now, 10, 700*time.Millisecond, nil)
-	if saturated["cheap"] > 10 || saturated["dear"] > 15 || module.q1 == 0 {
+	if saturated["cheap"] > 10 || saturated["expensive"] > 15 || module.q1 == 0 {
 		t.Errorf("heavier overload: %v sent of 20 each, q1 %v", saturated, module.q1)
 	}
 	_, now = runTraffic(module, now, 15, 60*time.Millisecond, nil)
-	if after, _ := runTraffic(module, now, 10, 60*time.Millisecond, nil); after["cheap"] < 18 || after["dear"] < 18 {
+	if after, _ := runTraffic(module, now, 10, 60*time.Millisecond, nil); after["cheap"] < 18 || after["expensive"] < 18 {
 		t.Errorf("light load again: %v sent of 20 each", after)
 	}
 }
@@ -153,7 +153,7 @@
 	for i := range 3 {
 		id := RequestID(fmt.Sprint(i))
 		now := time.Hour + time.Duration(i)*time.Second
-		m.Handle(now, RequestArrived{ID: id, Class: "dear", Patience: time.Second})
+		m.Handle(now, RequestArrived{ID: id, Class: "expensive", Patience: time.Second})
 		m.Handle(now+100*time.Millisecond, AttemptEnded{ID: id, Server: 1, Code: ConnectFailed,
 			Elapsed: 100 * time.Millisecond})
 		if got, want := m.subset[0].ejected, i == 2; got != want {
@@ -169,7 +169,7 @@
 		m.Handle(time.Hour, cachedServerList(8))
 		_, now := runTraffic(m, time.Hour, 5, 60*time.Millisecond, &Report{InFlight: v, HasInFlight: true})
 		_, now = runTraffic(m, now, 30, 60*time.Millisecond, nil)
-		if sent, _ := runTraffic(m, now, 10, 60*time.Millisecond, nil); sent["dear"]+sent["cheap"] < 36 {
+		if sent, _ := runTraffic(m, now, 10, 60*time.Millisecond, nil); sent["expensive"]+sent["cheap"] < 36 {
 			t.Errorf("35 s after reports of %v: %v sent of 20 each", v, sent)
 		}
 	}
--- a/decide/scale_test.go
+++ b/decide/scale_test.go
@@ -141,7 +141,7 @@
 			case choice < 45:
 				id++
 				recordSends(module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(id)),
-					Class:    []string{"dear", "cheap", "tag", "order"}[random.IntN(4)],
+					Class:    []string{"expensive", "cheap", "tag", "order"}[random.IntN(4)],
 					Patience: 2 * time.Second}))
 			case choice < 85 && len(openAttempts) > 0:
 				i := random.IntN(len(openAttempts))
--- a/decide/shared_test.go
+++ b/decide/shared_test.go
@@ -15,7 +15,7 @@
 		MaxListRequestInterval: 10 * time.Second, DrainGrace: 500 * time.Millisecond, ColdFrom: 0.3,
 		ColdTime: 8 * time.Second, OverloadFactor: 2.5, OverloadTime: time.Second,
 		Classes: []Class{
-			{Name: "dear", Worth: 12, Aim: 800 * time.Millisecond, Deadline: 1600 * time.Millisecond, Effect: Safe},
+			{Name: "expensive", Worth: 12, Aim: 800 * time.Millisecond, Deadline: 1600 * time.Millisecond, Effect: Safe},
 			{Name: "cheap", Worth: 1, Aim: 800 * time.Millisecond, Deadline: 3 * time.Second, Effect: Safe}}}
 }
 
@@ -68,7 +68,7 @@
 	}
 	served := func() bool {
 		now += time.Millisecond
-		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(now)), Class: "dear",
+		for _, a := range module.Handle(now, RequestArrived{ID: RequestID(fmt.Sprint(now)), Class: "expensive",
 			Patience: time.Second}) {
 			if _, ok := a.(Send); ok {
 				return true
@@ -124,7 +124,7 @@
 	sender, receiver := newSharingNode(t, 0, 8), newSharingNode(t, 1, 8)
 	now := 2 * time.Second
 	var sent Send
-	for _, action := range sender.Handle(now, RequestArrived{ID: "r", Class: "dear", Patience: time.Second}) {
+	for _, action := range sender.Handle(now, RequestArrived{ID: "r", Class: "expensive", Patience: time.Second}) {
 		if s, ok := action.(Send); ok {
 			sent = s
 		}
@@ -165,7 +165,7 @@
 			id := RequestID(fmt.Sprint(i))
 			var actions []Action
 			if i < 120 {
-				actions = append(actions, sender.Handle(now, RequestArrived{ID: id, Class: "dear",
+				actions = append(actions, sender.Handle(now, RequestArrived{ID: id, Class: "expensive",
 					Patience: time.Minute})...)
 			}
 			actions = append(actions, sender.Handle(now, TimerFired{})...)
--- a/internal/app/enddeadlines_test.go
+++ b/internal/app/enddeadlines_test.go
@@ -51,7 +51,7 @@
 	if held.Len() > 0 {
 		t.Errorf("the exit waited for silent connections: %s", held)
 	}
-	for name, conn := range map[string]client{"mute": silent, "resting": resting} {
+	for name, conn := range map[string]client{"silent": silent, "resting": resting} {
 		if text, err := io.ReadAll(conn.r); len(text) > 0 || err != nil {
 			t.Errorf("%s: %q, %v; want an orderly close without data", name, text, err)
 		}
--- a/internal/app/listonrequest_test.go
+++ b/internal/app/listonrequest_test.go
@@ -161,7 +161,7 @@
 				t.Errorf("notified %v after discovery came back, %v at most", timeToAnswer, notificationLimit)
 			}
 			graceEnds := second.answeredAt.Add(config.Settings.DrainGrace)
-			requestUntil("told", func() bool { return time.Now().After(graceEnds.Add(500 * time.Millisecond)) })
+			requestUntil("notified", func() bool { return time.Now().After(graceEnds.Add(500 * time.Millisecond)) })
 			if last := time.Unix(0, lastAtDraining.Load()); last.After(graceEnds) {
 				t.Errorf("a request reached the draining server %v after the node was notified, %v at most",
 					last.Sub(second.answeredAt), config.Settings.DrainGrace)
--- a/internal/fleet/waves_test.go
+++ b/internal/fleet/waves_test.go
@@ -60,7 +60,7 @@
 		want  string
 	}{
 		"two zones":            {[]*fleetpb.Wave{{Nodes: []string{"n03", "n04"}}}, "wave 1 has nodes of zone a and of zone b"},
-		"told":                 {[]*fleetpb.Wave{{Nodes: []string{"n03", "n04"}, Mixed: true}}, ""},
+		"mixed wave allowed":   {[]*fleetpb.Wave{{Nodes: []string{"n03", "n04"}, Mixed: true}}, ""},
 		"voters in between":    {[]*fleetpb.Wave{{Nodes: []string{"n00"}}, {Nodes: []string{"n03"}}}, "wave 2 has n03, behind n00, which votes"},
 		"voters beside others": {[]*fleetpb.Wave{{Nodes: []string{"n00", "n03"}}, {Nodes: []string{"n01"}}}, ""},
 	} {
--- a/internal/front/http1/clientgone_test.go
+++ b/internal/front/http1/clientgone_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// BenchmarkLook measures the check of a client that is connected.
-func BenchmarkLook(b *testing.B) {
+// BenchmarkClientGone measures the check of a client that is connected.
+func BenchmarkClientGone(b *testing.B) {
 	_, dial, accept := newTestAdmission(b, 3)
 	dial()
 	c := accept()
--- a/internal/member/registry/fleet_test.go
+++ b/internal/member/registry/fleet_test.go
@@ -207,9 +207,9 @@
 		"a watch is reset":     {[]string{listResponse(7, true, ""), reset}, false, decide.CauseBroken},
 		"breaks off": {[]string{"late " + testkit.OKResponse("{\"version\"")[:44] + reset}, true,
 			decide.CauseUseless},
-		"nonsense":            {[]string{testkit.OKResponse("{")}, true, decide.CauseUseless},
-		"crowded":             {[]string{"late " + unavailable}, true, decide.CauseOverloaded},
-		"crowded, then reset": {[]string{"late " + reset}, true, decide.CauseOverloaded},
+		"nonsense":               {[]string{testkit.OKResponse("{")}, true, decide.CauseUseless},
+		"overloaded":             {[]string{"late " + unavailable}, true, decide.CauseOverloaded},
+		"overloaded, then reset": {[]string{"late " + reset}, true, decide.CauseOverloaded},
 		"a watch ends by and by": {[]string{listResponse(7, true, ""), "late " + unavailable}, false,
 			decide.CauseWentDown},
 	} {
--- a/internal/model/version.go
+++ b/internal/model/version.go
@@ -165,7 +165,7 @@
 }
 
 // Measures returns the names of the compared measures, the main one first. All except the times (ms), the tries
-// and the turns are fractions of what was asked.
+// and the turns are fractions of what was requested.
 func (sc *Scenario) Measures() []string {
 	names := []string{"worth in time", "refused", "failed", "tries an order", "p50 ms", "p99 ms", "p99.9 ms", "turns"}
 	for _, c := range sc.Classes {
@@ -174,7 +174,7 @@
 	return names
 }
 
-// Values returns the figures of a run in the order of Measures. Where nothing was asked or served, fractions and
+// Values returns the figures of a run in the order of Measures. Where nothing was requested or served, fractions and
 // times are 0.
 func (o *Outcome) Values() []float64 {
 	part := func(n, of int) float64 { return float64(n) / float64(max(1, of)) }
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -149,7 +149,7 @@
 	return text, nil
 }
 
-// plotDifferences plots the intervals of the measures that are fractions of what was asked. It leaves out a
+// plotDifferences plots the intervals of the measures that are fractions of what was requested. It leaves out a
 // measure with a mean above 1.
 func (c *Comparison) plotDifferences() (*plot.Plot, error) {
 	p := plot.New()
@@ -189,7 +189,7 @@
 	return p, nil
 }
 
-// plotOrders plots the orders asked, answered in time and refused in each second.
+// plotOrders plots the orders requested, answered in time and refused in each second.
 func (c *Comparison) plotOrders() (*plot.Plot, error) {
 	return c.plotTimeline("Orders answered in time and refused, one run of each", "orders a second", []timelineLine{
 		{"asked", 0, func(s model.Second) int { return s.Orders }},
