--- a/internal/rig/capacity/hollow/files.go
+++ b/internal/rig/capacity/hollow/files.go
@@ -11,21 +11,22 @@
 	"starlingvalve/internal/standin"
 )
 
-// Domain is that of all names in the certificates of a rig's fleet.
+// Domain is the DNS domain of all node names in the certificates of a rig's fleet.
 const Domain = "fleet.example.org"
 
 const certificateLife = 6 * time.Hour
 
-// Fleet is what the files of all nodes of a rig's fleet have in common.
+// Fleet holds what the files of all nodes of a rig's fleet have in common.
 type Fleet struct {
 	Authority *standin.Authority
 	Voters    []control.Voter // the control machines
-	Session   time.Duration   // a session's life; 0: the program's default
-	Tick      time.Duration   // of the voters' clocks; 0: the program's default
-	Budgets   string          // TOML; empty: none
+	Session   time.Duration   // lifetime of a session; 0: the program's default
+	Tick      time.Duration   // interval of the voters' logical clock; 0: the program's default
+	Budgets   string          // TOML of the fleet's budgets, appended to each fleet file; empty: none
 }
 
-// Write makes the fleet file of a node, and its certificate. listen is empty but for a voter.
+// Write writes a node's fleet file, certificate, key and root certificates to a folder. listen is the address that a voter
+// listens on; it is empty for other nodes.
 func (f *Fleet) Write(folder, name, zone, listen string) error {
 	_, cert, key, err := f.Authority.Issue(name+"."+Domain, time.Now().Add(certificateLife))
 	if err != nil {
@@ -58,5 +59,5 @@
 	return nil
 }
 
-// Socket is where operators ask a node.
+// Socket returns the path of the Unix socket on which a node answers operators' requests.
 func Socket(folder, name string) string { return filepath.Join(folder, name+".sock") }
--- a/internal/rig/capacity/hollow/hollow.go
+++ b/internal/rig/capacity/hollow/hollow.go
@@ -1,10 +1,10 @@
-// Package hollow runs nodes without a data plane: the real control part of a node (session, heartbeats, watch, acknowledgements,
-// what it keeps on disk), hundreds of them in one process, against real control machines. It is for scale tests, as Kubernetes'
-// kubemark is.
+// Package hollow runs nodes without a data plane: the real control part of a node (session, heartbeats, watch,
+// acknowledgements, files on disk), hundreds of them in one process, against real control machines. It serves scale tests,
+// as Kubernetes' kubemark does.
 //
-// A rig writes the nodes' files (Write), starts a process of hollow nodes (StartProcess), asks it for its counts, for when
-// something became known at its nodes, to restart some of them, and to stop. Further client code of the control plane takes part
-// as a Part.
+// A rig writes the nodes' files (Fleet.Write) and starts a process of hollow nodes (StartProcess). It can then read the
+// process's counts and the times at which something became known at its nodes, restart some nodes, and stop the process.
+// Other client code of the control plane can be run with each node as a Part.
 package hollow
 
 import (
@@ -23,42 +23,42 @@
 	"starlingvalve/internal/link"
 )
 
-// Options say which nodes there are.
+// Options name the nodes that a process runs.
 type Options struct {
-	Folder string   `json:"folder"` // of the nodes' files, as Write has made them
+	Folder string   `json:"folder"` // with the nodes' files, which Fleet.Write has written
 	Names  []string `json:"names"`
 }
 
-// A Part is further client code of the control plane, of one node. It runs until ctx ends, which it has to do soon then.
+// A Part is additional client code of the control plane that runs with one node. It has to return soon after ctx ends.
 type Part func(ctx context.Context, n Node)
 
-// Node is what a Part knows of its node.
+// Node is what a Part gets of its node.
 type Node struct {
 	Config  *control.Config
 	Control *control.Control
-	// Note says that something became known at this node now: see Set.Known.
+	// Note records that something became known at this node now. Set.Known returns these times.
 	Note func(what string)
-	// Carried adds what the part's own connections have carried since it said so last.
+	// AddTraffic adds the traffic of the part's own connections since its last call.
 	Carried func(link.Traffic)
 }
 
-// Counts are what the nodes of a process have come to so far.
+// Counts are totals of the nodes of a process since its start.
 type Counts struct {
 	Nodes     int           `json:"nodes"`
-	Live      int           `json:"live"` // have a session
+	Live      int           `json:"live"` // nodes that have a session
 	Traffic   link.Traffic  `json:"traffic"`
-	Processor time.Duration `json:"processor"` // of the process, user and system
-	Resident  int           `json:"resident"`  // KiB of memory
-	Pause     time.Duration `json:"pause"`     // the longest in which the process did not run though it wanted to, since it was asked last
+	Processor time.Duration `json:"processor"` // processor time of the process, user and system
+	Resident  int           `json:"resident"`  // resident memory of the process, KiB
+	Pause     time.Duration `json:"pause"`     // longest delay of a timer in the process since the last Counts: the process was runnable but did not run
 }
 
-// Known is when something became known at the nodes.
+// Known tells at which nodes, and when, something became known.
 type Known struct {
 	Nodes int         `json:"nodes"`
-	Times []time.Time `json:"times"` // one of each, in the order in which they came
+	Times []time.Time `json:"times"` // one of each node that knows, in ascending order
 }
 
-const mostNotes = 1024 // kinds of notes that are kept; the oldest is dropped
+const mostNotes = 1024 // kinds of notes that are kept; beyond it the oldest kind is dropped
 
 // Set is the hollow nodes of one process.
 type Set struct {
@@ -67,12 +67,12 @@
 
 	mu    sync.Mutex
 	nodes []*node
-	past  link.Traffic // of nodes that have been restarted, and of parts
-	notes map[string]map[string]time.Time
-	order []string // of the notes
+	past  link.Traffic                    // of parts, and of nodes before their restarts
+	notes map[string]map[string]time.Time // by kind and node: when it was first noted
+	order []string                        // kinds of notes, oldest first
 }
 
-// node is one of them. Its place stays when it is restarted.
+// node is one hollow node. A restarted node keeps its index in Set.nodes.
 type node struct {
 	name, file string
 	control    *control.Control
@@ -80,7 +80,7 @@
 	work       *sync.WaitGroup
 }
 
-// Start starts nodes. Stop ends them.
+// Start starts the nodes of o, each with the parts. The caller has to call Stop.
 func Start(o Options, parts ...Part) (*Set, error) {
 	s := &Set{parts: parts, notes: map[string]map[string]time.Time{}}
 	s.pause.start()
@@ -97,7 +97,7 @@
 	return s, nil
 }
 
-// File is the fleet file of a node.
+// File returns the path of a node's fleet file.
 func File(folder, name string) string { return filepath.Join(folder, name+".toml") }
 
 func (s *Set) begin(name, file string) (*node, error) {
@@ -121,7 +121,7 @@
 	return n, nil
 }
 
-// end ends a node at once, as a machine that fails does: nobody is told.
+// kill ends a node at once and without notice to others, as a machine failure does.
 func (n *node) end() {
 	n.stop()
 	n.control.Stop()
@@ -164,7 +164,7 @@
 	}
 }
 
-// Counts gives the counts.
+// Counts returns the counts, and starts a new period for the longest pause.
 func (s *Set) Counts() Counts {
 	s.mu.Lock()
 	c := Counts{Nodes: len(s.nodes)}
@@ -182,7 +182,7 @@
 	return c
 }
 
-// Known tells when each node noted something for the first time: a Part's word, or ServerDrained.
+// Known returns when each node noted something for the first time: a Part's note, or ServerDrained.
 func (s *Set) Known(what string) Known {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -194,8 +194,8 @@
 	return k
 }
 
-// Restart ends those of the nodes at once, without a word, and once all have ended starts them again as new processes would be:
-// with what their folders hold. It is not to be called twice at a time.
+// Restart ends the named nodes at once, without notice to others, and once all have ended starts them again as new
+// processes would start: with the state in their folders. It must not be called concurrently.
 func (s *Set) Restart(names []string) error {
 	s.mu.Lock()
 	var places []int
@@ -245,10 +245,10 @@
 	s.pause.stop()
 }
 
-// ServerDrained is the note of a node that has stopped sending to a server.
+// ServerDrained returns the note of a node that has stopped sending to the server with this id.
 func ServerDrained(id uint32) string { return fmt.Sprintf("drained %08x", id) }
 
-// idlePlane is a data plane with nothing to do, which notes what it is to follow.
+// idlePlane is a data plane without requests, which notes the cordons that it has to apply.
 type idlePlane struct{ note func(what string) }
 
 // SetCordon notes the servers that are drained.
@@ -258,7 +258,7 @@
 	}
 }
 
-// OpenAttemptsAt reports that no request is in flight at them.
+// OpenAttemptsAt reports that no request is in flight at the cordoned servers.
 func (idlePlane) OpenAttemptsAt(core.Cordon) (int, bool) { return 0, true }
 
 // OpenRequests reports that no request is in flight.
@@ -279,5 +279,5 @@
 // ClassCounts has no finished requests.
 func (idlePlane) ClassCounts() map[string]health.ClassCounts { return nil }
 
-// ResidentBytes is 0: a hollow node's memory is not its own.
+// ResidentBytes is 0, because hollow nodes share the memory of one process.
 func (idlePlane) ResidentBytes() uint64 { return 0 }
--- a/internal/rig/capacity/hollow/hollow_test.go
+++ b/internal/rig/capacity/hollow/hollow_test.go
@@ -30,7 +30,7 @@
 
 const backend = "s-00000007"
 
-// listing is the data plane of a voter that lists one backend.
+// listingPlane is the data plane of a voter, with a list of one backend.
 type listing struct{}
 
 func (listing) SetCordon(core.Cordon)                      {}
@@ -46,7 +46,7 @@
 		Server: decide.Server{ID: registry.ServerID(backend), Zone: "a", State: decide.Ready, Size: 1}}}}
 }
 
-// voters are three control machines in this process.
+// startVoters starts three control machines in this process.
 func voters(t *testing.T, folder string) (*Fleet, []*control.Control) {
 	t.Helper()
 	auth, err := standin.NewAuthority()
@@ -85,12 +85,12 @@
 	return f, list
 }
 
-// until waits until something holds.
+// until waits until a condition holds, for testkit.WaitLimit at most.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testkit.WaitLimit); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("in vain: ", what)
+			t.Fatal("timed out waiting until: ", what)
 		}
 	}
 }
@@ -99,18 +99,18 @@
 	t.Helper()
 	asked := 0
 	until(t, "a drain is granted", func() bool {
-		asked++ // a repeated question gets the answer of the first time, also if that was a refusal
+		asked++ // a repeated id gets the first result again, even if that was a refusal
 		r, err := n.Propose(t.Context(), &fleetpb.Entry{Ask: fmt.Sprint(asked),
 			What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: fleet.ServerTarget(backend), By: "eva"}}})
 		return err == nil && r.Code == fleetpb.Result_DONE
 	})
 }
 
-// Hollow nodes keep sessions, follow a drain, acknowledge it, come back after a restart with what their disks hold, and leave
-// nothing behind.
+// Hollow nodes must behave as real ones do towards the control machines: keep sessions, apply and acknowledge a drain, and
+// come back after a restart with the state on their disks. They must leave no goroutine behind.
 func TestHollowNodes(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // behind the voters' end
+	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // runs after the voters have ended
 	folder := t.TempDir()
 	f, control := voters(t, folder)
 	o := Options{Folder: folder}
@@ -130,7 +130,7 @@
 	drain(t, control[0])
 	what := ServerDrained(uint32(registry.ServerID(backend)))
 	until(t, "all follow", func() bool { return s.Known(what).Nodes == len(o.Names) })
-	until(t, "the leader has heard of it", func() bool {
+	until(t, "the leader has all acknowledgements", func() bool {
 		state, err := control[1].State(t.Context())
 		return err == nil && fleet.FromState(state).Proof(fleet.ServerTarget(backend)).Proven
 	})
@@ -144,7 +144,7 @@
 	}
 	until(t, "all have a session again", func() bool { return s.Counts().Live == len(o.Names) })
 	if again := s.Counts(); again.Traffic.BytesOut < c.Traffic.BytesOut || again.Traffic.Calls[3] < c.Traffic.Calls[3] {
-		t.Errorf("a restart takes away from what was carried: %+v, before %+v", again, c)
+		t.Errorf("a restart lowered the traffic counts: %+v, before %+v", again, c)
 	}
 	if now := s.Known(what).Times; len(now) != len(times) || !now[5].Equal(times[5]) {
 		t.Errorf("known at %v after a restart, %v before: the first time counts", now, times)
@@ -156,7 +156,8 @@
 	}
 }
 
-// A node that has stopped is missed: not live, and not among those that know.
+// A node that has stopped must lose its session and must not be counted among those that know of a later drain; otherwise
+// the rig's measurements would include dead nodes.
 func TestStoppedNodeIsMissed(t *testing.T) {
 	folder := t.TempDir()
 	f, control := voters(t, folder)
@@ -176,7 +177,7 @@
 	drain(t, control[0])
 	what := ServerDrained(uint32(registry.ServerID(backend)))
 	until(t, "the other one follows", func() bool { return s.Known(what).Nodes == 1 })
-	until(t, "its session has lapsed by the leader's word", func() bool {
+	until(t, "the leader reports its session as lapsed", func() bool {
 		state, err := control[0].State(t.Context())
 		return err == nil && state.Nodes["n2"].GetState() == fleet.Lapsed
 	})
@@ -185,7 +186,7 @@
 	}
 }
 
-// The notes of parts are kept, the oldest kinds are dropped beyond the bound.
+// The notes must stay bounded in a long run: beyond maxNotes kinds the oldest kind is dropped.
 func TestNotesAreBounded(t *testing.T) {
 	s := &Set{notes: map[string]map[string]time.Time{}}
 	for i := range mostNotes + 5 {
@@ -196,7 +197,7 @@
 	}
 }
 
-// A process answers line by line, says what it does not know, and ends with its input.
+// A process must answer each line with one line, reject unknown requests by name, and end with its input.
 func TestMainAnswers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "nodes.json")
 	raw, err := json.Marshal(Options{})
@@ -220,6 +221,6 @@
 		t.Errorf("a file that is missing: %v", err)
 	}
 	if err := Main(file, strings.NewReader("no json\n"), io.Discard); err == nil {
-		t.Error("a line that is no request is taken")
+		t.Error("a line that is not a request was accepted")
 	}
 }
--- a/internal/rig/capacity/hollow/machine.go
+++ b/internal/rig/capacity/hollow/machine.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// processor is the processor time that this process has used.
+// cpuTime returns the processor time, user and system, that this process has used.
 func processor() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -19,7 +19,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// resident is the memory of this process that is in RAM, in KiB.
+// residentKiB returns the resident memory of this process in KiB, 0 if it cannot be read.
 func resident() int {
 	raw, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(raw)) {
@@ -33,7 +33,7 @@
 
 const pauseStep = 10 * time.Millisecond
 
-// pauseMeter measures by how much a goroutine that wants to run each 10 ms is late.
+// pauseMeter measures by how much a goroutine that sleeps for pauseStep wakes up too late.
 type pauseMeter struct {
 	most atomic.Int64 // ns
 	done chan struct{}
@@ -57,7 +57,7 @@
 	}()
 }
 
-// longest gives the longest pause since it was asked last.
+// takeLongest returns the longest pause since its last call.
 func (p *pauseMeter) longest() time.Duration { return time.Duration(p.most.Swap(0)) }
 
 func (p *pauseMeter) stop() { close(p.done) }
--- a/internal/rig/capacity/hollow/process.go
+++ b/internal/rig/capacity/hollow/process.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// request is a line from the rig to a process of hollow nodes, and reply the line that answers it.
+// request is a JSON line from the rig to a process of hollow nodes, and reply is the line that answers it.
 type request struct {
 	Do    string   `json:"do"` // counts, known, restart
 	What  string   `json:"what,omitempty"`
@@ -29,12 +29,12 @@
 
 const (
 	replyLimit = 4 << 20 // bytes of a line
-	// gcPercent is that of the real program (cmd/starlingvalve).
+	// gcPercent is the value of the real program (cmd/starlingvalve).
 	gcPercent = 400
 )
 
-// Main is a process of hollow nodes: it starts those of the Options in a file, answers one line of in by one of out, and ends
-// with in.
+// Main runs a process of hollow nodes: it starts the nodes of the Options in a JSON file, answers each request line of in
+// with one line on out, and returns at the end of in.
 func Main(file string, in io.Reader, out io.Writer, parts ...Part) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -78,16 +78,16 @@
 	return lines.Err()
 }
 
-// Process is a process of hollow nodes, as its rig sees it. Its methods may be called by many goroutines.
+// Process is the rig's handle of a process of hollow nodes. Its methods are safe for concurrent use.
 type Process struct {
 	cmd   *exec.Cmd
 	in    io.WriteCloser
 	lines *bufio.Scanner
-	mu    sync.Mutex // one request at a time
+	mu    sync.Mutex // held from a request to its reply
 }
 
-// StartProcess starts the program exe, which is to call Main with its last argument: exe hollow FILE. The process ends with the
-// rig's.
+// StartProcess writes o to file and starts the program exe with the arguments "hollow" and file; exe has to call Main with
+// file. The kernel kills the process when the rig ends.
 func StartProcess(exe, file string, o Options) (*Process, error) {
 	raw, err := json.Marshal(o)
 	if err != nil {
@@ -114,7 +114,7 @@
 	return p, nil
 }
 
-// ErrEnded tells that the process is no more.
+// ErrEnded reports that the process has ended.
 var ErrEnded = errors.New("the process of hollow nodes has ended")
 
 func (p *Process) ask(q request) (a reply, err error) {
@@ -135,7 +135,7 @@
 	return a, nil
 }
 
-// Counts gives the counts of its nodes.
+// Counts returns the counts of the process's nodes.
 func (p *Process) Counts() (Counts, error) {
 	a, err := p.ask(request{Do: "counts"})
 	if err != nil || a.Counts == nil {
@@ -144,7 +144,7 @@
 	return *a.Counts, nil
 }
 
-// Known tells when something became known at its nodes.
+// Known returns when something became known at the process's nodes.
 func (p *Process) Known(what string) (Known, error) {
 	a, err := p.ask(request{Do: "known", What: what})
 	if err != nil || a.Known == nil {
@@ -153,18 +153,18 @@
 	return *a.Known, nil
 }
 
-// Restart ends those of its nodes at once and starts them again.
+// Restart ends the named nodes at once and starts them again, as Set.Restart does.
 func (p *Process) Restart(names []string) error {
 	_, err := p.ask(request{Do: "restart", Names: names})
 	return err
 }
 
-// Pid is its process id.
+// Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
 const endWait = 20 * time.Second
 
-// Stop ends it, in order if it does so within 20 s.
+// Stop closes the process's input, at which it shuts down in order, and kills it if it has not ended within stopTimeout.
 func (p *Process) Stop() {
 	p.in.Close()
 	kill := time.AfterFunc(endWait, func() { p.cmd.Process.Kill() })
