--- a/internal/rig/capacity/bursts.go
+++ b/internal/rig/capacity/bursts.go
@@ -15,7 +15,7 @@
 	"starlingvalve/internal/standin"
 )
 
-// bursts are the numbers of changes that are made within burstLength, the design's last.
+// bursts returns the numbers of changes that are made within burstLength; the last is the design's.
 func (r *run) bursts() []int {
 	if r.Quick {
 		return []int{10}
@@ -23,15 +23,15 @@
 	return []int{10, 30, burstSize}
 }
 
-// changes is what came of a burst of drains.
+// burstResult is the result of a burst of drains.
 type changes struct {
 	each, last standin.Times
-	refused    int // had no grant within burstWait
-	unknown    int // were granted, and not known at all nodes within it
+	refused    int // drains that were not granted within burstWait
+	unknown    int // drains that were granted, but not known at all nodes within burstWait
 	used       spent
 }
 
-// burst makes many changes within a short time, through all machines by turns.
+// burst drains count backends within burstLength, through all control machines in turn, and adds the figures.
 func (r *run) burst(ctx context.Context, s *Section, site *site, size, count int, next *int) error {
 	var c changes
 	first := 0
@@ -42,7 +42,7 @@
 		c, err = site.change(ctx, size, first, count)
 		return err
 	}, func() error {
-		for i := range count { // those that were not granted are refused here
+		for i := range count { // ending a drain that was not granted is refused, which is no error here
 			if err := site.giveBack(ctx, backendName(first+i), i%controlMachines); err != nil {
 				return err
 			}
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// change drains backends one after the other, evenly over burstLength, and waits until all hollow nodes know of each.
+// drainBurst drains backends one after the other, evenly over burstLength, and waits until all hollow nodes know each drain.
 func (s *site) change(ctx context.Context, nodes, first, count int) (c changes, err error) {
 	before, err := s.read(ctx)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return c, nil
 }
 
-// giveBack takes back a drain, if there is one.
+// endDrain ends a drain, if there is one.
 func (s *site) giveBack(ctx context.Context, backend string, through int) error {
 	e := returnEntry(fleet.ServerTarget(backend))
 	e.Ask = rand.Text()
--- a/internal/rig/capacity/calibrate.go
+++ b/internal/rig/capacity/calibrate.go
@@ -15,10 +15,10 @@
 
 const (
 	calibrateWindow = 30 * time.Second
-	mostDifference  = 0.15 // of hollow nodes from real ones, or it is stated
+	mostDifference  = 0.15 // relative difference between hollow and real nodes above which it is reported
 )
 
-// real is what some real nodes have come to.
+// realTotals are the totals of some real nodes since their start.
 type real struct {
 	processor time.Duration
 	resident  int // KiB
@@ -41,7 +41,7 @@
 	return all, nil
 }
 
-// sum adds what two nodes have carried.
+// sumTraffic returns the sum of two traffic counts.
 func sum(a, b link.Traffic) link.Traffic {
 	t := link.Traffic{DatagramsOut: a.DatagramsOut + b.DatagramsOut, DatagramsIn: a.DatagramsIn + b.DatagramsIn,
 		BytesOut: a.BytesOut + b.BytesOut, BytesIn: a.BytesIn + b.BytesIn,
@@ -54,15 +54,16 @@
 	return t
 }
 
-// addCounts adds up two processes' hollow nodes.
+// addCounts returns the totals of two processes of hollow nodes; the pause is the longer one.
 func addCounts(a, b hollow.Counts) hollow.Counts {
 	return hollow.Counts{Nodes: a.Nodes + b.Nodes, Live: a.Live + b.Live, Traffic: sum(a.Traffic, b.Traffic),
 		Processor: a.Processor + b.Processor,
 		Resident:  a.Resident + b.Resident, Pause: max(a.Pause, b.Pause)}
 }
 
-// calibrate sets hollow nodes beside real ones in one fleet at the same time. What the control part takes of a real node is what it
-// takes more than a real node without the fleet does; what the process of hollow nodes takes without any is subtracted too.
+// calibrate compares hollow nodes with real ones that run in the same fleet at the same time. The cost of a real node's
+// control part is the cost of a real node minus that of a real node outside the fleet. The cost of the hollow nodes is that of
+// their process minus that of an empty one.
 func (r *run) calibrate(ctx context.Context, s *Section) error {
 	for _, size := range []int{10, 40} {
 		if err := r.calibrateAt(ctx, s, size); err != nil {
@@ -73,7 +74,7 @@
 }
 
 func (r *run) calibrateAt(ctx context.Context, s *Section, size int) error {
-	const realNode = 40 << 10 // KiB, by which the run's need is estimated before it begins
+	const realNode = 40 << 10 // KiB of memory of one real node, an estimate for the check of the run's bounds
 	if err := r.fits(controlMachines+2+2*size, 2*size*realNode); err != nil {
 		return err
 	}
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// beside is all that is compared, at a moment.
+// comparison holds the totals of all processes that are compared, at one time.
 type beside struct {
 	at            time.Time
 	hollow, empty hollow.Counts
@@ -137,7 +138,7 @@
 	return b, errors.Join(errs[:]...)
 }
 
-// compare notes how hollow nodes differ from real ones.
+// reportDifferences adds the figures of real and hollow nodes and their ratios, and prints ratios that differ too much.
 func (r *run) compare(s *Section, size int, a, b beside) {
 	seconds, nodes := b.at.Sub(a.at).Seconds(), float64(size)
 	per := func(n float64) float64 { return n / seconds / nodes }
@@ -178,7 +179,7 @@
 		"MiB of a real node without the fleet")
 }
 
-// addReal starts real nodes, with the fleet and without.
+// addReal starts n real nodes in the fleet and n outside it, and waits until all are ready.
 func (s *site) addReal(ctx context.Context, n int) (with, without []*machine, err error) {
 	folder, err := os.MkdirTemp(s.folder, "r")
 	if err != nil {
@@ -205,7 +206,7 @@
 	return s.others[:n], s.others[n:], nil
 }
 
-// allSessions waits until all of some real nodes have a session.
+// allSessions waits until all the given real nodes have a session.
 func allSessions(ctx context.Context, list []*machine) error {
 	ctx, cancel := context.WithTimeout(ctx, liveWait)
 	defer cancel()
--- a/internal/rig/capacity/capacity.go
+++ b/internal/rig/capacity/capacity.go
@@ -1,6 +1,7 @@
-// Package capacity is the rig behind docs/CAPACITY.md: what each role of the program takes as the fleet, the list of backends, the
-// services and the tenants grow towards the design size, measured at four sizes or more each, with real control machines and
-// hollow nodes (package hollow). Results go into a JSON file, from which the page's tables are made.
+// Package capacity is the rig behind docs/CAPACITY.md. It measures what each role of the program costs (processor time,
+// memory, traffic, time) as the numbers of nodes, backends, services and tenants grow towards the design size, at four sizes
+// or more each, with real control machines and hollow nodes (package hollow). Results go into a JSON file, from which the
+// page's tables are made.
 package capacity
 
 import (
@@ -14,28 +15,28 @@
 	"time"
 )
 
-// Design is the size that is planned for.
+// Design is the size that the program is planned for. Requests are those of the whole fleet in a second.
 var Design = struct {
 	Nodes, Backends, Services, Routes, Tenants, Requests, ChangesADay float64
 }{Nodes: 730, Backends: 8600, Services: 340, Routes: 2600, Tenants: 18_000, Requests: 65_000, ChangesADay: 4000}
 
-// Budgets of the control part of one node, and of what is added to a request.
+// Budgets of the control part of one node, and of the latency that a node adds to a request.
 const (
-	BudgetProcessor = 0.041 // of a core
-	BudgetMemory    = 32.0  // MiB
-	BudgetBytes     = 7000.0
-	BudgetInForce   = 3.0 // s from a change's commit until the last node has it
-	BudgetAdded     = 6.6 // ms, 99 in 100
+	BudgetProcessor = 0.041  // of a core
+	BudgetMemory    = 32.0   // MiB
+	BudgetBytes     = 7000.0 // bytes a second
+	BudgetInForce   = 3.0    // seconds from the commit of a change until the last node has it
+	BudgetAdded     = 6.6    // ms at the 99th percentile
 )
 
-// Options are a run's.
+// Options are the options of a run.
 type Options struct {
 	Seed    uint64
-	Quick   bool   // the small form, for CI: 40 hollow nodes
-	Only    string // names of sections, by commas; empty: all, or those of the quick form
-	Program string // the program; it is built where none is named
-	Self    string // a program that calls hollow.Main for its arguments "hollow FILE"
-	Results string // a file that takes the results of the sections that were run; empty: none
+	Quick   bool   // the short form for CI, with 40 hollow nodes
+	Only    string // names of sections, separated by commas; empty: all, or those of the quick form
+	Program string // path of the node program; empty: it is built
+	Self    string // path of a program that calls hollow.Main when its arguments are "hollow FILE"
+	Results string // file to which the results of the sections are written; empty: none
 	Out     io.Writer
 }
 
@@ -48,7 +49,7 @@
 	guard         *guard
 }
 
-// section is a part of the rig.
+// section is one part of the rig's measurements.
 type section struct {
 	name  string
 	quick bool // part of the quick form
@@ -65,7 +66,7 @@
 	{"configuration", true, (*run).configuration},
 }
 
-// Sections gives the names of the rig's parts.
+// Sections returns the names of all sections, in the order in which they run.
 func Sections() (names []string) {
 	for _, s := range sections {
 		names = append(names, s.name)
@@ -73,7 +74,7 @@
 	return names
 }
 
-// Run plays the sections and gives how many promises were broken.
+// Run runs the selected sections and returns how many promises were broken. A section that fails counts as one.
 func Run(ctx context.Context, o Options) (broken int, err error) {
 	r := &run{Options: o, program: o.Program, self: o.Self}
 	if r.bounds, err = machineBounds(); err != nil {
@@ -106,7 +107,7 @@
 			return broken, context.Cause(ctx)
 		}
 		if err != nil {
-			s.lack(o.Out, "", err) // what it has measured until then counts
+			s.lack(o.Out, "", err) // the figures that it has measured so far are kept
 			broken++
 		}
 		s.Took, s.Load = time.Since(began), s.Load+" to "+loadNote()
@@ -123,7 +124,7 @@
 	return broken, ctx.Err()
 }
 
-// chosen gives the sections that are to be run.
+// selectedSections returns the sections that the options select, or an error for an unknown name.
 func chosen(o Options) (list []section, err error) {
 	var names []string
 	if o.Only != "" {
@@ -143,7 +144,7 @@
 	return list, nil
 }
 
-// keep puts a section's run into the file of results.
+// saveResults writes a section's run to the results file, in place of an earlier run of that section.
 func (r *run) keep(s *Section) error {
 	if r.Results == "" {
 		return nil
--- a/internal/rig/capacity/configuration.go
+++ b/internal/rig/capacity/configuration.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	inForcePoll    = 25 * time.Millisecond // between two looks at the status: in-force times are too long by up to so much
+	inForcePoll    = 25 * time.Millisecond // between two queries of the status; measured in-force times are too long by up to this
 	inForceWait    = time.Minute
-	startWait      = 5 * time.Minute // until nodes that start without a cache have all: snapshots are paced
+	startWait      = 5 * time.Minute // until nodes that start without a cache have the whole configuration: snapshots are sent at a limited rate
 	changesAlone   = 20
 	changesInBurst = 100
-	burstServices  = 10      // whose time limits are changed in a burst
-	timeoutMost    = 600_000 // ms, a service's time limit
-	tenantService  = 0.05    // share of a tenant at a service
+	burstServices  = 10      // services whose timeouts are changed in a burst
+	timeoutMost    = 600_000 // ms, upper limit of a service's timeout
+	tenantService  = 0.05    // share of a service that a tenant may use
 )
 
-// configurationThresholds are those of the section configuration.
+// configurationThresholds returns the thresholds of the section configuration.
 func configurationThresholds(size int) []threshold {
 	name := func(rest string) string { return fmt.Sprintf("%d.%s", size, rest) }
 	return []threshold{
@@ -33,11 +33,11 @@
 	}
 }
 
-// hollowPart is the part of the design's entries that 730 hollow nodes hold: with a quarter of them they took together
-// more than half of the machine's memory, which is the rig's bound.
+// hollowShare is the share of the design's entries that the 730 hollow nodes hold. With a quarter of the entries they
+// needed more than half of the machine's memory, which is the rig's bound.
 const hollowPart = 0.1
 
-// configurationSize gives how many hollow nodes there are, and the part of the design's entries.
+// configurationSize returns the number of hollow nodes and the share of the design's entries that they hold.
 func (r *run) configurationSize() (nodes int, part float64, alone, burst int) {
 	if r.Quick {
 		return 40, 0.05, 5, 10
@@ -45,8 +45,8 @@
 	return int(Design.Nodes), hollowPart, changesAlone, changesInBurst
 }
 
-// configuration measures how long a change of the fleet's configuration takes to be in force: acknowledged by every node
-// that has a session. The store holds a part of the design's services, routes and tenants.
+// configuration measures how long a change of the fleet's configuration takes to be in force, which means acknowledged by
+// every node that has a session. The store holds a share of the design's services, routes and tenants.
 func (r *run) configuration(ctx context.Context, s *Section) error {
 	size, part, alone, burst := r.configurationSize()
 	state(r.Out, configurationThresholds(size))
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// designEntries gives a part of the design's services, routes and tenants. What an entry holds is an assumption: a route
-// has some forty bytes of host and path, a tenant limits at two services.
+// designEntries returns changes that create a share of the design's services, routes and tenants. The content of an entry
+// is an assumption: a route has some forty bytes of host and path, and a tenant has limits at two services.
 func designEntries(part float64) (changes []*configpb.Change) {
 	add := func(e *configpb.Entry) {
 		changes = append(changes, &configpb.Change{What: &configpb.Change_Put{Put: e}})
@@ -118,7 +118,7 @@
 	return changes
 }
 
-// fill commits many changes, in as few transactions as are allowed.
+// fill commits changes in as few transactions as their maximum size allows.
 func (s *site) fill(ctx context.Context, changes []*configpb.Change) error {
 	for from := 0; from < len(changes); from += configuration.MaxChanges {
 		to := min(len(changes), from+configuration.MaxChanges)
@@ -134,21 +134,21 @@
 	return &fleetpb.Entry{What: &fleetpb.Entry_Configure{Configure: tx}}
 }
 
-// timeoutChange changes one service's time limit.
+// timeoutChange returns an entry that changes the timeout of one service.
 func timeoutChange(service int, timeoutMs uint32) *fleetpb.Entry {
 	value := &configpb.Service{Name: fmt.Sprintf("service-%d", service), TimeoutMs: timeoutMs}
 	e := &configpb.Entry{Value: &configpb.Entry_Service{Service: value}}
 	return configureEntry(&configpb.Change{What: &configpb.Change_Put{Put: e}})
 }
 
-// configurationStatus asks the leader, through any machine, what is in force.
+// configurationStatus queries the leader, through the first machine, for the revision in force.
 func (s *site) configurationStatus(ctx context.Context) (*configpb.Status, error) {
 	q := &configpb.Query{About: &configpb.Query_Status{Status: true}}
 	answer, err := s.voters[0].door.Query(ctx, q)
 	return answer.GetStatus(), err
 }
 
-// inForce waits until the newest revision is in force, at so many nodes at least.
+// awaitInForce waits until the newest revision is in force at no fewer than the given number of nodes.
 func (s *site) inForce(ctx context.Context, nodes int, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
@@ -169,7 +169,7 @@
 	}
 }
 
-// configurationAtRest measures what is spent while nothing changes.
+// configurationAtRest measures traffic and processor time while nothing changes.
 func (r *run) configurationAtRest(ctx context.Context, s *Section, site *site, size int) error {
 	window := 15 * time.Second
 	if r.Quick {
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// changesAlone measures changes that come one after the other, each once the one before is in force.
+// changesAlone measures single changes, each made once the one before is in force.
 func (r *run) changesAlone(ctx context.Context, s *Section, site *site, size, count int) error {
 	var took standin.Times
 	for i := range count {
@@ -221,7 +221,8 @@
 	return nil
 }
 
-// inForceFigures notes times until changes were in force; none were measured where the machine was late each time.
+// inForceFigures adds figures of the times until changes were in force. Without any time the figures are missing because
+// every run was void.
 func (r *run) inForceFigures(s *Section, name string, took standin.Times) {
 	if took.Count() == 0 {
 		s.lack(r.Out, name, errVoid)
@@ -237,7 +238,7 @@
 	}
 }
 
-// changeBurst measures changes that come evenly within burstLength, whether the ones before are in force or not.
+// changeBurst measures changes that are made evenly over burstLength, without waiting for earlier ones to be in force.
 func (r *run) changeBurst(ctx context.Context, s *Section, site *site, size, count int) error {
 	var took standin.Times
 	name := fmt.Sprintf("%d.burst", size)
@@ -257,7 +258,7 @@
 	return nil
 }
 
-// burst makes changes and gives how long each took to be in force.
+// burst makes count changes over burstLength and returns how long each took to be in force.
 func (s *site) burst(ctx context.Context, count int) (took standin.Times, err error) {
 	ctx, cancel := context.WithTimeout(ctx, burstLength+inForceWait)
 	defer cancel()
@@ -265,7 +266,7 @@
 	if err != nil {
 		return took, err
 	}
-	began := make([]time.Time, count) // of the change that makes the revision first + 1 + i
+	began := make([]time.Time, count) // start of the change that makes the revision first + 1 + i
 	asked := make(chan error, 1)
 	start := time.Now()
 	go func() { asked <- s.askBurst(ctx, start, count) }()
@@ -285,7 +286,7 @@
 	return took, <-asked
 }
 
-// askBurst requests changes one after the other, each no sooner than its time.
+// requestBurst makes changes one after the other, each no sooner than its scheduled time.
 func (s *site) askBurst(ctx context.Context, start time.Time, count int) error {
 	for i := range count {
 		if err := sleep(ctx, time.Until(start.Add(time.Duration(i)*burstLength/time.Duration(count)))); err != nil {
--- a/internal/rig/capacity/drains.go
+++ b/internal/rig/capacity/drains.go
@@ -15,15 +15,15 @@
 	"starlingvalve/internal/standin"
 )
 
-// drained is how one drain went.
+// drainResult holds the times of one drain.
 type drained struct {
-	granted time.Duration // from the request to the grant's answer
+	granted time.Duration // from the request until the answer that grants it
 	last    time.Duration // from the request until the last hollow node has stopped
-	proven  time.Duration // from the grant's entry to the proof's, by the leader's stamps
+	proven  time.Duration // from the grant's log entry to the proof's, by the leader's timestamps
 	each    standin.Times // from the request until each node has stopped
 }
 
-// entry hands in an entry under a number of its own.
+// propose proposes an entry under a new random id, and returns an error unless it was applied.
 func ask(ctx context.Context, d *control.APIClient, e *fleetpb.Entry) error {
 	e.Ask = rand.Text()
 	res, err := d.Propose(ctx, e)
@@ -44,7 +44,7 @@
 	return &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target, By: "capacity"}}}
 }
 
-// drain drains a backend that was not drained before, through a machine, and waits until all hollow nodes have it.
+// drain drains a backend that is not drained yet, through the given machine, and waits until all hollow nodes know it.
 func (s *site) drain(ctx context.Context, through *machine, backend string, nodes int) (d drained, err error) {
 	began := time.Now()
 	if err := ask(ctx, through.door, drainEntry(fleet.ServerTarget(backend))); err != nil {
@@ -62,7 +62,7 @@
 	return d, nil
 }
 
-// known waits until something is known at all hollow nodes and gives when it was, of each.
+// awaitKnown waits until something is known at the given number of hollow nodes, and returns the time of each.
 func (s *site) known(ctx context.Context, what string, nodes int) ([]time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, knownWait)
 	defer cancel()
@@ -84,8 +84,9 @@
 	}
 }
 
-// proof waits until a drain is proven and gives the time between its grant and its proof, by the leader's own stamps. It looks
-// seldom: each look has the leader write out the whole state.
+// awaitProof waits until a drain is proven, which means all nodes have stopped sending to the backend, and returns the time
+// between its grant and its proof by the leader's own timestamps. It polls seldom, because for each poll the leader encodes
+// its whole state.
 func (s *site) proof(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, knownWait)
 	defer cancel()
@@ -104,7 +105,7 @@
 	}
 }
 
-// drains measures single drains: until the last node has stopped, and until that is proven.
+// drains measures single drains: the times until they are granted, until the last node has stopped, and until that is proven.
 func (r *run) drains(ctx context.Context, s *Section, site *site, size, count int, next *int, p *points) error {
 	var granted, each, last, proven, looked standin.Times
 	for range count {
@@ -156,7 +157,7 @@
 	if r.Quick {
 		return nil
 	}
-	// The same as the agreement rig has it: the whole state is asked for each 5 ms until the proof is in it.
+	// The method of the agreement rig: the whole state is requested every 5 ms until it holds the proof.
 	for range count / 2 {
 		backend := backendName(*next)
 		*next++
@@ -178,7 +179,8 @@
 
 const lookEvery = 5 * time.Millisecond
 
-// proofByLooking drains a backend and asks for the whole state all the time until it holds the proof.
+// proofByPolling drains a backend, requests the whole state every statePollInterval until it holds the proof, and returns
+// the time that this took.
 func (s *site) proofByLooking(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	target, began := fleet.ServerTarget(backend), time.Now()
 	if err := ask(ctx, through.door, drainEntry(target)); err != nil {
--- a/internal/rig/capacity/entries.go
+++ b/internal/rig/capacity/entries.go
@@ -11,7 +11,7 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// agreed is a fleet's state machine as every control machine holds it.
+// fleetState is a fleet's replicated state machine as every control machine holds it.
 type agreed struct{ machine *fleet.Machine }
 
 func (a agreed) take(e *fleetpb.Entry) error {
@@ -26,7 +26,7 @@
 	return nil
 }
 
-// newAgreed makes one of so many nodes and of drains that no node has acknowledged yet.
+// newFleetState returns a state with the given numbers of nodes and of drains that no node has acknowledged yet.
 func newAgreed(nodes, drains int) (a agreed, err error) {
 	a.machine = fleet.New()
 	listed := &fleetpb.Listed{}
@@ -57,7 +57,7 @@
 
 const entryTries = 50
 
-// entry gives the processor time that one node's acknowledgement takes at each control machine.
+// ackTime returns the processor time that one node's acknowledgement costs each control machine, the median of entryTries.
 func (a agreed) entry() (took time.Duration, err error) {
 	target := fleet.ServerTarget(backendName(0))
 	e := &fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: []*fleetpb.Ack{{Node: "n1",
@@ -73,7 +73,8 @@
 	return took, err
 }
 
-// entries measures what one entry of the log costs each control machine, by nodes and by drains that are not proven yet.
+// entries measures the processor time that one log entry costs each control machine, by the numbers of nodes and of drains
+// that are not proven yet.
 func (r *run) entries(_ context.Context, s *Section) error {
 	const nodes = 730
 	var byDrains, byNodes points
--- a/internal/rig/capacity/estimates.go
+++ b/internal/rig/capacity/estimates.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// estimate is one of the numbers that were planned with before anything was run.
+// estimate is one of the numbers that the plan used before anything was measured.
 type estimate struct {
 	text   string
-	figure string  // that tells
+	figure string  // name of the measured figure
 	want   float64 // in the figure's unit
 }
 
-// estimateSlack is by which part a run may differ from an estimate that it confirms.
+// estimateTolerance is the relative difference from an estimate up to which a measured value confirms it.
 const estimateSlack = 0.25
 
 const mebi = 1 << 20
@@ -61,7 +61,7 @@
 	return g.String(), nil
 }
 
-const mostShareIdle = 0.15 // of the leader's bytes, that a follower which idles may have
+const mostShareIdle = 0.15 // share of the leader's bytes up to which a follower counts as idle
 
 func boolean(b bool) float64 {
 	if b {
@@ -70,7 +70,7 @@
 	return 0
 }
 
-// effect is something that only the operators can tell, and what hangs on it.
+// assumption is something that only the operators know, with the figures that depend on it.
 type effect struct {
 	text    string
 	figures []string
--- a/internal/rig/capacity/faults.go
+++ b/internal/rig/capacity/faults.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	faultDrains = 2 * (1 + mostRepeats) // backends that are drained while something fails, at most
-	stoppedFor  = 30 * time.Second      // of a control machine
+	faultDrains = 2 * (1 + mostRepeats) // maximum number of backends that are drained during faults
+	stoppedFor  = 30 * time.Second      // for which a control machine is stopped
 )
 
-// faults has parts of the fleet fail while all hollow nodes have a session, and measures what follows.
+// faults makes parts of the fleet fail while all hollow nodes have a session, and measures drains and recovery.
 func (r *run) faults(ctx context.Context, s *Section, site *site, size int, next *int) error {
 	name := fmt.Sprintf("%d.fault.", size)
 	if err := r.leaderKilled(ctx, s, site, name, size, next); err != nil {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// drainUnder drains a backend while something fails and gives the time from the failure until the last node has it.
+// drainDuringFault drains a backend during a fault and returns the time from the failure until the last node knows the drain.
 func (s *site) drainUnder(ctx context.Context, size int, next *int, through *machine,
 	failed time.Time) (time.Duration, error) {
 	backend := backendName(*next)
@@ -53,7 +53,7 @@
 
 const drainUnderUnit = "ms from the failure until a drain asked for at once is known at the last node"
 
-// leaderKilled kills the machine that leads, and starts it again.
+// leaderKilled kills the leader's process and starts it again.
 func (r *run) leaderKilled(ctx context.Context, s *Section, site *site, name string, size int, next *int) error {
 	var at int
 	var last, back time.Duration
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// follows waits until a machine has applied what the leader had at first.
+// awaitCaughtUp waits until a machine has applied all entries that the leader had applied when the wait began.
 func (s *site) follows(ctx context.Context, m *machine) error {
 	at, err := s.leader(ctx)
 	if err != nil {
@@ -112,7 +112,7 @@
 	}
 }
 
-// followerStopped stops a machine that does not lead, as it is, for a while.
+// followerStopped stops a follower's process with SIGSTOP for a while and lets it continue.
 func (r *run) followerStopped(ctx context.Context, s *Section, site *site, name string, size int, next *int) error {
 	length := stoppedFor
 	if r.Quick {
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// restarted ends hollow nodes at once and starts them again.
+// restartNodes ends the hollow nodes of the zones for which hits is true at once, and starts them again.
 func (r *run) restarted(ctx context.Context, s *Section, site *site, name string, hits func(zone string) bool) error {
 	before, err := site.read(ctx)
 	if err != nil {
--- a/internal/rig/capacity/guard.go
+++ b/internal/rig/capacity/guard.go
@@ -13,34 +13,34 @@
 	"time"
 )
 
-// Bounds of what a run may take of the machine.
+// Bounds on what a run may use of the machine, and on the machine's delays.
 const (
 	mostProcesses  = 300
 	memoryShare    = 0.5 // of the machine's memory
 	guardEvery     = 250 * time.Millisecond
 	lateStep       = 10 * time.Millisecond
-	mostLate       = 250 * time.Millisecond  // a run in which times are measured and the machine was late by more is void
-	mostLateCounts = 1500 * time.Millisecond // where messages are counted: a call that waits longer is made again
-	mostRepeats    = 8                       // of a run that was void
+	mostLate       = 250 * time.Millisecond  // a run that measures times is void if the machine was delayed by more
+	mostLateCounts = 1500 * time.Millisecond // the same for a run that counts messages: a call that waits longer than this is repeated
+	mostRepeats    = 8                       // repeats of a void run
 	diskEvery      = 50 * time.Millisecond
-	calmTime       = time.Second // in which the machine was not late, before times are measured
+	calmTime       = time.Second // without delays of the machine before times are measured
 	calmWait       = 5 * time.Second
 	memoryInfoFile = "/proc/meminfo"
 )
 
-// ErrBounds tells that a run would take more of the machine than it may.
+// ErrBounds reports that a run uses, or would use, more of the machine than the rig's bounds permit.
 var ErrBounds = errors.New("stopped at the rig's own bounds")
 
-// usage is what the rig and all processes below it take.
+// usage is what the rig and all its descendant processes use.
 type usage struct {
 	processes int
 	memory    int // KiB, resident
 }
 
-// bounds are the most that they may take.
+// bounds are the maximum usage.
 type bounds usage
 
-// machineBounds are those of this machine.
+// machineBounds returns the bounds for this machine.
 func machineBounds() (bounds, error) {
 	raw, err := os.ReadFile(memoryInfoFile)
 	if err != nil {
@@ -55,7 +55,7 @@
 	return bounds{}, errors.New(memoryInfoFile + ": no MemTotal")
 }
 
-// check gives an error that says what is beyond the bounds.
+// check returns an error that names what exceeds the bounds, or nil.
 func (b bounds) check(u usage) error {
 	switch {
 	case u.processes > b.processes:
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// usageBelow adds up a process and all that it has started, directly or not.
+// usageBelow returns the usage of a process and all its descendants.
 func usageBelow(root int) (u usage) {
 	parents := map[int]int{}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
@@ -94,17 +94,17 @@
 	return u
 }
 
-// guard stops a run that goes beyond the bounds, and measures how late the machine is: its cores, by a goroutine that wants to run
-// each 10 ms, and its disk, by a small file that is written through to it.
+// guard stops a run that exceeds the bounds, and measures delays of the machine: of its cores, by a goroutine that sleeps
+// for delayStep and checks when it wakes up, and of its disk, by a small file that is written and synced.
 type guard struct {
-	cores atomic.Int64 // ns; by how much they were late at most since it was asked last
-	disks atomic.Int64 // the same
-	void  atomic.Int64 // runs that were void
+	cores atomic.Int64 // ns; longest delay of the cores since takeMaxDelay was called last
+	disks atomic.Int64 // the same for the disk
+	void  atomic.Int64 // number of void runs
 	out   io.Writer
 	most  struct{ processes, memory atomic.Int64 }
 }
 
-// raise notes by how much something was late.
+// raiseMax raises a maximum to a delay, if the delay is longer.
 func raise(most *atomic.Int64, late time.Duration) {
 	for {
 		have := most.Load()
@@ -114,7 +114,7 @@
 	}
 }
 
-// disk measures how long a small write takes to get to the disk of a folder.
+// measureDisk keeps measuring, until ctx ends, how long a small synced write takes on the disk of a folder.
 func (g *guard) disk(ctx context.Context, folder string) error {
 	f, err := os.CreateTemp(folder, "late")
 	if err != nil {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// watch guards a run until ctx ends. The context that it gives ends with ErrBounds as its cause when the run is stopped.
+// watch guards a run until ctx ends. The returned context is cancelled, with ErrBounds as the cause, if the run exceeds b.
 func watch(ctx context.Context, b bounds, out io.Writer) (context.Context, *guard) {
 	ctx, stop := context.WithCancelCause(ctx)
 	g := &guard{out: out}
@@ -171,7 +171,7 @@
 	return ctx, g
 }
 
-// latest gives the longest time by which what matters to a run was late since it was asked last.
+// takeMaxDelay returns the longest delay, since its last call, of the parts of the machine that a run depends on.
 func (g *guard) latest(m matters) time.Duration {
 	cores, disks := time.Duration(g.cores.Swap(0)), time.Duration(g.disks.Swap(0))
 	if m == timesOfLog {
@@ -180,16 +180,16 @@
 	return cores
 }
 
-// matters is what of the machine a run's figures hang on.
+// timingNeed tells which parts of the machine a run's figures depend on.
 type matters int
 
 const (
-	counts     matters = iota // of messages and processor time: cores, by so much that calls are made again
-	times                     // cores
-	timesOfLog                // cores and disk: what is written to the log
+	counts     matters = iota // counts of messages and processor time: only delays of the cores so long that calls are repeated
+	times                     // times without writes to the log: delays of the cores
+	timesOfLog                // times with writes to the log: delays of cores and disk
 )
 
-// most is by how much the machine may be late.
+// maxDelay returns the delay of the machine above which a run is void.
 func (m matters) most() time.Duration {
 	if m == counts {
 		return mostLateCounts
@@ -197,13 +197,13 @@
 	return mostLate
 }
 
-// errLeaderMoved tells that another machine led at a run's end than at its beginning. Where the machine was late, that is no finding.
+// errLeaderMoved reports that the leader changed during a run. It is not a finding if the machine was delayed then.
 var errLeaderMoved = errors.New("another machine leads than before")
 
-// errVoid tells that the machine was late each time that a run was tried.
+// errVoid reports that the machine was delayed in each try of a run.
 var errVoid = errors.New("void: the machine was late")
 
-// calm waits until the machine has not been late for a while, or for calmWait at most.
+// awaitSteady waits until the machine has had no long delay for steadyTime, or for steadyWait at most.
 func (g *guard) calm(ctx context.Context, m matters) error {
 	for end := time.Now().Add(calmWait); time.Now().Before(end); {
 		g.latest(m)
@@ -217,8 +217,9 @@
 	return nil
 }
 
-// punctual makes a run again, up to so many times, where the machine was late by more than mostLate in it. What is to be
-// cleared up after each try is no part of it.
+// runUndelayed runs run, and repeats it up to the given number of times if the machine was delayed in it by more than m
+// permits. It calls clear after each try; delays in clear don't count. It returns the longest delay in the last try, and
+// errVoid if every try was void.
 func (g *guard) punctual(ctx context.Context, name string, m matters, repeats int, run,
 	clear func() error) (longest time.Duration, err error) {
 	for range 1 + repeats {
@@ -243,5 +244,5 @@
 	return longest, fmt.Errorf("%s: %w by %v, %d times", name, errVoid, longest.Round(time.Millisecond), 1+repeats)
 }
 
-// nothing is what is to be cleared up where there is nothing.
+// noCleanup is the clear function of runs that need none.
 func nothing() error { return nil }
--- a/internal/rig/capacity/latency.go
+++ b/internal/rig/capacity/latency.go
@@ -18,32 +18,33 @@
 
 const (
 	latencyRounds     = 20
-	mostLatencyRounds = 60                   // with those that were void
-	latencyWindow     = 2 * time.Second      // of each target in a round
-	calmLate          = 5 * time.Millisecond // less than the budget of what is added
-	leastCalm         = 890                  // requests, ten seconds' at the design's rate
+	mostLatencyRounds = 60                   // including void rounds
+	latencyWindow     = 2 * time.Second      // for each target in a round
+	calmLate          = 5 * time.Millisecond // maximum delay of the machine in a steady round; it is below the budget of added latency
+	leastCalm         = 890                  // requests of ten seconds at the design's rate
 	latencyWarm       = 5 * time.Second
 	answerBytes       = 2048
 	littleTenants     = 10
 )
 
-// asked is somewhere that requests are sent to.
+// latencyTarget is an address that requests are sent to, with the results of these requests.
 type asked struct {
 	name    string
 	addr    string
 	tenants int
-	node    *process // nil: a backend itself
+	node    *process // nil: the target is a backend itself
 	times   standin.Times
 	used    time.Duration // processor time of the node
 	lasted  time.Duration
-	calm    standin.Times // those of rounds in which the machine was punctual enough for the longest of a hundred to tell
+	calm    standin.Times // times of steady rounds only; the 99th percentile is taken from them
 	served  int
 	failed  int
-	faults  map[string]int // why, and how often
+	faults  map[string]int // number of failed requests by reason
 }
 
-// latency measures what a real node adds to a request: one that holds the design's backends and tenants, beside one with few,
-// and beside a backend itself. They are asked by turns, in one run, at the design's rate for a node.
+// latency measures the latency that a real node adds to a request. It compares a node with the design's backends and
+// tenants, a node with few, and a backend itself. Requests go to the three in turn, in one run, at the design's rate for a
+// node.
 func (r *run) latency(ctx context.Context, s *Section) error {
 	if err := r.fits(2, 0); err != nil {
 		return err
@@ -134,7 +135,8 @@
 	return nil
 }
 
-// added notes a quantile of what a backend itself takes, and a node with little state and with the design's before it.
+// addLatencyFigures adds one quantile of the latencies of a backend, and of nodes with little state and with the design's
+// state before it.
 func (s *Section) added(out io.Writer, quantile string, direct, little, design time.Duration) {
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
 	for _, f := range []struct {
@@ -154,7 +156,7 @@
 	}
 }
 
-// latencyRound asks each of the targets for a while, one after the other, and gives what each did.
+// latencyRound sends requests to each of the targets for latencyWindow, one target after the other, and returns the results.
 func (r *run) latencyRound(ctx context.Context, targets []*asked, rate float64, round int) (got []asked, err error) {
 	for _, t := range targets {
 		one, before := asked{name: t.name, addr: t.addr, tenants: t.tenants, node: t.node}, time.Duration(0)
@@ -173,7 +175,7 @@
 	return got, nil
 }
 
-// take adds what a round gave.
+// addRound adds the results of a round.
 func (t *asked) take(one asked) {
 	t.times.Merge(one.times)
 	t.used, t.lasted = t.used+one.used, t.lasted+one.lasted
@@ -186,7 +188,7 @@
 	}
 }
 
-// openBackends starts servers and a registry that lists them.
+// openBackends starts n servers and a registry that lists them.
 func openBackends(n int, work map[string]standin.Work) (servers []*standin.Server, registry *standin.Registry,
 	err error) {
 	var entries []standin.Entry
@@ -223,7 +225,8 @@
 
 var errNotServed = errors.New("not served")
 
-// load sends requests at a rate, whatever becomes of them, each of a tenant drawn by chance, and gives how long they took.
+// load sends requests with random gaps at a mean rate (a second) for a time, each of a random tenant, without waiting for
+// answers (open loop), and returns the latencies of the served ones.
 func (t *asked) load(ctx context.Context, rate float64, length time.Duration, seed uint64) (times standin.Times,
 	err error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
@@ -258,20 +261,20 @@
 	return times, nil
 }
 
-// fault counts a request that was not served.
+// countFailure counts a request that was not served, by reason.
 func (t *asked) fault(err error) {
 	if t.faults == nil {
 		t.faults = map[string]int{}
 	}
 	t.failed++
 	why := err
-	if inner := (*url.Error)(nil); errors.As(err, &inner) { // without the request's address, which differs in each
+	if inner := (*url.Error)(nil); errors.As(err, &inner) { // without the URL, which differs in each request
 		why = inner.Err
 	}
 	t.faults[why.Error()]++
 }
 
-// one sends one request and reads its answer.
+// request sends one request and reads its answer.
 func (t *asked) one(ctx context.Context, client *http.Client, id, tenant string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.addr+"/"+requestClass.Name+"?obj="+id, nil)
 	if err != nil {
--- a/internal/rig/capacity/reading.go
+++ b/internal/rig/capacity/reading.go
@@ -9,14 +9,14 @@
 	"starlingvalve/internal/rig/capacity/hollow"
 )
 
-// reading is what all parts have come to at a moment.
+// reading holds the totals of all parts of the fleet at one time.
 type reading struct {
 	at        time.Time
 	hollow    hollow.Counts
 	leader    int
-	processor []time.Duration // of the control machines
+	processor []time.Duration // processor time of the control machines
 	traffic   []link.Traffic
-	applied   uint64 // entries of the log at the leader
+	applied   uint64 // log entries that the leader has applied
 	term      uint64
 }
 
@@ -41,15 +41,15 @@
 	return now, nil
 }
 
-// spent is the difference of two readings, by second.
+// usageRates is the difference of two readings, per second.
 type spent struct {
-	pause                               time.Duration // of the hollow nodes' processes, the longest
+	pause                               time.Duration // longest pause of the hollow nodes' processes
 	seconds                             float64
-	leaderProcessor, followerProcessor  float64 // cores; of a follower the mean
+	leaderProcessor, followerProcessor  float64 // cores; the mean of the followers
 	leaderOut, leaderIn, leaderBytes    float64 // datagrams and bytes, headers included
 	followerBytes                       float64
-	nodeProcessor                       float64 // cores, of one hollow node
-	nodeDatagrams, nodeBytes, nodeCalls float64 // of one, both ways, headers included
+	nodeProcessor                       float64 // cores of one hollow node
+	nodeDatagrams, nodeBytes, nodeCalls float64 // of one hollow node, in and out, headers included
 	entries                             float64
 	callsByKind                         map[uint64]float64 // of one node
 }
@@ -87,7 +87,7 @@
 	return d
 }
 
-// window measures what is spent over a time in which the same machine leads.
+// window measures the rates over a time. It returns errLeaderMoved if the leader or its term changed in that time.
 func (s *site) window(ctx context.Context, length time.Duration, nodes int) (spent, error) {
 	a, err := s.read(ctx)
 	if err != nil {
--- a/internal/rig/capacity/results.go
+++ b/internal/rig/capacity/results.go
@@ -16,12 +16,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Results are what the runs of the rig's sections gave, the last run of each.
+// Results holds the last run of each of the rig's sections.
 type Results struct {
 	Sections []*Section `json:"sections"`
 }
 
-// Section is one run of one part of the rig.
+// Section is the results of one run of one section of the rig.
 type Section struct {
 	Name    string        `json:"name"`
 	Began   time.Time     `json:"began"`
@@ -29,16 +29,16 @@
 	Seed    uint64        `json:"seed"`
 	Quick   bool          `json:"quick"`
 	Machine string        `json:"machine"`
-	Load    string        `json:"load"`    // the machine's load average before and after: who else was at work
-	Late    time.Duration `json:"late_ns"` // the longest by which the harness was late where times were measured
+	Load    string        `json:"load"`    // the machine's load average before and after, which shows other work on the machine
+	Late    time.Duration `json:"late_ns"` // longest delay of the machine while times were measured
 	Most    struct {
 		Processes int `json:"processes"`
 		Memory    int `json:"memory_kib"`
-	} `json:"most"` // that the rig took at once
+	} `json:"most"` // highest usage of the rig at any time
 	Figures  []Figure  `json:"figures"`
 	Slopes   []Slope   `json:"slopes"`
 	Promises []Promise `json:"promises"`
-	// Lacks says why figures are missing, by how their names begin: void on a machine that was late, or failed.
+	// Missing tells why figures are missing, by prefix of their names: void because the machine was delayed, or failed.
 	Lacks map[string]string `json:"lacks,omitempty"`
 }
 
@@ -49,37 +49,37 @@
 	Unit  string  `json:"unit"`
 }
 
-// Point is a value at a size.
+// Point is the value at one size.
 type Point struct {
 	Size  float64 `json:"size"`
 	Value float64 `json:"value"`
 }
 
-// Slope is a straight line through the values at several sizes: Base + Slope x size.
+// Slope is the straight line Base + Slope x size that fits the values at several sizes best.
 type Slope struct {
 	Name     string  `json:"name"`
-	Unit     string  `json:"unit"` // of the value
-	Per      string  `json:"per"`  // what the size counts
+	Unit     string  `json:"unit"` // unit of the value
+	Per      string  `json:"per"`  // what the size is a number of
 	Base     float64 `json:"base"`
 	Slope    float64 `json:"slope"`
-	Residual float64 `json:"residual"` // the largest distance of a point from the line, over the largest value
+	Residual float64 `json:"residual"` // largest distance of a point from the line, divided by the largest value
 	Points   []Point `json:"points"`
-	Design   float64 `json:"design"` // size
+	Design   float64 `json:"design"` // design size
 	AtDesign float64 `json:"at_design"`
-	// Extrapolated: the design size is beyond the largest that was run.
+	// Extrapolated reports that the design size is larger than the largest size that was run.
 	Extrapolated bool `json:"extrapolated"`
 }
 
-// Promise is a threshold that was stated before the run.
+// Promise is a threshold that was stated before the run, with its verdict.
 type Promise struct {
 	Text string `json:"text"`
 	Kept bool   `json:"kept"`
 }
 
-// leastSizes is of how many sizes a slope is made at least.
+// minSizes is the minimum number of sizes for a slope.
 const leastSizes = 4
 
-// fit draws the line through points. Where the design size was run, the value there is the measured one.
+// fitSlope fits a line to points by linear regression. If the design size was run, AtDesign is the measured value.
 func fit(name, unit, per string, design float64, points []Point) (Slope, error) {
 	if len(points) < leastSizes {
 		return Slope{}, fmt.Errorf("slope %s: %d sizes, want %d at least", name, len(points), leastSizes)
@@ -104,14 +104,14 @@
 	return s, nil
 }
 
-// figure notes and prints a measured value.
+// addFigure adds and prints a measured value.
 func (s *Section) figure(out io.Writer, name string, value float64, unit string) {
 	f := Figure{s.Name + "." + name, value, unit}
 	s.Figures = append(s.Figures, f)
 	fmt.Fprintln(out, f.Name, short(value), unit)
 }
 
-// slope notes and prints a line.
+// addSlope fits, adds and prints a slope.
 func (s *Section) slope(out io.Writer, name, unit, per string, design float64, points []Point) error {
 	l, err := fit(s.Name+"."+name, unit, per, design, points)
 	if err != nil {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// promise notes and prints a threshold's verdict.
+// addPromise adds and prints the verdict on a threshold.
 func (s *Section) promise(out io.Writer, kept bool, format string, args ...any) {
 	p := Promise{s.Name + ": " + fmt.Sprintf(format, args...), kept}
 	s.Promises = append(s.Promises, p)
@@ -139,7 +139,7 @@
 	fmt.Fprintln(out, verdict, p.Text)
 }
 
-// broken counts the promises that were not kept.
+// brokenPromises returns the number of promises that were not kept.
 func (s *Section) broken() (n int) {
 	for _, p := range s.Promises {
 		if !p.Kept {
@@ -149,7 +149,7 @@
 	return n
 }
 
-// short writes a value with three figures that tell something, without an exponent.
+// formatValue formats a value with three significant digits, without an exponent.
 func short(v float64) string {
 	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return strconv.FormatFloat(v, 'f', -1, 64)
@@ -162,7 +162,7 @@
 	return text
 }
 
-// lack notes and prints why figures are missing.
+// addMissing records and prints why the figures with a name prefix are missing.
 func (s *Section) lack(out io.Writer, prefix string, err error) {
 	if s.Lacks == nil {
 		s.Lacks = map[string]string{}
@@ -175,7 +175,7 @@
 	fmt.Fprintln(out, "lacks", s.Name+"."+prefix, err)
 }
 
-// whyNot gives why a figure is missing; empty: it is not known.
+// missingReason returns why a figure is missing, or an empty string if no reason is recorded.
 func (r *Results) whyNot(name string) string {
 	for _, s := range r.Sections {
 		for prefix, why := range s.Lacks {
@@ -187,7 +187,7 @@
 	return ""
 }
 
-// put takes a section's run in place of an earlier one.
+// replaceSection puts a section's run in place of an earlier one, or appends it.
 func (r *Results) put(s *Section) {
 	if at := slices.IndexFunc(r.Sections, func(o *Section) bool { return o.Name == s.Name }); at >= 0 {
 		r.Sections[at] = s
@@ -196,7 +196,7 @@
 	r.Sections = append(r.Sections, s)
 }
 
-// Find gives a figure by its name, and the section that it is of.
+// Find returns the figure with a name, and its section.
 func (r *Results) Find(name string) (Figure, *Section, bool) {
 	for _, s := range r.Sections {
 		for _, f := range s.Figures {
@@ -208,7 +208,7 @@
 	return Figure{}, nil, false
 }
 
-// FindSlope gives a slope by its name, and the section that it is of.
+// FindSlope returns the slope with a name, and its section.
 func (r *Results) FindSlope(name string) (Slope, *Section, bool) {
 	for _, s := range r.Sections {
 		for _, l := range s.Slopes {
@@ -220,7 +220,7 @@
 	return Slope{}, nil, false
 }
 
-// Read reads results from a file; none where there is no file.
+// Read reads results from a file. Without the file the results are empty.
 func Read(path string) (*Results, error) {
 	r := &Results{}
 	raw, err := os.ReadFile(path)
@@ -236,7 +236,7 @@
 	return r, nil
 }
 
-// Write writes them to a file.
+// Write writes the results to a file.
 func (r *Results) Write(path string) error {
 	raw, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -245,13 +245,13 @@
 	return os.WriteFile(path, append(raw, '\n'), 0o644)
 }
 
-// machineNote says on what machine a run was made.
+// machineNote describes the machine of a run: cores, memory, Go version.
 func machineNote(b bounds) string {
 	return fmt.Sprintf("%d cores, %d MiB of memory, %s", runtime.NumCPU(), int(float64(b.memory)/memoryShare)>>10,
 		runtime.Version())
 }
 
-// loadNote gives the machine's load average over a minute.
+// loadNote returns the machine's load average over a minute.
 func loadNote() string {
 	raw, _ := os.ReadFile("/proc/loadavg")
 	first, _, _ := strings.Cut(string(raw), " ")
--- a/internal/rig/capacity/thresholds.go
+++ b/internal/rig/capacity/thresholds.go
@@ -6,16 +6,16 @@
 	"slices"
 )
 
-// threshold is the most that a figure may be for a promise to be kept. It is stated before the run.
+// threshold is the highest value of a figure at which its promise is kept. It is stated before the run.
 type threshold struct {
-	figure string // its name without the section's
+	figure string // its name without the section's name
 	most   float64
 	unit   string
 }
 
-const failedMost = 10e3 // ms: two sessions' lives, until a change gets through though a control machine has failed
+const failedMost = 10e3 // ms until a change reaches all nodes after a control machine has failed: two session lifetimes
 
-// nodeThresholds are those of the section nodes.
+// nodeThresholds returns the thresholds of the section nodes.
 func nodeThresholds(sizes []int) (list []threshold) {
 	for _, size := range sizes {
 		name := func(rest string) string { return fmt.Sprintf("%d.%s", size, rest) }
@@ -38,14 +38,14 @@
 	return list
 }
 
-// state prints thresholds before a run.
+// printThresholds prints thresholds before a run.
 func state(out io.Writer, list []threshold) {
 	for _, t := range list {
 		fmt.Fprintln(out, "threshold", t.figure, "at most", short(t.most), t.unit)
 	}
 }
 
-// judge holds the section's figures against thresholds. A figure that is missing keeps no promise.
+// judge compares the section's figures with thresholds. The promise of a missing figure is broken.
 func (s *Section) judge(out io.Writer, list []threshold) {
 	for _, t := range list {
 		at := slices.IndexFunc(s.Figures, func(f Figure) bool { return f.Name == s.Name+"."+t.figure })
