--- a/internal/rig/capacity/capacity_test.go
+++ b/internal/rig/capacity/capacity_test.go
@@ -16,7 +16,7 @@
 	"starlingvalve/internal/rig/capacity/hollow"
 )
 
-// TestMain makes this binary the program of hollow nodes too.
+// TestMain lets the test binary also serve as the program of hollow nodes.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "hollow" {
 		if err := hollow.Main(os.Args[2], os.Stdin, os.Stdout); err != nil {
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// The small form: 40 hollow nodes before five real control machines, drains, a burst of them, failures, and changes of the
-// configuration. All is within the thresholds.
+// The quick form of the rig must run whole: 40 hollow nodes with five real control machines, single drains, a burst of
+// drains, failures, and changes of the configuration. All figures must be within the thresholds.
 func TestSmallForm(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -59,7 +59,8 @@
 	}
 }
 
-// Each threshold is seen to be broken by a figure just beyond it, and by one that is missing; at the threshold it is kept.
+// A promise must be kept by a figure at its threshold, and broken by a figure just beyond it and by a missing figure.
+// Otherwise a regression, or a measurement that did not take place, would pass.
 func TestThresholds(t *testing.T) {
 	list := nodeThresholds([]int{10, 40})
 	if len(list) != 11 {
@@ -102,7 +103,7 @@
 		{straight, 100, 5, 2, 205, 0, false},
 		{straight, 300, 5, 2, 605, 0, true},
 		{[]Point{{0, 0}, {1, 0}, {2, 3}, {3, 0}}, 2, 0.3, 0.3, 3, 0.7,
-			false}, // at the design size the run counts, not the line
+			false}, // at the design size the measured value counts, not the line
 	} {
 		s, err := fit("a", "b", "c", x.design, x.points)
 		if err != nil || math.Abs(s.Base-x.base)+math.Abs(s.Slope-x.slope)+math.Abs(s.AtDesign-x.at)+math.Abs(s.Residual-x.residual) > 1e-9 || s.Extrapolated != x.extrapolated {
@@ -110,7 +111,7 @@
 		}
 	}
 	if _, err := fit("a", "b", "c", 1, straight[:3]); err == nil {
-		t.Error("a slope of three sizes is drawn")
+		t.Error("a slope was made from three sizes")
 	}
 }
 
@@ -133,13 +134,13 @@
 	}
 }
 
-// A run that takes more than it may is stopped, and says why.
+// A run that exceeds its bounds must be stopped with an error that says why, before it harms other work on the machine.
 func TestRunIsStoppedAtItsBounds(t *testing.T) {
 	ctx, g := watch(t.Context(), bounds{processes: 0, memory: 1 << 40}, io.Discard)
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Minute):
-		t.Fatal("it goes on")
+		t.Fatal("the run was not stopped")
 	}
 	if err := context.Cause(ctx); !errors.Is(err, ErrBounds) || !strings.Contains(err.Error(), "processes, 0 may be") {
 		t.Errorf("%v", err)
@@ -156,7 +157,8 @@
 	}
 }
 
-// A run in which the machine was late is made again; if it stays late the run is void.
+// Delays of the machine would falsify measured times: a run with such a delay must be repeated, and is void if all repeats
+// have one, too.
 func TestLateRunsAreRepeated(t *testing.T) { synctest.Test(t, lateRuns) } // in virtual time
 
 func lateRuns(t *testing.T) {
@@ -203,11 +205,12 @@
 	}
 }
 
-// What a node sends reaches those whose arcs meet its own; a change of one request at one server is told to all of these.
+// Load messages of a node must reach all nodes whose subsets overlap its own: a change by one request at one server is sent
+// to each of them.
 func TestServiceSimulation(t *testing.T) {
 	const (
 		nodes       = 60
-		leastChange = 3 // bytes in the mean: a change of one server has four, a word that nothing is left has one
+		leastChange = 3 // mean bytes: a change of one server has four bytes, a message that nothing is left has one
 	)
 	quiet, err := newService(nodes, serviceSize, 1e-9, answerTime, 1).measure(t.Context(), time.Second, 4*time.Second)
 	if err != nil {
--- a/internal/rig/capacity/machines.go
+++ b/internal/rig/capacity/machines.go
@@ -18,36 +18,36 @@
 	"starlingvalve/internal/standin"
 )
 
-// controlMachines is how many machines there are for control, all of them voters.
+// controlMachines is the number of control machines. All of them are voters.
 const controlMachines = 5
 
-// machine is a real node's process, with or without a vote, or without the fleet.
+// machine is the process of a real node: a voter, another member of the fleet, or a node outside the fleet.
 type machine struct {
 	*process
 	name   string
-	listen string // for clients
+	listen string // address for clients
 	door   *control.APIClient
 }
 
-// site is what a run needs: a folder, a registry, the fleet's files, and the processes.
+// site holds what a run needs: folders, a registry, the fleet's files, and the processes.
 type site struct {
-	folder   string // on disk: the control machines' own
-	nodes    string // of the hollow nodes
+	folder   string // of the control machines, on disk
+	nodes    string // folder of the hollow nodes, see memoryFolder
 	program  string
-	self     string // the rig itself, as hollow nodes' program
+	self     string // program that runs hollow nodes, the rig itself
 	registry *standin.Registry
 	fleet    hollow.Fleet
 	voters   []*machine
-	regional bool   // what goes between regions goes over paths that can be cut
-	paths    []path // those
+	regional bool   // traffic between regions goes over paths that can be cut
+	paths    []path // the paths between regions
 
 	mu     sync.Mutex
 	others []*machine
 	hollow []*hollow.Process
-	names  [][]string // of the hollow nodes of each process
+	names  [][]string // names of the hollow nodes of each process
 }
 
-// freePort is a port of loopback that nobody has at the moment, of those that the kernel gives nobody by itself.
+// freePort returns a loopback address with a port that is free at the moment, outside the kernel's ephemeral range.
 func freePort(network string) (string, error) {
 	var last error
 	for range 100 {
@@ -69,7 +69,7 @@
 	return "", last
 }
 
-// laxBudget lets each drain through: what a drain costs is measured, not whether it is granted.
+// laxBudget permits every drain, because the rig measures the cost of drains and not whether they are granted.
 const laxBudget = `
 [[budget]]
 name = "all"
@@ -78,7 +78,7 @@
 most_out = 20000
 `
 
-// openSite starts the control machines, before so many backends that the registry lists, and waits until one leads.
+// openSite starts the control machines and a registry that lists the given number of backends, and waits for a leader.
 func (r *run) openSite(ctx context.Context, backends int, regional bool) (_ *site, err error) {
 	s := &site{program: r.program, self: r.self, regional: regional}
 	if s.folder, err = os.MkdirTemp(r.folder, "site"); err != nil {
@@ -129,7 +129,7 @@
 	return s, err
 }
 
-// listedBackends are entries of servers that nobody asks: no request is made where they are used.
+// listedBackends returns registry entries of n servers that don't exist. They are used only where no request is made.
 func listedBackends(n int) (list []standin.Entry) {
 	for i := range n {
 		list = append(list, standin.Entry{ID: backendName(i), Addr: fmt.Sprintf("10.%d.%d.%d:8080", i>>16&255,
@@ -143,22 +143,23 @@
 
 const (
 	regions = 2
-	zones   = 4 // of each region
+	zones   = 4 // in each region
 )
 
-// zoneOf puts things in the regions' zones by turns.
+// zoneOf returns the zone of the thing with index i: regions and their zones are assigned in turn.
 func zoneOf(i int) string { return fmt.Sprintf("r%d-z%d", i%regions+1, i/regions%zones+1) }
 
-// regionOf is the region of a zone.
+// regionOf returns the region of a zone.
 func regionOf(zone string) string { return zone[:len("r1")] }
 
-// path leads from a region to a control machine in the other one.
+// path is the network path from a region to a control machine in the other region.
 type path struct {
-	from string // region
+	from string // region at which the path begins
 	wire *standin.Wire
 }
 
-// seenFrom gives the fleet's files as they are in a zone: with the addresses by which the control machines are reached from there.
+// seenFrom returns the fleet's common settings for a zone, with the addresses at which the control machines are reached
+// from there.
 func (s *site) seenFrom(zone string) (*hollow.Fleet, error) {
 	f := s.fleet
 	if !s.regional {
@@ -179,14 +180,14 @@
 	return &f, nil
 }
 
-// cut stops, or lets through again, what goes from one region to the other.
+// cut blocks the traffic from one region to the other, or lets it pass again.
 func (s *site) cut(from string, on bool) {
 	for _, p := range s.paths {
 		p.wire.CutDirection(p.from == from, on)
 	}
 }
 
-// startMachine starts a real node, which takes part in the fleet if it is to.
+// startMachine starts a real node, in the fleet or outside it.
 func (s *site) startMachine(name, folder string, inFleet bool) (*machine, error) {
 	listen, err := freePort("tcp")
 	if err != nil {
@@ -211,7 +212,7 @@
 
 const leaderWait = 30 * time.Second
 
-// leader waits until a voter leads and gives its index.
+// leader waits until there is a leader and returns its index in voters.
 func (s *site) leader(ctx context.Context) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaderWait)
 	defer cancel()
@@ -239,7 +240,7 @@
 	}
 }
 
-// addHollow starts a process of n further hollow nodes.
+// addHollow starts a process with n more hollow nodes.
 func (s *site) addHollow(n int) error {
 	folder, err := os.MkdirTemp(s.nodes, "h")
 	if err != nil {
@@ -272,7 +273,7 @@
 	return nil
 }
 
-// counts adds up the hollow nodes of all processes.
+// counts returns the totals of the hollow nodes of all processes.
 func (s *site) counts() (all hollow.Counts, err error) {
 	for _, p := range s.hollow {
 		c, err := p.Counts()
@@ -286,7 +287,7 @@
 
 const liveWait = 2 * time.Minute
 
-// live waits until all hollow nodes have a session.
+// awaitSessions waits until all hollow nodes have a session.
 func (s *site) live(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, liveWait)
 	defer cancel()
@@ -304,7 +305,7 @@
 	}
 }
 
-// close ends all processes and removes what they have written.
+// close ends all processes and removes their files.
 func (s *site) close() {
 	var ending sync.WaitGroup
 	for _, p := range s.hollow {
@@ -327,8 +328,8 @@
 	os.RemoveAll(s.folder)
 }
 
-// memoryFolder is where hollow nodes keep their files: in memory, where the machine offers that. A real node has a disk for itself;
-// hundreds of nodes that write theirs through to one disk would measure that disk.
+// memoryFolder returns the folder for hollow nodes' files, in memory if the machine offers that. A real node has a disk of
+// its own. With hundreds of nodes that sync their files to one disk, the rig would measure that disk.
 func memoryFolder() string {
 	const shared = "/dev/shm"
 	if info, err := os.Stat(shared); err == nil && info.IsDir() {
@@ -337,20 +338,20 @@
 	return ""
 }
 
-// nodeFile is the configuration of a node, as far as runs differ in it.
+// nodeFile holds the settings of a node that differ between runs.
 type nodeFile struct {
 	Name     string
 	Listen   string
 	Registry string
-	Nodes    int // of the tier, by what the node is told
+	Nodes    int // size of the tier that the node is given
 	Tenants  int
-	MemoryMB int // 0: the most that the platform gives
+	MemoryMB int // 0: the platform's maximum
 }
 
 const (
 	usualMemoryMB = 192
 	usualSockets  = 1024
-	tenantQuota   = 20 // requests a second
+	tenantQuota   = 20 // requests a second of each tenant
 )
 
 func (n nodeFile) write(path string) error {
@@ -388,7 +389,7 @@
 
 func tenantName(i int) string { return fmt.Sprintf("tenant-%05d", i) }
 
-// requestClass is what is asked where latency is measured.
+// requestClass is the class of the requests in measurements of latency and load messages.
 var requestClass = standin.Class{Name: "viewer-clip", Method: "GET", Share: 1, Worth: 1, Aim: 600 * time.Millisecond,
 	Patience: 2 * time.Second}
 
--- a/internal/rig/capacity/messages.go
+++ b/internal/rig/capacity/messages.go
@@ -12,32 +12,32 @@
 	"starlingvalve/internal/gossip"
 )
 
-// The load messages of a service are measured in virtual time: a real decision module for each node of the fleet, before the
-// service's backends; each node's requests come by chance, and each message reaches its receiver's module. Services don't share
-// messages, so that those of a node are the sum over its services.
+// The load messages of a service are measured in virtual time. Each node of the fleet has a real decision module, with the
+// service's backends. Requests of each node arrive at random, and each message reaches its receiver's module. Services don't
+// share messages, so the messages of a node are the sum over its services.
 
 const (
-	simStep    = 5 * time.Millisecond // of virtual time; the least between two events of a module
-	simWarm    = 20 * time.Second     // virtual, until counting begins
-	simLength  = 40 * time.Second     // virtual
-	simWheel   = 1 << 12              // steps that are planned ahead at most: 20 s
+	simStep    = 5 * time.Millisecond // of virtual time; minimum time between two events of a module
+	simWarm    = 20 * time.Second     // virtual time until counting begins
+	simLength  = 40 * time.Second     // virtual time of counting
+	simWheel   = 1 << 12              // maximum number of steps for which events are scheduled ahead: 20 s
 	answerTime = 50 * time.Millisecond
-	subset     = 8 // backends that a node with few requests sends to
+	subset     = 8 // backends that a low-traffic node sends to
 )
 
-// service is one service in the fleet, simulated.
+// service is the simulation of one service in the fleet.
 type service struct {
 	modules  []*decide.Module
 	rate     float64 // requests a second at a node
 	answer   time.Duration
 	now      time.Duration
-	wheel    [simWheel][]delivery // by step
+	wheel    [simWheel][]delivery // events by step
 	random   *rand.Rand
-	next     []time.Duration // of the nodes' next requests
+	next     []time.Duration // times of the nodes' next requests
 	requests int
 	counting bool
 	sent     int // datagrams, while counting
-	bytes    int // their payload
+	bytes    int // payload of these datagrams
 }
 
 // delivery is an event on its way to a module.
@@ -65,14 +65,14 @@
 	return time.Duration(v.random.ExpFloat64() / v.rate * float64(time.Second))
 }
 
-// plan has an event happen after a while, at the next step at least.
+// schedule schedules an event after a time, at the next step at the earliest.
 func (v *service) plan(after time.Duration, d delivery) {
 	step := min(simWheel-1, max(1, int(after/simStep)))
 	at := (int(v.now/simStep) + step) % simWheel
 	v.wheel[at] = append(v.wheel[at], d)
 }
 
-// act carries out what a module wants.
+// execute carries out the actions of a module.
 func (v *service) act(node int, actions []decide.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// play goes on for a while.
+// advance runs the simulation for a length of virtual time.
 func (v *service) play(ctx context.Context, length time.Duration) error {
 	for end := v.now + length; v.now < end; {
 		v.now += simStep
@@ -136,12 +136,12 @@
 	return nil
 }
 
-// told is what one node sends for one service, by second.
+// serviceTraffic is what one node sends for one service, per second, and what this costs.
 type told struct {
 	datagrams float64
 	bytes     float64 // headers included
-	processor float64 // cores, of one node's module with its part of the simulation; no system calls in it
-	memory    float64 // bytes that live on the heap for one node's module
+	processor float64 // cores of one node's module with its share of the simulation, without system calls
+	memory    float64 // bytes of live heap for one node's module
 }
 
 func (v *service) measure(ctx context.Context, warm, length time.Duration) (t told, err error) {
@@ -164,7 +164,7 @@
 	return t, nil
 }
 
-// processorTime is what this process has used.
+// processorTime returns the processor time that this process has used, user and system.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -173,8 +173,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// messages measures the load messages of a node, by the fleet's size for one service, and by services for the whole fleet. The
-// requests of a node are the design's in each, spread evenly over its services.
+// messages measures the load messages of a node, by fleet size for one service, and by number of services for the whole
+// fleet. Each node gets the design's requests, spread evenly over its services.
 func (r *run) messages(ctx context.Context, s *Section) error {
 	perNode := Design.Requests / Design.Nodes
 	audience := r.audiences(s)
@@ -229,7 +229,8 @@
 	return nil
 }
 
-// audiences gives how many others a node tells by its arc, in the mean over the nodes.
+// audiences adds the mean number of others that a node sends its load messages to, because their subsets overlap its own,
+// and returns that for the design size.
 func (r *run) audiences(s *Section) (design float64) {
 	mean := func(nodes, backends int) float64 {
 		sum := 0
@@ -247,7 +248,7 @@
 	return design
 }
 
-// told notes what a node sends and hears for so many services, of which one was run.
+// addTrafficFigures adds what a node sends and receives for a number of services, of which one was run.
 func (r *run) told(s *Section, name string, t told, services float64, p *points) {
 	for _, f := range []struct {
 		name  string
--- a/internal/rig/capacity/modules.go
+++ b/internal/rig/capacity/modules.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	listTries   = 7 // of which the median counts
+	listTries   = 7 // measurements, of which the median is taken
 	listLimit   = 4 << 20
-	idleTicks   = 400 // of modules to which no request comes
+	idleTicks   = 400 // measured ticks of modules without requests
 	tickLength  = 25 * time.Millisecond
-	heapSlack   = 16 << 10 // bytes: a collection that frees less has freed all
-	serviceSize = 25       // backends of a service in the mean: the design's 8,600 over its 340
+	heapSlack   = 16 << 10 // bytes: a garbage collection that frees less is the last one
+	serviceSize = 25       // mean number of backends of a service: the design's 8,600 over its 340 services
 )
 
-// modules measures the decision module by itself: what it holds and what it costs, by backends, tenants and services.
+// modules measures the memory and processor time of the decision module alone, by backends, tenants and services.
 func (r *run) modules(ctx context.Context, s *Section) error {
 	for _, part := range []func(context.Context, *Section) error{r.backends, r.tenants, r.services, r.entries} {
 		if err := part(ctx, s); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// nodeSettings are those of a node of the design: nodes that talk and probe.
+// nodeSettings returns the settings of a node of the design, which exchanges messages with others and probes servers.
 func nodeSettings(self, tenants int) decide.Settings {
 	s := decide.Settings{Nodes: int(Design.Nodes), Self: self, Zone: zoneOf(self), MaxAttempts: 4, MayOverlap: true,
 		MayCancel: true, MayProbe: true, MayMessage: true,
@@ -50,7 +50,7 @@
 	return s
 }
 
-// backendList is a whole list as a module takes it, of the servers of one service.
+// backendList returns a full list of n servers of one service, as a module receives it.
 func backendList(service, n int) decide.ListUpdate {
 	l := decide.ListUpdate{Kind: decide.ListFull, Version: 1}
 	for i := range n {
@@ -60,7 +60,7 @@
 	return l
 }
 
-// held gives the bytes that live on the heap for one of some copies that make has made.
+// heapPerCopy returns the bytes of live heap for each of the copies that make returns.
 func held[T any](copies int, make func() T) float64 {
 	before := heap()
 	var made []T
@@ -72,7 +72,7 @@
 	return (after - before) / float64(copies)
 }
 
-// heap gives the bytes that live on the heap, once nothing more is let go of.
+// liveHeap collects garbage until nothing more is freed, and returns the bytes of live heap.
 func heap() float64 {
 	var now runtime.MemStats
 	for last := uint64(math.MaxUint64); ; last = now.HeapAlloc {
@@ -84,10 +84,10 @@
 	}
 }
 
-// copiesOf is how many copies are made of something of that size, so that what else lives on the heap does not tell.
+// copiesOf returns how many copies of something of a size to make, so that other objects on the heap don't matter.
 func copiesOf(size, most int) int { return max(2, 4*most/size) }
 
-// median gives the middle one of some times.
+// median calls take n times and returns the median of the times.
 func median(n int, take func() time.Duration) time.Duration {
 	var t standin.Times
 	for range n {
@@ -96,9 +96,9 @@
 	return t.Quantile(0.5)
 }
 
-const moduleStart = time.Hour // on the module's clock, where zero has no meaning
+const moduleStart = time.Hour // start on the module's clock, on which zero is not a valid time
 
-// backends measures one module as its list grows, and the list as discovery sends it.
+// backends measures one module as its list grows, and the list in the form in which discovery sends it.
 func (r *run) backends(_ context.Context, s *Section) error {
 	var p points
 	for _, size := range []int{100, 1000, 4000, int(Design.Backends)} {
@@ -159,7 +159,7 @@
 	return p.write(r, s, "backend", Design.Backends)
 }
 
-// tenants measures what tenants add to one module.
+// tenants measures what tenants add to the cost of one module.
 func (r *run) tenants(_ context.Context, s *Section) error {
 	var p points
 	for _, size := range []int{100, 1800, 6000, int(Design.Tenants)} {
@@ -180,7 +180,7 @@
 	return p.write(r, s, "tenant", Design.Tenants)
 }
 
-// modulesOf makes a module for each of so many services.
+// modulesOf returns a module for each of the given number of services.
 func modulesOf(services int) (list []*decide.Module) {
 	for service := range services {
 		m := decide.New(nodeSettings(0, 0), int64(service))
@@ -190,7 +190,7 @@
 	return list
 }
 
-// services measures a node that has a module for each service: nothing of this program does yet.
+// services measures a node with a module for each service. The program has no such node yet.
 func (r *run) services(_ context.Context, s *Section) error {
 	var p points
 	for _, size := range []int{10, 40, 100, int(Design.Services)} {
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// slopeOf gives the value at the design size of a line that the section has drawn.
+// slopeOf returns the value at the design size of a slope of the section.
 func slopeOf(s *Section, name string) float64 {
 	for _, l := range s.Slopes {
 		if l.Name == s.Name+"."+name {
--- a/internal/rig/capacity/nodes.go
+++ b/internal/rig/capacity/nodes.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	// headerBytes are those of IPv4 and UDP, which the counts of connections lack.
+	// headerBytes is the size of the IPv4 and UDP headers, which the connections' counts don't include.
 	headerBytes = 28
-	// mostHollow nodes share a process.
+	// maxHollowPerProcess is the maximum number of hollow nodes in a process.
 	mostHollow = 250
-	// drainsEach is how many drains are measured at a size.
+	// drainsPerSize is the number of drains that are measured at each size.
 	drainsEach   = 10
 	burstSize    = 100
 	burstLength  = 10 * time.Second
 	burstWait    = time.Minute
-	burstRepeats = 2 // of one that was void
+	burstRepeats = 2 // repeats of a void burst
 	knownWait    = time.Minute
 	knownPoll    = 20 * time.Millisecond
 	proofPoll    = 100 * time.Millisecond
 )
 
-// nodeSizes are those of the quick form and of the whole one.
+// nodeSizes returns the fleet sizes, the time of each measurement at rest, and the number of drains at each size.
 func (r *run) nodeSizes() (sizes []int, window time.Duration, drains int) {
 	if r.Quick {
 		return []int{40}, 5 * time.Second, 5
@@ -35,7 +35,7 @@
 	return []int{40, 120, 365, int(Design.Nodes)}, 15 * time.Second, drainsEach
 }
 
-// settleTime is how long a fleet is left alone after nodes have come: a session's life and some.
+// settleTime is the time without load after nodes have been added: somewhat more than a session lifetime.
 func (r *run) settleTime() time.Duration {
 	if r.Quick {
 		return 2 * time.Second
@@ -43,7 +43,7 @@
 	return 6 * time.Second
 }
 
-// points collects the values of slopes by name.
+// slopePoints collects the points of slopes by name.
 type points struct {
 	names  []string
 	units  map[string]string
@@ -60,7 +60,7 @@
 	p.units[name], p.values[name] = unit, append(p.values[name], Point{size, value})
 }
 
-// write draws the lines.
+// write adds the slopes to a section.
 func (p *points) write(r *run, s *Section, per string, design float64) error {
 	for _, name := range p.names {
 		if len(p.values[name]) < leastSizes {
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// nodes measures what sessions, heartbeats, watches and drains cost as the fleet grows: hollow nodes before five real control
-// machines. At the largest size it adds a burst of changes and failures.
+// nodes measures the cost of sessions, heartbeats, watches and drains as the fleet grows, with hollow nodes and five real
+// control machines. At the largest size it adds failures and bursts of changes.
 func (r *run) nodes(ctx context.Context, s *Section) error {
 	sizes, window, drains := r.nodeSizes()
 	largest := slices.Max(sizes)
@@ -126,7 +126,7 @@
 				return err
 			}
 			s.lack(r.Out, fmt.Sprintf("%d.burst%d", largest, count),
-				err) // the fleet is not what it was: nothing more is measured
+				err) // the fleet may no longer be whole, so nothing more is measured
 			break
 		}
 	}
@@ -134,13 +134,13 @@
 	return nil
 }
 
-// fits refuses a run that can't stay within the bounds by what it is about to start.
+// checkFits returns an error if the processes and memory that a run is about to add would exceed the bounds.
 func (r *run) fits(processes, memoryKiB int) error {
 	u := usageBelow(os.Getpid())
 	return r.bounds.check(usage{u.processes + processes, u.memory + memoryKiB})
 }
 
-// rest measures a fleet in which nothing happens.
+// rest measures a fleet without changes.
 func (r *run) rest(ctx context.Context, s *Section, site *site, size int, window time.Duration, p *points) error {
 	var d spent
 	late, err := r.guard.punctual(ctx, "rest", counts, mostRepeats, func() (err error) {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// state gives the size of the whole state as operators get it, and how long that takes.
+// state returns the size of the whole state as operators get it, and the time of the request.
 func (s *site) state(ctx context.Context, leader int) (size float64, took time.Duration, err error) {
 	began := time.Now()
 	state, err := s.voters[leader].door.State(ctx)
@@ -212,7 +212,7 @@
 	return float64(len(raw)), took, err
 }
 
-// logSize gives the bytes of a machine's log on disk.
+// logSize returns the bytes of a machine's log on disk.
 func (s *site) logSize(at int) float64 {
 	info, err := os.Stat(filepath.Join(s.folder, s.voters[at].name, "log.db"))
 	if err != nil {
--- a/internal/rig/capacity/page.go
+++ b/internal/rig/capacity/page.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Files of the project, from its root.
+// Paths of files, relative to the project's root.
 const (
 	PageFile    = "docs/CAPACITY.md"
 	ResultsFile = "docs/capacity.json"
 )
 
-// Markers of a table on the page. All between them is made from the results.
+// Markers of a table on the page. All text between them is generated from the results.
 const (
 	beginMarker = "<!-- table %s, made by `rig capacity -page` -->"
 	endMarker   = "<!-- end of the table -->"
 )
 
-// tables are those of the page, by name.
+// tables holds the functions that generate the page's tables, by table name.
 var tables = map[string]func(*Results) (string, error){
 	"runs":      runsTable,
 	"estimates": estimatesTable,
@@ -31,7 +31,7 @@
 	"promises":  promisesTable,
 }
 
-// Page gives a page with its tables made from results.
+// Page returns the page with its tables generated from results.
 func Page(page string, r *Results) (string, error) {
 	for name, make := range tables {
 		text, err := make(r)
@@ -54,7 +54,7 @@
 	return page, nil
 }
 
-// replace puts a table between its markers.
+// replace replaces the text between a table's markers.
 func replace(page, name, text string) (string, error) {
 	begin := fmt.Sprintf(beginMarker, name)
 	before, rest, ok := strings.Cut(page, begin)
@@ -68,7 +68,7 @@
 	return before + begin + "\n" + text + endMarker + after, nil
 }
 
-// WritePage makes the tables of a page from a file of results.
+// WritePage generates the tables of a page file from a results file.
 func WritePage(page, results string) error {
 	raw, err := os.ReadFile(page)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return os.WriteFile(page, []byte(text), 0o644)
 }
 
-// grid writes a table in Markdown.
+// grid builds a Markdown table.
 type grid struct{ strings.Builder }
 
 func (g *grid) row(cells ...string) {
@@ -103,16 +103,16 @@
 	g.WriteString(strings.Repeat("| --- ", len(cells)) + "|\n")
 }
 
-// value is a figure, or what a line gives at the design size.
+// value is a figure, or the value of a slope at the design size.
 type value struct {
 	value   float64
 	unit    string
-	formula string // base + slope x size, where there is a line
+	formula string // base + slope x size; empty for a figure
 	section *Section
-	beyond  bool // the largest size that was run is smaller
+	beyond  bool // the design size is larger than the largest size that was run
 }
 
-// String is the value with its unit, marked if it is extrapolated.
+// String returns the value with its unit, marked if it is extrapolated.
 func (v value) String() string {
 	text := short(v.value) + " " + v.unit
 	if v.beyond {
@@ -121,7 +121,7 @@
 	return text
 }
 
-// find gives a value by the name of a line or of a figure.
+// find returns the value of the slope or the figure with a name.
 func (r *Results) find(name string) (value, error) {
 	if l, s, ok := r.FindSlope(name); ok {
 		return value{l.AtDesign, l.Unit, formula(l), s, l.Extrapolated}, nil
@@ -194,7 +194,7 @@
 	return g.String(), nil
 }
 
-// factor gives a value over its budget.
+// factor returns a value divided by its budget, as text.
 func factor(v, budget float64) string {
 	if budget == 0 {
 		return "-"
--- a/internal/rig/capacity/page_test.go
+++ b/internal/rig/capacity/page_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// root is the project's, from this package.
+// root is the path of the project's root from this package.
 const root = "../../.."
 
 func readPage(t *testing.T) (page string, r *Results) {
@@ -23,7 +23,7 @@
 	return string(raw), r
 }
 
-// The page's tables are those that its results make, and each figure in them has a run. None of the runs is of the quick form.
+// The page in the repository must be the one that its results generate, and no section may be of the quick form.
 func TestPageIsMadeFromTheResults(t *testing.T) {
 	page, r := readPage(t)
 	want, err := Page(page, r)
@@ -44,7 +44,7 @@
 	}
 }
 
-// A figure that is changed by hand, on the page or in the results, is found.
+// A figure that was changed by hand, on the page or in the results, must be detected.
 func TestPageShowsAHandInIt(t *testing.T) {
 	page, r := readPage(t)
 	cell := regexp.MustCompile(`\| nodes\.rest\.node\.bytes \|[^\n]*\d`)
@@ -58,7 +58,7 @@
 	}
 	forged := page[:at[1]-1] + string(digit) + page[at[1]:]
 	if made, err := Page(forged, r); err != nil || made == forged {
-		t.Errorf("a figure on the page was changed, and it is taken: %v", err)
+		t.Errorf("a changed figure on the page was not detected: %v", err)
 	}
 	for _, s := range r.Sections {
 		for i := range s.Figures {
@@ -68,18 +68,18 @@
 		}
 	}
 	if made, err := Page(page, r); err != nil || made == page {
-		t.Errorf("a figure in the results was changed, and the page is taken: %v", err)
+		t.Errorf("a changed figure in the results was not detected: %v", err)
 	}
 }
 
-// A table that the page lacks, or a figure that no run gave, makes no page.
+// The page must not be generated in part: a missing table, end marker or figure is an error.
 func TestPageIsMadeWholeOrNotAtAll(t *testing.T) {
 	page, r := readPage(t)
 	if _, err := Page(strings.Replace(page, "<!-- table missing", "<!-- no table missing", 1), r); err == nil {
-		t.Error("a page without one of its tables is made")
+		t.Error("a page without one of its tables was generated")
 	}
 	if _, err := Page(strings.ReplaceAll(page, endMarker, ""), r); err == nil {
-		t.Error("a page whose tables have no end is made")
+		t.Error("a page whose tables have no end was generated")
 	}
 	for i, s := range r.Sections {
 		if s.Name == "messages" {
@@ -92,11 +92,11 @@
 	}
 	folder := t.TempDir()
 	if err := WritePage(filepath.Join(root, PageFile), filepath.Join(folder, "none.json")); err == nil {
-		t.Error("a page is made of no results")
+		t.Error("a page was generated from no results")
 	}
 }
 
-// Results that are written are read again, a section's later run in place of the earlier one.
+// Written results must be read back unchanged, with a section's later run in place of its earlier one.
 func TestResultsAreKept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "results.json")
 	r := &run{Options: Options{Results: path}}
@@ -118,6 +118,6 @@
 		t.Fatal(err)
 	}
 	if _, err := Read(path); err == nil {
-		t.Error("a torn file is read")
+		t.Error("a truncated file was read without error")
 	}
 }
--- a/internal/rig/capacity/process.go
+++ b/internal/rig/capacity/process.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	readyWait = 30 * time.Second // for one to serve
+	readyWait = 30 * time.Second // until a process is ready
 	readyPoll = 20 * time.Millisecond
-	logLimit  = 64 << 10 // bytes of a process's log that are kept, of its end
+	logLimit  = 64 << 10 // bytes that are kept of the end of a process's log
 	clockTick = 10 * time.Millisecond
 )
 
-// process is a program that the rig has started. It ends with the rig, whatever happens to the rig.
+// process is a program that the rig has started. The kernel ends it when the rig ends, even if the rig is killed.
 type process struct {
 	cmd   *exec.Cmd
 	log   logTail
 	ended chan struct{}
 }
 
-// logTail keeps the end of what a process writes.
+// logTail keeps the end of a process's output.
 type logTail struct {
 	mu   sync.Mutex
 	text []byte
 }
 
-// Write appends p and forgets the oldest bytes beyond logLimit. It never fails.
+// Write appends p and drops the oldest bytes beyond logLimit. It never fails.
 func (l *logTail) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	return len(p), nil
 }
 
-// String is what is kept: the last logLimit bytes at most.
+// String returns the kept output, at most the last logLimit bytes.
 func (l *logTail) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -68,7 +68,7 @@
 	return p, nil
 }
 
-// kill ends a process at once, by its id.
+// kill kills the process with SIGKILL.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
 	<-p.ended
@@ -76,13 +76,13 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// processorOf is the processor time that a process has used, user and system.
+// processorOf returns the processor time that a process has used, user and system.
 func processorOf(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	const user, system = 11, 12 // fields behind the program's name
+	const user, system = 11, 12 // indices of the fields after the program's name
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	if len(fields) <= system {
 		return 0
@@ -92,7 +92,7 @@
 	return time.Duration(u+s) * clockTick
 }
 
-// memoryOf is a figure of a process's status in KiB: VmRSS is what is in memory now, VmHWM the most that there was.
+// memoryOf returns a memory figure of a process's /proc status in KiB: VmRSS is the resident memory, VmHWM its peak.
 func memoryOf(pid int, figure string) int {
 	raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	for line := range strings.Lines(string(raw)) {
@@ -104,7 +104,7 @@
 	return 0
 }
 
-// ready waits until a URL answers 200.
+// awaitReady waits until a URL answers with status 200.
 func (p *process) ready(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
@@ -130,7 +130,7 @@
 	}
 }
 
-// build makes the program.
+// build builds the node program.
 func build(ctx context.Context, into string) error {
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", into, "starlingvalve/cmd/starlingvalve").CombinedOutput()
 	if err != nil {
--- a/internal/rig/capacity/regions.go
+++ b/internal/rig/capacity/regions.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	apartFor  = 2 * time.Minute // regions; the operators' hour is longer, and no state grows with it
+	apartFor  = 2 * time.Minute // operators plan for an hour, but no state grows with the time
 	oneWayFor = 30 * time.Second
 )
 
-// regions cuts the paths between the two regions, whole and one way, and joins them again. Three of the five control machines are
-// in the first region.
+// regions cuts the paths between the two regions, in both directions and in one, and restores them. Three of the five
+// control machines are in the first region.
 func (r *run) regions(ctx context.Context, s *Section) error {
 	size, whole, oneWay := int(Design.Nodes), apartFor, oneWayFor
 	if r.Quick {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// apart cuts what goes from some regions to the others for a while, drains a backend in that time through the side that has the
-// majority, and measures what follows there, and at all nodes once the paths are whole.
+// partition cuts the traffic from some regions to the others for a while and drains a backend in that time, through the side
+// with the majority. It measures the drain on that side, and on all nodes once the paths are restored.
 func (r *run) apart(ctx context.Context, s *Section, site *site, name string, from []string, lasted time.Duration,
 	size int, backend string) error {
 	if err := r.guard.calm(ctx, timesOfLog); err != nil {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// unlessLate notes a time, or that it is lacking as the machine was late while it was measured.
+// addUnlessDelayed adds a time, or records it as missing if the machine was delayed while it was measured.
 func (r *run) unlessLate(s *Section, late time.Duration, name string, value float64, unit string) {
 	if late > timesOfLog.most() {
 		r.guard.void.Add(1)
--- a/internal/rig/capacity/roles.go
+++ b/internal/rig/capacity/roles.go
@@ -6,20 +6,21 @@
 	"slices"
 )
 
-// entry is a line of a role's table: what is planned with, when, the figure, its budget, and what carries it.
+// roleEntry is a row of a role's table: the quantity, the load condition, the figure, its budget, and the mechanism that
+// handles the load.
 type entry struct {
 	what, when string
-	figure     string // of a figure or a line; empty: not run
+	figure     string // name of a figure or a slope; empty: not run
 	budget     float64
-	budgetNote string // what the budget is, in the figure's unit
+	budgetNote string // unit and meaning of the budget
 	mechanism  string
-	// times the figure is what is meant, beyond what was run; 0: the figure itself.
+	// multiplier is applied to the figure to extrapolate beyond what was run; 0: the figure itself.
 	times float64
-	// within is a figure that is the budget: what can be had at most.
+	// budgetFigure names a measured figure that is the budget: the maximum that is possible.
 	within string
 }
 
-// valueOf gives an entry's value, with its budget.
+// valueOf returns an entry's value, and the entry with its budget filled in.
 func (r *Results) valueOf(e entry) (value, entry, error) {
 	v, err := r.find(e.figure)
 	if err != nil {
@@ -43,13 +44,13 @@
 	return short(e.budget) + " " + e.budgetNote
 }
 
-// role is a part of the program that is planned for.
+// role is a part of the program with its capacity table.
 type role struct {
 	name    string
 	entries []entry
 }
 
-// When.
+// Load conditions.
 const (
 	atRest  = "at rest"
 	atPeak  = "at the peak of changes: 100 drains in 10 s"
@@ -58,23 +59,24 @@
 	missing = "missing"
 )
 
-// Budgets in words.
+// Notes of budgets, and names of mechanisms.
 const (
 	ofMemory  = "MiB, the node's control part"
 	ofCore    = "cores, the node's control part"
 	ofBytes   = "bytes/s, the node's control part"
 	ofInForce = "ms, in force everywhere"
-	// carriesConfiguration brings changes to the nodes' control parts; their data planes don't act on them yet.
+	// carriesConfiguration is the mechanism that brings changes to the nodes' control parts. Their data planes don't apply
+	// these changes yet.
 	carriesConfiguration = "internal/configuration, internal/control"
 	ofListTake           = "bytes, what a node takes"
 )
 
 const (
-	platformMemory = 192 // MiB of the largest node
+	platformMemory = 192 // MiB of memory of the largest node
 	memoryNote     = "MiB, the largest node of the platform, all of it"
 )
 
-// roles are in the order of the page.
+// roles holds all roles, in the order of the page.
 var roles = []role{
 	{"data-plane", []entry{
 		{"memory, one service of all 8,600 backends", atRest, "modules.backends.memory", platformMemory, memoryNote,
@@ -223,12 +225,12 @@
 	}},
 }
 
-// missingTable lists what no part of the program carries at the design size, what is furthest over its budget first.
+// missingTable lists the loads that no part of the program can handle at the design size, the furthest over budget first.
 func missingTable(r *Results) (string, error) {
 	type lack struct {
 		entry
 		value  value
-		why    string // it is not there
+		why    string // reason why the value is missing
 		factor float64
 	}
 	var list []lack
@@ -252,7 +254,7 @@
 			}
 		}
 	}
-	// What nothing carries and what has a budget comes first: its factor has no bound.
+	// An entry that has a budget and no mechanism comes first, because its factor has no bound.
 	order := func(l lack) float64 {
 		if l.figure == "" && l.budget > 0 {
 			return 1e18
