--- a/cmd/rig/capacity.go
+++ b/cmd/rig/capacity.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		return err
 	}
-	broken, err := capacity.Run(ctx, capacity.Options{Seed: o.seed, Quick: o.quick, Only: o.sections, Program: o.binary, Self: self, Results: o.results, Out: o.out.w})
+	broken, err := capacity.Run(ctx, capacity.Options{Seed: o.seed, Quick: o.quick, SectionNames: o.sections, Program: o.binary, HollowProgram: self, Results: o.results, Out: o.out.w})
 	o.out.broken += broken
 	return err
 }
--- a/cmd/rig/soak.go
+++ b/cmd/rig/soak.go
@@ -27,7 +27,7 @@
 )
 
 // maxSoakLateness is the longest delay of the rig's own timers with which a run still counts; beyond it the run is void.
-const maxSoakLateness = soak.LateSlack
+const maxSoakLateness = soak.TimingTolerance
 
 // errVoid reports a run in which the machine delayed the rig so much that no process can be judged.
 var errVoid = errors.New("the machine was late: the run is void")
@@ -114,13 +114,13 @@
 	o.out.figure("soak.balancers", p.profile.Balancers, fmt.Sprintf("configured at each process; peers %v, patience %v, %.0f requests a second at each", p.profile.Peers,
 		p.profile.Patience, p.profile.Rate))
 	o.out.figure("soak.killed", p.killedAtEnd.Load(), "processes that had not ended by the earliest SIGKILL after SIGTERM")
-	o.out.figure("soak.processes", len(e.Ready), "started, of "+fmt.Sprint(p.profile.Nodes)+" nodes")
+	o.out.figure("soak.processes", len(e.StartTimes), "started, of "+fmt.Sprint(p.profile.Nodes)+" nodes")
 	o.out.figure("soak.faults", p.injected.Load(), "injected")
 	o.out.figure("soak.requests", len(e.Answers), "attempts of clients")
 	o.out.figure("soak.served", float64(served)/float64(max(1, len(e.Answers))), "of them")
 	o.out.figure("soak.refused", float64(refused)/float64(max(1, len(e.Answers))), "of them")
 	o.out.figure("soak.executions", len(e.Executions), "at servers")
-	o.out.figure("soak.departed", len(e.Departed), "requests whose clients closed the connection")
+	o.out.figure("soak.departed", len(e.ClientLeft), "requests whose clients closed the connection")
 	o.out.figure("soak.refusals_of_guards", p.guardRefusals(), "attempts")
 	o.out.figure("soak.late", late.Seconds(), "s, the longest delay of the rig itself")
 }
--- a/cmd/rig/soakfaults.go
+++ b/cmd/rig/soakfaults.go
@@ -63,7 +63,7 @@
 		return n.restartWithTermAtStart(ctx, length/10)
 	case soak.TermHandover:
 		return n.handoverWithTerm(ctx)
-	case soak.Crowd:
+	case soak.IdleClients:
 		p.applyConnectionPressure(ctx, n, length)
 	case soak.Leave:
 		p.leave(ctx, n, length)
@@ -82,9 +82,9 @@
 		server.SetUnresponsive(true)
 		sleepFor(ctx, length)
 		server.SetUnresponsive(false)
-	case soak.Silent, soak.Resets, soak.Late:
+	case soak.Partitioned, soak.Resets, soak.Late:
 		_, path := s.currentServer()
-		path.SetFault(map[soak.Kind]standin.PathFault{soak.Silent: standin.PathSilent, soak.Resets: standin.PathResets, soak.Late: standin.PathConnectsStall}[f.Kind])
+		path.SetFault(map[soak.Kind]standin.PathFault{soak.Partitioned: standin.PathSilent, soak.Resets: standin.PathResets, soak.Late: standin.PathConnectsStall}[f.Kind])
 		sleepFor(ctx, length)
 		path.SetFault(standin.PathHealthy)
 	default:
@@ -104,9 +104,9 @@
 		return registry.Fault{Down: true, Hang: true}
 	case soak.ListSlow:
 		return registry.Fault{CallTimeFactor: 4}
-	case soak.ListCrowded:
+	case soak.ListOverloaded:
 		return registry.Fault{Overloaded: true}
-	case soak.ListSilent:
+	case soak.ListStalled:
 		return registry.Fault{Silent: true}
 	case soak.ListInPieces:
 		return registry.Fault{Fragmented: true}
@@ -229,5 +229,5 @@
 	over := !(isNet && timeout.Timeout())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.stalled = append(p.stalled, soak.Stalled{Node: n.name, From: from, For: time.Since(from), Over: over})
+	p.stalled = append(p.stalled, soak.StalledClient{Node: n.name, From: from, Duration: time.Since(from), Ended: over})
 }
--- a/cmd/rig/soakplay.go
+++ b/cmd/rig/soakplay.go
@@ -42,7 +42,7 @@
 
 	mu         sync.Mutex
 	clientGone map[string]time.Time // when clients disconnected, by request ID
-	stalled    []soak.Stalled
+	stalled    []soak.StalledClient
 	refusals   map[string]int // attempts that the guard of each process refused
 	savedLogs  int            // number of saved logs
 }
@@ -57,7 +57,7 @@
 	path          *standin.Path
 	previous      []*standin.Server
 	previousPaths []*standin.Path
-	cold          []soak.Cold
+	cold          []soak.ColdStart
 	dedup         *standin.Dedup
 }
 
@@ -78,7 +78,7 @@
 		}
 		entries = append(entries, s.entry("ready"))
 	}
-	p.service = registry.New(p.profile.PerCall, entries...)
+	p.service = registry.New(p.profile.DiscoveryCallTime, entries...)
 	for i := range p.profile.Nodes {
 		if err = p.addNode(i, seed); err != nil {
 			return p, err
@@ -196,13 +196,13 @@
 // evidence collects the logs of clients, servers, discovery and nodes.
 func (p *soakRun) evidence(loads []*standin.Load) soak.Evidence {
 	e := soak.Evidence{Classes: soakClasses(p.profile.Patience), Notified: map[string][]registry.Notification{}, Killed: map[string][]soak.Span{},
-		Crowded: map[string][]soak.Span{}, HandedOver: map[string][]soak.Span{}, Guard: map[string]map[string]int{}}
+		ConnectionPressure: map[string][]soak.Span{}, HandedOver: map[string][]soak.Span{}, GuardViolations: map[string]map[string]int{}}
 	for _, l := range loads {
 		e.Answers = append(e.Answers, l.Log()...)
 	}
 	for _, s := range p.servers {
 		e.Executions = append(e.Executions, s.executions()...)
-		e.Cold = append(e.Cold, s.cold...)
+		e.ColdStarts = append(e.ColdStarts, s.cold...)
 	}
 	for _, n := range p.nodes {
 		e.Notified[n.name] = n.notifications()
@@ -215,13 +215,13 @@
 			}
 		}
 		p.saveLog(n.name, n.process)
-		e.Killed[n.name], e.HandedOver[n.name], e.Guard[n.name], e.Crowded[n.name] = n.killed, n.handovers, n.guard, n.pressureSpans
-		e.Ready, e.Ended = append(e.Ready, n.ready...), append(e.Ended, n.ended...)
+		e.Killed[n.name], e.HandedOver[n.name], e.GuardViolations[n.name], e.ConnectionPressure[n.name] = n.killed, n.handovers, n.guard, n.pressureSpans
+		e.StartTimes, e.UnexpectedEnds = append(e.StartTimes, n.ready...), append(e.UnexpectedEnds, n.ended...)
 		n.mu.Unlock()
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e.Departed, e.Stalled = p.clientGone, p.stalled
+	e.ClientLeft, e.Stalled = p.clientGone, p.stalled
 	return e
 }
 
@@ -295,7 +295,7 @@
 	}
 	s.current, s.path = server, path
 	if coldFrom > 0 {
-		s.cold = append(s.cold, soak.Cold{Server: s.name, Started: server.Started, Rate: 1 / soakWork()["read"].Time.Seconds(), From: coldFrom, Time: soakColdTime})
+		s.cold = append(s.cold, soak.ColdStart{Server: s.name, Started: server.Started, Rate: 1 / soakWork()["read"].Time.Seconds(), InitialShare: coldFrom, RampTime: soakColdTime})
 	}
 	return nil
 }
--- a/internal/rig/capacity/bursts.go
+++ b/internal/rig/capacity/bursts.go
@@ -24,39 +24,39 @@
 }
 
 // burstResult is the result of a burst of drains.
-type changes struct {
+type burstResult struct {
 	each, last standin.Times
 	refused    int // drains that were not granted within burstWait
 	unknown    int // drains that were granted, but not known at all nodes within burstWait
-	used       spent
+	rates      usageRates
 }
 
 // burst drains count backends within burstLength, through all control machines in turn, and adds the figures.
 func (r *run) burst(ctx context.Context, s *Section, site *site, size, count int, next *int) error {
-	var c changes
+	var c burstResult
 	first := 0
 	name := fmt.Sprintf("%d.burst%d", size, count)
-	late, err := r.guard.punctual(ctx, name, timesOfLog, burstRepeats, func() (err error) {
+	late, err := r.guard.runUndelayed(ctx, name, timesOfLog, burstRepeats, func() (err error) {
 		first = *next
 		*next += count
-		c, err = site.change(ctx, size, first, count)
+		c, err = site.drainBurst(ctx, size, first, count)
 		return err
 	}, func() error {
 		for i := range count { // ending a drain that was not granted is refused, which is no error here
-			if err := site.giveBack(ctx, backendName(first+i), i%controlMachines); err != nil {
+			if err := site.endDrain(ctx, backendName(first+i), i%controlMachines); err != nil {
 				return err
 			}
 		}
-		return site.live(ctx)
+		return site.awaitSessions(ctx)
 	})
 	if errors.Is(err, errVoid) {
-		s.lack(r.Out, name, err)
+		s.addMissing(r.Out, name, err)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	s.Late = max(s.Late, late)
+	s.MaxDelay = max(s.MaxDelay, late)
 	for _, f := range []struct {
 		name  string
 		value float64
@@ -69,20 +69,20 @@
 		{"known.each.p99", c.each.Quantile(0.99).Seconds() * 1e3, "ms"},
 		{"known.last.p50", c.last.Quantile(0.5).Seconds() * 1e3, "ms"},
 		{"known.last.worst", c.last.Quantile(1).Seconds() * 1e3, "ms"},
-		{"leader.processor", c.used.leaderProcessor, "cores"},
-		{"leader.bytes", c.used.leaderBytes, "bytes/s in and out, with headers"},
-		{"follower.processor", c.used.followerProcessor, "cores"},
-		{"node.processor", c.used.nodeProcessor, "cores, of a hollow node"},
-		{"node.bytes", c.used.nodeBytes, "bytes/s in and out, with headers"},
-		{"entries", c.used.entries, "entries/s of the log"},
+		{"leader.processor", c.rates.leaderProcessor, "cores"},
+		{"leader.bytes", c.rates.leaderBytes, "bytes/s in and out, with headers"},
+		{"follower.processor", c.rates.followerProcessor, "cores"},
+		{"node.processor", c.rates.nodeProcessor, "cores, of a hollow node"},
+		{"node.bytes", c.rates.nodeBytes, "bytes/s in and out, with headers"},
+		{"entries", c.rates.entries, "entries/s of the log"},
 	} {
-		s.figure(r.Out, name+"."+f.name, f.value, f.unit)
+		s.addFigure(r.Out, name+"."+f.name, f.value, f.unit)
 	}
 	return nil
 }
 
 // drainBurst drains backends one after the other, evenly over burstLength, and waits until all hollow nodes know each drain.
-func (s *site) change(ctx context.Context, nodes, first, count int) (c changes, err error) {
+func (s *site) drainBurst(ctx context.Context, nodes, first, count int) (c burstResult, err error) {
 	before, err := s.read(ctx)
 	if err != nil {
 		return c, err
@@ -94,7 +94,7 @@
 	for i := range count {
 		began[i] = time.Now()
 		work.Go(func() {
-			errs[i] = ask(within, s.voters[i%controlMachines].door,
+			errs[i] = propose(within, s.voters[i%controlMachines].client,
 				drainEntry(fleet.ServerTarget(backendName(first+i))))
 		})
 		if err := sleep(ctx, burstLength/time.Duration(count)); err != nil {
@@ -106,13 +106,13 @@
 	if err != nil {
 		return c, err
 	}
-	c.used = between(before, after, nodes)
+	c.rates = ratesBetween(before, after, nodes)
 	for i := range count {
 		if errs[i] != nil {
 			c.refused++
 			continue
 		}
-		times, err := s.known(within, hollow.ServerDrained(uint32(registry.ServerID(backendName(first+i)))), nodes)
+		times, err := s.awaitKnown(within, hollow.ServerDrained(uint32(registry.ServerID(backendName(first+i)))), nodes)
 		if errors.Is(err, context.DeadlineExceeded) {
 			c.unknown++
 			continue
@@ -130,9 +130,9 @@
 }
 
 // endDrain ends a drain, if there is one.
-func (s *site) giveBack(ctx context.Context, backend string, through int) error {
+func (s *site) endDrain(ctx context.Context, backend string, through int) error {
 	e := returnEntry(fleet.ServerTarget(backend))
 	e.Ask = rand.Text()
-	_, err := s.voters[through].door.Propose(ctx, e)
+	_, err := s.voters[through].client.Propose(ctx, e)
 	return err
 }
--- a/internal/rig/capacity/calibrate.go
+++ b/internal/rig/capacity/calibrate.go
@@ -15,34 +15,34 @@
 
 const (
 	calibrateWindow = 30 * time.Second
-	mostDifference  = 0.15 // relative difference between hollow and real nodes above which it is reported
+	maxDifference   = 0.15 // relative difference between hollow and real nodes above which it is reported
 )
 
 // realTotals are the totals of some real nodes since their start.
-type real struct {
-	processor time.Duration
-	resident  int // KiB
-	traffic   link.Traffic
+type realTotals struct {
+	cpuTime  time.Duration
+	resident int // KiB
+	traffic  link.Traffic
 }
 
-func readReal(ctx context.Context, list []*machine, inFleet bool) (all real, err error) {
+func readRealNodes(ctx context.Context, list []*machine, inFleet bool) (all realTotals, err error) {
 	for _, m := range list {
-		all.processor += processorOf(m.pid())
+		all.cpuTime += processorOf(m.pid())
 		all.resident += memoryOf(m.pid(), "VmRSS")
 		if !inFleet {
 			continue
 		}
-		h, err := m.door.Status(ctx)
+		h, err := m.client.Status(ctx)
 		if err != nil {
 			return all, fmt.Errorf("%s: %w", m.name, err)
 		}
-		all.traffic = sum(all.traffic, h.Traffic)
+		all.traffic = sumTraffic(all.traffic, h.Traffic)
 	}
 	return all, nil
 }
 
 // sumTraffic returns the sum of two traffic counts.
-func sum(a, b link.Traffic) link.Traffic {
+func sumTraffic(a, b link.Traffic) link.Traffic {
 	t := link.Traffic{DatagramsOut: a.DatagramsOut + b.DatagramsOut, DatagramsIn: a.DatagramsIn + b.DatagramsIn,
 		BytesOut: a.BytesOut + b.BytesOut, BytesIn: a.BytesIn + b.BytesIn,
 		Calls: map[uint64]uint64{}}
@@ -56,9 +56,9 @@
 
 // addCounts returns the totals of two processes of hollow nodes; the pause is the longer one.
 func addCounts(a, b hollow.Counts) hollow.Counts {
-	return hollow.Counts{Nodes: a.Nodes + b.Nodes, Live: a.Live + b.Live, Traffic: sum(a.Traffic, b.Traffic),
-		Processor: a.Processor + b.Processor,
-		Resident:  a.Resident + b.Resident, Pause: max(a.Pause, b.Pause)}
+	return hollow.Counts{Nodes: a.Nodes + b.Nodes, Live: a.Live + b.Live, Traffic: sumTraffic(a.Traffic, b.Traffic),
+		CPUTime:     a.CPUTime + b.CPUTime,
+		ResidentKiB: a.ResidentKiB + b.ResidentKiB, LongestPause: max(a.LongestPause, b.LongestPause)}
 }
 
 // calibrate compares hollow nodes with real ones that run in the same fleet at the same time. The cost of a real node's
@@ -75,7 +75,7 @@
 
 func (r *run) calibrateAt(ctx context.Context, s *Section, size int) error {
 	const realNode = 40 << 10 // KiB of memory of one real node, an estimate for the check of the run's bounds
-	if err := r.fits(controlMachines+2+2*size, 2*size*realNode); err != nil {
+	if err := r.checkFits(controlMachines+2+2*size, 2*size*realNode); err != nil {
 		return err
 	}
 	site, err := r.openSite(ctx, serviceSize, false)
@@ -83,7 +83,7 @@
 		return err
 	}
 	defer site.close()
-	empty, err := hollow.StartProcess(r.self, filepath.Join(site.folder, "empty.json"),
+	empty, err := hollow.StartProcess(r.hollowProgram, filepath.Join(site.folder, "empty.json"),
 		hollow.Options{Folder: site.folder})
 	if err != nil {
 		return err
@@ -96,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	if err := site.live(ctx); err != nil {
+	if err := site.awaitSessions(ctx); err != nil {
 		return err
 	}
 	if err := allSessions(ctx, with); err != nil {
@@ -105,41 +105,41 @@
 	if err := sleep(ctx, r.settleTime()); err != nil {
 		return err
 	}
-	a, err := readBeside(ctx, site, empty, with, without)
+	a, err := readComparison(ctx, site, empty, with, without)
 	if err != nil {
 		return err
 	}
 	if err := sleep(ctx, calibrateWindow); err != nil {
 		return err
 	}
-	b, err := readBeside(ctx, site, empty, with, without)
+	b, err := readComparison(ctx, site, empty, with, without)
 	if err != nil {
 		return err
 	}
-	r.compare(s, size, a, b)
+	r.reportDifferences(s, size, a, b)
 	return nil
 }
 
 // comparison holds the totals of all processes that are compared, at one time.
-type beside struct {
+type comparison struct {
 	at            time.Time
 	hollow, empty hollow.Counts
-	with, without real
+	with, without realTotals
 }
 
-func readBeside(ctx context.Context, site *site, empty *hollow.Process, with, without []*machine) (b beside,
+func readComparison(ctx context.Context, site *site, empty *hollow.Process, with, without []*machine) (b comparison,
 	err error) {
 	var errs [4]error
 	b.hollow, errs[0] = site.counts()
 	b.empty, errs[1] = empty.Counts()
-	b.with, errs[2] = readReal(ctx, with, true)
-	b.without, errs[3] = readReal(ctx, without, false)
+	b.with, errs[2] = readRealNodes(ctx, with, true)
+	b.without, errs[3] = readRealNodes(ctx, without, false)
 	b.at = time.Now()
 	return b, errors.Join(errs[:]...)
 }
 
 // reportDifferences adds the figures of real and hollow nodes and their ratios, and prints ratios that differ too much.
-func (r *run) compare(s *Section, size int, a, b beside) {
+func (r *run) reportDifferences(s *Section, size int, a, b comparison) {
 	seconds, nodes := b.at.Sub(a.at).Seconds(), float64(size)
 	per := func(n float64) float64 { return n / seconds / nodes }
 	datagrams := func(t link.Traffic) float64 { return float64(t.DatagramsIn + t.DatagramsOut) }
@@ -158,24 +158,24 @@
 			per(calls(b.hollow.Traffic) - calls(a.hollow.Traffic)), "calls/s a node"},
 		{"datagrams", per(datagrams(b.with.traffic) - datagrams(a.with.traffic)),
 			per(datagrams(b.hollow.Traffic) - datagrams(a.hollow.Traffic)), "datagrams/s a node, in and out"},
-		{"bytes", per(onWire(b.with.traffic) - onWire(a.with.traffic)),
-			per(onWire(b.hollow.Traffic) - onWire(a.hollow.Traffic)), "bytes/s a node, in and out, with headers"},
-		{"processor", per((b.with.processor - a.with.processor - b.without.processor + a.without.processor).Seconds()),
-			per((b.hollow.Processor - a.hollow.Processor - b.empty.Processor + a.empty.Processor).Seconds()), "cores a node"},
+		{"bytes", per(wireBytes(b.with.traffic) - wireBytes(a.with.traffic)),
+			per(wireBytes(b.hollow.Traffic) - wireBytes(a.hollow.Traffic)), "bytes/s a node, in and out, with headers"},
+		{"processor", per((b.with.cpuTime - a.with.cpuTime - b.without.cpuTime + a.without.cpuTime).Seconds()),
+			per((b.hollow.CPUTime - a.hollow.CPUTime - b.empty.CPUTime + a.empty.CPUTime).Seconds()), "cores a node"},
 		{"memory", float64(b.with.resident-b.without.resident) / 1024 / nodes,
-			float64(b.hollow.Resident-b.empty.Resident) / 1024 / nodes, "MiB a node"},
+			float64(b.hollow.ResidentKiB-b.empty.ResidentKiB) / 1024 / nodes, "MiB a node"},
 	} {
 		name := fmt.Sprintf("%d.%s", size, f.name)
-		s.figure(r.Out, name+".real", f.real, f.unit)
-		s.figure(r.Out, name+".hollow", f.hollow, f.unit)
+		s.addFigure(r.Out, name+".real", f.real, f.unit)
+		s.addFigure(r.Out, name+".hollow", f.hollow, f.unit)
 		ratio := f.hollow / f.real
-		s.figure(r.Out, name+".ratio", ratio, "hollow over real")
-		if math.Abs(ratio-1) > mostDifference {
+		s.addFigure(r.Out, name+".ratio", ratio, "hollow over real")
+		if math.Abs(ratio-1) > maxDifference {
 			fmt.Fprintf(r.Out, "%s: differs by more than %.0f%%: the figure of real nodes is the one to use\n", name,
-				100*mostDifference)
+				100*maxDifference)
 		}
 	}
-	s.figure(r.Out, fmt.Sprintf("%d.whole.memory", size), float64(b.without.resident)/1024/nodes,
+	s.addFigure(r.Out, fmt.Sprintf("%d.whole.memory", size), float64(b.without.resident)/1024/nodes,
 		"MiB of a real node without the fleet")
 }
 
@@ -199,7 +199,7 @@
 		s.others = append(s.others, m)
 	}
 	for _, m := range s.others {
-		if err := m.ready(ctx, "http://"+m.listen+"/health/ready"); err != nil {
+		if err := m.awaitReady(ctx, "http://"+m.listen+"/health/ready"); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -212,7 +212,7 @@
 	defer cancel()
 	for _, m := range list {
 		for {
-			h, err := m.door.Status(ctx)
+			h, err := m.client.Status(ctx)
 			if err == nil && h.Session > 0 {
 				break
 			}
--- a/internal/rig/capacity/capacity.go
+++ b/internal/rig/capacity/capacity.go
@@ -22,38 +22,38 @@
 
 // Budgets of the control part of one node, and of the latency that a node adds to a request.
 const (
-	BudgetProcessor = 0.041  // of a core
-	BudgetMemory    = 32.0   // MiB
-	BudgetBytes     = 7000.0 // bytes a second
-	BudgetInForce   = 3.0    // seconds from the commit of a change until the last node has it
-	BudgetAdded     = 6.6    // ms at the 99th percentile
+	BudgetCores        = 0.041  // of a core
+	BudgetMemory       = 32.0   // MiB
+	BudgetBytes        = 7000.0 // bytes a second
+	BudgetInForce      = 3.0    // seconds from the commit of a change until the last node has it
+	BudgetAddedLatency = 6.6    // ms at the 99th percentile
 )
 
 // Options are the options of a run.
 type Options struct {
-	Seed    uint64
-	Quick   bool   // the short form for CI, with 40 hollow nodes
-	Only    string // names of sections, separated by commas; empty: all, or those of the quick form
-	Program string // path of the node program; empty: it is built
-	Self    string // path of a program that calls hollow.Main when its arguments are "hollow FILE"
-	Results string // file to which the results of the sections are written; empty: none
-	Out     io.Writer
+	Seed          uint64
+	Quick         bool   // the short form for CI, with 40 hollow nodes
+	SectionNames  string // names of sections, separated by commas; empty: all, or those of the quick form
+	Program       string // path of the node program; empty: it is built
+	HollowProgram string // path of a program that calls hollow.Main when its arguments are "hollow FILE"
+	Results       string // file to which the results of the sections are written; empty: none
+	Out           io.Writer
 }
 
 // run is a run of the rig.
 type run struct {
 	Options
-	program, self string
-	folder        string
-	bounds        bounds
-	guard         *guard
+	program, hollowProgram string
+	folder                 string
+	bounds                 bounds
+	guard                  *guard
 }
 
 // section is one part of the rig's measurements.
 type section struct {
 	name  string
 	quick bool // part of the quick form
-	play  func(r *run, ctx context.Context, s *Section) error
+	run   func(r *run, ctx context.Context, s *Section) error
 }
 
 var sections = []section{
@@ -76,7 +76,7 @@
 
 // Run runs the selected sections and returns how many promises were broken. A section that fails counts as one.
 func Run(ctx context.Context, o Options) (broken int, err error) {
-	r := &run{Options: o, program: o.Program, self: o.Self}
+	r := &run{Options: o, program: o.Program, hollowProgram: o.HollowProgram}
 	if r.bounds, err = machineBounds(); err != nil {
 		return 0, err
 	}
@@ -84,7 +84,7 @@
 		return 0, err
 	}
 	defer os.RemoveAll(r.folder)
-	list, err := chosen(o)
+	list, err := selectedSections(o)
 	if err != nil {
 		return 0, err
 	}
@@ -95,29 +95,29 @@
 		}
 	}
 	ctx, r.guard = watch(ctx, r.bounds, o.Out)
-	if err := r.guard.disk(ctx, r.folder); err != nil {
+	if err := r.guard.measureDisk(ctx, r.folder); err != nil {
 		return 0, err
 	}
 	for _, part := range list {
 		s := &Section{Name: part.name, Began: time.Now().UTC().Truncate(time.Second), Seed: o.Seed, Quick: o.Quick,
 			Machine: machineNote(r.bounds), Load: loadNote()}
 		began := time.Now()
-		err := part.play(r, ctx, s)
+		err := part.run(r, ctx, s)
 		if ctx.Err() != nil {
 			return broken, context.Cause(ctx)
 		}
 		if err != nil {
-			s.lack(o.Out, "", err) // the figures that it has measured so far are kept
+			s.addMissing(o.Out, "", err) // the figures that it has measured so far are kept
 			broken++
 		}
 		s.Took, s.Load = time.Since(began), s.Load+" to "+loadNote()
-		s.Most.Processes, s.Most.Memory = int(r.guard.most.processes.Swap(0)), int(r.guard.most.memory.Swap(0))
-		s.figure(o.Out, "harness.late", s.Late.Seconds()*1e3,
+		s.Peak.Processes, s.Peak.Memory = int(r.guard.peak.processes.Swap(0)), int(r.guard.peak.memory.Swap(0))
+		s.addFigure(o.Out, "harness.late", s.MaxDelay.Seconds()*1e3,
 			"ms, the longest by which cores or disk were late where times were measured")
-		s.figure(o.Out, "harness.void", float64(r.guard.void.Swap(0)),
+		s.addFigure(o.Out, "harness.void", float64(r.guard.voidRuns.Swap(0)),
 			"runs that were void as the machine was late, and made again")
-		broken += s.broken()
-		if err := r.keep(s); err != nil {
+		broken += s.brokenPromises()
+		if err := r.saveResults(s); err != nil {
 			return broken, err
 		}
 	}
@@ -125,16 +125,16 @@
 }
 
 // selectedSections returns the sections that the options select, or an error for an unknown name.
-func chosen(o Options) (list []section, err error) {
+func selectedSections(o Options) (list []section, err error) {
 	var names []string
-	if o.Only != "" {
-		names = strings.Split(o.Only, ",")
+	if o.SectionNames != "" {
+		names = strings.Split(o.SectionNames, ",")
 	}
 	for _, s := range sections {
 		if at := slices.Index(names, s.name); at >= 0 {
 			names = slices.Delete(names, at, at+1)
 			list = append(list, s)
-		} else if o.Only == "" && (s.quick || !o.Quick) {
+		} else if o.SectionNames == "" && (s.quick || !o.Quick) {
 			list = append(list, s)
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // saveResults writes a section's run to the results file, in place of an earlier run of that section.
-func (r *run) keep(s *Section) error {
+func (r *run) saveResults(s *Section) error {
 	if r.Results == "" {
 		return nil
 	}
@@ -153,6 +153,6 @@
 	if err != nil {
 		return err
 	}
-	all.put(s)
+	all.replaceSection(s)
 	return all.Write(r.Results)
 }
--- a/internal/rig/capacity/capacity_test.go
+++ b/internal/rig/capacity/capacity_test.go
@@ -37,7 +37,7 @@
 	}
 	var out strings.Builder
 	results := filepath.Join(t.TempDir(), "results.json")
-	broken, err := Run(t.Context(), Options{Seed: 1, Quick: true, Only: "nodes,configuration", Self: self, Results: results,
+	broken, err := Run(t.Context(), Options{Seed: 1, Quick: true, SectionNames: "nodes,configuration", HollowProgram: self, Results: results,
 		Out: &out})
 	if err != nil || broken > 0 {
 		t.Fatalf("%d broken, %v\n%s", broken, err, out.String())
@@ -69,23 +69,23 @@
 	figures := func() *Section {
 		s := &Section{Name: "nodes"}
 		for _, l := range list {
-			s.Figures = append(s.Figures, Figure{Name: "nodes." + l.figure, Value: l.most})
+			s.Figures = append(s.Figures, Figure{Name: "nodes." + l.figure, Value: l.limit})
 		}
 		return s
 	}
 	s := figures()
-	if s.judge(io.Discard, list); s.broken() != 0 || len(s.Promises) != len(list) {
+	if s.judge(io.Discard, list); s.brokenPromises() != 0 || len(s.Promises) != len(list) {
 		t.Errorf("at the thresholds: %+v", s.Promises)
 	}
 	for i, l := range list {
 		s := figures()
-		s.Figures[i].Value = l.most + 1e-6
-		if s.judge(io.Discard, list); s.broken() != 1 || s.Promises[i].Kept {
+		s.Figures[i].Value = l.limit + 1e-6
+		if s.judge(io.Discard, list); s.brokenPromises() != 1 || s.Promises[i].Kept {
 			t.Errorf("%s beyond its threshold: %+v", l.figure, s.Promises[i])
 		}
 		s = figures()
 		s.Figures[i].Name = "other"
-		if s.judge(io.Discard, list); s.broken() != 1 || s.Promises[i].Kept {
+		if s.judge(io.Discard, list); s.brokenPromises() != 1 || s.Promises[i].Kept {
 			t.Errorf("%s missing: %+v", l.figure, s.Promises[i])
 		}
 	}
@@ -105,12 +105,12 @@
 		{[]Point{{0, 0}, {1, 0}, {2, 3}, {3, 0}}, 2, 0.3, 0.3, 3, 0.7,
 			false}, // at the design size the measured value counts, not the line
 	} {
-		s, err := fit("a", "b", "c", x.design, x.points)
+		s, err := fitSlope("a", "b", "c", x.design, x.points)
 		if err != nil || math.Abs(s.Base-x.base)+math.Abs(s.Slope-x.slope)+math.Abs(s.AtDesign-x.at)+math.Abs(s.Residual-x.residual) > 1e-9 || s.Extrapolated != x.extrapolated {
 			t.Errorf("%v: %+v, %v", x.points, s, err)
 		}
 	}
-	if _, err := fit("a", "b", "c", 1, straight[:3]); err == nil {
+	if _, err := fitSlope("a", "b", "c", 1, straight[:3]); err == nil {
 		t.Error("a slope was made from three sizes")
 	}
 }
@@ -129,7 +129,7 @@
 		}
 	}
 	machine, err := machineBounds()
-	if err != nil || machine.processes != mostProcesses || machine.memory < 64<<10 {
+	if err != nil || machine.processes != maxProcesses || machine.memory < 64<<10 {
 		t.Errorf("%+v, %v", machine, err)
 	}
 }
@@ -145,14 +145,14 @@
 	if err := context.Cause(ctx); !errors.Is(err, ErrBounds) || !strings.Contains(err.Error(), "processes, 0 may be") {
 		t.Errorf("%v", err)
 	}
-	if g.most.processes.Load() < 1 || g.most.memory.Load() < 1 {
+	if g.peak.processes.Load() < 1 || g.peak.memory.Load() < 1 {
 		t.Error("its own process is not counted")
 	}
 	r := &run{bounds: bounds{processes: 300, memory: 1 << 40}}
-	if err := r.fits(100, 0); err != nil {
+	if err := r.checkFits(100, 0); err != nil {
 		t.Errorf("100 processes: %v", err)
 	}
-	if err := r.fits(300, 0); !errors.Is(err, ErrBounds) {
+	if err := r.checkFits(300, 0); !errors.Is(err, ErrBounds) {
 		t.Errorf("300 processes beside this one: %v", err)
 	}
 }
@@ -166,11 +166,11 @@
 		late  int // runs that are
 		tries int
 		void  bool
-	}{{0, 1, false}, {2, 3, false}, {100, 1 + mostRepeats, true}} {
+	}{{0, 1, false}, {2, 3, false}, {100, 1 + maxRepeats, true}} {
 		g, tries, cleared := &guard{out: io.Discard}, 0, 0
-		_, err := g.punctual(t.Context(), "x", times, mostRepeats, func() error {
+		_, err := g.runUndelayed(t.Context(), "x", times, maxRepeats, func() error {
 			if tries++; tries <= x.late {
-				g.cores.Store(int64(mostLate) + 1)
+				g.coreDelay.Store(int64(maxDelay) + 1)
 			}
 			return nil
 		}, func() error { cleared++; return nil })
@@ -178,29 +178,29 @@
 			t.Errorf("%d late runs: %d tries, %v", x.late, tries, err)
 		}
 	}
-	const again = 1 + mostRepeats
+	const again = 1 + maxRepeats
 	for _, x := range []struct {
-		m            matters
+		m            timingNeed
 		cores, disks time.Duration
 		tries        int
-	}{{counts, mostLate + 1, time.Hour, 1}, {counts, mostLateCounts + 1, 0, again}, {times, mostLate, time.Hour,
-		1}, {times, mostLate + 1, 0, again},
-		{timesOfLog, mostLate, mostLate, 1}, {timesOfLog, mostLate + 1, 0, again}, {timesOfLog, 0, mostLate + 1,
+	}{{counts, maxDelay + 1, time.Hour, 1}, {counts, maxDelayCounts + 1, 0, again}, {times, maxDelay, time.Hour,
+		1}, {times, maxDelay + 1, 0, again},
+		{timesOfLog, maxDelay, maxDelay, 1}, {timesOfLog, maxDelay + 1, 0, again}, {timesOfLog, 0, maxDelay + 1,
 			again}} {
 		g, tries := &guard{out: io.Discard}, 0
-		g.punctual(t.Context(), "x", x.m, mostRepeats, func() error {
+		g.runUndelayed(t.Context(), "x", x.m, maxRepeats, func() error {
 			tries++
-			g.cores.Store(int64(x.cores))
-			g.disks.Store(int64(x.disks))
+			g.coreDelay.Store(int64(x.cores))
+			g.diskDelay.Store(int64(x.disks))
 			return nil
-		}, nothing)
+		}, noCleanup)
 		if tries != x.tries {
 			t.Errorf("%+v: %d tries", x, tries)
 		}
 	}
 	g := &guard{out: io.Discard}
-	if _, err := g.punctual(t.Context(), "x", times, mostRepeats, func() error { return io.EOF },
-		nothing); err != io.EOF {
+	if _, err := g.runUndelayed(t.Context(), "x", times, maxRepeats, func() error { return io.EOF },
+		noCleanup); err != io.EOF {
 		t.Errorf("a run's own error: %v", err)
 	}
 }
@@ -237,8 +237,8 @@
 		o    Options
 		want string
 	}{{Options{}, "calibrate nodes regions modules messages latency configuration"}, {Options{Quick: true},
-		"nodes modules messages configuration"}, {Options{Only: "latency,nodes"}, "nodes latency"}, {Options{Only: "nodes,x"}, ""}} {
-		list, err := chosen(x.o)
+		"nodes modules messages configuration"}, {Options{SectionNames: "latency,nodes"}, "nodes latency"}, {Options{SectionNames: "nodes,x"}, ""}} {
+		list, err := selectedSections(x.o)
 		var names []string
 		for _, s := range list {
 			names = append(names, s.name)
@@ -252,7 +252,7 @@
 func TestShort(t *testing.T) {
 	for v, want := range map[float64]string{0: "0", 0.04567: "0.0457", 12.345: "12.3", 1234.5: "1234", -0.5: "-0.5",
 		100: "100", 1e-5: "0.00001"} {
-		if got := short(v); got != want {
+		if got := formatValue(v); got != want {
 			t.Errorf("%v: %s, want %s", v, got, want)
 		}
 	}
--- a/internal/rig/capacity/configuration.go
+++ b/internal/rig/capacity/configuration.go
@@ -35,22 +35,22 @@
 
 // hollowShare is the share of the design's entries that the 730 hollow nodes hold. With a quarter of the entries they
 // needed more than half of the machine's memory, which is the rig's bound.
-const hollowPart = 0.1
+const hollowShare = 0.1
 
 // configurationSize returns the number of hollow nodes and the share of the design's entries that they hold.
 func (r *run) configurationSize() (nodes int, part float64, alone, burst int) {
 	if r.Quick {
 		return 40, 0.05, 5, 10
 	}
-	return int(Design.Nodes), hollowPart, changesAlone, changesInBurst
+	return int(Design.Nodes), hollowShare, changesAlone, changesInBurst
 }
 
 // configuration measures how long a change of the fleet's configuration takes to be in force, which means acknowledged by
 // every node that has a session. The store holds a share of the design's services, routes and tenants.
 func (r *run) configuration(ctx context.Context, s *Section) error {
 	size, part, alone, burst := r.configurationSize()
-	state(r.Out, configurationThresholds(size))
-	if err := r.fits(controlMachines+1+size/mostHollow, 0); err != nil {
+	printThresholds(r.Out, configurationThresholds(size))
+	if err := r.checkFits(controlMachines+1+size/maxHollowPerProcess, 0); err != nil {
 		return err
 	}
 	site, err := r.openSite(ctx, serviceSize, false)
@@ -62,20 +62,20 @@
 	if err := site.fill(ctx, entries); err != nil {
 		return err
 	}
-	s.figure(r.Out, "entries", float64(len(entries)), "services, routes and tenants")
+	s.addFigure(r.Out, "entries", float64(len(entries)), "services, routes and tenants")
 	began := time.Now()
-	for have := 0; have < size; have += mostHollow {
-		if err := site.addHollow(min(mostHollow, size-have)); err != nil {
+	for have := 0; have < size; have += maxHollowPerProcess {
+		if err := site.addHollow(min(maxHollowPerProcess, size-have)); err != nil {
 			return err
 		}
 	}
-	if err := site.live(ctx); err != nil {
+	if err := site.awaitSessions(ctx); err != nil {
 		return err
 	}
-	if err := site.inForce(ctx, size, startWait); err != nil {
+	if err := site.awaitInForce(ctx, size, startWait); err != nil {
 		return err
 	}
-	s.figure(r.Out, fmt.Sprintf("%d.start.inforce", size), time.Since(began).Seconds(),
+	s.addFigure(r.Out, fmt.Sprintf("%d.start.inforce", size), time.Since(began).Seconds(),
 		"s from the start of all hollow nodes, without a cache, until each has the whole configuration")
 	if err := sleep(ctx, r.settleTime()); err != nil {
 		return err
@@ -122,7 +122,7 @@
 func (s *site) fill(ctx context.Context, changes []*configpb.Change) error {
 	for from := 0; from < len(changes); from += configuration.MaxChanges {
 		to := min(len(changes), from+configuration.MaxChanges)
-		if err := ask(ctx, s.voters[0].door, configureEntry(changes[from:to]...)); err != nil {
+		if err := propose(ctx, s.voters[0].client, configureEntry(changes[from:to]...)); err != nil {
 			return err
 		}
 	}
@@ -144,12 +144,12 @@
 // configurationStatus queries the leader, through the first machine, for the revision in force.
 func (s *site) configurationStatus(ctx context.Context) (*configpb.Status, error) {
 	q := &configpb.Query{About: &configpb.Query_Status{Status: true}}
-	answer, err := s.voters[0].door.Query(ctx, q)
+	answer, err := s.voters[0].client.Query(ctx, q)
 	return answer.GetStatus(), err
 }
 
 // awaitInForce waits until the newest revision is in force at no fewer than the given number of nodes.
-func (s *site) inForce(ctx context.Context, nodes int, wait time.Duration) error {
+func (s *site) awaitInForce(ctx context.Context, nodes int, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	var last *configpb.Status
@@ -175,20 +175,20 @@
 	if r.Quick {
 		window = 5 * time.Second
 	}
-	var d spent
-	late, err := r.guard.punctual(ctx, "rest", counts, mostRepeats, func() (err error) {
+	var d usageRates
+	late, err := r.guard.runUndelayed(ctx, "rest", counts, maxRepeats, func() (err error) {
 		d, err = site.window(ctx, window, size)
 		return err
-	}, nothing)
+	}, noCleanup)
 	if err != nil {
 		return err
 	}
-	s.Late = max(s.Late, late)
+	s.MaxDelay = max(s.MaxDelay, late)
 	name := func(rest string) string { return fmt.Sprintf("%d.rest.%s", size, rest) }
-	s.figure(r.Out, name("node.bytes"), d.nodeBytes, "bytes/s in and out, with headers")
-	s.figure(r.Out, name("node.processor"), d.nodeProcessor, "cores, of a hollow node")
-	s.figure(r.Out, name("leader.processor"), d.leaderProcessor, "cores")
-	s.figure(r.Out, name("follower.processor"), d.followerProcessor, "cores")
+	s.addFigure(r.Out, name("node.bytes"), d.nodeBytes, "bytes/s in and out, with headers")
+	s.addFigure(r.Out, name("node.processor"), d.nodeProcessor, "cores, of a hollow node")
+	s.addFigure(r.Out, name("leader.processor"), d.leaderProcessor, "cores")
+	s.addFigure(r.Out, name("follower.processor"), d.followerProcessor, "cores")
 	return nil
 }
 
@@ -197,16 +197,16 @@
 	var took standin.Times
 	for i := range count {
 		var one time.Duration
-		late, err := r.guard.punctual(ctx, "change", timesOfLog, mostRepeats, func() error {
+		late, err := r.guard.runUndelayed(ctx, "change", timesOfLog, maxRepeats, func() error {
 			began := time.Now()
-			through := site.voters[i%controlMachines].door
-			if err := ask(ctx, through, timeoutChange(i, uint32(began.UnixMilli()%timeoutMost))); err != nil {
+			through := site.voters[i%controlMachines].client
+			if err := propose(ctx, through, timeoutChange(i, uint32(began.UnixMilli()%timeoutMost))); err != nil {
 				return err
 			}
-			err := site.inForce(ctx, size, inForceWait)
+			err := site.awaitInForce(ctx, size, inForceWait)
 			one = time.Since(began)
 			return err
-		}, nothing)
+		}, noCleanup)
 		if errors.Is(err, errVoid) {
 			fmt.Fprintln(r.Out, err)
 			continue
@@ -214,7 +214,7 @@
 		if err != nil {
 			return err
 		}
-		s.Late = max(s.Late, late)
+		s.MaxDelay = max(s.MaxDelay, late)
 		took.Add(one)
 	}
 	r.inForceFigures(s, fmt.Sprintf("%d.alone", size), took)
@@ -225,15 +225,15 @@
 // every run was void.
 func (r *run) inForceFigures(s *Section, name string, took standin.Times) {
 	if took.Count() == 0 {
-		s.lack(r.Out, name, errVoid)
+		s.addMissing(r.Out, name, errVoid)
 		return
 	}
-	s.figure(r.Out, name+".changes", float64(took.Count()), "changes that were measured")
+	s.addFigure(r.Out, name+".changes", float64(took.Count()), "changes that were measured")
 	for _, q := range []struct {
 		name string
 		part float64
 	}{{"p50", 0.5}, {"p99", 0.99}, {"worst", 1}} {
-		s.figure(r.Out, name+".inforce."+q.name, took.Quantile(q.part).Seconds()*1e3,
+		s.addFigure(r.Out, name+".inforce."+q.name, took.Quantile(q.part).Seconds()*1e3,
 			"ms from the request until it is in force at all nodes")
 	}
 }
@@ -242,18 +242,18 @@
 func (r *run) changeBurst(ctx context.Context, s *Section, site *site, size, count int) error {
 	var took standin.Times
 	name := fmt.Sprintf("%d.burst", size)
-	late, err := r.guard.punctual(ctx, name, timesOfLog, burstRepeats, func() (err error) {
+	late, err := r.guard.runUndelayed(ctx, name, timesOfLog, burstRepeats, func() (err error) {
 		took, err = site.burst(ctx, count)
 		return err
-	}, nothing)
+	}, noCleanup)
 	if errors.Is(err, errVoid) {
-		s.lack(r.Out, name, err)
+		s.addMissing(r.Out, name, err)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	s.Late = max(s.Late, late)
+	s.MaxDelay = max(s.MaxDelay, late)
 	r.inForceFigures(s, name, took)
 	return nil
 }
@@ -269,7 +269,7 @@
 	began := make([]time.Time, count) // start of the change that makes the revision first + 1 + i
 	asked := make(chan error, 1)
 	start := time.Now()
-	go func() { asked <- s.askBurst(ctx, start, count) }()
+	go func() { asked <- s.requestBurst(ctx, start, count) }()
 	for i := range began {
 		began[i] = start.Add(time.Duration(i) * burstLength / time.Duration(count))
 	}
@@ -287,13 +287,13 @@
 }
 
 // requestBurst makes changes one after the other, each no sooner than its scheduled time.
-func (s *site) askBurst(ctx context.Context, start time.Time, count int) error {
+func (s *site) requestBurst(ctx context.Context, start time.Time, count int) error {
 	for i := range count {
 		if err := sleep(ctx, time.Until(start.Add(time.Duration(i)*burstLength/time.Duration(count)))); err != nil {
 			return err
 		}
-		through, timeout := s.voters[i%controlMachines].door, uint32(time.Now().UnixMilli()%timeoutMost)
-		if err := ask(ctx, through, timeoutChange(i%burstServices, timeout)); err != nil {
+		through, timeout := s.voters[i%controlMachines].client, uint32(time.Now().UnixMilli()%timeoutMost)
+		if err := propose(ctx, through, timeoutChange(i%burstServices, timeout)); err != nil {
 			return err
 		}
 	}
--- a/internal/rig/capacity/drains.go
+++ b/internal/rig/capacity/drains.go
@@ -16,7 +16,7 @@
 )
 
 // drainResult holds the times of one drain.
-type drained struct {
+type drainResult struct {
 	granted time.Duration // from the request until the answer that grants it
 	last    time.Duration // from the request until the last hollow node has stopped
 	proven  time.Duration // from the grant's log entry to the proof's, by the leader's timestamps
@@ -24,7 +24,7 @@
 }
 
 // propose proposes an entry under a new random id, and returns an error unless it was applied.
-func ask(ctx context.Context, d *control.APIClient, e *fleetpb.Entry) error {
+func propose(ctx context.Context, d *control.APIClient, e *fleetpb.Entry) error {
 	e.Ask = rand.Text()
 	res, err := d.Propose(ctx, e)
 	if err != nil {
@@ -45,13 +45,13 @@
 }
 
 // drain drains a backend that is not drained yet, through the given machine, and waits until all hollow nodes know it.
-func (s *site) drain(ctx context.Context, through *machine, backend string, nodes int) (d drained, err error) {
+func (s *site) drain(ctx context.Context, through *machine, backend string, nodes int) (d drainResult, err error) {
 	began := time.Now()
-	if err := ask(ctx, through.door, drainEntry(fleet.ServerTarget(backend))); err != nil {
+	if err := propose(ctx, through.client, drainEntry(fleet.ServerTarget(backend))); err != nil {
 		return d, fmt.Errorf("drain of %s: %w", backend, err)
 	}
 	d.granted = time.Since(began)
-	times, err := s.known(ctx, hollow.ServerDrained(uint32(registry.ServerID(backend))), nodes)
+	times, err := s.awaitKnown(ctx, hollow.ServerDrained(uint32(registry.ServerID(backend))), nodes)
 	if err != nil {
 		return d, err
 	}
@@ -63,7 +63,7 @@
 }
 
 // awaitKnown waits until something is known at the given number of hollow nodes, and returns the time of each.
-func (s *site) known(ctx context.Context, what string, nodes int) ([]time.Time, error) {
+func (s *site) awaitKnown(ctx context.Context, what string, nodes int) ([]time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, knownWait)
 	defer cancel()
 	for {
@@ -87,12 +87,12 @@
 // awaitProof waits until a drain is proven, which means all nodes have stopped sending to the backend, and returns the time
 // between its grant and its proof by the leader's own timestamps. It polls seldom, because for each poll the leader encodes
 // its whole state.
-func (s *site) proof(ctx context.Context, through *machine, backend string) (time.Duration, error) {
+func (s *site) awaitProof(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, knownWait)
 	defer cancel()
 	target := fleet.ServerTarget(backend)
 	for {
-		state, err := through.door.State(ctx)
+		state, err := through.client.State(ctx)
 		if err != nil {
 			return 0, err
 		}
@@ -106,19 +106,19 @@
 }
 
 // drains measures single drains: the times until they are granted, until the last node has stopped, and until that is proven.
-func (r *run) drains(ctx context.Context, s *Section, site *site, size, count int, next *int, p *points) error {
+func (r *run) drains(ctx context.Context, s *Section, site *site, size, count int, next *int, p *slopePoints) error {
 	var granted, each, last, proven, looked standin.Times
 	for range count {
-		var d drained
+		var d drainResult
 		backend, through := "", (*machine)(nil)
-		late, err := r.guard.punctual(ctx, "drain", timesOfLog, mostRepeats, func() (err error) {
+		late, err := r.guard.runUndelayed(ctx, "drain", timesOfLog, maxRepeats, func() (err error) {
 			backend, through = backendName(*next), site.voters[*next%controlMachines]
 			*next++
 			if d, err = site.drain(ctx, through, backend, size); err == nil {
-				d.proven, err = site.proof(ctx, through, backend)
+				d.proven, err = site.awaitProof(ctx, through, backend)
 			}
 			return err
-		}, func() error { return ask(ctx, through.door, returnEntry(fleet.ServerTarget(backend))) })
+		}, func() error { return propose(ctx, through.client, returnEntry(fleet.ServerTarget(backend))) })
 		if errors.Is(err, errVoid) {
 			fmt.Fprintln(r.Out, err)
 			continue
@@ -126,15 +126,15 @@
 		if err != nil {
 			return err
 		}
-		s.Late = max(s.Late, late)
+		s.MaxDelay = max(s.MaxDelay, late)
 		granted.Add(d.granted)
 		last.Add(d.last)
 		proven.Add(d.proven)
 		each.Merge(d.each)
 	}
 	if last.Count() == 0 {
-		s.lack(r.Out, fmt.Sprintf("%d.drain", size), errVoid)
-		s.lack(r.Out, "drain", errVoid)
+		s.addMissing(r.Out, fmt.Sprintf("%d.drain", size), errVoid)
+		s.addMissing(r.Out, "drain", errVoid)
 		return nil
 	}
 	ms := func(t standin.Times, q float64) float64 { return t.Quantile(q).Seconds() * 1e3 }
@@ -151,7 +151,7 @@
 		{"drain.proven.p50", ms(proven, 0.5)},
 		{"drain.proven.worst", ms(proven, 1)},
 	} {
-		s.figure(r.Out, fmt.Sprintf("%d.%s", size, f.name), f.value, "ms")
+		s.addFigure(r.Out, fmt.Sprintf("%d.%s", size, f.name), f.value, "ms")
 		p.add(f.name, "ms", float64(size), f.value)
 	}
 	if r.Quick {
@@ -165,37 +165,37 @@
 		if err != nil {
 			return err
 		}
-		took, err := site.proofByLooking(ctx, site.voters[leader], backend)
+		took, err := site.proofByPolling(ctx, site.voters[leader], backend)
 		if err != nil {
 			return err
 		}
 		looked.Add(took)
 	}
-	s.figure(r.Out, fmt.Sprintf("%d.drain.looked.p50", size), ms(looked, 0.5),
+	s.addFigure(r.Out, fmt.Sprintf("%d.drain.looked.p50", size), ms(looked, 0.5),
 		"ms, the whole state asked for each 5 ms")
 	p.add("drain.looked.p50", "ms, the whole state asked for each 5 ms", float64(size), ms(looked, 0.5))
 	return nil
 }
 
-const lookEvery = 5 * time.Millisecond
+const statePollInterval = 5 * time.Millisecond
 
 // proofByPolling drains a backend, requests the whole state every statePollInterval until it holds the proof, and returns
 // the time that this took.
-func (s *site) proofByLooking(ctx context.Context, through *machine, backend string) (time.Duration, error) {
+func (s *site) proofByPolling(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	target, began := fleet.ServerTarget(backend), time.Now()
-	if err := ask(ctx, through.door, drainEntry(target)); err != nil {
+	if err := propose(ctx, through.client, drainEntry(target)); err != nil {
 		return 0, err
 	}
 	for {
-		state, err := through.door.State(ctx)
+		state, err := through.client.State(ctx)
 		if err != nil {
 			return 0, err
 		}
 		if o := state.Outs[target]; o != nil && o.ProvenMs > 0 {
 			took := time.Since(began)
-			return took, ask(ctx, through.door, returnEntry(target))
+			return took, propose(ctx, through.client, returnEntry(target))
 		}
-		if err := sleep(ctx, lookEvery); err != nil {
+		if err := sleep(ctx, statePollInterval); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/rig/capacity/entries.go
+++ b/internal/rig/capacity/entries.go
@@ -12,9 +12,9 @@
 )
 
 // fleetState is a fleet's replicated state machine as every control machine holds it.
-type agreed struct{ machine *fleet.Machine }
+type fleetState struct{ machine *fleet.Machine }
 
-func (a agreed) take(e *fleetpb.Entry) error {
+func (a fleetState) apply(e *fleetpb.Entry) error {
 	e.Level = 1
 	raw, err := proto.Marshal(e)
 	if err != nil {
@@ -27,7 +27,7 @@
 }
 
 // newFleetState returns a state with the given numbers of nodes and of drains that no node has acknowledged yet.
-func newAgreed(nodes, drains int) (a agreed, err error) {
+func newFleetState(nodes, drains int) (a fleetState, err error) {
 	a.machine = fleet.New()
 	listed := &fleetpb.Listed{}
 	for i := range drains {
@@ -48,7 +48,7 @@
 		entries = append(entries, drainEntry(fleet.ServerTarget(backendName(i))))
 	}
 	for _, e := range entries {
-		if err := a.take(e); err != nil {
+		if err := a.apply(e); err != nil {
 			return a, err
 		}
 	}
@@ -58,14 +58,14 @@
 const entryTries = 50
 
 // ackTime returns the processor time that one node's acknowledgement costs each control machine, the median of entryTries.
-func (a agreed) entry() (took time.Duration, err error) {
+func (a fleetState) ackTime() (took time.Duration, err error) {
 	target := fleet.ServerTarget(backendName(0))
 	e := &fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: []*fleetpb.Ack{{Node: "n1",
 		Session: a.machine.State().Nodes["n1"].Epoch,
 		Target:  target, Epoch: a.machine.State().Outs[target].Epoch}}}}}
 	took = median(entryTries, func() time.Duration {
 		began := processorTime()
-		if e := a.take(e); e != nil {
+		if e := a.apply(e); e != nil {
 			err = e
 		}
 		return processorTime() - began
@@ -77,7 +77,7 @@
 // that are not proven yet.
 func (r *run) entries(_ context.Context, s *Section) error {
 	const nodes = 730
-	var byDrains, byNodes points
+	var byDrains, byNodes slopePoints
 	for _, drains := range []int{1, 10, 40, burstSize} {
 		took, err := r.entry(s, nodes, drains)
 		if err != nil {
@@ -85,10 +85,10 @@
 		}
 		byDrains.add("entry.outs.took", "ms of processor time for one entry, 730 nodes", float64(drains), took)
 		if drains == burstSize {
-			s.figure(r.Out, "entry.most", 1e3/took, "entries/s that one core applies, 730 nodes, 100 drains, computed")
+			s.addFigure(r.Out, "entry.most", 1e3/took, "entries/s that one core applies, 730 nodes, 100 drains, computed")
 		}
 		if drains == 1 {
-			s.figure(r.Out, "entry.one.took", took, "ms of processor time for one entry, 730 nodes")
+			s.addFigure(r.Out, "entry.one.took", took, "ms of processor time for one entry, 730 nodes")
 		}
 	}
 	for _, size := range []int{40, 120, 365, nodes} {
@@ -105,15 +105,15 @@
 }
 
 func (r *run) entry(s *Section, nodes, drains int) (ms float64, err error) {
-	a, err := newAgreed(nodes, drains)
+	a, err := newFleetState(nodes, drains)
 	if err != nil {
 		return 0, err
 	}
-	took, err := a.entry()
+	took, err := a.ackTime()
 	if err != nil {
 		return 0, err
 	}
 	ms = took.Seconds() * 1e3
-	s.figure(r.Out, fmt.Sprintf("entry.%dnodes.%ddrains.took", nodes, drains), ms, "ms of processor time for one entry")
+	s.addFigure(r.Out, fmt.Sprintf("entry.%dnodes.%ddrains.took", nodes, drains), ms, "ms of processor time for one entry")
 	return ms, nil
 }
--- a/internal/rig/capacity/estimates.go
+++ b/internal/rig/capacity/estimates.go
@@ -14,7 +14,7 @@
 }
 
 // estimateTolerance is the relative difference from an estimate up to which a measured value confirms it.
-const estimateSlack = 0.25
+const estimateTolerance = 0.25
 
 const mebi = 1 << 20
 
@@ -45,7 +45,7 @@
 	g.head("estimate", "the run", "")
 	for _, e := range estimates {
 		v, err := r.find(e.figure)
-		if why := r.whyNot(e.figure); err != nil && why != "" {
+		if why := r.missingReason(e.figure); err != nil && why != "" {
 			g.row(e.text, "*"+why+"*", "not run")
 			continue
 		}
@@ -53,7 +53,7 @@
 			return "", err
 		}
 		verdict := "refuted"
-		if math.Abs(v.value-e.want) <= max(estimateSlack*math.Abs(e.want), mostShareIdle*boolean(e.want == 0)) {
+		if math.Abs(v.value-e.want) <= max(estimateTolerance*math.Abs(e.want), maxIdleShare*boolean(e.want == 0)) {
 			verdict = "confirmed"
 		}
 		g.row(e.text, fmt.Sprintf("%s (%s)", v, e.figure), verdict)
@@ -61,7 +61,7 @@
 	return g.String(), nil
 }
 
-const mostShareIdle = 0.15 // share of the leader's bytes up to which a follower counts as idle
+const maxIdleShare = 0.15 // share of the leader's bytes up to which a follower counts as idle
 
 func boolean(b bool) float64 {
 	if b {
@@ -71,12 +71,12 @@
 }
 
 // assumption is something that only the operators know, with the figures that depend on it.
-type effect struct {
+type assumption struct {
 	text    string
 	figures []string
 }
 
-var effects = []effect{
+var assumptions = []assumption{
 	{"**Time of an answer** (50 ms in the runs; load messages tell of what is under way when a node speaks, each 75 to 225 ms): bytes a second of a node with answers of 20 ms, and of 200 ms",
 		[]string{"messages.answers.20ms.bytes", "messages.answers.200ms.bytes"}},
 	{"**Skew of services** (even in the runs): with the same requests over fewer services a node's load messages are fewer; 10, 40, 100 and 340 services",
@@ -94,7 +94,7 @@
 func effectsTable(r *Results) (string, error) {
 	var g grid
 	g.head("assumption", "what hangs on it")
-	for _, e := range effects {
+	for _, e := range assumptions {
 		var list []string
 		for _, name := range e.figures {
 			v, err := r.find(name)
--- a/internal/rig/capacity/guard.go
+++ b/internal/rig/capacity/guard.go
@@ -15,16 +15,16 @@
 
 // Bounds on what a run may use of the machine, and on the machine's delays.
 const (
-	mostProcesses  = 300
+	maxProcesses   = 300
 	memoryShare    = 0.5 // of the machine's memory
-	guardEvery     = 250 * time.Millisecond
-	lateStep       = 10 * time.Millisecond
-	mostLate       = 250 * time.Millisecond  // a run that measures times is void if the machine was delayed by more
-	mostLateCounts = 1500 * time.Millisecond // the same for a run that counts messages: a call that waits longer than this is repeated
-	mostRepeats    = 8                       // repeats of a void run
+	guardInterval  = 250 * time.Millisecond
+	delayStep      = 10 * time.Millisecond
+	maxDelay       = 250 * time.Millisecond  // a run that measures times is void if the machine was delayed by more
+	maxDelayCounts = 1500 * time.Millisecond // the same for a run that counts messages: a call that waits longer than this is repeated
+	maxRepeats     = 8                       // repeats of a void run
 	diskEvery      = 50 * time.Millisecond
-	calmTime       = time.Second // without delays of the machine before times are measured
-	calmWait       = 5 * time.Second
+	steadyTime     = time.Second // without delays of the machine before times are measured
+	steadyWait     = 5 * time.Second
 	memoryInfoFile = "/proc/meminfo"
 )
 
@@ -49,7 +49,7 @@
 	for line := range strings.Lines(string(raw)) {
 		if rest, ok := strings.CutPrefix(line, "MemTotal:"); ok {
 			kb, err := strconv.Atoi(strings.Fields(rest)[0])
-			return bounds{mostProcesses, int(memoryShare * float64(kb))}, err
+			return bounds{maxProcesses, int(memoryShare * float64(kb))}, err
 		}
 	}
 	return bounds{}, errors.New(memoryInfoFile + ": no MemTotal")
@@ -97,15 +97,15 @@
 // guard stops a run that exceeds the bounds, and measures delays of the machine: of its cores, by a goroutine that sleeps
 // for delayStep and checks when it wakes up, and of its disk, by a small file that is written and synced.
 type guard struct {
-	cores atomic.Int64 // ns; longest delay of the cores since takeMaxDelay was called last
-	disks atomic.Int64 // the same for the disk
-	void  atomic.Int64 // number of void runs
-	out   io.Writer
-	most  struct{ processes, memory atomic.Int64 }
+	coreDelay atomic.Int64 // ns; longest delay of the cores since takeMaxDelay was called last
+	diskDelay atomic.Int64 // the same for the disk
+	voidRuns  atomic.Int64 // number of void runs
+	out       io.Writer
+	peak      struct{ processes, memory atomic.Int64 }
 }
 
 // raiseMax raises a maximum to a delay, if the delay is longer.
-func raise(most *atomic.Int64, late time.Duration) {
+func raiseMax(most *atomic.Int64, late time.Duration) {
 	for {
 		have := most.Load()
 		if int64(late) <= have || most.CompareAndSwap(have, int64(late)) {
@@ -115,7 +115,7 @@
 }
 
 // measureDisk keeps measuring, until ctx ends, how long a small synced write takes on the disk of a folder.
-func (g *guard) disk(ctx context.Context, folder string) error {
+func (g *guard) measureDisk(ctx context.Context, folder string) error {
 	f, err := os.CreateTemp(folder, "late")
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 			if err := f.Sync(); err != nil {
 				return
 			}
-			raise(&g.disks, time.Since(began))
+			raiseMax(&g.diskDelay, time.Since(began))
 			select {
 			case <-ctx.Done():
 			case <-time.After(diskEvery):
@@ -148,23 +148,23 @@
 	go func() {
 		for ctx.Err() == nil {
 			u := usageBelow(os.Getpid())
-			g.most.processes.Store(max(g.most.processes.Load(), int64(u.processes)))
-			g.most.memory.Store(max(g.most.memory.Load(), int64(u.memory)))
+			g.peak.processes.Store(max(g.peak.processes.Load(), int64(u.processes)))
+			g.peak.memory.Store(max(g.peak.memory.Load(), int64(u.memory)))
 			if err := b.check(u); err != nil {
 				stop(err)
 				return
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(guardEvery):
+			case <-time.After(guardInterval):
 			}
 		}
 	}()
 	go func() {
 		for last := time.Now(); ctx.Err() == nil; {
-			time.Sleep(lateStep)
+			time.Sleep(delayStep)
 			now := time.Now()
-			raise(&g.cores, now.Sub(last)-lateStep)
+			raiseMax(&g.coreDelay, now.Sub(last)-delayStep)
 			last = now
 		}
 	}()
@@ -172,8 +172,8 @@
 }
 
 // takeMaxDelay returns the longest delay, since its last call, of the parts of the machine that a run depends on.
-func (g *guard) latest(m matters) time.Duration {
-	cores, disks := time.Duration(g.cores.Swap(0)), time.Duration(g.disks.Swap(0))
+func (g *guard) takeMaxDelay(m timingNeed) time.Duration {
+	cores, disks := time.Duration(g.coreDelay.Swap(0)), time.Duration(g.diskDelay.Swap(0))
 	if m == timesOfLog {
 		return max(cores, disks)
 	}
@@ -181,20 +181,20 @@
 }
 
 // timingNeed tells which parts of the machine a run's figures depend on.
-type matters int
+type timingNeed int
 
 const (
-	counts     matters = iota // counts of messages and processor time: only delays of the cores so long that calls are repeated
-	times                     // times without writes to the log: delays of the cores
-	timesOfLog                // times with writes to the log: delays of cores and disk
+	counts     timingNeed = iota // counts of messages and processor time: only delays of the cores so long that calls are repeated
+	times                        // times without writes to the log: delays of the cores
+	timesOfLog                   // times with writes to the log: delays of cores and disk
 )
 
 // maxDelay returns the delay of the machine above which a run is void.
-func (m matters) most() time.Duration {
+func (m timingNeed) maxDelay() time.Duration {
 	if m == counts {
-		return mostLateCounts
+		return maxDelayCounts
 	}
-	return mostLate
+	return maxDelay
 }
 
 // errLeaderMoved reports that the leader changed during a run. It is not a finding if the machine was delayed then.
@@ -204,13 +204,13 @@
 var errVoid = errors.New("void: the machine was late")
 
 // awaitSteady waits until the machine has had no long delay for steadyTime, or for steadyWait at most.
-func (g *guard) calm(ctx context.Context, m matters) error {
-	for end := time.Now().Add(calmWait); time.Now().Before(end); {
-		g.latest(m)
-		if err := sleep(ctx, calmTime); err != nil {
+func (g *guard) awaitSteady(ctx context.Context, m timingNeed) error {
+	for end := time.Now().Add(steadyWait); time.Now().Before(end); {
+		g.takeMaxDelay(m)
+		if err := sleep(ctx, steadyTime); err != nil {
 			return err
 		}
-		if g.latest(m) <= m.most()/2 {
+		if g.takeMaxDelay(m) <= m.maxDelay()/2 {
 			return nil
 		}
 	}
@@ -220,29 +220,29 @@
 // runUndelayed runs run, and repeats it up to the given number of times if the machine was delayed in it by more than m
 // permits. It calls clear after each try; delays in clear don't count. It returns the longest delay in the last try, and
 // errVoid if every try was void.
-func (g *guard) punctual(ctx context.Context, name string, m matters, repeats int, run,
+func (g *guard) runUndelayed(ctx context.Context, name string, m timingNeed, repeats int, run,
 	clear func() error) (longest time.Duration, err error) {
 	for range 1 + repeats {
-		if err := g.calm(ctx, m); err != nil {
+		if err := g.awaitSteady(ctx, m); err != nil {
 			return 0, err
 		}
-		g.latest(m)
+		g.takeMaxDelay(m)
 		err := run()
-		longest = g.latest(m)
-		if err != nil && !(errors.Is(err, errLeaderMoved) && longest > m.most()) {
+		longest = g.takeMaxDelay(m)
+		if err != nil && !(errors.Is(err, errLeaderMoved) && longest > m.maxDelay()) {
 			return 0, err
 		}
 		if err := clear(); err != nil {
 			return 0, err
 		}
-		if longest <= m.most() {
+		if longest <= m.maxDelay() {
 			return longest, nil
 		}
-		g.void.Add(1)
+		g.voidRuns.Add(1)
 		fmt.Fprintf(g.out, "void: %s, as the machine was late by %v\n", name, longest.Round(time.Millisecond))
 	}
 	return longest, fmt.Errorf("%s: %w by %v, %d times", name, errVoid, longest.Round(time.Millisecond), 1+repeats)
 }
 
 // noCleanup is the clear function of runs that need none.
-func nothing() error { return nil }
+func noCleanup() error { return nil }
--- a/internal/rig/capacity/hollow/files.go
+++ b/internal/rig/capacity/hollow/files.go
@@ -14,21 +14,21 @@
 // Domain is the DNS domain of all node names in the certificates of a rig's fleet.
 const Domain = "fleet.example.org"
 
-const certificateLife = 6 * time.Hour
+const certificateLifetime = 6 * time.Hour
 
 // Fleet holds what the files of all nodes of a rig's fleet have in common.
 type Fleet struct {
-	Authority *standin.Authority
-	Voters    []control.Voter // the control machines
-	Session   time.Duration   // lifetime of a session; 0: the program's default
-	Tick      time.Duration   // interval of the voters' logical clock; 0: the program's default
-	Budgets   string          // TOML of the fleet's budgets, appended to each fleet file; empty: none
+	Authority       *standin.Authority
+	Voters          []control.Voter // the control machines
+	SessionLifetime time.Duration   // lifetime of a session; 0: the program's default
+	Tick            time.Duration   // interval of the voters' logical clock; 0: the program's default
+	Budgets         string          // TOML of the fleet's budgets, appended to each fleet file; empty: none
 }
 
 // Write writes a node's fleet file, certificate, key and root certificates to a folder. listen is the address that a voter
 // listens on; it is empty for other nodes.
 func (f *Fleet) Write(folder, name, zone, listen string) error {
-	_, cert, key, err := f.Authority.Issue(name+"."+Domain, time.Now().Add(certificateLife))
+	_, cert, key, err := f.Authority.Issue(name+"."+Domain, time.Now().Add(certificateLifetime))
 	if err != nil {
 		return err
 	}
@@ -40,8 +40,8 @@
 		fmt.Fprintf(&b, "listen = %q\n", listen)
 	}
 	b.WriteString("\n[timing]\n")
-	if f.Session > 0 {
-		fmt.Fprintf(&b, "session_ms = %d\n", f.Session.Milliseconds())
+	if f.SessionLifetime > 0 {
+		fmt.Fprintf(&b, "session_ms = %d\n", f.SessionLifetime.Milliseconds())
 	}
 	if f.Tick > 0 {
 		fmt.Fprintf(&b, "tick_ms = %d\n", f.Tick.Milliseconds())
--- a/internal/rig/capacity/hollow/hollow.go
+++ b/internal/rig/capacity/hollow/hollow.go
@@ -39,17 +39,17 @@
 	// Note records that something became known at this node now. Set.Known returns these times.
 	Note func(what string)
 	// AddTraffic adds the traffic of the part's own connections since its last call.
-	Carried func(link.Traffic)
+	AddTraffic func(link.Traffic)
 }
 
 // Counts are totals of the nodes of a process since its start.
 type Counts struct {
-	Nodes     int           `json:"nodes"`
-	Live      int           `json:"live"` // nodes that have a session
-	Traffic   link.Traffic  `json:"traffic"`
-	Processor time.Duration `json:"processor"` // processor time of the process, user and system
-	Resident  int           `json:"resident"`  // resident memory of the process, KiB
-	Pause     time.Duration `json:"pause"`     // longest delay of a timer in the process since the last Counts: the process was runnable but did not run
+	Nodes        int           `json:"nodes"`
+	Live         int           `json:"live"` // nodes that have a session
+	Traffic      link.Traffic  `json:"traffic"`
+	CPUTime      time.Duration `json:"processor"` // processor time of the process, user and system
+	ResidentKiB  int           `json:"resident"`  // resident memory of the process, KiB
+	LongestPause time.Duration `json:"pause"`     // longest delay of a timer in the process since the last Counts: the process was runnable but did not run
 }
 
 // Known tells at which nodes, and when, something became known.
@@ -58,18 +58,18 @@
 	Times []time.Time `json:"times"` // one of each node that knows, in ascending order
 }
 
-const mostNotes = 1024 // kinds of notes that are kept; beyond it the oldest kind is dropped
+const maxNotes = 1024 // kinds of notes that are kept; beyond it the oldest kind is dropped
 
 // Set is the hollow nodes of one process.
 type Set struct {
 	parts []Part
 	pause pauseMeter
 
-	mu    sync.Mutex
-	nodes []*node
-	past  link.Traffic                    // of parts, and of nodes before their restarts
-	notes map[string]map[string]time.Time // by kind and node: when it was first noted
-	order []string                        // kinds of notes, oldest first
+	mu          sync.Mutex
+	nodes       []*node
+	pastTraffic link.Traffic                    // of parts, and of nodes before their restarts
+	notes       map[string]map[string]time.Time // by kind and node: when it was first noted
+	noteOrder   []string                        // kinds of notes, oldest first
 }
 
 // node is one hollow node. A restarted node keeps its index in Set.nodes.
@@ -85,7 +85,7 @@
 	s := &Set{parts: parts, notes: map[string]map[string]time.Time{}}
 	s.pause.start()
 	for _, name := range o.Names {
-		n, err := s.begin(name, File(o.Folder, name))
+		n, err := s.startNode(name, File(o.Folder, name))
 		if err != nil {
 			s.Stop()
 			return nil, fmt.Errorf("hollow node %s: %w", name, err)
@@ -100,7 +100,7 @@
 // File returns the path of a node's fleet file.
 func File(folder, name string) string { return filepath.Join(folder, name+".toml") }
 
-func (s *Set) begin(name, file string) (*node, error) {
+func (s *Set) startNode(name, file string) (*node, error) {
 	c, err := control.Load(file, time.Now())
 	if err != nil {
 		return nil, err
@@ -116,13 +116,13 @@
 	n := &node{name: name, file: file, control: ctl, stop: cancel, work: &sync.WaitGroup{}}
 	n.work.Go(ctl.Run)
 	for _, p := range s.parts {
-		n.work.Go(func() { p(ctx, Node{c, ctl, note, s.carried}) })
+		n.work.Go(func() { p(ctx, Node{c, ctl, note, s.addTraffic}) })
 	}
 	return n, nil
 }
 
 // kill ends a node at once and without notice to others, as a machine failure does.
-func (n *node) end() {
+func (n *node) kill() {
 	n.stop()
 	n.control.Stop()
 	n.work.Wait()
@@ -135,9 +135,9 @@
 	if at == nil {
 		at = map[string]time.Time{}
 		s.notes[what] = at
-		if s.order = append(s.order, what); len(s.order) > mostNotes {
-			delete(s.notes, s.order[0])
-			s.order = s.order[1:]
+		if s.noteOrder = append(s.noteOrder, what); len(s.noteOrder) > maxNotes {
+			delete(s.notes, s.noteOrder[0])
+			s.noteOrder = s.noteOrder[1:]
 		}
 	}
 	if at[node].IsZero() {
@@ -145,13 +145,13 @@
 	}
 }
 
-func (s *Set) carried(t link.Traffic) {
+func (s *Set) addTraffic(t link.Traffic) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	add(&s.past, t)
+	addTraffic(&s.pastTraffic, t)
 }
 
-func add(to *link.Traffic, t link.Traffic) {
+func addTraffic(to *link.Traffic, t link.Traffic) {
 	to.DatagramsOut += t.DatagramsOut
 	to.DatagramsIn += t.DatagramsIn
 	to.BytesOut += t.BytesOut
@@ -168,17 +168,17 @@
 func (s *Set) Counts() Counts {
 	s.mu.Lock()
 	c := Counts{Nodes: len(s.nodes)}
-	add(&c.Traffic, s.past)
+	addTraffic(&c.Traffic, s.pastTraffic)
 	nodes := append([]*node(nil), s.nodes...)
 	s.mu.Unlock()
 	for _, n := range nodes {
 		h := n.control.Status()
-		add(&c.Traffic, h.Traffic)
+		addTraffic(&c.Traffic, h.Traffic)
 		if h.Session > 0 {
 			c.Live++
 		}
 	}
-	c.Processor, c.Resident, c.Pause = processor(), resident(), s.pause.longest()
+	c.CPUTime, c.ResidentKiB, c.LongestPause = cpuTime(), residentKiB(), s.pause.takeLongest()
 	return c
 }
 
@@ -210,15 +210,15 @@
 	for _, i := range places {
 		work.Go(func() {
 			carried := nodes[i].control.Status().Traffic
-			nodes[i].end()
-			s.carried(carried)
+			nodes[i].kill()
+			s.addTraffic(carried)
 		})
 	}
 	work.Wait()
 	errs := make([]error, len(nodes))
 	for _, i := range places {
 		work.Go(func() {
-			again, err := s.begin(nodes[i].name, nodes[i].file)
+			again, err := s.startNode(nodes[i].name, nodes[i].file)
 			if errs[i] = err; err == nil {
 				nodes[i] = again
 			}
@@ -239,7 +239,7 @@
 	s.mu.Unlock()
 	var ending sync.WaitGroup
 	for _, n := range nodes {
-		ending.Go(n.end)
+		ending.Go(n.kill)
 	}
 	ending.Wait()
 	s.pause.stop()
--- a/internal/rig/capacity/hollow/hollow_test.go
+++ b/internal/rig/capacity/hollow/hollow_test.go
@@ -31,29 +31,29 @@
 const backend = "s-00000007"
 
 // listingPlane is the data plane of a voter, with a list of one backend.
-type listing struct{}
+type listingPlane struct{}
 
-func (listing) SetCordon(core.Cordon)                      {}
-func (listing) OpenAttemptsAt(core.Cordon) (int, bool)     { return 0, true }
-func (listing) OpenRequests() (int, bool)                  { return 0, true }
-func (listing) EjectedServers() []string                   { return nil }
-func (listing) SetDrained(bool)                            {}
-func (listing) ClassCounts() map[string]health.ClassCounts { return nil }
-func (listing) ResidentBytes() uint64                      { return 0 }
-func (listing) CanServe() bool                             { return true }
-func (listing) ServerList() core.List {
+func (listingPlane) SetCordon(core.Cordon)                      {}
+func (listingPlane) OpenAttemptsAt(core.Cordon) (int, bool)     { return 0, true }
+func (listingPlane) OpenRequests() (int, bool)                  { return 0, true }
+func (listingPlane) EjectedServers() []string                   { return nil }
+func (listingPlane) SetDrained(bool)                            {}
+func (listingPlane) ClassCounts() map[string]health.ClassCounts { return nil }
+func (listingPlane) ResidentBytes() uint64                      { return 0 }
+func (listingPlane) CanServe() bool                             { return true }
+func (listingPlane) ServerList() core.List {
 	return core.List{Full: true, Entries: []core.Entry{{Name: backend,
 		Server: decide.Server{ID: registry.ServerID(backend), Zone: "a", State: decide.Ready, Size: 1}}}}
 }
 
 // startVoters starts three control machines in this process.
-func voters(t *testing.T, folder string) (*Fleet, []*control.Control) {
+func startVoters(t *testing.T, folder string) (*Fleet, []*control.Control) {
 	t.Helper()
 	auth, err := standin.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Fleet{Authority: auth, Session: 2 * time.Second, Tick: 50 * time.Millisecond}
+	f := &Fleet{Authority: auth, SessionLifetime: 2 * time.Second, Tick: 50 * time.Millisecond}
 	for len(f.Voters) < 3 {
 		c, err := net.ListenPacket("udp", fmt.Sprintf("127.0.0.1:%d", 10_000+rand.IntN(20_000)))
 		if err != nil {
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := control.Open(c, listing{}, listing{}, slog.New(slog.DiscardHandler))
+		n, err := control.Open(c, listingPlane{}, listingPlane{}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -112,7 +112,7 @@
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // runs after the voters have ended
 	folder := t.TempDir()
-	f, control := voters(t, folder)
+	f, control := startVoters(t, folder)
 	o := Options{Folder: folder}
 	for i := range 6 {
 		name := fmt.Sprintf("n%d", i+1)
@@ -135,7 +135,7 @@
 		return err == nil && fleet.FromState(state).Proof(fleet.ServerTarget(backend)).Proven
 	})
 	c := s.Counts()
-	if tr := c.Traffic; c.Nodes != 6 || tr.BytesIn == 0 || tr.BytesOut == 0 || tr.DatagramsIn == 0 || tr.DatagramsOut == 0 || len(tr.Calls) < 1 || c.Processor == 0 || c.Resident == 0 {
+	if tr := c.Traffic; c.Nodes != 6 || tr.BytesIn == 0 || tr.BytesOut == 0 || tr.DatagramsIn == 0 || tr.DatagramsOut == 0 || len(tr.Calls) < 1 || c.CPUTime == 0 || c.ResidentKiB == 0 {
 		t.Errorf("%+v", c)
 	}
 	times := s.Known(what).Times
@@ -160,7 +160,7 @@
 // the rig's measurements would include dead nodes.
 func TestStoppedNodeIsMissed(t *testing.T) {
 	folder := t.TempDir()
-	f, control := voters(t, folder)
+	f, control := startVoters(t, folder)
 	o := Options{Folder: folder, Names: []string{"n1", "n2"}}
 	for _, name := range o.Names {
 		if err := f.Write(folder, name, "a", ""); err != nil {
@@ -173,7 +173,7 @@
 	}
 	defer s.Stop()
 	until(t, "all have a session", func() bool { return s.Counts().Live == 2 })
-	s.nodes[1].end()
+	s.nodes[1].kill()
 	drain(t, control[0])
 	what := ServerDrained(uint32(registry.ServerID(backend)))
 	until(t, "the other one follows", func() bool { return s.Known(what).Nodes == 1 })
@@ -189,11 +189,11 @@
 // The notes must stay bounded in a long run: beyond maxNotes kinds the oldest kind is dropped.
 func TestNotesAreBounded(t *testing.T) {
 	s := &Set{notes: map[string]map[string]time.Time{}}
-	for i := range mostNotes + 5 {
+	for i := range maxNotes + 5 {
 		s.note("n1", fmt.Sprint(i))
 	}
-	if len(s.notes) != mostNotes || len(s.order) != mostNotes || s.Known("4").Nodes != 0 || s.Known("5").Nodes != 1 {
-		t.Errorf("%d notes of %d kinds", len(s.notes), len(s.order))
+	if len(s.notes) != maxNotes || len(s.noteOrder) != maxNotes || s.Known("4").Nodes != 0 || s.Known("5").Nodes != 1 {
+		t.Errorf("%d notes of %d kinds", len(s.notes), len(s.noteOrder))
 	}
 }
 
--- a/internal/rig/capacity/hollow/machine.go
+++ b/internal/rig/capacity/hollow/machine.go
@@ -11,7 +11,7 @@
 )
 
 // cpuTime returns the processor time, user and system, that this process has used.
-func processor() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -20,7 +20,7 @@
 }
 
 // residentKiB returns the resident memory of this process in KiB, 0 if it cannot be read.
-func resident() int {
+func residentKiB() int {
 	raw, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(raw)) {
 		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
@@ -35,8 +35,8 @@
 
 // pauseMeter measures by how much a goroutine that sleeps for pauseStep wakes up too late.
 type pauseMeter struct {
-	most atomic.Int64 // ns
-	done chan struct{}
+	longestNanos atomic.Int64 // ns
+	done         chan struct{}
 }
 
 func (p *pauseMeter) start() {
@@ -49,8 +49,8 @@
 			case <-time.After(pauseStep):
 			}
 			now := time.Now()
-			if late := int64(now.Sub(last) - pauseStep); late > p.most.Load() {
-				p.most.Store(late)
+			if late := int64(now.Sub(last) - pauseStep); late > p.longestNanos.Load() {
+				p.longestNanos.Store(late)
 			}
 			last = now
 		}
@@ -58,7 +58,7 @@
 }
 
 // takeLongest returns the longest pause since its last call.
-func (p *pauseMeter) longest() time.Duration { return time.Duration(p.most.Swap(0)) }
+func (p *pauseMeter) takeLongest() time.Duration { return time.Duration(p.longestNanos.Swap(0)) }
 
 func (p *pauseMeter) stop() { close(p.done) }
 
--- a/internal/rig/capacity/hollow/process.go
+++ b/internal/rig/capacity/hollow/process.go
@@ -16,9 +16,9 @@
 
 // request is a JSON line from the rig to a process of hollow nodes, and reply is the line that answers it.
 type request struct {
-	Do    string   `json:"do"` // counts, known, restart
-	What  string   `json:"what,omitempty"`
-	Names []string `json:"names,omitempty"`
+	Command string   `json:"do"` // counts, known, restart
+	What    string   `json:"what,omitempty"`
+	Names   []string `json:"names,omitempty"`
 }
 
 type reply struct {
@@ -28,7 +28,7 @@
 }
 
 const (
-	replyLimit = 4 << 20 // bytes of a line
+	maxLineBytes = 4 << 20 // bytes of a line
 	// gcPercent is the value of the real program (cmd/starlingvalve).
 	gcPercent = 400
 )
@@ -51,13 +51,13 @@
 	}
 	defer s.Stop()
 	lines, answers := bufio.NewScanner(in), json.NewEncoder(out)
-	lines.Buffer(nil, replyLimit)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		q, a := request{}, reply{}
 		if err := json.Unmarshal(lines.Bytes(), &q); err != nil {
 			return err
 		}
-		switch q.Do {
+		switch q.Command {
 		case "counts":
 			c := s.Counts()
 			a.Counts = &c
@@ -69,7 +69,7 @@
 				a.Error = err.Error()
 			}
 		default:
-			a.Error = fmt.Sprintf("unknown request %q", q.Do)
+			a.Error = fmt.Sprintf("unknown request %q", q.Command)
 		}
 		if err := answers.Encode(a); err != nil {
 			return err
@@ -110,14 +110,14 @@
 		return nil, err
 	}
 	p.lines = bufio.NewScanner(out)
-	p.lines.Buffer(nil, replyLimit)
+	p.lines.Buffer(nil, maxLineBytes)
 	return p, nil
 }
 
 // ErrEnded reports that the process has ended.
 var ErrEnded = errors.New("the process of hollow nodes has ended")
 
-func (p *Process) ask(q request) (a reply, err error) {
+func (p *Process) roundTrip(q request) (a reply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := json.NewEncoder(p.in).Encode(q); err != nil {
@@ -137,7 +137,7 @@
 
 // Counts returns the counts of the process's nodes.
 func (p *Process) Counts() (Counts, error) {
-	a, err := p.ask(request{Do: "counts"})
+	a, err := p.roundTrip(request{Command: "counts"})
 	if err != nil || a.Counts == nil {
 		return Counts{}, errors.Join(errors.New("counts"), err)
 	}
@@ -146,7 +146,7 @@
 
 // Known returns when something became known at the process's nodes.
 func (p *Process) Known(what string) (Known, error) {
-	a, err := p.ask(request{Do: "known", What: what})
+	a, err := p.roundTrip(request{Command: "known", What: what})
 	if err != nil || a.Known == nil {
 		return Known{}, errors.Join(errors.New("known"), err)
 	}
@@ -155,19 +155,19 @@
 
 // Restart ends the named nodes at once and starts them again, as Set.Restart does.
 func (p *Process) Restart(names []string) error {
-	_, err := p.ask(request{Do: "restart", Names: names})
+	_, err := p.roundTrip(request{Command: "restart", Names: names})
 	return err
 }
 
 // Pid returns the process id.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-const endWait = 20 * time.Second
+const stopTimeout = 20 * time.Second
 
 // Stop closes the process's input, at which it shuts down in order, and kills it if it has not ended within stopTimeout.
 func (p *Process) Stop() {
 	p.in.Close()
-	kill := time.AfterFunc(endWait, func() { p.cmd.Process.Kill() })
+	kill := time.AfterFunc(stopTimeout, func() { p.cmd.Process.Kill() })
 	defer kill.Stop()
 	p.cmd.Wait()
 }
--- a/internal/rig/capacity/latency.go
+++ b/internal/rig/capacity/latency.go
@@ -18,43 +18,43 @@
 
 const (
 	latencyRounds     = 20
-	mostLatencyRounds = 60                   // including void rounds
+	maxLatencyRounds  = 60                   // including void rounds
 	latencyWindow     = 2 * time.Second      // for each target in a round
-	calmLate          = 5 * time.Millisecond // maximum delay of the machine in a steady round; it is below the budget of added latency
-	leastCalm         = 890                  // requests of ten seconds at the design's rate
+	steadyDelay       = 5 * time.Millisecond // maximum delay of the machine in a steady round; it is below the budget of added latency
+	minSteadyRequests = 890                  // requests of ten seconds at the design's rate
 	latencyWarm       = 5 * time.Second
 	answerBytes       = 2048
-	littleTenants     = 10
+	fewTenants        = 10
 )
 
 // latencyTarget is an address that requests are sent to, with the results of these requests.
-type asked struct {
-	name    string
-	addr    string
-	tenants int
-	node    *process // nil: the target is a backend itself
-	times   standin.Times
-	used    time.Duration // processor time of the node
-	lasted  time.Duration
-	calm    standin.Times // times of steady rounds only; the 99th percentile is taken from them
-	served  int
-	failed  int
-	faults  map[string]int // number of failed requests by reason
+type latencyTarget struct {
+	name          string
+	addr          string
+	tenants       int
+	node          *process // nil: the target is a backend itself
+	times         standin.Times
+	cpuTime       time.Duration // processor time of the node
+	duration      time.Duration
+	steadyTimes   standin.Times // times of steady rounds only; the 99th percentile is taken from them
+	served        int
+	failed        int
+	failureCounts map[string]int // number of failed requests by reason
 }
 
 // latency measures the latency that a real node adds to a request. It compares a node with the design's backends and
 // tenants, a node with few, and a backend itself. Requests go to the three in turn, in one run, at the design's rate for a
 // node.
 func (r *run) latency(ctx context.Context, s *Section) error {
-	if err := r.fits(2, 0); err != nil {
+	if err := r.checkFits(2, 0); err != nil {
 		return err
 	}
 	work := map[string]standin.Work{requestClass.Name: {Bytes: answerBytes}}
-	little := asked{name: "little", tenants: littleTenants}
-	much := asked{name: "design", tenants: int(Design.Tenants)}
+	little := latencyTarget{name: "little", tenants: fewTenants}
+	much := latencyTarget{name: "design", tenants: int(Design.Tenants)}
 	var backend *standin.Server
 	for _, t := range []struct {
-		*asked
+		*latencyTarget
 		backends int
 	}{{&little, serviceSize}, {&much, int(Design.Backends)}} {
 		servers, registry, err := openBackends(t.backends, work)
@@ -68,27 +68,27 @@
 			registry.Close()
 		}()
 		backend = servers[0]
-		if err := r.startAsked(ctx, t.asked, registry.Addr); err != nil {
+		if err := r.startTarget(ctx, t.latencyTarget, registry.Addr); err != nil {
 			return err
 		}
 		defer t.node.kill()
 	}
-	direct := asked{name: "direct", addr: backend.Addr, tenants: littleTenants}
-	targets := []*asked{&direct, &little, &much}
+	direct := latencyTarget{name: "direct", addr: backend.Addr, tenants: fewTenants}
+	targets := []*latencyTarget{&direct, &little, &much}
 	rate := Design.Requests / Design.Nodes
 	for _, t := range targets {
 		if _, err := t.load(ctx, rate, latencyWarm, r.Seed); err != nil {
 			return err
 		}
-		t.served, t.failed, t.faults = 0, 0, nil
+		t.served, t.failed, t.failureCounts = 0, 0, nil
 	}
 	good := 0
-	for round := 0; good < latencyRounds && round < mostLatencyRounds; round++ {
-		var got []asked
-		late, err := r.guard.punctual(ctx, "latency", times, 0, func() (err error) {
+	for round := 0; good < latencyRounds && round < maxLatencyRounds; round++ {
+		var got []latencyTarget
+		late, err := r.guard.runUndelayed(ctx, "latency", times, 0, func() (err error) {
 			got, err = r.latencyRound(ctx, targets, rate, round)
 			return err
-		}, nothing)
+		}, noCleanup)
 		if errors.Is(err, errVoid) {
 			continue
 		}
@@ -96,10 +96,10 @@
 			return err
 		}
 		good++
-		s.Late = max(s.Late, late)
+		s.MaxDelay = max(s.MaxDelay, late)
 		for i, t := range targets {
-			if t.take(got[i]); late <= calmLate {
-				t.calm.Merge(got[i].times)
+			if t.addRound(got[i]); late <= steadyDelay {
+				t.steadyTimes.Merge(got[i].times)
 			}
 		}
 	}
@@ -107,37 +107,37 @@
 		return fmt.Errorf("latency: %w", errVoid)
 	}
 	for _, t := range targets {
-		s.figure(r.Out, t.name+".requests", float64(t.served), "requests served")
-		s.figure(r.Out, t.name+".failed", float64(t.failed), "requests")
-		for why, n := range t.faults {
+		s.addFigure(r.Out, t.name+".requests", float64(t.served), "requests served")
+		s.addFigure(r.Out, t.name+".failed", float64(t.failed), "requests")
+		for why, n := range t.failureCounts {
 			fmt.Fprintf(r.Out, "%s: %d times %s\n", t.name, n, why)
 		}
 		if t.node == nil {
 			continue
 		}
-		s.figure(r.Out, t.name+".processor", t.used.Seconds()/t.lasted.Seconds(),
+		s.addFigure(r.Out, t.name+".processor", t.cpuTime.Seconds()/t.duration.Seconds(),
 			"cores at the design's 89 requests a second")
-		s.figure(r.Out, t.name+".memory", float64(memoryOf(t.node.pid(), "VmRSS"))/1024, "MiB")
+		s.addFigure(r.Out, t.name+".memory", float64(memoryOf(t.node.pid(), "VmRSS"))/1024, "MiB")
 	}
-	s.added(r.Out, "p50", direct.times.Quantile(0.5), little.times.Quantile(0.5), much.times.Quantile(0.5))
-	s.figure(r.Out, "calm.requests", float64(direct.calm.Count()),
+	s.addLatencyFigures(r.Out, "p50", direct.times.Quantile(0.5), little.times.Quantile(0.5), much.times.Quantile(0.5))
+	s.addFigure(r.Out, "calm.requests", float64(direct.steadyTimes.Count()),
 		"requests to each in rounds in which the machine was late by 5 ms at most: the longest of a hundred is theirs")
-	if direct.calm.Count() < leastCalm {
+	if direct.steadyTimes.Count() < minSteadyRequests {
 		for _, name := range []string{"direct", "little", "design", "added.little", "added.design", "more", "ratio"} {
-			s.lack(r.Out, name+".p99", errVoid)
+			s.addMissing(r.Out, name+".p99", errVoid)
 		}
 	} else {
-		d, m := direct.calm.Quantile(0.99), much.calm.Quantile(0.99)
-		s.added(r.Out, "p99", d, little.calm.Quantile(0.99), m)
-		s.promise(r.Out, (m-d).Seconds()*1e3 <= BudgetAdded, "at most %.1f ms are added, 99 in 100", BudgetAdded)
+		d, m := direct.steadyTimes.Quantile(0.99), much.steadyTimes.Quantile(0.99)
+		s.addLatencyFigures(r.Out, "p99", d, little.steadyTimes.Quantile(0.99), m)
+		s.addPromise(r.Out, (m-d).Seconds()*1e3 <= BudgetAddedLatency, "at most %.1f ms are added, 99 in 100", BudgetAddedLatency)
 	}
-	s.promise(r.Out, direct.failed+little.failed+much.failed == 0, "every request is served")
+	s.addPromise(r.Out, direct.failed+little.failed+much.failed == 0, "every request is served")
 	return nil
 }
 
 // addLatencyFigures adds one quantile of the latencies of a backend, and of nodes with little state and with the design's
 // state before it.
-func (s *Section) added(out io.Writer, quantile string, direct, little, design time.Duration) {
+func (s *Section) addLatencyFigures(out io.Writer, quantile string, direct, little, design time.Duration) {
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
 	for _, f := range []struct {
 		name  string
@@ -152,14 +152,14 @@
 		{"more", ms(design - little), "ms more with the design's state than with little"},
 		{"ratio", design.Seconds() / little.Seconds(), "times that with little state"},
 	} {
-		s.figure(out, f.name+"."+quantile, f.value, f.unit)
+		s.addFigure(out, f.name+"."+quantile, f.value, f.unit)
 	}
 }
 
 // latencyRound sends requests to each of the targets for latencyWindow, one target after the other, and returns the results.
-func (r *run) latencyRound(ctx context.Context, targets []*asked, rate float64, round int) (got []asked, err error) {
+func (r *run) latencyRound(ctx context.Context, targets []*latencyTarget, rate float64, round int) (got []latencyTarget, err error) {
 	for _, t := range targets {
-		one, before := asked{name: t.name, addr: t.addr, tenants: t.tenants, node: t.node}, time.Duration(0)
+		one, before := latencyTarget{name: t.name, addr: t.addr, tenants: t.tenants, node: t.node}, time.Duration(0)
 		if t.node != nil {
 			before = processorOf(t.node.pid())
 		}
@@ -167,24 +167,24 @@
 			return nil, err
 		}
 		if t.node != nil {
-			one.used = processorOf(t.node.pid()) - before
+			one.cpuTime = processorOf(t.node.pid()) - before
 		}
-		one.lasted = latencyWindow
+		one.duration = latencyWindow
 		got = append(got, one)
 	}
 	return got, nil
 }
 
 // addRound adds the results of a round.
-func (t *asked) take(one asked) {
+func (t *latencyTarget) addRound(one latencyTarget) {
 	t.times.Merge(one.times)
-	t.used, t.lasted = t.used+one.used, t.lasted+one.lasted
+	t.cpuTime, t.duration = t.cpuTime+one.cpuTime, t.duration+one.duration
 	t.served, t.failed = t.served+one.served, t.failed+one.failed
-	for why, n := range one.faults {
-		if t.faults == nil {
-			t.faults = map[string]int{}
+	for why, n := range one.failureCounts {
+		if t.failureCounts == nil {
+			t.failureCounts = map[string]int{}
 		}
-		t.faults[why] += n
+		t.failureCounts[why] += n
 	}
 }
 
@@ -205,7 +205,7 @@
 	return servers, registry, err
 }
 
-func (r *run) startAsked(ctx context.Context, t *asked, registry string) error {
+func (r *run) startTarget(ctx context.Context, t *latencyTarget, registry string) error {
 	listen, err := freePort("tcp")
 	if err != nil {
 		return err
@@ -220,14 +220,14 @@
 		"TMPDIR=" + r.folder}, r.program); err != nil {
 		return err
 	}
-	return t.node.ready(ctx, "http://"+listen+"/health/ready")
+	return t.node.awaitReady(ctx, "http://"+listen+"/health/ready")
 }
 
 var errNotServed = errors.New("not served")
 
 // load sends requests with random gaps at a mean rate (a second) for a time, each of a random tenant, without waiting for
 // answers (open loop), and returns the latencies of the served ones.
-func (t *asked) load(ctx context.Context, rate float64, length time.Duration, seed uint64) (times standin.Times,
+func (t *latencyTarget) load(ctx context.Context, rate float64, length time.Duration, seed uint64) (times standin.Times,
 	err error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
@@ -245,12 +245,12 @@
 		id, tenant := fmt.Sprintf("%s-%d-%d", t.name, seed, i), tenantName(random.IntN(t.tenants))
 		work.Go(func() {
 			began := time.Now()
-			err := t.one(ctx, client, id, tenant)
+			err := t.request(ctx, client, id, tenant)
 			took := time.Since(began)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				t.fault(err)
+				t.countFailure(err)
 				return
 			}
 			t.served++
@@ -262,20 +262,20 @@
 }
 
 // countFailure counts a request that was not served, by reason.
-func (t *asked) fault(err error) {
-	if t.faults == nil {
-		t.faults = map[string]int{}
+func (t *latencyTarget) countFailure(err error) {
+	if t.failureCounts == nil {
+		t.failureCounts = map[string]int{}
 	}
 	t.failed++
 	why := err
 	if inner := (*url.Error)(nil); errors.As(err, &inner) { // without the URL, which differs in each request
 		why = inner.Err
 	}
-	t.faults[why.Error()]++
+	t.failureCounts[why.Error()]++
 }
 
 // request sends one request and reads its answer.
-func (t *asked) one(ctx context.Context, client *http.Client, id, tenant string) error {
+func (t *latencyTarget) request(ctx context.Context, client *http.Client, id, tenant string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.addr+"/"+requestClass.Name+"?obj="+id, nil)
 	if err != nil {
 		return err
--- a/internal/rig/capacity/machines.go
+++ b/internal/rig/capacity/machines.go
@@ -26,20 +26,20 @@
 	*process
 	name   string
 	listen string // address for clients
-	door   *control.APIClient
+	client *control.APIClient
 }
 
 // site holds what a run needs: folders, a registry, the fleet's files, and the processes.
 type site struct {
-	folder   string // of the control machines, on disk
-	nodes    string // folder of the hollow nodes, see memoryFolder
-	program  string
-	self     string // program that runs hollow nodes, the rig itself
-	registry *standin.Registry
-	fleet    hollow.Fleet
-	voters   []*machine
-	regional bool   // traffic between regions goes over paths that can be cut
-	paths    []path // the paths between regions
+	folder        string // of the control machines, on disk
+	nodes         string // folder of the hollow nodes, see memoryFolder
+	program       string
+	hollowProgram string // program that runs hollow nodes, the rig itself
+	registry      *standin.Registry
+	fleet         hollow.Fleet
+	voters        []*machine
+	regional      bool   // traffic between regions goes over paths that can be cut
+	paths         []path // the paths between regions
 
 	mu     sync.Mutex
 	others []*machine
@@ -80,7 +80,7 @@
 
 // openSite starts the control machines and a registry that lists the given number of backends, and waits for a leader.
 func (r *run) openSite(ctx context.Context, backends int, regional bool) (_ *site, err error) {
-	s := &site{program: r.program, self: r.self, regional: regional}
+	s := &site{program: r.program, hollowProgram: r.hollowProgram, regional: regional}
 	if s.folder, err = os.MkdirTemp(r.folder, "site"); err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 		s.voters = append(s.voters, m)
 	}
 	for _, m := range s.voters {
-		if err := m.ready(ctx, "http://"+m.listen+"/health/ready"); err != nil {
+		if err := m.awaitReady(ctx, "http://"+m.listen+"/health/ready"); err != nil {
 			return nil, fmt.Errorf("%s: %w", m.name, err)
 		}
 	}
@@ -207,7 +207,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &machine{process: p, name: name, listen: listen, door: control.NewAPIClient(hollow.Socket(folder, name))}, nil
+	return &machine{process: p, name: name, listen: listen, client: control.NewAPIClient(hollow.Socket(folder, name))}, nil
 }
 
 const leaderWait = 30 * time.Second
@@ -225,7 +225,7 @@
 			default:
 			}
 			one, cancel := context.WithTimeout(ctx, time.Second)
-			h, err := m.door.Status(one)
+			h, err := m.client.Status(one)
 			cancel()
 			if err == nil && h.Voter == "leads" && h.Term > term {
 				best, term = i, h.Term
@@ -263,7 +263,7 @@
 		}
 		o.Names = append(o.Names, name)
 	}
-	p, err := hollow.StartProcess(s.self, filepath.Join(folder, "nodes.json"), o)
+	p, err := hollow.StartProcess(s.hollowProgram, filepath.Join(folder, "nodes.json"), o)
 	if err != nil {
 		return err
 	}
@@ -288,7 +288,7 @@
 const liveWait = 2 * time.Minute
 
 // awaitSessions waits until all hollow nodes have a session.
-func (s *site) live(ctx context.Context) error {
+func (s *site) awaitSessions(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, liveWait)
 	defer cancel()
 	for {
--- a/internal/rig/capacity/messages.go
+++ b/internal/rig/capacity/messages.go
@@ -54,44 +54,44 @@
 		settings.Nodes = nodes
 		m := decide.New(settings, int64(seed)+int64(i))
 		v.modules = append(v.modules, m)
-		v.plan(time.Duration(v.random.Int64N(int64(tickLength))), delivery{i, decide.TimerFired{}})
-		v.next = append(v.next, v.now+v.wait())
-		v.act(i, m.Handle(v.now, list))
+		v.schedule(time.Duration(v.random.Int64N(int64(tickLength))), delivery{i, decide.TimerFired{}})
+		v.next = append(v.next, v.now+v.arrivalGap())
+		v.execute(i, m.Handle(v.now, list))
 	}
 	return v
 }
 
-func (v *service) wait() time.Duration {
+func (v *service) arrivalGap() time.Duration {
 	return time.Duration(v.random.ExpFloat64() / v.rate * float64(time.Second))
 }
 
 // schedule schedules an event after a time, at the next step at the earliest.
-func (v *service) plan(after time.Duration, d delivery) {
+func (v *service) schedule(after time.Duration, d delivery) {
 	step := min(simWheel-1, max(1, int(after/simStep)))
 	at := (int(v.now/simStep) + step) % simWheel
 	v.wheel[at] = append(v.wheel[at], d)
 }
 
 // execute carries out the actions of a module.
-func (v *service) act(node int, actions []decide.Action) {
+func (v *service) execute(node int, actions []decide.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case decide.SetTimer:
-			v.plan(a.After, delivery{node, decide.TimerFired{}})
+			v.schedule(a.After, delivery{node, decide.TimerFired{}})
 		case decide.Send:
 			took := time.Duration(v.random.ExpFloat64() * float64(v.answer))
-			v.plan(took, delivery{node, decide.AttemptEnded{ID: a.ID, Server: a.Server, RequestDone: true, Elapsed: max(took,
+			v.schedule(took, delivery{node, decide.AttemptEnded{ID: a.ID, Server: a.Server, RequestDone: true, Elapsed: max(took,
 				simStep)}})
 		case decide.Probe:
-			v.plan(simStep, delivery{node, decide.ProbeEnded{Server: a.Server, Elapsed: simStep,
+			v.schedule(simStep, delivery{node, decide.ProbeEnded{Server: a.Server, Elapsed: simStep,
 				Report: &decide.Report{InFlight: 6, HasInFlight: true, Queue: 2, HasQueue: true}}})
 		case decide.SendMessage:
-			v.carry(node, a)
+			v.deliver(node, a)
 		}
 	}
 }
 
-func (v *service) carry(from int, a decide.SendMessage) {
+func (v *service) deliver(from int, a decide.SendMessage) {
 	to := []int{a.To}
 	if a.ToAll {
 		to = to[:0]
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, i := range to {
-		v.plan(simStep, delivery{i, decide.MessageReceived{From: from, Data: a.Data}})
+		v.schedule(simStep, delivery{i, decide.MessageReceived{From: from, Data: a.Data}})
 	}
 	if v.counting {
 		v.sent += len(to)
@@ -111,23 +111,23 @@
 }
 
 // advance runs the simulation for a length of virtual time.
-func (v *service) play(ctx context.Context, length time.Duration) error {
+func (v *service) advance(ctx context.Context, length time.Duration) error {
 	for end := v.now + length; v.now < end; {
 		v.now += simStep
 		at := int(v.now/simStep) % simWheel
 		due := v.wheel[at]
 		v.wheel[at] = nil
 		for _, d := range due {
-			v.act(d.to, v.modules[d.to].Handle(v.now, d.event))
+			v.execute(d.to, v.modules[d.to].Handle(v.now, d.event))
 		}
 		for i, next := range v.next {
 			if next > v.now {
 				continue
 			}
 			v.requests++
-			v.act(i, v.modules[i].Handle(v.now, decide.RequestArrived{ID: decide.RequestID(strconv.Itoa(v.requests)),
+			v.execute(i, v.modules[i].Handle(v.now, decide.RequestArrived{ID: decide.RequestID(strconv.Itoa(v.requests)),
 				Class: requestClass.Name, Patience: requestClass.Patience}))
-			v.next[i] = v.now + v.wait()
+			v.next[i] = v.now + v.arrivalGap()
 		}
 		if ctx.Err() != nil {
 			return context.Cause(ctx)
@@ -137,30 +137,30 @@
 }
 
 // serviceTraffic is what one node sends for one service, per second, and what this costs.
-type told struct {
+type serviceTraffic struct {
 	datagrams float64
 	bytes     float64 // headers included
 	processor float64 // cores of one node's module with its share of the simulation, without system calls
 	memory    float64 // bytes of live heap for one node's module
 }
 
-func (v *service) measure(ctx context.Context, warm, length time.Duration) (t told, err error) {
-	if err := v.play(ctx, warm); err != nil {
+func (v *service) measure(ctx context.Context, warm, length time.Duration) (t serviceTraffic, err error) {
+	if err := v.advance(ctx, warm); err != nil {
 		return t, err
 	}
 	v.counting = true
 	began := processorTime()
-	if err := v.play(ctx, length); err != nil {
+	if err := v.advance(ctx, length); err != nil {
 		return t, err
 	}
 	each := length.Seconds() * float64(len(v.modules))
 	t.datagrams, t.bytes = float64(v.sent)/each, float64(v.bytes+headerBytes*v.sent)/each
 	t.processor = (processorTime() - began).Seconds() / each
 	v.wheel = [simWheel][]delivery{}
-	with := heap()
+	with := liveHeap()
 	nodes := float64(len(v.modules))
 	v.modules = nil
-	t.memory = (with - heap()) / nodes
+	t.memory = (with - liveHeap()) / nodes
 	return t, nil
 }
 
@@ -178,7 +178,7 @@
 func (r *run) messages(ctx context.Context, s *Section) error {
 	perNode := Design.Requests / Design.Nodes
 	audience := r.audiences(s)
-	s.figure(r.Out, "request.each", Design.Services/perNode,
+	s.addFigure(r.Out, "request.each", Design.Services/perNode,
 		"s between two requests of a service at a node, computed: 65,000 a second over 730 nodes and 340 services")
 	warm, length := simWarm, simLength
 	sizes, counts := []int{40, 120, 365, int(Design.Nodes)}, []int{10, 40, 100, int(Design.Services)}
@@ -186,13 +186,13 @@
 		warm, length = simWarm/10, simLength/20
 		sizes, counts = []int{40}, nil
 	}
-	var byNodes, byServices points
+	var byNodes, byServices slopePoints
 	for _, size := range sizes {
 		t, err := newService(size, serviceSize, perNode/Design.Services, answerTime, r.Seed).measure(ctx, warm, length)
 		if err != nil {
 			return err
 		}
-		r.told(s, fmt.Sprintf("nodes.%d", size), t, 1, nil)
+		r.addTrafficFigures(s, fmt.Sprintf("nodes.%d", size), t, 1, nil)
 		byNodes.add("nodes.datagrams", "datagrams/s that a node sends for one of 340 services", float64(size),
 			t.datagrams)
 		byNodes.add("nodes.bytes", "bytes/s that a node sends for one of 340 services, with headers", float64(size),
@@ -205,7 +205,7 @@
 	if err := byNodes.write(r, s, "node", Design.Nodes); err != nil {
 		return err
 	}
-	s.figure(r.Out, "words", slopeOf(s, "nodes.datagrams")/audience,
+	s.addFigure(r.Out, "words", slopeOf(s, "nodes.datagrams")/audience,
 		"datagrams/s to each of the others that are told, for one of 340 services")
 	for _, count := range counts {
 		t, err := newService(int(Design.Nodes), serviceSize, perNode/float64(count), answerTime, r.Seed).measure(ctx,
@@ -213,7 +213,7 @@
 		if err != nil {
 			return err
 		}
-		r.told(s, fmt.Sprintf("services.%d", count), t, float64(count), &byServices)
+		r.addTrafficFigures(s, fmt.Sprintf("services.%d", count), t, float64(count), &byServices)
 	}
 	if err := byServices.write(r, s, "service", Design.Services); err != nil {
 		return err
@@ -224,7 +224,7 @@
 		if err != nil {
 			return err
 		}
-		r.told(s, fmt.Sprintf("answers.%dms", answer.Milliseconds()), t, Design.Services, nil)
+		r.addTrafficFigures(s, fmt.Sprintf("answers.%dms", answer.Milliseconds()), t, Design.Services, nil)
 	}
 	return nil
 }
@@ -240,16 +240,16 @@
 		return float64(sum) / float64(nodes)
 	}
 	const smallNodes, smallBackends = 300, 200
-	s.figure(r.Out, "audience.small", mean(smallNodes, smallBackends),
+	s.addFigure(r.Out, "audience.small", mean(smallNodes, smallBackends),
 		"others that a node tells, 300 nodes before 200 backends, subsets of 8")
 	design = mean(int(Design.Nodes), serviceSize)
-	s.figure(r.Out, "audience.design", design,
+	s.addFigure(r.Out, "audience.design", design,
 		"others that a node tells for a service, 730 nodes before 25 backends, subsets of 8")
 	return design
 }
 
 // addTrafficFigures adds what a node sends and receives for a number of services, of which one was run.
-func (r *run) told(s *Section, name string, t told, services float64, p *points) {
+func (r *run) addTrafficFigures(s *Section, name string, t serviceTraffic, services float64, p *slopePoints) {
 	for _, f := range []struct {
 		name  string
 		value float64
@@ -260,7 +260,7 @@
 		{"memory", services * t.memory / (1 << 20), "MiB of a node's modules"},
 		{"processor", services * t.processor, "cores of a node for making and taking them, without system calls"},
 	} {
-		s.figure(r.Out, name+"."+f.name, f.value, f.unit)
+		s.addFigure(r.Out, name+"."+f.name, f.value, f.unit)
 		if p != nil {
 			p.add("services."+f.name, f.unit, services, f.value)
 		}
--- a/internal/rig/capacity/modules.go
+++ b/internal/rig/capacity/modules.go
@@ -61,19 +61,19 @@
 }
 
 // heapPerCopy returns the bytes of live heap for each of the copies that make returns.
-func held[T any](copies int, make func() T) float64 {
-	before := heap()
+func heapPerCopy[T any](copies int, make func() T) float64 {
+	before := liveHeap()
 	var made []T
 	for range copies {
 		made = append(made, make())
 	}
-	after := heap()
+	after := liveHeap()
 	runtime.KeepAlive(made)
 	return (after - before) / float64(copies)
 }
 
 // liveHeap collects garbage until nothing more is freed, and returns the bytes of live heap.
-func heap() float64 {
+func liveHeap() float64 {
 	var now runtime.MemStats
 	for last := uint64(math.MaxUint64); ; last = now.HeapAlloc {
 		runtime.GC()
@@ -100,11 +100,11 @@
 
 // backends measures one module as its list grows, and the list in the form in which discovery sends it.
 func (r *run) backends(_ context.Context, s *Section) error {
-	var p points
+	var p slopePoints
 	for _, size := range []int{100, 1000, 4000, int(Design.Backends)} {
 		list := backendList(0, size)
 		settings := nodeSettings(0, 0)
-		bytesHeld := held(copiesOf(size, int(Design.Backends)), func() *decide.Module {
+		bytesHeld := heapPerCopy(copiesOf(size, int(Design.Backends)), func() *decide.Module {
 			m := decide.New(settings, 1)
 			m.Handle(moduleStart, list)
 			return m
@@ -143,17 +143,17 @@
 			{"list.decoded", decoded.Seconds() * 1e3, "ms of processor time, a whole list from JSON"},
 			{"list.json", float64(len(raw)), "bytes of JSON"},
 		} {
-			s.figure(r.Out, fmt.Sprintf("backends.%d.%s", size, f.name), f.value, f.unit)
+			s.addFigure(r.Out, fmt.Sprintf("backends.%d.%s", size, f.name), f.value, f.unit)
 			p.add("backends."+f.name, f.unit, float64(size), f.value)
 		}
 		if size == int(Design.Backends) {
-			s.figure(r.Out, "backends.list.limit", float64(listLimit)/float64(len(raw)),
+			s.addFigure(r.Out, "backends.list.limit", float64(listLimit)/float64(len(raw)),
 				"times that list is what a node takes at most (4 MiB)")
-			s.figure(r.Out, "backends.region.restart", float64(len(raw))*Design.Nodes/regions/1e6,
+			s.addFigure(r.Out, "backends.region.restart", float64(len(raw))*Design.Nodes/regions/1e6,
 				"MB of lists for 365 nodes that restart at once, computed")
-			s.figure(r.Out, "backends.list.paced", float64(len(raw))/BudgetBytes,
+			s.addFigure(r.Out, "backends.list.paced", float64(len(raw))/BudgetBytes,
 				"s for that list at 7,000 bytes a second, computed")
-			s.promise(r.Out, len(raw) <= listLimit, "the list of %d backends is taken", size)
+			s.addPromise(r.Out, len(raw) <= listLimit, "the list of %d backends is taken", size)
 		}
 	}
 	return p.write(r, s, "backend", Design.Backends)
@@ -161,19 +161,19 @@
 
 // tenants measures what tenants add to the cost of one module.
 func (r *run) tenants(_ context.Context, s *Section) error {
-	var p points
+	var p slopePoints
 	for _, size := range []int{100, 1800, 6000, int(Design.Tenants)} {
 		copies := copiesOf(size, int(Design.Tenants))
-		bytesOfSettings := held(copies, func() decide.Settings { return nodeSettings(0, size) })
+		bytesOfSettings := heapPerCopy(copies, func() decide.Settings { return nodeSettings(0, size) })
 		settings := nodeSettings(0, size)
-		bytesHeld := held(copies, func() *decide.Module { return decide.New(settings, 1) })
+		bytesHeld := heapPerCopy(copies, func() *decide.Module { return decide.New(settings, 1) })
 		for _, f := range []struct {
 			name  string
 			value float64
 			unit  string
 		}{{"memory", bytesHeld / (1 << 20), "MiB, one module"}, {"settings", bytesOfSettings / (1 << 20),
 			"MiB, the settings that all modules may share"}} {
-			s.figure(r.Out, fmt.Sprintf("tenants.%d.%s", size, f.name), f.value, f.unit)
+			s.addFigure(r.Out, fmt.Sprintf("tenants.%d.%s", size, f.name), f.value, f.unit)
 			p.add("tenants."+f.name, f.unit, float64(size), f.value)
 		}
 	}
@@ -192,9 +192,9 @@
 
 // services measures a node with a module for each service. The program has no such node yet.
 func (r *run) services(_ context.Context, s *Section) error {
-	var p points
+	var p slopePoints
 	for _, size := range []int{10, 40, 100, int(Design.Services)} {
-		bytesHeld := held(copiesOf(size, int(Design.Services)), func() []*decide.Module { return modulesOf(size) })
+		bytesHeld := heapPerCopy(copiesOf(size, int(Design.Services)), func() []*decide.Module { return modulesOf(size) })
 		list := modulesOf(size)
 		began := processorTime()
 		for tick := range idleTicks {
@@ -204,9 +204,9 @@
 			}
 		}
 		idle := (processorTime() - began).Seconds() / (idleTicks * tickLength.Seconds())
-		s.figure(r.Out, fmt.Sprintf("services.%d.memory", size), bytesHeld/(1<<20),
+		s.addFigure(r.Out, fmt.Sprintf("services.%d.memory", size), bytesHeld/(1<<20),
 			"MiB, a module each of 25 backends, no tenants")
-		s.figure(r.Out, fmt.Sprintf("services.%d.idle", size), idle, "cores, a module each to which nothing comes")
+		s.addFigure(r.Out, fmt.Sprintf("services.%d.idle", size), idle, "cores, a module each to which nothing comes")
 		p.add("services.memory", "MiB, a module each of 25 backends, no tenants", float64(size), bytesHeld/(1<<20))
 		p.add("services.idle", "cores, a module each to which nothing comes", float64(size), idle)
 	}
@@ -214,7 +214,7 @@
 		return err
 	}
 	tenants, services := slopeOf(s, "tenants.memory"), slopeOf(s, "services.memory")
-	s.figure(r.Out, "services.tenants.memory", services+Design.Services*tenants,
+	s.addFigure(r.Out, "services.tenants.memory", services+Design.Services*tenants,
 		"MiB, 340 modules that each hold all 18,000 tenants, computed from the two")
 	return nil
 }
--- a/internal/rig/capacity/nodes.go
+++ b/internal/rig/capacity/nodes.go
@@ -15,16 +15,16 @@
 	// headerBytes is the size of the IPv4 and UDP headers, which the connections' counts don't include.
 	headerBytes = 28
 	// maxHollowPerProcess is the maximum number of hollow nodes in a process.
-	mostHollow = 250
+	maxHollowPerProcess = 250
 	// drainsPerSize is the number of drains that are measured at each size.
-	drainsEach   = 10
-	burstSize    = 100
-	burstLength  = 10 * time.Second
-	burstWait    = time.Minute
-	burstRepeats = 2 // repeats of a void burst
-	knownWait    = time.Minute
-	knownPoll    = 20 * time.Millisecond
-	proofPoll    = 100 * time.Millisecond
+	drainsPerSize = 10
+	burstSize     = 100
+	burstLength   = 10 * time.Second
+	burstWait     = time.Minute
+	burstRepeats  = 2 // repeats of a void burst
+	knownWait     = time.Minute
+	knownPoll     = 20 * time.Millisecond
+	proofPoll     = 100 * time.Millisecond
 )
 
 // nodeSizes returns the fleet sizes, the time of each measurement at rest, and the number of drains at each size.
@@ -32,7 +32,7 @@
 	if r.Quick {
 		return []int{40}, 5 * time.Second, 5
 	}
-	return []int{40, 120, 365, int(Design.Nodes)}, 15 * time.Second, drainsEach
+	return []int{40, 120, 365, int(Design.Nodes)}, 15 * time.Second, drainsPerSize
 }
 
 // settleTime is the time without load after nodes have been added: somewhat more than a session lifetime.
@@ -44,13 +44,13 @@
 }
 
 // slopePoints collects the points of slopes by name.
-type points struct {
+type slopePoints struct {
 	names  []string
 	units  map[string]string
 	values map[string][]Point
 }
 
-func (p *points) add(name, unit string, size, value float64) {
+func (p *slopePoints) add(name, unit string, size, value float64) {
 	if p.values == nil {
 		p.units, p.values = map[string]string{}, map[string][]Point{}
 	}
@@ -61,13 +61,13 @@
 }
 
 // write adds the slopes to a section.
-func (p *points) write(r *run, s *Section, per string, design float64) error {
+func (p *slopePoints) write(r *run, s *Section, per string, design float64) error {
 	for _, name := range p.names {
-		if len(p.values[name]) < leastSizes {
+		if len(p.values[name]) < minSizes {
 			fmt.Fprintf(r.Out, "%s.%s: no line, of %d sizes\n", s.Name, name, len(p.values[name]))
 			continue
 		}
-		if err := s.slope(r.Out, name, p.units[name], per, design, p.values[name]); err != nil {
+		if err := s.addSlope(r.Out, name, p.units[name], per, design, p.values[name]); err != nil {
 			return err
 		}
 	}
@@ -79,27 +79,27 @@
 func (r *run) nodes(ctx context.Context, s *Section) error {
 	sizes, window, drains := r.nodeSizes()
 	largest := slices.Max(sizes)
-	state(r.Out, nodeThresholds(sizes))
-	if err := r.fits(controlMachines+2*len(sizes), 0); err != nil {
+	printThresholds(r.Out, nodeThresholds(sizes))
+	if err := r.checkFits(controlMachines+2*len(sizes), 0); err != nil {
 		return err
 	}
 	site, err := r.openSite(ctx,
-		(1+mostRepeats)*drains*len(sizes)+(1+burstRepeats)*2*burstSize+drains*len(sizes)+faultDrains, false)
+		(1+maxRepeats)*drains*len(sizes)+(1+burstRepeats)*2*burstSize+drains*len(sizes)+faultDrains, false)
 	if err != nil {
 		return err
 	}
 	defer site.close()
-	var p points
+	var p slopePoints
 	have, next := 0, 0
 	for _, size := range sizes {
 		for have < size {
-			n := min(mostHollow, size-have)
+			n := min(maxHollowPerProcess, size-have)
 			if err := site.addHollow(n); err != nil {
 				return err
 			}
 			have += n
 		}
-		if err := site.live(ctx); err != nil {
+		if err := site.awaitSessions(ctx); err != nil {
 			return err
 		}
 		if err := sleep(ctx, r.settleTime()); err != nil {
@@ -125,7 +125,7 @@
 			if ctx.Err() != nil {
 				return err
 			}
-			s.lack(r.Out, fmt.Sprintf("%d.burst%d", largest, count),
+			s.addMissing(r.Out, fmt.Sprintf("%d.burst%d", largest, count),
 				err) // the fleet may no longer be whole, so nothing more is measured
 			break
 		}
@@ -135,24 +135,24 @@
 }
 
 // checkFits returns an error if the processes and memory that a run is about to add would exceed the bounds.
-func (r *run) fits(processes, memoryKiB int) error {
+func (r *run) checkFits(processes, memoryKiB int) error {
 	u := usageBelow(os.Getpid())
 	return r.bounds.check(usage{u.processes + processes, u.memory + memoryKiB})
 }
 
 // rest measures a fleet without changes.
-func (r *run) rest(ctx context.Context, s *Section, site *site, size int, window time.Duration, p *points) error {
-	var d spent
-	late, err := r.guard.punctual(ctx, "rest", counts, mostRepeats, func() (err error) {
+func (r *run) rest(ctx context.Context, s *Section, site *site, size int, window time.Duration, p *slopePoints) error {
+	var d usageRates
+	late, err := r.guard.runUndelayed(ctx, "rest", counts, maxRepeats, func() (err error) {
 		if d, err = site.window(ctx, window, size); err == nil {
-			raise(&r.guard.cores, d.pause)
+			raiseMax(&r.guard.coreDelay, d.pause)
 		}
 		return err
-	}, nothing)
+	}, noCleanup)
 	if err != nil {
 		return err
 	}
-	s.Late = max(s.Late, late)
+	s.MaxDelay = max(s.MaxDelay, late)
 	leader, err := site.leader(ctx)
 	if err != nil {
 		return err
@@ -187,23 +187,23 @@
 		{"node.datagrams", d.nodeDatagrams, "datagrams/s in and out"},
 		{"node.bytes", d.nodeBytes, "bytes/s in and out, with headers"},
 		{"node.calls", d.nodeCalls, "calls/s"},
-		{"hollow.memory", float64(c.Resident) / 1024, "MiB, of all hollow nodes"},
+		{"hollow.memory", float64(c.ResidentKiB) / 1024, "MiB, of all hollow nodes"},
 		{"state.bytes", stateBytes, "bytes of JSON, the whole state"},
 		{"state.took", stateTook.Seconds() * 1e3, "ms until the whole state has come"},
 		{"leader.disk", site.logSize(leader) / 1024, "KiB of the log's file"},
 	} {
-		s.figure(r.Out, fmt.Sprintf("%d.rest.%s", size, f.name), f.value, f.unit)
+		s.addFigure(r.Out, fmt.Sprintf("%d.rest.%s", size, f.name), f.value, f.unit)
 		p.add("rest."+f.name, f.unit, float64(size), f.value)
 	}
-	s.figure(r.Out, fmt.Sprintf("%d.rest.follower.share", size), d.followerBytes/d.leaderBytes, "of the leader's bytes")
-	s.figure(r.Out, fmt.Sprintf("%d.rest.entries", size), d.entries, "entries/s of the log")
+	s.addFigure(r.Out, fmt.Sprintf("%d.rest.follower.share", size), d.followerBytes/d.leaderBytes, "of the leader's bytes")
+	s.addFigure(r.Out, fmt.Sprintf("%d.rest.entries", size), d.entries, "entries/s of the log")
 	return nil
 }
 
 // state returns the size of the whole state as operators get it, and the time of the request.
 func (s *site) state(ctx context.Context, leader int) (size float64, took time.Duration, err error) {
 	began := time.Now()
-	state, err := s.voters[leader].door.State(ctx)
+	state, err := s.voters[leader].client.State(ctx)
 	if err != nil {
 		return 0, 0, err
 	}
--- a/internal/rig/capacity/page.go
+++ b/internal/rig/capacity/page.go
@@ -105,17 +105,17 @@
 
 // value is a figure, or the value of a slope at the design size.
 type value struct {
-	value   float64
-	unit    string
-	formula string // base + slope x size; empty for a figure
-	section *Section
-	beyond  bool // the design size is larger than the largest size that was run
+	value        float64
+	unit         string
+	formula      string // base + slope x size; empty for a figure
+	section      *Section
+	extrapolated bool // the design size is larger than the largest size that was run
 }
 
 // String returns the value with its unit, marked if it is extrapolated.
 func (v value) String() string {
-	text := short(v.value) + " " + v.unit
-	if v.beyond {
+	text := formatValue(v.value) + " " + v.unit
+	if v.extrapolated {
 		text += " *extrapolated*"
 	}
 	return text
@@ -137,13 +137,13 @@
 	if base < 0 {
 		sign, base = "-", -base
 	}
-	return fmt.Sprintf("%s x %ss %s %s", short(l.Slope), l.Per, sign, short(base))
+	return fmt.Sprintf("%s x %ss %s %s", formatValue(l.Slope), l.Per, sign, formatValue(base))
 }
 
 func sizesOf(l Slope) string {
 	var list []string
 	for _, p := range l.Points {
-		list = append(list, fmt.Sprintf("%s: %s", short(p.Size), short(p.Value)))
+		list = append(list, fmt.Sprintf("%s: %s", formatValue(p.Size), formatValue(p.Value)))
 	}
 	return strings.Join(list, ", ")
 }
@@ -154,12 +154,12 @@
 		"most at once")
 	for _, s := range r.Sections {
 		late := "no times measured"
-		if s.Late > 0 {
-			late = s.Late.Round(time.Millisecond).String()
+		if s.MaxDelay > 0 {
+			late = s.MaxDelay.Round(time.Millisecond).String()
 		}
 		g.row(s.Name, s.Began.Format(time.RFC3339), s.Took.Round(time.Second).String(), fmt.Sprint(s.Seed), s.Machine,
 			s.Load, late,
-			fmt.Sprintf("%d processes, %d MiB", s.Most.Processes, s.Most.Memory>>10))
+			fmt.Sprintf("%d processes, %d MiB", s.Peak.Processes, s.Peak.Memory>>10))
 	}
 	return g.String(), nil
 }
@@ -169,11 +169,11 @@
 	g.head("figure", "unit", "line", "residual, of the largest", "at each size that was run", "at the design size")
 	for _, s := range r.Sections {
 		for _, l := range s.Slopes {
-			at := short(l.Design) + ": " + short(l.AtDesign)
+			at := formatValue(l.Design) + ": " + formatValue(l.AtDesign)
 			if l.Extrapolated {
 				at += " *extrapolated*"
 			}
-			g.row(l.Name, l.Unit, formula(l), short(l.Residual), sizesOf(l), at)
+			g.row(l.Name, l.Unit, formula(l), formatValue(l.Residual), sizesOf(l), at)
 		}
 	}
 	return g.String(), nil
@@ -199,7 +199,7 @@
 	if budget == 0 {
 		return "-"
 	}
-	text := short(v / budget)
+	text := formatValue(v / budget)
 	if v > budget {
 		text = "**" + text + "**"
 	}
@@ -215,7 +215,7 @@
 			continue
 		}
 		v, e, err := r.valueOf(e)
-		if why := r.whyNot(e.figure); err != nil && why != "" {
+		if why := r.missingReason(e.figure); err != nil && why != "" {
 			g.row(e.what, e.when, "*"+why+"*", "", e.budgetText(), "-", e.mechanism)
 			continue
 		}
@@ -241,10 +241,10 @@
 				}
 			}
 			verdict := "equal within 15%"
-			if v[2].value < 1-mostDifference || v[2].value > 1+mostDifference {
+			if v[2].value < 1-maxDifference || v[2].value > 1+maxDifference {
 				verdict = "differs: the figure of real nodes is used"
 			}
-			g.row(name+", "+v[0].unit, fmt.Sprint(size), short(v[0].value), short(v[1].value), short(v[2].value),
+			g.row(name+", "+v[0].unit, fmt.Sprint(size), formatValue(v[0].value), formatValue(v[1].value), formatValue(v[2].value),
 				verdict)
 		}
 	}
--- a/internal/rig/capacity/page_test.go
+++ b/internal/rig/capacity/page_test.go
@@ -102,7 +102,7 @@
 	r := &run{Options: Options{Results: path}}
 	for _, v := range []float64{1, 2} {
 		for _, name := range []string{"a", "b"} {
-			if err := r.keep(&Section{Name: name, Figures: []Figure{{name + ".x", v, "ms"}}}); err != nil {
+			if err := r.saveResults(&Section{Name: name, Figures: []Figure{{name + ".x", v, "ms"}}}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/rig/capacity/process.go
+++ b/internal/rig/capacity/process.go
@@ -105,7 +105,7 @@
 }
 
 // awaitReady waits until a URL answers with status 200.
-func (p *process) ready(ctx context.Context, url string) error {
+func (p *process) awaitReady(ctx context.Context, url string) error {
 	ctx, cancel := context.WithTimeout(ctx, readyWait)
 	defer cancel()
 	for {
--- a/internal/rig/capacity/reading.go
+++ b/internal/rig/capacity/reading.go
@@ -11,13 +11,13 @@
 
 // reading holds the totals of all parts of the fleet at one time.
 type reading struct {
-	at        time.Time
-	hollow    hollow.Counts
-	leader    int
-	processor []time.Duration // processor time of the control machines
-	traffic   []link.Traffic
-	applied   uint64 // log entries that the leader has applied
-	term      uint64
+	at       time.Time
+	hollow   hollow.Counts
+	leader   int
+	cpuTimes []time.Duration // processor time of the control machines
+	traffic  []link.Traffic
+	applied  uint64 // log entries that the leader has applied
+	term     uint64
 }
 
 func (s *site) read(ctx context.Context) (now reading, err error) {
@@ -29,11 +29,11 @@
 	}
 	now.at = time.Now()
 	for i, m := range s.voters {
-		h, err := m.door.Status(ctx)
+		h, err := m.client.Status(ctx)
 		if err != nil {
 			return now, fmt.Errorf("%s: %w", m.name, err)
 		}
-		now.processor, now.traffic = append(now.processor, processorOf(m.pid())), append(now.traffic, h.Traffic)
+		now.cpuTimes, now.traffic = append(now.cpuTimes, processorOf(m.pid())), append(now.traffic, h.Traffic)
 		if i == now.leader {
 			now.applied, now.term = h.Applied, h.Term
 		}
@@ -42,7 +42,7 @@
 }
 
 // usageRates is the difference of two readings, per second.
-type spent struct {
+type usageRates struct {
 	pause                               time.Duration // longest pause of the hollow nodes' processes
 	seconds                             float64
 	leaderProcessor, followerProcessor  float64 // cores; the mean of the followers
@@ -54,16 +54,16 @@
 	callsByKind                         map[uint64]float64 // of one node
 }
 
-func onWire(t link.Traffic) float64 {
+func wireBytes(t link.Traffic) float64 {
 	return float64(t.BytesIn+t.BytesOut) + headerBytes*float64(t.DatagramsIn+t.DatagramsOut)
 }
 
-func between(a, b reading, nodes int) (d spent) {
+func ratesBetween(a, b reading, nodes int) (d usageRates) {
 	d.seconds = b.at.Sub(a.at).Seconds()
-	followers := float64(len(a.processor) - 1)
-	for i := range a.processor {
-		cpu := (b.processor[i] - a.processor[i]).Seconds() / d.seconds
-		bytes := (onWire(b.traffic[i]) - onWire(a.traffic[i])) / d.seconds
+	followers := float64(len(a.cpuTimes) - 1)
+	for i := range a.cpuTimes {
+		cpu := (b.cpuTimes[i] - a.cpuTimes[i]).Seconds() / d.seconds
+		bytes := (wireBytes(b.traffic[i]) - wireBytes(a.traffic[i])) / d.seconds
 		if i != b.leader {
 			d.followerProcessor, d.followerBytes = d.followerProcessor+cpu/followers, d.followerBytes+bytes/followers
 			continue
@@ -73,35 +73,35 @@
 		d.leaderIn = float64(b.traffic[i].DatagramsIn-a.traffic[i].DatagramsIn) / d.seconds
 	}
 	each := d.seconds * float64(nodes)
-	d.nodeProcessor = (b.hollow.Processor - a.hollow.Processor).Seconds() / each
+	d.nodeProcessor = (b.hollow.CPUTime - a.hollow.CPUTime).Seconds() / each
 	x, y := a.hollow.Traffic, b.hollow.Traffic
 	d.nodeDatagrams = float64(y.DatagramsIn+y.DatagramsOut-x.DatagramsIn-x.DatagramsOut) / each
-	d.nodeBytes = (onWire(y) - onWire(x)) / each
+	d.nodeBytes = (wireBytes(y) - wireBytes(x)) / each
 	d.callsByKind = map[uint64]float64{}
 	for kind, n := range y.Calls {
 		d.callsByKind[kind] = float64(n-x.Calls[kind]) / each
 		d.nodeCalls += d.callsByKind[kind]
 	}
-	d.pause = b.hollow.Pause
+	d.pause = b.hollow.LongestPause
 	d.entries = float64(b.applied-a.applied) / d.seconds
 	return d
 }
 
 // window measures the rates over a time. It returns errLeaderMoved if the leader or its term changed in that time.
-func (s *site) window(ctx context.Context, length time.Duration, nodes int) (spent, error) {
+func (s *site) window(ctx context.Context, length time.Duration, nodes int) (usageRates, error) {
 	a, err := s.read(ctx)
 	if err != nil {
-		return spent{}, err
+		return usageRates{}, err
 	}
 	if err := sleep(ctx, length); err != nil {
-		return spent{}, err
+		return usageRates{}, err
 	}
 	b, err := s.read(ctx)
 	if err != nil {
-		return spent{}, err
+		return usageRates{}, err
 	}
 	if a.leader != b.leader || a.term != b.term {
-		return spent{}, errLeaderMoved
+		return usageRates{}, errLeaderMoved
 	}
-	return between(a, b, nodes), nil
+	return ratesBetween(a, b, nodes), nil
 }
--- a/internal/rig/capacity/regions.go
+++ b/internal/rig/capacity/regions.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	apartFor  = 2 * time.Minute // operators plan for an hour, but no state grows with the time
-	oneWayFor = 30 * time.Second
+	partitionTime       = 2 * time.Minute // operators plan for an hour, but no state grows with the time
+	oneWayPartitionTime = 30 * time.Second
 )
 
 // regions cuts the paths between the two regions, in both directions and in one, and restores them. Three of the five
 // control machines are in the first region.
 func (r *run) regions(ctx context.Context, s *Section) error {
-	size, whole, oneWay := int(Design.Nodes), apartFor, oneWayFor
+	size, whole, oneWay := int(Design.Nodes), partitionTime, oneWayPartitionTime
 	if r.Quick {
-		size, whole, oneWay = 40, apartFor/20, oneWayFor/10
+		size, whole, oneWay = 40, partitionTime/20, oneWayPartitionTime/10
 	}
-	if err := r.fits(controlMachines+2+size/mostHollow, 0); err != nil {
+	if err := r.checkFits(controlMachines+2+size/maxHollowPerProcess, 0); err != nil {
 		return err
 	}
 	site, err := r.openSite(ctx, serviceSize, true)
@@ -30,12 +30,12 @@
 		return err
 	}
 	defer site.close()
-	for have := 0; have < size; have += mostHollow {
-		if err := site.addHollow(min(mostHollow, size-have)); err != nil {
+	for have := 0; have < size; have += maxHollowPerProcess {
+		if err := site.addHollow(min(maxHollowPerProcess, size-have)); err != nil {
 			return err
 		}
 	}
-	if err := site.live(ctx); err != nil {
+	if err := site.awaitSessions(ctx); err != nil {
 		return err
 	}
 	if err := sleep(ctx, r.settleTime()); err != nil {
@@ -47,7 +47,7 @@
 		from   []string
 		lasted time.Duration
 	}{{"apart", []string{first, second}, whole}, {"oneway", []string{second}, oneWay}} {
-		if err := r.apart(ctx, s, site, c.name, c.from, c.lasted, size, backendName(i)); err != nil {
+		if err := r.partition(ctx, s, site, c.name, c.from, c.lasted, size, backendName(i)); err != nil {
 			return fmt.Errorf("%s: %w", c.name, err)
 		}
 	}
@@ -56,21 +56,21 @@
 
 // partition cuts the traffic from some regions to the others for a while and drains a backend in that time, through the side
 // with the majority. It measures the drain on that side, and on all nodes once the paths are restored.
-func (r *run) apart(ctx context.Context, s *Section, site *site, name string, from []string, lasted time.Duration,
+func (r *run) partition(ctx context.Context, s *Section, site *site, name string, from []string, lasted time.Duration,
 	size int, backend string) error {
-	if err := r.guard.calm(ctx, timesOfLog); err != nil {
+	if err := r.guard.awaitSteady(ctx, timesOfLog); err != nil {
 		return err
 	}
-	r.guard.latest(timesOfLog)
+	r.guard.takeMaxDelay(timesOfLog)
 	began := time.Now()
 	for _, region := range from {
 		site.cut(region, true)
 	}
 	what := hollow.ServerDrained(uint32(registry.ServerID(backend)))
-	if err := ask(ctx, site.voters[0].door, drainEntry(fleet.ServerTarget(backend))); err != nil {
+	if err := propose(ctx, site.voters[0].client, drainEntry(fleet.ServerTarget(backend))); err != nil {
 		return err
 	}
-	times, err := site.known(ctx, what, size/regions)
+	times, err := site.awaitKnown(ctx, what, size/regions)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	for _, at := range times {
 		last = max(last, at.Sub(began))
 	}
-	r.unlessLate(s, r.guard.latest(timesOfLog), name+".known.majority", last.Seconds()*1e3,
+	r.addUnlessDelayed(s, r.guard.takeMaxDelay(timesOfLog), name+".known.majority", last.Seconds()*1e3,
 		"ms from the cut until a drain asked for at once is known at the last node of the majority's region")
 	if err := sleep(ctx, lasted-time.Since(began)); err != nil {
 		return err
@@ -87,29 +87,29 @@
 	if err != nil {
 		return err
 	}
-	s.figure(r.Out, name+".lasted", time.Since(began).Seconds(), "s for which the paths were cut")
-	s.figure(r.Out, name+".sessions", float64(c.Live),
+	s.addFigure(r.Out, name+".lasted", time.Since(began).Seconds(), "s for which the paths were cut")
+	s.addFigure(r.Out, name+".sessions", float64(c.Live),
 		fmt.Sprintf("hollow nodes that still have a session then, of %d", size))
 	before, err := site.read(ctx)
 	if err != nil {
 		return err
 	}
-	if err := r.guard.calm(ctx, timesOfLog); err != nil {
+	if err := r.guard.awaitSteady(ctx, timesOfLog); err != nil {
 		return err
 	}
-	r.guard.latest(timesOfLog)
+	r.guard.takeMaxDelay(timesOfLog)
 	joined := time.Now()
 	for _, region := range from {
 		site.cut(region, false)
 	}
-	if times, err = site.known(ctx, what, size); err != nil {
+	if times, err = site.awaitKnown(ctx, what, size); err != nil {
 		return err
 	}
 	last = 0
 	for _, at := range times {
 		last = max(last, at.Sub(joined))
 	}
-	if err := site.live(ctx); err != nil {
+	if err := site.awaitSessions(ctx); err != nil {
 		return err
 	}
 	lived := time.Since(joined)
@@ -117,25 +117,25 @@
 	if err != nil {
 		return err
 	}
-	d := between(before, after, size)
-	late := r.guard.latest(timesOfLog)
-	r.unlessLate(s, late, name+".known.all", last.Seconds()*1e3,
+	d := ratesBetween(before, after, size)
+	late := r.guard.takeMaxDelay(timesOfLog)
+	r.addUnlessDelayed(s, late, name+".known.all", last.Seconds()*1e3,
 		"ms from when the paths are whole until it is known at the last node")
-	r.unlessLate(s, late, name+".live", lived.Seconds(), "s from then until all have a session")
-	s.figure(r.Out, name+".node.bytes", d.nodeBytes*d.seconds,
+	r.addUnlessDelayed(s, late, name+".live", lived.Seconds(), "s from then until all have a session")
+	s.addFigure(r.Out, name+".node.bytes", d.nodeBytes*d.seconds,
 		"bytes of a node in that time, in and out, with headers, the mean")
-	s.figure(r.Out, name+".leader.processor", d.leaderProcessor*d.seconds,
+	s.addFigure(r.Out, name+".leader.processor", d.leaderProcessor*d.seconds,
 		"s of the leader's processor time in that time")
 	return nil
 }
 
 // addUnlessDelayed adds a time, or records it as missing if the machine was delayed while it was measured.
-func (r *run) unlessLate(s *Section, late time.Duration, name string, value float64, unit string) {
-	if late > timesOfLog.most() {
-		r.guard.void.Add(1)
-		s.lack(r.Out, name, errVoid)
+func (r *run) addUnlessDelayed(s *Section, late time.Duration, name string, value float64, unit string) {
+	if late > timesOfLog.maxDelay() {
+		r.guard.voidRuns.Add(1)
+		s.addMissing(r.Out, name, errVoid)
 		return
 	}
-	s.Late = max(s.Late, late)
-	s.figure(r.Out, name, value, unit)
+	s.MaxDelay = max(s.MaxDelay, late)
+	s.addFigure(r.Out, name, value, unit)
 }
--- a/internal/rig/capacity/results.go
+++ b/internal/rig/capacity/results.go
@@ -23,15 +23,15 @@
 
 // Section is the results of one run of one section of the rig.
 type Section struct {
-	Name    string        `json:"name"`
-	Began   time.Time     `json:"began"`
-	Took    time.Duration `json:"took_ns"`
-	Seed    uint64        `json:"seed"`
-	Quick   bool          `json:"quick"`
-	Machine string        `json:"machine"`
-	Load    string        `json:"load"`    // the machine's load average before and after, which shows other work on the machine
-	Late    time.Duration `json:"late_ns"` // longest delay of the machine while times were measured
-	Most    struct {
+	Name     string        `json:"name"`
+	Began    time.Time     `json:"began"`
+	Took     time.Duration `json:"took_ns"`
+	Seed     uint64        `json:"seed"`
+	Quick    bool          `json:"quick"`
+	Machine  string        `json:"machine"`
+	Load     string        `json:"load"`    // the machine's load average before and after, which shows other work on the machine
+	MaxDelay time.Duration `json:"late_ns"` // longest delay of the machine while times were measured
+	Peak     struct {
 		Processes int `json:"processes"`
 		Memory    int `json:"memory_kib"`
 	} `json:"most"` // highest usage of the rig at any time
@@ -39,7 +39,7 @@
 	Slopes   []Slope   `json:"slopes"`
 	Promises []Promise `json:"promises"`
 	// Missing tells why figures are missing, by prefix of their names: void because the machine was delayed, or failed.
-	Lacks map[string]string `json:"lacks,omitempty"`
+	Missing map[string]string `json:"lacks,omitempty"`
 }
 
 // Figure is one measured value.
@@ -77,12 +77,12 @@
 }
 
 // minSizes is the minimum number of sizes for a slope.
-const leastSizes = 4
+const minSizes = 4
 
 // fitSlope fits a line to points by linear regression. If the design size was run, AtDesign is the measured value.
-func fit(name, unit, per string, design float64, points []Point) (Slope, error) {
-	if len(points) < leastSizes {
-		return Slope{}, fmt.Errorf("slope %s: %d sizes, want %d at least", name, len(points), leastSizes)
+func fitSlope(name, unit, per string, design float64, points []Point) (Slope, error) {
+	if len(points) < minSizes {
+		return Slope{}, fmt.Errorf("slope %s: %d sizes, want %d at least", name, len(points), minSizes)
 	}
 	var sizes, values []float64
 	largest := 0.0
@@ -105,15 +105,15 @@
 }
 
 // addFigure adds and prints a measured value.
-func (s *Section) figure(out io.Writer, name string, value float64, unit string) {
+func (s *Section) addFigure(out io.Writer, name string, value float64, unit string) {
 	f := Figure{s.Name + "." + name, value, unit}
 	s.Figures = append(s.Figures, f)
-	fmt.Fprintln(out, f.Name, short(value), unit)
+	fmt.Fprintln(out, f.Name, formatValue(value), unit)
 }
 
 // addSlope fits, adds and prints a slope.
-func (s *Section) slope(out io.Writer, name, unit, per string, design float64, points []Point) error {
-	l, err := fit(s.Name+"."+name, unit, per, design, points)
+func (s *Section) addSlope(out io.Writer, name, unit, per string, design float64, points []Point) error {
+	l, err := fitSlope(s.Name+"."+name, unit, per, design, points)
 	if err != nil {
 		return err
 	}
@@ -123,13 +123,13 @@
 		mark = " extrapolated"
 	}
 	fmt.Fprintf(out, "%s.slope %s %s a %s; base %s, at %s: %s%s; residual %.2f of the largest\n", l.Name,
-		short(l.Slope), unit, per, short(l.Base),
-		short(design), short(l.AtDesign), mark, l.Residual)
+		formatValue(l.Slope), unit, per, formatValue(l.Base),
+		formatValue(design), formatValue(l.AtDesign), mark, l.Residual)
 	return nil
 }
 
 // addPromise adds and prints the verdict on a threshold.
-func (s *Section) promise(out io.Writer, kept bool, format string, args ...any) {
+func (s *Section) addPromise(out io.Writer, kept bool, format string, args ...any) {
 	p := Promise{s.Name + ": " + fmt.Sprintf(format, args...), kept}
 	s.Promises = append(s.Promises, p)
 	verdict := "kept"
@@ -140,7 +140,7 @@
 }
 
 // brokenPromises returns the number of promises that were not kept.
-func (s *Section) broken() (n int) {
+func (s *Section) brokenPromises() (n int) {
 	for _, p := range s.Promises {
 		if !p.Kept {
 			n++
@@ -150,7 +150,7 @@
 }
 
 // formatValue formats a value with three significant digits, without an exponent.
-func short(v float64) string {
+func formatValue(v float64) string {
 	if v == 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 		return strconv.FormatFloat(v, 'f', -1, 64)
 	}
@@ -163,22 +163,22 @@
 }
 
 // addMissing records and prints why the figures with a name prefix are missing.
-func (s *Section) lack(out io.Writer, prefix string, err error) {
-	if s.Lacks == nil {
-		s.Lacks = map[string]string{}
+func (s *Section) addMissing(out io.Writer, prefix string, err error) {
+	if s.Missing == nil {
+		s.Missing = map[string]string{}
 	}
 	why := "failed: " + err.Error()
 	if errors.Is(err, errVoid) {
 		why = "void: the machine was late"
 	}
-	s.Lacks[s.Name+"."+prefix] = why
+	s.Missing[s.Name+"."+prefix] = why
 	fmt.Fprintln(out, "lacks", s.Name+"."+prefix, err)
 }
 
 // missingReason returns why a figure is missing, or an empty string if no reason is recorded.
-func (r *Results) whyNot(name string) string {
+func (r *Results) missingReason(name string) string {
 	for _, s := range r.Sections {
-		for prefix, why := range s.Lacks {
+		for prefix, why := range s.Missing {
 			if strings.HasPrefix(name, prefix) {
 				return why
 			}
@@ -188,7 +188,7 @@
 }
 
 // replaceSection puts a section's run in place of an earlier one, or appends it.
-func (r *Results) put(s *Section) {
+func (r *Results) replaceSection(s *Section) {
 	if at := slices.IndexFunc(r.Sections, func(o *Section) bool { return o.Name == s.Name }); at >= 0 {
 		r.Sections[at] = s
 		return
--- a/internal/rig/capacity/roles.go
+++ b/internal/rig/capacity/roles.go
@@ -8,46 +8,46 @@
 
 // roleEntry is a row of a role's table: the quantity, the load condition, the figure, its budget, and the mechanism that
 // handles the load.
-type entry struct {
+type roleEntry struct {
 	what, when string
 	figure     string // name of a figure or a slope; empty: not run
 	budget     float64
 	budgetNote string // unit and meaning of the budget
 	mechanism  string
 	// multiplier is applied to the figure to extrapolate beyond what was run; 0: the figure itself.
-	times float64
+	multiplier float64
 	// budgetFigure names a measured figure that is the budget: the maximum that is possible.
-	within string
+	budgetFigure string
 }
 
 // valueOf returns an entry's value, and the entry with its budget filled in.
-func (r *Results) valueOf(e entry) (value, entry, error) {
+func (r *Results) valueOf(e roleEntry) (value, roleEntry, error) {
 	v, err := r.find(e.figure)
 	if err != nil {
 		return v, e, err
 	}
-	if e.times > 0 {
-		v.value, v.beyond, v.formula = e.times*v.value, true, fmt.Sprintf("%s x %s", short(e.times), e.figure)
+	if e.multiplier > 0 {
+		v.value, v.extrapolated, v.formula = e.multiplier*v.value, true, fmt.Sprintf("%s x %s", formatValue(e.multiplier), e.figure)
 	}
-	if e.within == "" {
+	if e.budgetFigure == "" {
 		return v, e, nil
 	}
-	most, err := r.find(e.within)
+	most, err := r.find(e.budgetFigure)
 	e.budget, e.budgetNote = most.value, most.unit
 	return v, e, err
 }
 
-func (e entry) budgetText() string {
+func (e roleEntry) budgetText() string {
 	if e.budget == 0 {
 		return cmp.Or(e.budgetNote, "none stated")
 	}
-	return short(e.budget) + " " + e.budgetNote
+	return formatValue(e.budget) + " " + e.budgetNote
 }
 
 // role is a part of the program with its capacity table.
 type role struct {
 	name    string
-	entries []entry
+	entries []roleEntry
 }
 
 // Load conditions.
@@ -78,7 +78,7 @@
 
 // roles holds all roles, in the order of the page.
 var roles = []role{
-	{"data-plane", []entry{
+	{"data-plane", []roleEntry{
 		{"memory, one service of all 8,600 backends", atRest, "modules.backends.memory", platformMemory, memoryNote,
 			"decide", 0, ""},
 		{"memory, 18,000 tenants, one service", atRest, "modules.tenants.memory", platformMemory, memoryNote, "decide", 0, ""},
@@ -94,32 +94,32 @@
 			platformMemory, memoryNote, "internal/app", 0, ""},
 		{"processor time at 89 requests a second, the design's state", atRest, "latency.design.processor", 0, "",
 			"internal/app", 0, ""},
-		{"added to a request, p99, the design's state", atRest, "latency.added.design.p99", BudgetAdded,
+		{"added to a request, p99, the design's state", atRest, "latency.added.design.p99", BudgetAddedLatency,
 			"ms, 99 in 100", "internal/core", 0, ""},
-		{"added to a request, p50, the design's state", atRest, "latency.added.design.p50", BudgetAdded,
+		{"added to a request, p50, the design's state", atRest, "latency.added.design.p50", BudgetAddedLatency,
 			"ms, 99 in 100", "internal/core", 0, ""},
-		{"more with the design's state than with little, p50", atRest, "latency.more.p50", BudgetAdded,
+		{"more with the design's state than with little, p50", atRest, "latency.more.p50", BudgetAddedLatency,
 			"ms, 99 in 100", "internal/core", 0, ""},
-		{"more with the design's state than with little, p99", atRest, "latency.more.p99", BudgetAdded,
+		{"more with the design's state than with little, p99", atRest, "latency.more.p99", BudgetAddedLatency,
 			"ms, 99 in 100", "internal/core", 0, ""},
-		{"added to a request, p99, little state", atRest, "latency.added.little.p99", BudgetAdded, "ms, 99 in 100",
+		{"added to a request, p99, little state", atRest, "latency.added.little.p99", BudgetAddedLatency, "ms, 99 in 100",
 			"internal/core", 0, ""},
 		{"load messages, 340 services", atRest, "messages.services.bytes", BudgetBytes, ofBytes,
 			missing + ": internal/gossip carries one service", 0, ""},
 		{"load messages, 340 services, processor time without system calls", atRest, "messages.services.processor",
-			BudgetProcessor, ofCore, missing + ": internal/gossip carries one service", 0, ""},
+			BudgetCores, ofCore, missing + ": internal/gossip carries one service", 0, ""},
 		{"2,600 routes", atRest, "", 0, "", missing, 0, ""},
 		{"list of backends changes", "at the peak of changes", "", 0, "", "decide, internal/member/registry", 0, ""},
-		{"latency", onFault + "each", "", BudgetAdded, "ms, 99 in 100", "internal/core", 0, ""},
+		{"latency", onFault + "each", "", BudgetAddedLatency, "ms, 99 in 100", "internal/core", 0, ""},
 	}},
-	{"control-part", []entry{
-		{"processor time (hollow)", atRest, "nodes.rest.node.processor", BudgetProcessor, ofCore, "internal/control", 0, ""},
-		{"processor time (40 real)", atRest, "calibrate.40.processor.real", BudgetProcessor, ofCore,
+	{"control-part", []roleEntry{
+		{"processor time (hollow)", atRest, "nodes.rest.node.processor", BudgetCores, ofCore, "internal/control", 0, ""},
+		{"processor time (40 real)", atRest, "calibrate.40.processor.real", BudgetCores, ofCore,
 			"internal/control", 0, ""},
 		{"memory (40 real)", atRest, "calibrate.40.memory.real", BudgetMemory, ofMemory, "internal/control", 0, ""},
 		{"messages: sessions and watches", atRest, "nodes.rest.node.bytes", BudgetBytes, ofBytes, "internal/control", 0, ""},
 		{"calls", atRest, "nodes.rest.node.calls", 0, "", "internal/control", 0, ""},
-		{"processor time (hollow)", atPeak, "nodes.730.burst100.node.processor", BudgetProcessor, ofCore,
+		{"processor time (hollow)", atPeak, "nodes.730.burst100.node.processor", BudgetCores, ofCore,
 			"internal/control", 0, ""},
 		{"messages", atSome, "nodes.730.burst10.node.bytes", BudgetBytes, ofBytes,
 			"internal/control: each change sends all that is drained", 0, ""},
@@ -170,7 +170,7 @@
 			BudgetInForce * 1e3, ofInForce, "internal/agree", 0, ""},
 		{"a rack of 40", onFault + "the rack lost", "", 0, "", "internal/fleet", 0, ""},
 	}},
-	{"leader", []entry{
+	{"leader", []roleEntry{
 		{"memory", atRest, "nodes.rest.leader.memory", 0, "", "internal/control, internal/fleet", 0, ""},
 		{"processor time", atRest, "nodes.rest.leader.processor", 0, "", "internal/control", 0, ""},
 		{"an entry of the log, 100 drains not proven, processor time", "10 drains a second",
@@ -194,7 +194,7 @@
 		{"bytes for each node", onFault + "a region's nodes restarted at once", "nodes.730.fault.region.leader.bytes",
 			0, "", "internal/link", 0, ""},
 	}},
-	{"follower", []entry{
+	{"follower", []roleEntry{
 		{"memory", atRest, "nodes.rest.follower.memory", 0, "", "internal/agree, internal/fleet", 0, ""},
 		{"processor time", atRest, "nodes.rest.follower.processor", 0, "", "internal/agree", 0, ""},
 		{"bytes", atRest, "nodes.rest.follower.bytes", 0, "", "internal/agree", 0, ""},
@@ -205,7 +205,7 @@
 			"", "internal/agree", 0, ""},
 		{"watches served to nodes", atRest, "", 0, "", missing + ": all watches hang on the leader", 0, ""},
 	}},
-	{"discovery", []entry{
+	{"discovery", []roleEntry{
 		{"a whole list of JSON", atRest, "modules.backends.list.json", listLimit, ofListTake,
 			"internal/member/registry", 0, ""},
 		{"taking it, JSON", atRest, "modules.backends.list.decoded", 0, "", "internal/member/registry", 0, ""},
@@ -216,7 +216,7 @@
 			0, "", "internal/member/registry", 0, ""},
 		{"the outside registry under 730 watches", atRest, "", 0, "", "not this program's", 0, ""},
 	}},
-	{"others", []entry{
+	{"others", []roleEntry{
 		{"operator's tool: the whole state as JSON", atRest, "nodes.rest.state.bytes", 0, "", "internal/control", 0, ""},
 		{"operator's tool: time to get it", atRest, "nodes.rest.state.took", 0, "", "internal/control", 0, ""},
 		{"operator's tool: a drain granted, p50", atRest, "nodes.drain.granted.p50", 0, "", "internal/control", 0, ""},
@@ -228,7 +228,7 @@
 // missingTable lists the loads that no part of the program can handle at the design size, the furthest over budget first.
 func missingTable(r *Results) (string, error) {
 	type lack struct {
-		entry
+		roleEntry
 		value  value
 		why    string // reason why the value is missing
 		factor float64
@@ -236,11 +236,11 @@
 	var list []lack
 	for _, role := range roles {
 		for _, e := range role.entries {
-			l := lack{entry: e}
+			l := lack{roleEntry: e}
 			if e.figure != "" {
 				v, e, err := r.valueOf(e)
-				if l.entry = e; err != nil {
-					l.why = r.whyNot(e.figure)
+				if l.roleEntry = e; err != nil {
+					l.why = r.missingReason(e.figure)
 				}
 				if err != nil && l.why == "" {
 					return "", err
--- a/internal/rig/capacity/thresholds.go
+++ b/internal/rig/capacity/thresholds.go
@@ -9,11 +9,11 @@
 // threshold is the highest value of a figure at which its promise is kept. It is stated before the run.
 type threshold struct {
 	figure string // its name without the section's name
-	most   float64
+	limit  float64
 	unit   string
 }
 
-const failedMost = 10e3 // ms until a change reaches all nodes after a control machine has failed: two session lifetimes
+const maxFailureMs = 10e3 // ms until a change reaches all nodes after a control machine has failed: two session lifetimes
 
 // nodeThresholds returns the thresholds of the section nodes.
 func nodeThresholds(sizes []int) (list []threshold) {
@@ -29,9 +29,9 @@
 			list = append(list,
 				threshold{name("burst10.known.last.worst"), BudgetInForce * 1e3,
 					"ms until each of 10 drains within 10 s is known at the last node"},
-				threshold{name("fault.leader.drain.known.last"), failedMost,
+				threshold{name("fault.leader.drain.known.last"), maxFailureMs,
 					"ms from the leader's death until a drain is known at the last node"},
-				threshold{name("fault.machine.drain.known.last"), failedMost,
+				threshold{name("fault.machine.drain.known.last"), maxFailureMs,
 					"ms from a control machine's stop until a drain is known at the last node"})
 		}
 	}
@@ -39,9 +39,9 @@
 }
 
 // printThresholds prints thresholds before a run.
-func state(out io.Writer, list []threshold) {
+func printThresholds(out io.Writer, list []threshold) {
 	for _, t := range list {
-		fmt.Fprintln(out, "threshold", t.figure, "at most", short(t.most), t.unit)
+		fmt.Fprintln(out, "threshold", t.figure, "at most", formatValue(t.limit), t.unit)
 	}
 }
 
@@ -50,10 +50,10 @@
 	for _, t := range list {
 		at := slices.IndexFunc(s.Figures, func(f Figure) bool { return f.Name == s.Name+"."+t.figure })
 		if at < 0 {
-			s.promise(out, false, "%s: not measured; at most %s %s", t.figure, short(t.most), t.unit)
+			s.addPromise(out, false, "%s: not measured; at most %s %s", t.figure, formatValue(t.limit), t.unit)
 			continue
 		}
 		have := s.Figures[at].Value
-		s.promise(out, have <= t.most, "%s: %s, at most %s %s", t.figure, short(have), short(t.most), t.unit)
+		s.addPromise(out, have <= t.limit, "%s: %s, at most %s %s", t.figure, formatValue(have), formatValue(t.limit), t.unit)
 	}
 }
--- a/internal/rig/soak/check.go
+++ b/internal/rig/soak/check.go
@@ -15,55 +15,55 @@
 // Limits of the rules. TimingTolerance allows for delays of the machine itself: a run on a machine that is later than
 // this is void, and most rules add it to their limit.
 const (
-	Grace         = 550 * time.Millisecond // after a drain notice: 500 ms by the settings, 50 ms for sockets
-	LateSlack     = 150 * time.Millisecond // delay of the machine above which a run is void
-	answerWithin  = 500 * time.Millisecond // after the deadline: an answer within it is only worthless, a later one counts as lost
-	departed      = 100 * time.Millisecond // after a client has left, in which an attempt may still reach a server
-	deadlineSlack = 150 * time.Millisecond // by which the time sent to a server may exceed the time left
-	stalledWithin = 3 * time.Second        // until a client that stopped in the middle of a request gets an error or a close
-	shutWithin    = 300 * time.Millisecond // under connection pressure, until an unread new connection is closed
-	handedOver    = 2 * time.Second        // after a successor serves: from then on discovery's notifications bind it
-	readyWithin   = 10 * time.Second       // limit for nine in ten starts
-	readyAll      = 30 * time.Second       // limit for every start
-	factor        = 2.5                    // permitted load of a server in slow start, relative to its capacity at that time
-	window        = time.Second
+	DrainGrace      = 550 * time.Millisecond // after a drain notice: 500 ms by the settings, 50 ms for sockets
+	TimingTolerance = 150 * time.Millisecond // delay of the machine above which a run is void
+	answerGrace     = 500 * time.Millisecond // after the deadline: an answer within it is only worthless, a later one counts as lost
+	departureGrace  = 100 * time.Millisecond // after a client has left, in which an attempt may still reach a server
+	deadlineSlack   = 150 * time.Millisecond // by which the time sent to a server may exceed the time left
+	stalledWithin   = 3 * time.Second        // until a client that stopped in the middle of a request gets an error or a close
+	closeWithin     = 300 * time.Millisecond // under connection pressure, until an unread new connection is closed
+	handoverGrace   = 2 * time.Second        // after a successor serves: from then on discovery's notifications bind it
+	usualStartTime  = 10 * time.Second       // limit for nine in ten starts
+	maxStartTime    = 30 * time.Second       // limit for every start
+	slowStartFactor = 2.5                    // permitted load of a server in slow start, relative to its capacity at that time
+	slowStartWindow = time.Second
 )
 
 // Evidence is what clients, servers, discovery and nodes have logged in a run.
 type Evidence struct {
-	Classes    []standin.Class
-	Answers    []standin.Answer
-	Executions []standin.Execution
-	Notified   map[string][]discovery.Notification // by node
-	Killed     map[string][]Span                   // by node: when it was down after a SIGKILL, or not yet ready
-	Crowded    map[string][]Span                   // by node: when idle clients used up its descriptors
-	HandedOver map[string][]Span                   // by node: from the start of a successor until it served
-	Cold       []Cold
-	Departed   map[string]time.Time // when the client left, by request id
-	Stalled    []Stalled
-	Ready      []time.Duration           // time from start to ready of each process
-	Ended      []string                  // descriptions of processes that ended on their own, or did not end when signalled
-	Guard      map[string]map[string]int // violations by node and rule, as the nodes count them
+	Classes            []standin.Class
+	Answers            []standin.Answer
+	Executions         []standin.Execution
+	Notified           map[string][]discovery.Notification // by node
+	Killed             map[string][]Span                   // by node: when it was down after a SIGKILL, or not yet ready
+	ConnectionPressure map[string][]Span                   // by node: when idle clients used up its descriptors
+	HandedOver         map[string][]Span                   // by node: from the start of a successor until it served
+	ColdStarts         []ColdStart
+	ClientLeft         map[string]time.Time // when the client left, by request id
+	Stalled            []StalledClient
+	StartTimes         []time.Duration           // time from start to ready of each process
+	UnexpectedEnds     []string                  // descriptions of processes that ended on their own, or did not end when signalled
+	GuardViolations    map[string]map[string]int // violations by node and rule, as the nodes count them
 }
 
 // Span is a period, both ends included.
 type Span struct{ From, To time.Time }
 
-// Stalled is a client that stopped in the middle of a request.
-type Stalled struct {
-	Node string
-	From time.Time
-	For  time.Duration // until the node answered or closed the connection, or the wait was given up
-	Over bool          // the node answered or closed the connection
+// StalledClient is a client that stopped in the middle of a request.
+type StalledClient struct {
+	Node     string
+	From     time.Time
+	Duration time.Duration // until the node answered or closed the connection, or the wait was given up
+	Ended    bool          // the node answered or closed the connection
 }
 
-// Cold is a server that started within the run.
-type Cold struct {
-	Server  string
-	Started time.Time
-	Rate    float64       // requests a second that it can serve once warm
-	From    float64       // share of Rate that it can serve at its start
-	Time    time.Duration // in which its capacity grows linearly from that share to Rate
+// ColdStart is a server that started within the run.
+type ColdStart struct {
+	Server       string
+	Started      time.Time
+	Rate         float64       // requests a second that it can serve once warm
+	InitialShare float64       // share of Rate that it can serve at its start
+	RampTime     time.Duration // in which its capacity grows linearly from that share to Rate
 }
 
 // NodeOf returns the name of the node that a request was sent to: the part of the request id before the first "-".
@@ -74,19 +74,19 @@
 
 // Check judges a run and returns one verdict for each rule.
 func Check(e Evidence) []standin.Verdict {
-	return slices.Concat([]standin.Verdict{e.lost(), e.drain(), e.failback(), e.departed(), e.deadline(), e.stalled(), e.restarts(), e.counted()}, e.effects())
+	return slices.Concat([]standin.Verdict{e.lost(), e.drain(), e.failback(), e.departed(), e.deadline(), e.stalled(), e.restarts(), e.guardCounts()}, e.effects())
 }
 
 // nodeWasKilled reports whether a node was down after a SIGKILL at some time between from and to.
 // Violations at such times are excused.
-func (e *Evidence) excused(node string, from, to time.Time) bool {
-	return within(e.Killed[node], from, to)
+func (e *Evidence) nodeWasKilled(node string, from, to time.Time) bool {
+	return overlapsAny(e.Killed[node], from, to)
 }
 
 // overlapsAny reports whether the period between from and to, extended by TimingTolerance at both ends, overlaps one of the spans.
-func within(spans []Span, from, to time.Time) bool {
+func overlapsAny(spans []Span, from, to time.Time) bool {
 	for _, s := range spans {
-		if !to.Add(LateSlack).Before(s.From) && !from.Add(-LateSlack).After(s.To) {
+		if !to.Add(TimingTolerance).Before(s.From) && !from.Add(-TimingTolerance).After(s.To) {
 			return true
 		}
 	}
@@ -94,8 +94,8 @@
 }
 
 // closedUnread reports whether a connection was closed at once under connection pressure, before its request was read.
-func (e *Evidence) shutUnread(a standin.Answer) bool {
-	return a.Status == 0 && a.EndedAt.Sub(a.Sent) < shutWithin && within(e.Crowded[NodeOf(a.ID)], a.Sent, a.EndedAt)
+func (e *Evidence) closedUnread(a standin.Answer) bool {
+	return a.Status == 0 && a.EndedAt.Sub(a.Sent) < closeWithin && overlapsAny(e.ConnectionPressure[NodeOf(a.ID)], a.Sent, a.EndedAt)
 }
 
 // lost checks that each request that a node accepted has exactly one final answer, half a second after its deadline at
@@ -104,7 +104,7 @@
 	v := standin.Verdict{Rule: "lost: each request has its final answer"}
 	seen := map[string]bool{}
 	for _, a := range e.Answers {
-		if strings.HasPrefix(a.Failure, "no connection") || e.excused(NodeOf(a.ID), a.Sent, a.EndedAt) || e.shutUnread(a) {
+		if strings.HasPrefix(a.Failure, "no connection") || e.nodeWasKilled(NodeOf(a.ID), a.Sent, a.EndedAt) || e.closedUnread(a) {
 			continue
 		}
 		v.Cases++
@@ -112,8 +112,8 @@
 		case seen[a.ID]:
 			v.AddViolation("%s: two answers", a.ID)
 		case a.Status == 0:
-			v.AddViolation("%s %s: none, %s, %v after it was sent at %s", a.Class, a.ID, a.Failure, a.EndedAt.Sub(a.Sent), a.Sent.Format(clock))
-		case a.EndedAt.After(a.Deadline.Add(answerWithin)):
+			v.AddViolation("%s %s: none, %s, %v after it was sent at %s", a.Class, a.ID, a.Failure, a.EndedAt.Sub(a.Sent), a.Sent.Format(clockFormat))
+		case a.EndedAt.After(a.Deadline.Add(answerGrace)):
 			v.AddViolation("%s %s: answered %v after its deadline", a.Class, a.ID, a.EndedAt.Sub(a.Deadline))
 		}
 		seen[a.ID] = true
@@ -121,7 +121,7 @@
 	return v
 }
 
-const clock = "15:04:05.000"
+const clockFormat = "15:04:05.000"
 
 // effects returns the verdicts of standin.Check on effects of requests and on the bodies of answers.
 func (e *Evidence) effects() (list []standin.Verdict) {
@@ -136,15 +136,15 @@
 }
 
 // noSendPeriod is a period in which a node may send nothing to a server.
-type off struct {
-	from, to time.Time // a zero to: without end
-	by       discovery.Way
+type noSendPeriod struct {
+	from, to   time.Time // a zero to: without end
+	notifiedBy discovery.Way
 }
 
 // noSendPeriods returns the periods of one node, by server name. A notification that comes during a handover, or soon
 // after it, counts from handoverGrace after the successor serves. A new process ends the periods of the one before.
-func offTimes(log []discovery.Notification, handovers []Span) map[string][]off {
-	times := map[string][]off{}
+func noSendPeriods(log []discovery.Notification, handovers []Span) map[string][]noSendPeriod {
+	times := map[string][]noSendPeriod{}
 	end := func(server string, at time.Time) {
 		if list := times[server]; len(list) > 0 && list[len(list)-1].to.IsZero() {
 			list[len(list)-1].to = at
@@ -164,11 +164,11 @@
 			}
 			at := n.At
 			for _, s := range handovers {
-				if !at.Before(s.From) && at.Before(s.To.Add(handedOver)) {
-					at = s.To.Add(handedOver)
+				if !at.Before(s.From) && at.Before(s.To.Add(handoverGrace)) {
+					at = s.To.Add(handoverGrace)
 				}
 			}
-			times[n.Server] = append(times[n.Server], off{from: at, by: n.By})
+			times[n.Server] = append(times[n.Server], noSendPeriod{from: at, notifiedBy: n.By})
 		}
 	}
 	return times
@@ -178,17 +178,17 @@
 // server drains or is removed.
 func (e *Evidence) drain() standin.Verdict {
 	v := standin.Verdict{Rule: "drain: nothing goes to a server that drains or is gone"}
-	times := map[string]map[string][]off{}
+	times := map[string]map[string][]noSendPeriod{}
 	for node, log := range e.Notified {
-		times[node] = offTimes(log, e.HandedOver[node])
+		times[node] = noSendPeriods(log, e.HandedOver[node])
 		for _, list := range times[node] {
 			v.Cases += len(list)
 		}
 	}
 	for _, x := range e.Executions {
 		for _, o := range times[NodeOf(x.ID)][x.Server] {
-			if x.ReceivedAt.After(o.from.Add(Grace+LateSlack)) && (o.to.IsZero() || x.ReceivedAt.Before(o.to)) {
-				v.AddViolation("%s got %s at %s, %v after the node was notified (%s)", x.Server, x.ID, x.ReceivedAt.Format(clock), x.ReceivedAt.Sub(o.from), o.by)
+			if x.ReceivedAt.After(o.from.Add(DrainGrace+TimingTolerance)) && (o.to.IsZero() || x.ReceivedAt.Before(o.to)) {
+				v.AddViolation("%s got %s at %s, %v after the node was notified (%s)", x.Server, x.ID, x.ReceivedAt.Format(clockFormat), x.ReceivedAt.Sub(o.from), o.notifiedBy)
 			}
 		}
 	}
@@ -198,22 +198,22 @@
 // failback checks that no server in slow start gets more requests in a sliding window than all nodes together may send it.
 func (e *Evidence) failback() standin.Verdict {
 	v := standin.Verdict{Rule: "failback: no server in slow start is overloaded"}
-	for _, c := range e.Cold {
+	for _, c := range e.ColdStarts {
 		v.Cases++
 		var got []time.Time
 		for _, x := range e.Executions {
-			if x.Server == c.Server && !x.ReceivedAt.Before(c.Started) && x.ReceivedAt.Before(c.Started.Add(c.Time)) {
+			if x.Server == c.Server && !x.ReceivedAt.Before(c.Started) && x.ReceivedAt.Before(c.Started.Add(c.RampTime)) {
 				got = append(got, x.ReceivedAt)
 			}
 		}
 		slices.SortFunc(got, time.Time.Compare)
 		first := 0
 		for i, at := range got {
-			for at.Sub(got[first]) > window {
+			for at.Sub(got[first]) > slowStartWindow {
 				first++
 			}
-			if n := i - first + 1; n > c.most(at) {
-				v.AddViolation("%s: %d requests within %v, %v after its start; %d are too many", c.Server, n, window, at.Sub(c.Started).Round(time.Millisecond), c.most(at)+1)
+			if n := i - first + 1; n > c.maxRequests(at) {
+				v.AddViolation("%s: %d requests within %v, %v after its start; %d are too many", c.Server, n, slowStartWindow, at.Sub(c.Started).Round(time.Millisecond), c.maxRequests(at)+1)
 				break
 			}
 		}
@@ -223,9 +223,9 @@
 
 // maxRequests returns how many requests a server may get in the window that ends at a time: slowStartFactor times its
 // capacity then, plus two standard deviations of a Poisson count (three where that is below 30).
-func (c Cold) most(at time.Time) int {
-	part := min(1, c.From+(1-c.From)*at.Sub(c.Started).Seconds()/c.Time.Seconds())
-	n := factor * part * c.Rate * window.Seconds()
+func (c ColdStart) maxRequests(at time.Time) int {
+	part := min(1, c.InitialShare+(1-c.InitialShare)*at.Sub(c.Started).Seconds()/c.RampTime.Seconds())
+	n := slowStartFactor * part * c.Rate * slowStartWindow.Seconds()
 	if n < 30 {
 		return int(n + 3*math.Sqrt(n) + 3)
 	}
@@ -234,9 +234,9 @@
 
 // departed checks that no attempt reaches a server for a client that left more than departureGrace ago.
 func (e *Evidence) departed() standin.Verdict {
-	v := standin.Verdict{Rule: "departed: nothing is sent for a client that has left", Cases: len(e.Departed)}
+	v := standin.Verdict{Rule: "departed: nothing is sent for a client that has left", Cases: len(e.ClientLeft)}
 	for _, x := range e.Executions {
-		if at, left := e.Departed[x.ID]; left && x.ReceivedAt.After(at.Add(departed+LateSlack)) {
+		if at, left := e.ClientLeft[x.ID]; left && x.ReceivedAt.After(at.Add(departureGrace+TimingTolerance)) {
 			v.AddViolation("%s got %s %v after its client had left", x.Server, x.ID, x.ReceivedAt.Sub(at))
 		}
 	}
@@ -256,8 +256,8 @@
 			continue
 		}
 		v.Cases++
-		if over := x.TimeLeft - max(0, deadline.Sub(x.ReceivedAt)); over > deadlineSlack+LateSlack {
-			v.AddViolation("%s was sent a time left of %v for %s at %s, %v more than was left", x.Server, x.TimeLeft, x.ID, x.ReceivedAt.Format(clock), over)
+		if over := x.TimeLeft - max(0, deadline.Sub(x.ReceivedAt)); over > deadlineSlack+TimingTolerance {
+			v.AddViolation("%s was sent a time left of %v for %s at %s, %v more than was left", x.Server, x.TimeLeft, x.ID, x.ReceivedAt.Format(clockFormat), over)
 		}
 	}
 	return v
@@ -267,11 +267,11 @@
 func (e *Evidence) stalled() standin.Verdict {
 	v := standin.Verdict{Rule: "stalled clients get an error or a close within 3 s"}
 	for _, s := range e.Stalled {
-		if e.excused(s.Node, s.From, s.From.Add(s.For)) {
+		if e.nodeWasKilled(s.Node, s.From, s.From.Add(s.Duration)) {
 			continue
 		}
-		if v.Cases++; !s.Over || s.For > stalledWithin+2*LateSlack {
-			v.AddViolation("%s: ended %v after %v", s.Node, s.Over, s.For)
+		if v.Cases++; !s.Ended || s.Duration > stalledWithin+2*TimingTolerance {
+			v.AddViolation("%s: ended %v after %v", s.Node, s.Ended, s.Duration)
 		}
 	}
 	return v
@@ -281,29 +281,29 @@
 // within usualStartTime, and that all are within maxStartTime. Not all starts can be fast: a process has no usable list if all
 // its calls to discovery time out while other nodes report that discovery answers them.
 func (e *Evidence) restarts() standin.Verdict {
-	v := standin.Verdict{Rule: "nine in ten processes start within 10 s, and all end only when they are told to", Cases: len(e.Ready) + len(e.Ended)}
-	for _, why := range e.Ended {
+	v := standin.Verdict{Rule: "nine in ten processes start within 10 s, and all end only when they are told to", Cases: len(e.StartTimes) + len(e.UnexpectedEnds)}
+	for _, why := range e.UnexpectedEnds {
 		v.AddViolation("%s", why)
 	}
 	var late []time.Duration
-	for _, took := range e.Ready {
-		if took > readyWithin {
+	for _, took := range e.StartTimes {
+		if took > usualStartTime {
 			late = append(late, took)
 		}
-		if took > readyAll {
+		if took > maxStartTime {
 			v.AddViolation("ready after %v", took)
 		}
 	}
-	if len(late) > len(e.Ready)/10 {
-		v.AddViolation("%d of %d starts took over %v: %v", len(late), len(e.Ready), readyWithin, late)
+	if len(late) > len(e.StartTimes)/10 {
+		v.AddViolation("%d of %d starts took over %v: %v", len(late), len(e.StartTimes), usualStartTime, late)
 	}
 	return v
 }
 
 // guardCounts checks that the nodes' own guards have counted no violation.
-func (e *Evidence) counted() standin.Verdict {
+func (e *Evidence) guardCounts() standin.Verdict {
 	v := standin.Verdict{Rule: "the guards of the nodes count no violation"}
-	for node, rules := range e.Guard {
+	for node, rules := range e.GuardViolations {
 		for _, r := range guard.Rules() {
 			n, known := rules[r.String()]
 			if known {
@@ -319,5 +319,5 @@
 
 // String gives a fault's time, length, kind and target.
 func (f Fault) String() string {
-	return fmt.Sprintf("%6.2f s, for %.2f s: %s (%s)", f.At, f.Length, f.Kind, f.who())
+	return fmt.Sprintf("%6.2f s, for %.2f s: %s (%s)", f.At, f.Length, f.Kind, f.target())
 }
--- a/internal/rig/soak/check_test.go
+++ b/internal/rig/soak/check_test.go
@@ -18,7 +18,7 @@
 func at(ms int) time.Time { return began.Add(time.Duration(ms) * time.Millisecond) }
 
 // cleanRun is the evidence of a run in which each rule has a case and none is broken.
-func quiet() Evidence {
+func cleanRun() Evidence {
 	return Evidence{
 		Classes: []standin.Class{{Name: "read", Method: "GET"}, {Name: "order", Method: "POST"}},
 		Answers: []standin.Answer{
@@ -35,17 +35,17 @@
 			{At: at(-9000), By: discovery.ByStart},
 			{Server: "s-1", State: "draining", At: at(100), By: discovery.ByAnswer},
 		}},
-		Killed:     map[string][]Span{},
-		HandedOver: map[string][]Span{},
-		Cold:       []Cold{{Server: "s-2", Started: at(0), Rate: 50, From: 0.1, Time: 5 * time.Second}},
-		Departed:   map[string]time.Time{"n00-leave-1": at(50)},
-		Stalled:    []Stalled{{Node: "n00", From: at(0), For: 2 * time.Second, Over: true}},
-		Ready:      []time.Duration{time.Second},
-		Guard:      map[string]map[string]int{"n00": {"drain": 0}},
+		Killed:          map[string][]Span{},
+		HandedOver:      map[string][]Span{},
+		ColdStarts:      []ColdStart{{Server: "s-2", Started: at(0), Rate: 50, InitialShare: 0.1, RampTime: 5 * time.Second}},
+		ClientLeft:      map[string]time.Time{"n00-leave-1": at(50)},
+		Stalled:         []StalledClient{{Node: "n00", From: at(0), Duration: 2 * time.Second, Ended: true}},
+		StartTimes:      []time.Duration{time.Second},
+		GuardViolations: map[string]map[string]int{"n00": {"drain": 0}},
 	}
 }
 
-func broken(e Evidence) (promises []string) {
+func brokenRules(e Evidence) (promises []string) {
 	for _, v := range Check(e) {
 		if v.ViolationCount > 0 {
 			name, _, _ := strings.Cut(v.Rule, ":")
@@ -58,7 +58,7 @@
 // The checker must find each planted violation, and only by the rule that it belongs to.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	t.Parallel()
-	if got := broken(quiet()); got != nil {
+	if got := brokenRules(cleanRun()); got != nil {
 		t.Fatalf("a quiet run: %v", got)
 	}
 	for name, c := range map[string]struct {
@@ -85,18 +85,18 @@
 				e.Executions = append(e.Executions, standin.Execution{Server: "s-2", ID: "n00-x", Class: "read", ReceivedAt: at(i)})
 			}
 		}, "failback"},
-		"after its client": {func(e *Evidence) { e.Departed["n00-leave-1"] = at(-200) }, "departed"},
+		"after its client": {func(e *Evidence) { e.ClientLeft["n00-leave-1"] = at(-200) }, "departed"},
 		"told too much":    {func(e *Evidence) { e.Executions[0].TimeLeft = 2 * time.Second }, "deadline"},
 		"a client that stays": {func(e *Evidence) {
-			e.Stalled = append(e.Stalled, Stalled{Node: "n00", From: at(0), For: 6 * time.Second})
+			e.Stalled = append(e.Stalled, StalledClient{Node: "n00", From: at(0), Duration: 6 * time.Second})
 		}, "stalled clients get an error or a close within 3 s"},
-		"a crash":        {func(e *Evidence) { e.Ended = []string{"n00: exit status 2"} }, "nine in ten processes start within 10 s, and all end only when they are told to"},
-		"a slow start":   {func(e *Evidence) { e.Ready = append(e.Ready, 11*time.Second) }, "nine in ten processes start within 10 s, and all end only when they are told to"},
-		"a guard counts": {func(e *Evidence) { e.Guard["n00"]["drain"] = 1 }, "the guards of the nodes count no violation"},
+		"a crash":        {func(e *Evidence) { e.UnexpectedEnds = []string{"n00: exit status 2"} }, "nine in ten processes start within 10 s, and all end only when they are told to"},
+		"a slow start":   {func(e *Evidence) { e.StartTimes = append(e.StartTimes, 11*time.Second) }, "nine in ten processes start within 10 s, and all end only when they are told to"},
+		"a guard counts": {func(e *Evidence) { e.GuardViolations["n00"]["drain"] = 1 }, "the guards of the nodes count no violation"},
 	} {
-		e := quiet()
+		e := cleanRun()
 		c.plant(&e)
-		if got := broken(e); !slices.Equal(got, []string{c.want}) {
+		if got := brokenRules(e); !slices.Equal(got, []string{c.want}) {
 			t.Errorf("%s: broken %q, want %q", name, got, c.want)
 		}
 	}
@@ -106,28 +106,28 @@
 // excuse would hide violations.
 func TestWhatIsExcused(t *testing.T) {
 	t.Parallel()
-	e := quiet()
+	e := cleanRun()
 	e.Answers[0].Status, e.Answers[0].Failure, e.Answers[0].FirstLine = 0, "EOF", ""
 	e.Killed["n00"] = []Span{{at(15), at(900)}}
-	if got := broken(e); got != nil {
+	if got := brokenRules(e); got != nil {
 		t.Errorf("broken off by a kill: %v", got)
 	}
 	e.Killed["n00"] = []Span{{at(400), at(900)}}
-	if got := broken(e); !slices.Equal(got, []string{"lost"}) {
+	if got := brokenRules(e); !slices.Equal(got, []string{"lost"}) {
 		t.Errorf("long before a kill: %v", got)
 	}
 	for ms, want := range map[int][]string{2800: nil, 2950: {"drain"}} {
-		e := quiet()
+		e := cleanRun()
 		e.HandedOver["n00"] = []Span{{at(50), at(200)}}
 		e.Executions = append(e.Executions, standin.Execution{Server: "s-1", ID: "n00-o9.0", Class: "read", ReceivedAt: at(ms)})
-		if got := broken(e); !slices.Equal(got, want) {
+		if got := brokenRules(e); !slices.Equal(got, want) {
 			t.Errorf("%d ms after a handover began: %v, want %v", ms, got, want)
 		}
 	}
-	e = quiet()
+	e = cleanRun()
 	e.Notified["n00"] = append(e.Notified["n00"], discovery.Notification{At: at(500), By: discovery.ByStart})
 	e.Executions = append(e.Executions, standin.Execution{Server: "s-1", ID: "n00-o9.0", Class: "read", ReceivedAt: at(900)})
-	if got := broken(e); got != nil {
+	if got := brokenRules(e); got != nil {
 		t.Errorf("a new process must not be bound by notifications of the one before: %v", got)
 	}
 }
@@ -196,10 +196,10 @@
 		"left waiting in a crowd":   {800, Span{at(-100), at(900)}, []string{"lost"}},
 		"shut unread with no crowd": {50, Span{at(5000), at(6000)}, []string{"lost"}},
 	} {
-		e := quiet()
+		e := cleanRun()
 		e.Answers[0].Status, e.Answers[0].Failure, e.Answers[0].FirstLine, e.Answers[0].EndedAt = 0, "EOF", "", at(c.after)
-		e.Crowded = map[string][]Span{"n00": {c.crowd}}
-		if got := broken(e); !slices.Equal(got, c.broken) {
+		e.ConnectionPressure = map[string][]Span{"n00": {c.crowd}}
+		if got := brokenRules(e); !slices.Equal(got, c.broken) {
 			t.Errorf("%s: %v, want %v", name, got, c.broken)
 		}
 	}
@@ -209,10 +209,10 @@
 func TestYoungProcessIsBound(t *testing.T) {
 	t.Parallel()
 	for ms, want := range map[int][]string{700: nil, 1800: {"drain"}} {
-		e := quiet()
+		e := cleanRun()
 		e.Notified["n00"] = []discovery.Notification{{At: at(900), By: discovery.ByStart}, {Server: "s-1", State: "draining", At: at(1000), By: discovery.ByTime}}
 		e.Executions = append(e.Executions, standin.Execution{Server: "s-1", ID: "n00-o9.0", Class: "read", ReceivedAt: at(ms)})
-		if got := broken(e); !slices.Equal(got, want) {
+		if got := brokenRules(e); !slices.Equal(got, want) {
 			t.Errorf("%d ms: %v, want %v", ms, got, want)
 		}
 	}
@@ -221,7 +221,7 @@
 // A rule without a case in the run must be reported as void, not as kept.
 func TestVoid(t *testing.T) {
 	t.Parallel()
-	e := quiet()
+	e := cleanRun()
 	e.Stalled = nil
 	for _, v := range Check(e) {
 		if word, _, _ := strings.Cut(v.String(), " "); (word == "void") != strings.HasPrefix(v.Rule, "stalled") {
--- a/internal/rig/soak/profile.go
+++ b/internal/rig/soak/profile.go
@@ -7,12 +7,12 @@
 
 // Profile describes the fleet and the load of a run. ProfileOf draws it from the run's seed.
 type Profile struct {
-	Nodes     int           // number of real node processes
-	Balancers int           // fleet size that each process is given; it spreads its calls to discovery accordingly
-	Peers     bool          // processes exchange datagrams
-	Patience  time.Duration // time that clients give each request
-	Rate      float64       // requests a second to each node
-	PerCall   time.Duration // time that discovery works on one call
+	Nodes             int           // number of real node processes
+	Balancers         int           // fleet size that each process is given; it spreads its calls to discovery accordingly
+	Peers             bool          // processes exchange datagrams
+	Patience          time.Duration // time that clients give each request
+	Rate              float64       // requests a second to each node
+	DiscoveryCallTime time.Duration // time that discovery works on one call
 }
 
 // Fleet sizes, and rates in requests a second to each node.
@@ -28,9 +28,9 @@
 // ProfileOf draws a run's profile. The same seed gives the same profile.
 func ProfileOf(seed uint64) Profile {
 	r := rand.New(rand.NewPCG(seed, 0x70726f66))
-	p := Profile{Nodes: largeFleet, Rate: usualRate, Peers: r.IntN(2) == 0, PerCall: 30 * time.Millisecond}
+	p := Profile{Nodes: largeFleet, Rate: usualRate, Peers: r.IntN(2) == 0, DiscoveryCallTime: 30 * time.Millisecond}
 	if r.IntN(3) == 0 {
-		p.Nodes, p.PerCall = smallFleet, 150*time.Millisecond
+		p.Nodes, p.DiscoveryCallTime = smallFleet, 150*time.Millisecond
 	}
 	p.Balancers = p.Nodes
 	if r.IntN(3) == 0 {
--- a/internal/rig/soak/schedule.go
+++ b/internal/rig/soak/schedule.go
@@ -19,41 +19,41 @@
 
 // The kinds of faults. A node fault concerns one node, a server fault one server, and a discovery fault the whole run.
 const (
-	Restart      Kind = "restart"       // SIGTERM, and a new process once it has ended
-	Kill         Kind = "kill"          // SIGKILL, and a new process after the length
-	Handover     Kind = "handover"      // a successor starts while the process serves; then SIGTERM
-	Pause        Kind = "pause"         // SIGSTOP for up to 0.12 s
-	Reload       Kind = "reload"        // discovery moves to another address, which the process reloads on SIGHUP
-	ClockStep    Kind = "clock"         // a restart, with the wall clock stepped by an hour or by seconds
-	Leave        Kind = "leave"         // clients send requests and leave
-	HupTwice     Kind = "hup-twice"     // discovery moves, and moves again at once
-	HupTerm      Kind = "hup-term"      // a reload, and SIGTERM while its call to discovery is in flight
-	TermTwice    Kind = "term-twice"    // SIGTERM, and again while the process drains
-	TermAtStart  Kind = "term-start"    // SIGTERM while the process starts
-	TermHandover Kind = "term-handover" // SIGTERM while a successor prepares
-	Crowd        Kind = "crowd"         // idle clients use up the node's descriptors
-	Stall        Kind = "stall"         // clients stop in the middle of a request and keep the connection open
-	Drain        Kind = "drain"         // a server drains and is ready again
-	Replace      Kind = "replace"       // a server drains, is removed, and comes back cold
-	Vanish       Kind = "vanish"        // a server's process dies and comes back cold; discovery notices it late
-	Hang         Kind = "hang"          // a server accepts requests and answers none
-	Silent       Kind = "silent"        // the network drops everything to and from a server
-	Resets       Kind = "resets"        // connections to a server are reset
-	Late         Kind = "late"          // connections to a server are established late
-	ListDown     Kind = "list-down"     // discovery is down
-	ListHangs    Kind = "list-hangs"    // discovery is down, and lets calls wait before they fail
-	ListSlow     Kind = "list-slow"     // discovery works slowly: calls queue, and some time out
-	ListCrowded  Kind = "list-crowded"  // discovery is up, but overloaded: calls queue until they time out
-	ListSilent   Kind = "list-silent"   // watches get nothing more
-	ListInPieces Kind = "list-pieces"   // answers come in pieces
-	ListCut      Kind = "list-cut"      // answers are reset in the middle
-	ListOlder    Kind = "list-older"    // calls that begin a watch are answered with an older list
+	Restart        Kind = "restart"       // SIGTERM, and a new process once it has ended
+	Kill           Kind = "kill"          // SIGKILL, and a new process after the length
+	Handover       Kind = "handover"      // a successor starts while the process serves; then SIGTERM
+	Pause          Kind = "pause"         // SIGSTOP for up to 0.12 s
+	Reload         Kind = "reload"        // discovery moves to another address, which the process reloads on SIGHUP
+	ClockStep      Kind = "clock"         // a restart, with the wall clock stepped by an hour or by seconds
+	Leave          Kind = "leave"         // clients send requests and leave
+	HupTwice       Kind = "hup-twice"     // discovery moves, and moves again at once
+	HupTerm        Kind = "hup-term"      // a reload, and SIGTERM while its call to discovery is in flight
+	TermTwice      Kind = "term-twice"    // SIGTERM, and again while the process drains
+	TermAtStart    Kind = "term-start"    // SIGTERM while the process starts
+	TermHandover   Kind = "term-handover" // SIGTERM while a successor prepares
+	IdleClients    Kind = "crowd"         // idle clients use up the node's descriptors
+	Stall          Kind = "stall"         // clients stop in the middle of a request and keep the connection open
+	Drain          Kind = "drain"         // a server drains and is ready again
+	Replace        Kind = "replace"       // a server drains, is removed, and comes back cold
+	Vanish         Kind = "vanish"        // a server's process dies and comes back cold; discovery notices it late
+	Hang           Kind = "hang"          // a server accepts requests and answers none
+	Partitioned    Kind = "silent"        // the network drops everything to and from a server
+	Resets         Kind = "resets"        // connections to a server are reset
+	Late           Kind = "late"          // connections to a server are established late
+	ListDown       Kind = "list-down"     // discovery is down
+	ListHangs      Kind = "list-hangs"    // discovery is down, and lets calls wait before they fail
+	ListSlow       Kind = "list-slow"     // discovery works slowly: calls queue, and some time out
+	ListOverloaded Kind = "list-crowded"  // discovery is up, but overloaded: calls queue until they time out
+	ListStalled    Kind = "list-silent"   // watches get nothing more
+	ListInPieces   Kind = "list-pieces"   // answers come in pieces
+	ListCut        Kind = "list-cut"      // answers are reset in the middle
+	ListOlder      Kind = "list-older"    // calls that begin a watch are answered with an older list
 )
 
 var (
-	nodeKinds      = []Kind{Restart, Kill, Handover, Pause, Reload, ClockStep, Leave, Stall, HupTwice, HupTerm, TermTwice, TermAtStart, TermHandover, Crowd}
-	serverKinds    = []Kind{Drain, Replace, Vanish, Hang, Silent, Resets, Late}
-	discoveryKinds = []Kind{ListDown, ListHangs, ListSlow, ListCrowded, ListSilent, ListInPieces, ListCut, ListOlder}
+	nodeKinds      = []Kind{Restart, Kill, Handover, Pause, Reload, ClockStep, Leave, Stall, HupTwice, HupTerm, TermTwice, TermAtStart, TermHandover, IdleClients}
+	serverKinds    = []Kind{Drain, Replace, Vanish, Hang, Partitioned, Resets, Late}
+	discoveryKinds = []Kind{ListDown, ListHangs, ListSlow, ListOverloaded, ListStalled, ListInPieces, ListCut, ListOlder}
 )
 
 // Kinds returns all kinds.
@@ -89,8 +89,8 @@
 // One in longOutageOneIn faults of discovery is lengthened by longOutageSeconds, so that it lasts longer than a change
 // of the list may go unnoticed.
 const (
-	longOf     = 3
-	longOutage = 6
+	longOutageOneIn   = 3
+	longOutageSeconds = 6
 )
 
 // drawTrack draws faults with increasing start times until end (seconds). Every kind comes once, in random order, before
@@ -104,8 +104,8 @@
 		}
 		f := Fault{At: at, Length: 0.3 + 3*r.Float64(), Kind: left[0], Node: r.IntN(nodes), Server: r.IntN(servers)}
 		left = left[1:]
-		if slices.Contains(discoveryKinds, f.Kind) && r.IntN(longOf) == 0 {
-			f.Length += longOutage
+		if slices.Contains(discoveryKinds, f.Kind) && r.IntN(longOutageOneIn) == 0 {
+			f.Length += longOutageSeconds
 		}
 		if f.At+f.Length > end {
 			return list
@@ -120,7 +120,7 @@
 	free := map[string]float64{}
 	const settle = 2.5 // seconds that a target needs to recover
 	for _, f := range list {
-		if who := f.who(); f.At >= free[who] {
+		if who := f.target(); f.At >= free[who] {
 			kept = append(kept, f)
 			free[who] = f.At + f.Length + settle
 		}
@@ -128,7 +128,7 @@
 	return kept
 }
 
-func (f Fault) who() string {
+func (f Fault) target() string {
 	switch {
 	case slices.Contains(nodeKinds, f.Kind):
 		return fmt.Sprint("node ", f.Node)
@@ -189,13 +189,13 @@
 
 // Shrink looks for a smaller schedule that still fails, by leaving out ever smaller parts (delta debugging). It calls
 // fails at most maxRuns times, and returns the smallest failing schedule that it has found.
-func Shrink(list []Fault, plays int, fails func([]Fault) bool) []Fault {
-	for parts := 2; len(list) > 1 && plays > 0 && parts <= 2*len(list); {
+func Shrink(list []Fault, maxRuns int, fails func([]Fault) bool) []Fault {
+	for parts := 2; len(list) > 1 && maxRuns > 0 && parts <= 2*len(list); {
 		size := (len(list) + parts - 1) / parts
 		smaller := false
-		for from := 0; from < len(list) && plays > 0; from += size {
+		for from := 0; from < len(list) && maxRuns > 0; from += size {
 			without := slices.Concat(list[:from], list[min(from+size, len(list)):])
-			plays--
+			maxRuns--
 			if len(without) > 0 && fails(without) {
 				list, smaller = without, true
 				break
