--- a/internal/rig/capacity/bursts.go
+++ b/internal/rig/capacity/bursts.go
@@ -33,13 +33,13 @@
 
 // burst drains count backends within burstLength, through all control machines in turn, and adds the figures.
 func (r *run) burst(ctx context.Context, s *Section, site *site, size, count int, next *int) error {
-	var c burstResult
+	var result burstResult
 	first := 0
 	name := fmt.Sprintf("%d.burst%d", size, count)
 	late, err := r.guard.runUndelayed(ctx, name, timesOfLog, burstRepeats, func() (err error) {
 		first = *next
 		*next += count
-		c, err = site.drainBurst(ctx, size, first, count)
+		result, err = site.drainBurst(ctx, size, first, count)
 		return err
 	}, func() error {
 		for i := range count { // ending a drain that was not granted is refused, which is no error here
@@ -63,29 +63,30 @@
 		unit  string
 	}{
 		{"changes", float64(count) / burstLength.Seconds(), "drains/s, for 10 s"},
-		{"refused", float64(c.refused), "drains without a grant within a minute"},
-		{"unknown", float64(c.unknown), "granted drains that were not known at each node within a minute"},
-		{"known.each.p50", c.each.Quantile(0.5).Seconds() * 1e3, "ms"},
-		{"known.each.p99", c.each.Quantile(0.99).Seconds() * 1e3, "ms"},
-		{"known.last.p50", c.last.Quantile(0.5).Seconds() * 1e3, "ms"},
-		{"known.last.worst", c.last.Quantile(1).Seconds() * 1e3, "ms"},
-		{"leader.processor", c.rates.leaderProcessor, "cores"},
-		{"leader.bytes", c.rates.leaderBytes, "bytes/s in and out, with headers"},
-		{"follower.processor", c.rates.followerProcessor, "cores"},
-		{"node.processor", c.rates.nodeProcessor, "cores, of a hollow node"},
-		{"node.bytes", c.rates.nodeBytes, "bytes/s in and out, with headers"},
-		{"entries", c.rates.entries, "entries/s of the log"},
+		{"refused", float64(result.refused), "drains without a grant within a minute"},
+		{"unknown", float64(result.unknown), "granted drains that were not known at each node within a minute"},
+		{"known.each.p50", result.each.Quantile(0.5).Seconds() * 1e3, "ms"},
+		{"known.each.p99", result.each.Quantile(0.99).Seconds() * 1e3, "ms"},
+		{"known.last.p50", result.last.Quantile(0.5).Seconds() * 1e3, "ms"},
+		{"known.last.worst", result.last.Quantile(1).Seconds() * 1e3, "ms"},
+		{"leader.processor", result.rates.leaderProcessor, "cores"},
+		{"leader.bytes", result.rates.leaderBytes, "bytes/s in and out, with headers"},
+		{"follower.processor", result.rates.followerProcessor, "cores"},
+		{"node.processor", result.rates.nodeProcessor, "cores, of a hollow node"},
+		{"node.bytes", result.rates.nodeBytes, "bytes/s in and out, with headers"},
+		{"entries", result.rates.entries, "entries/s of the log"},
 	} {
 		s.addFigure(r.Out, name+"."+f.name, f.value, f.unit)
 	}
 	return nil
 }
 
-// drainBurst drains backends one after the other, evenly over burstLength, and waits until all hollow nodes know each drain.
-func (s *site) drainBurst(ctx context.Context, nodes, first, count int) (c burstResult, err error) {
+// drainBurst drains backends one after the other, evenly over burstLength, and waits until all hollow nodes know
+// each drain.
+func (s *site) drainBurst(ctx context.Context, nodes, first, count int) (result burstResult, err error) {
 	before, err := s.read(ctx)
 	if err != nil {
-		return c, err
+		return result, err
 	}
 	within, cancel := context.WithTimeout(ctx, burstWait)
 	defer cancel()
@@ -98,35 +99,35 @@
 				drainEntry(fleet.ServerTarget(backendName(first+i))))
 		})
 		if err := sleep(ctx, burstLength/time.Duration(count)); err != nil {
-			return c, err
+			return result, err
 		}
 	}
 	work.Wait()
 	after, err := s.read(ctx)
 	if err != nil {
-		return c, err
+		return result, err
 	}
-	c.rates = ratesBetween(before, after, nodes)
+	result.rates = ratesBetween(before, after, nodes)
 	for i := range count {
 		if errs[i] != nil {
-			c.refused++
+			result.refused++
 			continue
 		}
 		times, err := s.awaitKnown(within, hollow.ServerDrained(uint32(registry.ServerID(backendName(first+i)))), nodes)
 		if errors.Is(err, context.DeadlineExceeded) {
-			c.unknown++
+			result.unknown++
 			continue
 		}
 		if err != nil {
-			return c, err
+			return result, err
 		}
 		slices.SortFunc(times, time.Time.Compare)
-		c.last.Add(times[len(times)-1].Sub(began[i]))
+		result.last.Add(times[len(times)-1].Sub(began[i]))
 		for _, at := range times {
-			c.each.Add(at.Sub(began[i]))
+			result.each.Add(at.Sub(began[i]))
 		}
 	}
-	return c, nil
+	return result, nil
 }
 
 // endDrain ends a drain, if there is one.
--- a/internal/rig/capacity/calibrate.go
+++ b/internal/rig/capacity/calibrate.go
@@ -61,9 +61,9 @@
 		ResidentKiB: a.ResidentKiB + b.ResidentKiB, LongestPause: max(a.LongestPause, b.LongestPause)}
 }
 
-// calibrate compares hollow nodes with real ones that run in the same fleet at the same time. The cost of a real node's
-// control part is the cost of a real node minus that of a real node outside the fleet. The cost of the hollow nodes is that of
-// their process minus that of an empty one.
+// calibrate compares hollow nodes with real ones that run in the same fleet at the same time. The cost of a real
+// node's control part is the cost of a real node minus that of a real node outside the fleet. The cost of the
+// hollow nodes is that of their process minus that of an empty one.
 func (r *run) calibrate(ctx context.Context, s *Section) error {
 	for _, size := range []int{10, 40} {
 		if err := r.calibrateAt(ctx, s, size); err != nil {
@@ -105,18 +105,18 @@
 	if err := sleep(ctx, r.settleTime()); err != nil {
 		return err
 	}
-	a, err := readComparison(ctx, site, empty, with, without)
+	before, err := readComparison(ctx, site, empty, with, without)
 	if err != nil {
 		return err
 	}
 	if err := sleep(ctx, calibrateWindow); err != nil {
 		return err
 	}
-	b, err := readComparison(ctx, site, empty, with, without)
+	after, err := readComparison(ctx, site, empty, with, without)
 	if err != nil {
 		return err
 	}
-	r.reportDifferences(s, size, a, b)
+	r.reportDifferences(s, size, before, after)
 	return nil
 }
 
@@ -127,20 +127,21 @@
 	with, without realTotals
 }
 
-func readComparison(ctx context.Context, site *site, empty *hollow.Process, with, without []*machine) (b comparison,
+func readComparison(ctx context.Context, site *site, empty *hollow.Process, with, without []*machine) (totals comparison,
 	err error) {
 	var errs [4]error
-	b.hollow, errs[0] = site.counts()
-	b.empty, errs[1] = empty.Counts()
-	b.with, errs[2] = readRealNodes(ctx, with, true)
-	b.without, errs[3] = readRealNodes(ctx, without, false)
-	b.at = time.Now()
-	return b, errors.Join(errs[:]...)
+	totals.hollow, errs[0] = site.counts()
+	totals.empty, errs[1] = empty.Counts()
+	totals.with, errs[2] = readRealNodes(ctx, with, true)
+	totals.without, errs[3] = readRealNodes(ctx, without, false)
+	totals.at = time.Now()
+	return totals, errors.Join(errs[:]...)
 }
 
-// reportDifferences adds the figures of real and hollow nodes and their ratios, and prints ratios that differ too much.
-func (r *run) reportDifferences(s *Section, size int, a, b comparison) {
-	seconds, nodes := b.at.Sub(a.at).Seconds(), float64(size)
+// reportDifferences adds the figures of real and hollow nodes and their ratios, and prints ratios that differ too
+// much.
+func (r *run) reportDifferences(s *Section, size int, before, after comparison) {
+	seconds, nodes := after.at.Sub(before.at).Seconds(), float64(size)
 	per := func(n float64) float64 { return n / seconds / nodes }
 	datagrams := func(t link.Traffic) float64 { return float64(t.DatagramsIn + t.DatagramsOut) }
 	calls := func(t link.Traffic) (n float64) {
@@ -154,16 +155,16 @@
 		real, hollow float64
 		unit         string
 	}{
-		{"calls", per(calls(b.with.traffic) - calls(a.with.traffic)),
-			per(calls(b.hollow.Traffic) - calls(a.hollow.Traffic)), "calls/s a node"},
-		{"datagrams", per(datagrams(b.with.traffic) - datagrams(a.with.traffic)),
-			per(datagrams(b.hollow.Traffic) - datagrams(a.hollow.Traffic)), "datagrams/s a node, in and out"},
-		{"bytes", per(wireBytes(b.with.traffic) - wireBytes(a.with.traffic)),
-			per(wireBytes(b.hollow.Traffic) - wireBytes(a.hollow.Traffic)), "bytes/s a node, in and out, with headers"},
-		{"processor", per((b.with.cpuTime - a.with.cpuTime - b.without.cpuTime + a.without.cpuTime).Seconds()),
-			per((b.hollow.CPUTime - a.hollow.CPUTime - b.empty.CPUTime + a.empty.CPUTime).Seconds()), "cores a node"},
-		{"memory", float64(b.with.resident-b.without.resident) / 1024 / nodes,
-			float64(b.hollow.ResidentKiB-b.empty.ResidentKiB) / 1024 / nodes, "MiB a node"},
+		{"calls", per(calls(after.with.traffic) - calls(before.with.traffic)),
+			per(calls(after.hollow.Traffic) - calls(before.hollow.Traffic)), "calls/s a node"},
+		{"datagrams", per(datagrams(after.with.traffic) - datagrams(before.with.traffic)),
+			per(datagrams(after.hollow.Traffic) - datagrams(before.hollow.Traffic)), "datagrams/s a node, in and out"},
+		{"bytes", per(wireBytes(after.with.traffic) - wireBytes(before.with.traffic)),
+			per(wireBytes(after.hollow.Traffic) - wireBytes(before.hollow.Traffic)), "bytes/s a node, in and out, with headers"},
+		{"processor", per((after.with.cpuTime - before.with.cpuTime - after.without.cpuTime + before.without.cpuTime).Seconds()),
+			per((after.hollow.CPUTime - before.hollow.CPUTime - after.empty.CPUTime + before.empty.CPUTime).Seconds()), "cores a node"},
+		{"memory", float64(after.with.resident-after.without.resident) / 1024 / nodes,
+			float64(after.hollow.ResidentKiB-after.empty.ResidentKiB) / 1024 / nodes, "MiB a node"},
 	} {
 		name := fmt.Sprintf("%d.%s", size, f.name)
 		s.addFigure(r.Out, name+".real", f.real, f.unit)
@@ -175,7 +176,7 @@
 				100*maxDifference)
 		}
 	}
-	s.addFigure(r.Out, fmt.Sprintf("%d.whole.memory", size), float64(b.without.resident)/1024/nodes,
+	s.addFigure(r.Out, fmt.Sprintf("%d.whole.memory", size), float64(after.without.resident)/1024/nodes,
 		"MiB of a real node without the fleet")
 }
 
--- a/internal/rig/capacity/capacity.go
+++ b/internal/rig/capacity/capacity.go
@@ -1,7 +1,7 @@
-// Package capacity is the rig behind docs/CAPACITY.md. It measures what each role of the program costs (processor time,
-// memory, traffic, time) as the numbers of nodes, backends, services and tenants grow towards the design size, at four sizes
-// or more each, with real control machines and hollow nodes (package hollow). Results go into a JSON file, from which the
-// page's tables are made.
+// Package capacity is the rig behind docs/CAPACITY.md. It measures what each role of the program costs (processor
+// time, memory, traffic, time) as the numbers of nodes, backends, services and tenants grow towards the design
+// size, at four sizes or more each, with real control machines and hollow nodes (package hollow). Results go into
+// a JSON file, from which the page's tables are made.
 package capacity
 
 import (
--- a/internal/rig/capacity/capacity_test.go
+++ b/internal/rig/capacity/capacity_test.go
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// The quick form of the rig must run whole: 40 hollow nodes with five real control machines, single drains, a burst of
-// drains, failures, and changes of the configuration. All figures must be within the thresholds.
+// The quick form of the rig must run whole: 40 hollow nodes with five real control machines, single drains, a
+// burst of drains, failures, and changes of the configuration. All figures must be within the thresholds.
 func TestSmallForm(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
@@ -134,7 +134,8 @@
 	}
 }
 
-// A run that exceeds its bounds must be stopped with an error that says why, before it harms other work on the machine.
+// A run that exceeds its bounds must be stopped with an error that says why, before it harms other work on the
+// machine.
 func TestRunIsStoppedAtItsBounds(t *testing.T) {
 	ctx, g := watch(t.Context(), bounds{processes: 0, memory: 1 << 40}, io.Discard)
 	select {
@@ -157,8 +158,8 @@
 	}
 }
 
-// Delays of the machine would falsify measured times: a run with such a delay must be repeated, and is void if all repeats
-// have one, too.
+// Delays of the machine would falsify measured times: a run with such a delay must be repeated, and is void if all
+// repeats have one, too.
 func TestLateRunsAreRepeated(t *testing.T) { synctest.Test(t, lateRuns) } // in virtual time
 
 func lateRuns(t *testing.T) {
@@ -205,8 +206,8 @@
 	}
 }
 
-// Load messages of a node must reach all nodes whose subsets overlap its own: a change by one request at one server is sent
-// to each of them.
+// Load messages of a node must reach all nodes whose subsets overlap its own: a change by one request at one
+// server is sent to each of them.
 func TestServiceSimulation(t *testing.T) {
 	const (
 		nodes       = 60
--- a/internal/rig/capacity/configuration.go
+++ b/internal/rig/capacity/configuration.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	inForcePoll    = 25 * time.Millisecond // between two queries of the status; measured in-force times are too long by up to this
+	inForcePoll    = 25 * time.Millisecond // between status queries; in-force times are too long by up to this
 	inForceWait    = time.Minute
-	startWait      = 5 * time.Minute // until nodes that start without a cache have the whole configuration: snapshots are sent at a limited rate
+	startWait      = 5 * time.Minute // until nodes that start without a cache have all entries: snapshots are rate-limited
 	changesAlone   = 20
 	changesInBurst = 100
 	burstServices  = 10      // services whose timeouts are changed in a burst
@@ -45,8 +45,9 @@
 	return int(Design.Nodes), hollowShare, changesAlone, changesInBurst
 }
 
-// configuration measures how long a change of the fleet's configuration takes to be in force, which means acknowledged by
-// every node that has a session. The store holds a share of the design's services, routes and tenants.
+// configuration measures how long a change of the fleet's configuration takes to be in force, which means
+// acknowledged by every node that has a session. The store holds a share of the design's services, routes and
+// tenants.
 func (r *run) configuration(ctx context.Context, s *Section) error {
 	size, part, alone, burst := r.configurationSize()
 	printThresholds(r.Out, configurationThresholds(size))
@@ -93,8 +94,9 @@
 	return nil
 }
 
-// designEntries returns changes that create a share of the design's services, routes and tenants. The content of an entry
-// is an assumption: a route has some forty bytes of host and path, and a tenant has limits at two services.
+// designEntries returns changes that create a share of the design's services, routes and tenants. The content of
+// an entry is an assumption: a route has some forty bytes of host and path, and a tenant has limits at two
+// services.
 func designEntries(part float64) (changes []*configpb.Change) {
 	add := func(e *configpb.Entry) {
 		changes = append(changes, &configpb.Change{What: &configpb.Change_Put{Put: e}})
@@ -175,9 +177,9 @@
 	if r.Quick {
 		window = 5 * time.Second
 	}
-	var d usageRates
+	var rates usageRates
 	late, err := r.guard.runUndelayed(ctx, "rest", counts, maxRepeats, func() (err error) {
-		d, err = site.window(ctx, window, size)
+		rates, err = site.window(ctx, window, size)
 		return err
 	}, noCleanup)
 	if err != nil {
@@ -185,10 +187,10 @@
 	}
 	s.MaxDelay = max(s.MaxDelay, late)
 	name := func(rest string) string { return fmt.Sprintf("%d.rest.%s", size, rest) }
-	s.addFigure(r.Out, name("node.bytes"), d.nodeBytes, "bytes/s in and out, with headers")
-	s.addFigure(r.Out, name("node.processor"), d.nodeProcessor, "cores, of a hollow node")
-	s.addFigure(r.Out, name("leader.processor"), d.leaderProcessor, "cores")
-	s.addFigure(r.Out, name("follower.processor"), d.followerProcessor, "cores")
+	s.addFigure(r.Out, name("node.bytes"), rates.nodeBytes, "bytes/s in and out, with headers")
+	s.addFigure(r.Out, name("node.processor"), rates.nodeProcessor, "cores, of a hollow node")
+	s.addFigure(r.Out, name("leader.processor"), rates.leaderProcessor, "cores")
+	s.addFigure(r.Out, name("follower.processor"), rates.followerProcessor, "cores")
 	return nil
 }
 
@@ -221,8 +223,8 @@
 	return nil
 }
 
-// inForceFigures adds figures of the times until changes were in force. Without any time the figures are missing because
-// every run was void.
+// inForceFigures adds figures of the times until changes were in force. Without any time the figures are missing
+// because every run was void.
 func (r *run) inForceFigures(s *Section, name string, took standin.Times) {
 	if took.Count() == 0 {
 		s.addMissing(r.Out, name, errVoid)
@@ -238,7 +240,8 @@
 	}
 }
 
-// changeBurst measures changes that are made evenly over burstLength, without waiting for earlier ones to be in force.
+// changeBurst measures changes that are made evenly over burstLength, without waiting for earlier ones to be in
+// force.
 func (r *run) changeBurst(ctx context.Context, s *Section, site *site, size, count int) error {
 	var took standin.Times
 	name := fmt.Sprintf("%d.burst", size)
--- a/internal/rig/capacity/drains.go
+++ b/internal/rig/capacity/drains.go
@@ -44,22 +44,23 @@
 	return &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target, By: "capacity"}}}
 }
 
-// drain drains a backend that is not drained yet, through the given machine, and waits until all hollow nodes know it.
-func (s *site) drain(ctx context.Context, through *machine, backend string, nodes int) (d drainResult, err error) {
+// drain drains a backend that is not drained yet, through the given machine, and waits until all hollow nodes know
+// it.
+func (s *site) drain(ctx context.Context, through *machine, backend string, nodes int) (result drainResult, err error) {
 	began := time.Now()
 	if err := propose(ctx, through.client, drainEntry(fleet.ServerTarget(backend))); err != nil {
-		return d, fmt.Errorf("drain of %s: %w", backend, err)
+		return result, fmt.Errorf("drain of %s: %w", backend, err)
 	}
-	d.granted = time.Since(began)
+	result.granted = time.Since(began)
 	times, err := s.awaitKnown(ctx, hollow.ServerDrained(uint32(registry.ServerID(backend))), nodes)
 	if err != nil {
-		return d, err
+		return result, err
 	}
 	for _, at := range times {
-		d.last = max(d.last, at.Sub(began))
-		d.each.Add(at.Sub(began))
+		result.last = max(result.last, at.Sub(began))
+		result.each.Add(at.Sub(began))
 	}
-	return d, nil
+	return result, nil
 }
 
 // awaitKnown waits until something is known at the given number of hollow nodes, and returns the time of each.
@@ -84,9 +85,9 @@
 	}
 }
 
-// awaitProof waits until a drain is proven, which means all nodes have stopped sending to the backend, and returns the time
-// between its grant and its proof by the leader's own timestamps. It polls seldom, because for each poll the leader encodes
-// its whole state.
+// awaitProof waits until a drain is proven, which means all nodes have stopped sending to the backend, and returns
+// the time between its grant and its proof by the leader's own timestamps. It polls seldom, because for each poll
+// the leader encodes its whole state.
 func (s *site) awaitProof(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, knownWait)
 	defer cancel()
@@ -105,17 +106,18 @@
 	}
 }
 
-// drains measures single drains: the times until they are granted, until the last node has stopped, and until that is proven.
-func (r *run) drains(ctx context.Context, s *Section, site *site, size, count int, next *int, p *slopePoints) error {
+// drains measures single drains: the times until they are granted, until the last node has stopped, and until that
+// is proven.
+func (r *run) drains(ctx context.Context, s *Section, site *site, size, count int, next *int, slopes *slopePoints) error {
 	var granted, each, last, proven, looked standin.Times
 	for range count {
-		var d drainResult
+		var result drainResult
 		backend, through := "", (*machine)(nil)
 		late, err := r.guard.runUndelayed(ctx, "drain", timesOfLog, maxRepeats, func() (err error) {
 			backend, through = backendName(*next), site.voters[*next%controlMachines]
 			*next++
-			if d, err = site.drain(ctx, through, backend, size); err == nil {
-				d.proven, err = site.awaitProof(ctx, through, backend)
+			if result, err = site.drain(ctx, through, backend, size); err == nil {
+				result.proven, err = site.awaitProof(ctx, through, backend)
 			}
 			return err
 		}, func() error { return propose(ctx, through.client, returnEntry(fleet.ServerTarget(backend))) })
@@ -127,32 +129,32 @@
 			return err
 		}
 		s.MaxDelay = max(s.MaxDelay, late)
-		granted.Add(d.granted)
-		last.Add(d.last)
-		proven.Add(d.proven)
-		each.Merge(d.each)
+		granted.Add(result.granted)
+		last.Add(result.last)
+		proven.Add(result.proven)
+		each.Merge(result.each)
 	}
 	if last.Count() == 0 {
 		s.addMissing(r.Out, fmt.Sprintf("%d.drain", size), errVoid)
 		s.addMissing(r.Out, "drain", errVoid)
 		return nil
 	}
-	ms := func(t standin.Times, q float64) float64 { return t.Quantile(q).Seconds() * 1e3 }
+	milliseconds := func(t standin.Times, q float64) float64 { return t.Quantile(q).Seconds() * 1e3 }
 	for _, f := range []struct {
 		name  string
 		value float64
 	}{
-		{"drain.granted.p50", ms(granted, 0.5)},
-		{"drain.granted.worst", ms(granted, 1)},
-		{"drain.known.each.p50", ms(each, 0.5)},
-		{"drain.known.each.p99", ms(each, 0.99)},
-		{"drain.known.last.p50", ms(last, 0.5)},
-		{"drain.known.last.worst", ms(last, 1)},
-		{"drain.proven.p50", ms(proven, 0.5)},
-		{"drain.proven.worst", ms(proven, 1)},
+		{"drain.granted.p50", milliseconds(granted, 0.5)},
+		{"drain.granted.worst", milliseconds(granted, 1)},
+		{"drain.known.each.p50", milliseconds(each, 0.5)},
+		{"drain.known.each.p99", milliseconds(each, 0.99)},
+		{"drain.known.last.p50", milliseconds(last, 0.5)},
+		{"drain.known.last.worst", milliseconds(last, 1)},
+		{"drain.proven.p50", milliseconds(proven, 0.5)},
+		{"drain.proven.worst", milliseconds(proven, 1)},
 	} {
 		s.addFigure(r.Out, fmt.Sprintf("%d.%s", size, f.name), f.value, "ms")
-		p.add(f.name, "ms", float64(size), f.value)
+		slopes.add(f.name, "ms", float64(size), f.value)
 	}
 	if r.Quick {
 		return nil
@@ -171,16 +173,16 @@
 		}
 		looked.Add(took)
 	}
-	s.addFigure(r.Out, fmt.Sprintf("%d.drain.looked.p50", size), ms(looked, 0.5),
+	s.addFigure(r.Out, fmt.Sprintf("%d.drain.looked.p50", size), milliseconds(looked, 0.5),
 		"ms, the whole state asked for each 5 ms")
-	p.add("drain.looked.p50", "ms, the whole state asked for each 5 ms", float64(size), ms(looked, 0.5))
+	slopes.add("drain.looked.p50", "ms, the whole state asked for each 5 ms", float64(size), milliseconds(looked, 0.5))
 	return nil
 }
 
 const statePollInterval = 5 * time.Millisecond
 
-// proofByPolling drains a backend, requests the whole state every statePollInterval until it holds the proof, and returns
-// the time that this took.
+// proofByPolling drains a backend, requests the whole state every statePollInterval until it holds the proof, and
+// returns the time that this took.
 func (s *site) proofByPolling(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	target, began := fleet.ServerTarget(backend), time.Now()
 	if err := propose(ctx, through.client, drainEntry(target)); err != nil {
--- a/internal/rig/capacity/entries.go
+++ b/internal/rig/capacity/entries.go
@@ -27,8 +27,8 @@
 }
 
 // newFleetState returns a state with the given numbers of nodes and of drains that no node has acknowledged yet.
-func newFleetState(nodes, drains int) (a fleetState, err error) {
-	a.machine = fleet.New()
+func newFleetState(nodes, drains int) (state fleetState, err error) {
+	state.machine = fleet.New()
 	listed := &fleetpb.Listed{}
 	for i := range drains {
 		listed.Servers = append(listed.Servers, &fleetpb.Server{Id: backendName(i), Zone: zoneOf(i),
@@ -48,16 +48,17 @@
 		entries = append(entries, drainEntry(fleet.ServerTarget(backendName(i))))
 	}
 	for _, e := range entries {
-		if err := a.apply(e); err != nil {
-			return a, err
+		if err := state.apply(e); err != nil {
+			return state, err
 		}
 	}
-	return a, nil
+	return state, nil
 }
 
 const entryTries = 50
 
-// ackTime returns the processor time that one node's acknowledgement costs each control machine, the median of entryTries.
+// ackTime returns the processor time that one node's acknowledgement costs each control machine, the median of
+// entryTries.
 func (a fleetState) ackTime() (took time.Duration, err error) {
 	target := fleet.ServerTarget(backendName(0))
 	e := &fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: []*fleetpb.Ack{{Node: "n1",
@@ -73,8 +74,8 @@
 	return took, err
 }
 
-// entries measures the processor time that one log entry costs each control machine, by the numbers of nodes and of drains
-// that are not proven yet.
+// entries measures the processor time that one log entry costs each control machine, by the numbers of nodes and
+// of drains that are not proven yet.
 func (r *run) entries(_ context.Context, s *Section) error {
 	const nodes = 730
 	var byDrains, byNodes slopePoints
--- a/internal/rig/capacity/estimates.go
+++ b/internal/rig/capacity/estimates.go
@@ -41,12 +41,12 @@
 }
 
 func estimatesTable(r *Results) (string, error) {
-	var g grid
-	g.head("estimate", "the run", "")
+	var table grid
+	table.head("estimate", "the run", "")
 	for _, e := range estimates {
 		v, err := r.find(e.figure)
 		if why := r.missingReason(e.figure); err != nil && why != "" {
-			g.row(e.text, "*"+why+"*", "not run")
+			table.row(e.text, "*"+why+"*", "not run")
 			continue
 		}
 		if err != nil {
@@ -56,9 +56,9 @@
 		if math.Abs(v.value-e.want) <= max(estimateTolerance*math.Abs(e.want), maxIdleShare*boolean(e.want == 0)) {
 			verdict = "confirmed"
 		}
-		g.row(e.text, fmt.Sprintf("%s (%s)", v, e.figure), verdict)
+		table.row(e.text, fmt.Sprintf("%s (%s)", v, e.figure), verdict)
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
 
 const maxIdleShare = 0.15 // share of the leader's bytes up to which a follower counts as idle
@@ -91,9 +91,9 @@
 	{"**A control machine's cores and memory**: none stated, so that no factor is given there", nil},
 }
 
-func effectsTable(r *Results) (string, error) {
-	var g grid
-	g.head("assumption", "what hangs on it")
+func assumptionsTable(r *Results) (string, error) {
+	var table grid
+	table.head("assumption", "what hangs on it")
 	for _, e := range assumptions {
 		var list []string
 		for _, name := range e.figures {
@@ -106,7 +106,7 @@
 		if len(list) == 0 {
 			list = []string{"*not run*"}
 		}
-		g.row(e.text, strings.Join(list, "; "))
+		table.row(e.text, strings.Join(list, "; "))
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
--- a/internal/rig/capacity/faults.go
+++ b/internal/rig/capacity/faults.go
@@ -38,7 +38,8 @@
 	return nil
 }
 
-// drainDuringFault drains a backend during a fault and returns the time from the failure until the last node knows the drain.
+// drainDuringFault drains a backend during a fault and returns the time from the failure until the last node knows
+// the drain.
 func (s *site) drainDuringFault(ctx context.Context, size int, next *int, through *machine,
 	failed time.Time) (time.Duration, error) {
 	backend := backendName(*next)
@@ -194,11 +195,11 @@
 		return err
 	}
 	took := after.at.Sub(began).Seconds()
-	d := ratesBetween(before, after, count)
+	rates := ratesBetween(before, after, count)
 	s.addFigure(r.Out, name+".nodes", float64(count), "nodes that are ended at once and started again")
 	s.addFigure(r.Out, name+".live", took, "s until all have a session again")
-	s.addFigure(r.Out, name+".leader.processor", d.leaderProcessor*d.seconds, "s of the leader's processor time in all")
-	s.addFigure(r.Out, name+".leader.bytes", d.leaderBytes*d.seconds/float64(count),
+	s.addFigure(r.Out, name+".leader.processor", rates.leaderProcessor*rates.seconds, "s of the leader's processor time in all")
+	s.addFigure(r.Out, name+".leader.bytes", rates.leaderBytes*rates.seconds/float64(count),
 		"bytes at the leader for each of them, in and out, with headers")
 	return nil
 }
--- a/internal/rig/capacity/guard.go
+++ b/internal/rig/capacity/guard.go
@@ -20,7 +20,7 @@
 	guardInterval  = 250 * time.Millisecond
 	delayStep      = 10 * time.Millisecond
 	maxDelay       = 250 * time.Millisecond  // a run that measures times is void if the machine was delayed by more
-	maxDelayCounts = 1500 * time.Millisecond // the same for a run that counts messages: a call that waits longer than this is repeated
+	maxDelayCounts = 1500 * time.Millisecond // for runs that count messages: a call is repeated after a longer wait
 	maxRepeats     = 8                       // repeats of a void run
 	diskEvery      = 50 * time.Millisecond
 	steadyTime     = time.Second // without delays of the machine before times are measured
@@ -94,8 +94,8 @@
 	return u
 }
 
-// guard stops a run that exceeds the bounds, and measures delays of the machine: of its cores, by a goroutine that sleeps
-// for delayStep and checks when it wakes up, and of its disk, by a small file that is written and synced.
+// guard stops a run that exceeds the bounds, and measures delays of the machine: of its cores, by a goroutine that
+// sleeps for delayStep and checks when it wakes up, and of its disk, by a small file that is written and synced.
 type guard struct {
 	coreDelay atomic.Int64 // ns; longest delay of the cores since takeMaxDelay was called last
 	diskDelay atomic.Int64 // the same for the disk
@@ -141,7 +141,8 @@
 	return nil
 }
 
-// watch guards a run until ctx ends. The returned context is cancelled, with ErrBounds as the cause, if the run exceeds b.
+// watch guards a run until ctx ends. The returned context is cancelled, with ErrBounds as the cause, if the run
+// exceeds b.
 func watch(ctx context.Context, b bounds, out io.Writer) (context.Context, *guard) {
 	ctx, stop := context.WithCancelCause(ctx)
 	g := &guard{out: out}
@@ -184,7 +185,7 @@
 type timingNeed int
 
 const (
-	counts     timingNeed = iota // counts of messages and processor time: only delays of the cores so long that calls are repeated
+	counts     timingNeed = iota // messages, processor time: core delays so long that calls are repeated
 	times                        // times without writes to the log: delays of the cores
 	timesOfLog                   // times with writes to the log: delays of cores and disk
 )
@@ -217,9 +218,9 @@
 	return nil
 }
 
-// runUndelayed runs run, and repeats it up to the given number of times if the machine was delayed in it by more than m
-// permits. It calls clear after each try; delays in clear don't count. It returns the longest delay in the last try, and
-// errVoid if every try was void.
+// runUndelayed runs run, and repeats it up to the given number of times if the machine was delayed in it by more
+// than m permits. It calls clear after each try; delays in clear don't count. It returns the longest delay in the
+// last try, and errVoid if every try was void.
 func (g *guard) runUndelayed(ctx context.Context, name string, m timingNeed, repeats int, run,
 	clear func() error) (longest time.Duration, err error) {
 	for range 1 + repeats {
--- a/internal/rig/capacity/hollow/files.go
+++ b/internal/rig/capacity/hollow/files.go
@@ -25,8 +25,8 @@
 	Budgets         string          // TOML of the fleet's budgets, appended to each fleet file; empty: none
 }
 
-// Write writes a node's fleet file, certificate, key and root certificates to a folder. listen is the address that a voter
-// listens on; it is empty for other nodes.
+// Write writes a node's fleet file, certificate, key and root certificates to a folder. listen is the address that
+// a voter listens on; it is empty for other nodes.
 func (f *Fleet) Write(folder, name, zone, listen string) error {
 	_, cert, key, err := f.Authority.Issue(name+"."+Domain, time.Now().Add(certificateLifetime))
 	if err != nil {
--- a/internal/rig/capacity/hollow/hollow.go
+++ b/internal/rig/capacity/hollow/hollow.go
@@ -1,10 +1,10 @@
 // Package hollow runs nodes without a data plane: the real control part of a node (session, heartbeats, watch,
-// acknowledgements, files on disk), hundreds of them in one process, against real control machines. It serves scale tests,
-// as Kubernetes' kubemark does.
+// acknowledgements, files on disk), hundreds of them in one process, against real control machines. It serves
+// scale tests, as Kubernetes' kubemark does.
 //
-// A rig writes the nodes' files (Fleet.Write) and starts a process of hollow nodes (StartProcess). It can then read the
-// process's counts and the times at which something became known at its nodes, restart some nodes, and stop the process.
-// Other client code of the control plane can be run with each node as a Part.
+// A rig writes the nodes' files (Fleet.Write) and starts a process of hollow nodes (StartProcess). It can then
+// read the process's counts and the times at which something became known at its nodes, restart some nodes, and
+// stop the process. Other client code of the control plane can be run with each node as a Part.
 package hollow
 
 import (
@@ -29,7 +29,8 @@
 	Names  []string `json:"names"`
 }
 
-// A Part is additional client code of the control plane that runs with one node. It has to return soon after ctx ends.
+// A Part is additional client code of the control plane that runs with one node. It has to return soon after ctx
+// ends.
 type Part func(ctx context.Context, n Node)
 
 // Node is what a Part gets of its node.
@@ -49,7 +50,7 @@
 	Traffic      link.Traffic  `json:"traffic"`
 	CPUTime      time.Duration `json:"processor"` // processor time of the process, user and system
 	ResidentKiB  int           `json:"resident"`  // resident memory of the process, KiB
-	LongestPause time.Duration `json:"pause"`     // longest delay of a timer in the process since the last Counts: the process was runnable but did not run
+	LongestPause time.Duration `json:"pause"`     // longest delay of the runnable process since the last Counts
 }
 
 // Known tells at which nodes, and when, something became known.
@@ -81,42 +82,42 @@
 }
 
 // Start starts the nodes of o, each with the parts. The caller has to call Stop.
-func Start(o Options, parts ...Part) (*Set, error) {
-	s := &Set{parts: parts, notes: map[string]map[string]time.Time{}}
-	s.pause.start()
-	for _, name := range o.Names {
-		n, err := s.startNode(name, File(o.Folder, name))
+func Start(options Options, parts ...Part) (*Set, error) {
+	set := &Set{parts: parts, notes: map[string]map[string]time.Time{}}
+	set.pause.start()
+	for _, name := range options.Names {
+		n, err := set.startNode(name, File(options.Folder, name))
 		if err != nil {
-			s.Stop()
+			set.Stop()
 			return nil, fmt.Errorf("hollow node %s: %w", name, err)
 		}
-		s.mu.Lock()
-		s.nodes = append(s.nodes, n)
-		s.mu.Unlock()
+		set.mu.Lock()
+		set.nodes = append(set.nodes, n)
+		set.mu.Unlock()
 	}
-	return s, nil
+	return set, nil
 }
 
 // File returns the path of a node's fleet file.
 func File(folder, name string) string { return filepath.Join(folder, name+".toml") }
 
 func (s *Set) startNode(name, file string) (*node, error) {
-	c, err := control.Load(file, time.Now())
+	config, err := control.Load(file, time.Now())
 	if err != nil {
 		return nil, err
 	}
 	note := func(what string) { s.note(name, what) }
 	plane := idlePlane{note}
-	ctl, err := control.Open(c, plane, plane, slog.New(slog.DiscardHandler))
+	nodeControl, err := control.Open(config, plane, plane, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return nil, err
 	}
-	ctl.ApplySavedOrders()
+	nodeControl.ApplySavedOrders()
 	ctx, cancel := context.WithCancel(context.Background())
-	n := &node{name: name, file: file, control: ctl, stop: cancel, work: &sync.WaitGroup{}}
-	n.work.Go(ctl.Run)
+	n := &node{name: name, file: file, control: nodeControl, stop: cancel, work: &sync.WaitGroup{}}
+	n.work.Go(nodeControl.Run)
 	for _, p := range s.parts {
-		n.work.Go(func() { p(ctx, Node{c, ctl, note, s.addTraffic}) })
+		n.work.Go(func() { p(ctx, Node{config, nodeControl, note, s.addTraffic}) })
 	}
 	return n, nil
 }
--- a/internal/rig/capacity/hollow/hollow_test.go
+++ b/internal/rig/capacity/hollow/hollow_test.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// Hollow nodes must behave as real ones do towards the control machines: keep sessions, apply and acknowledge a drain, and
-// come back after a restart with the state on their disks. They must leave no goroutine behind.
+// Hollow nodes must behave as real ones do towards the control machines: keep sessions, apply and acknowledge a
+// drain, and come back after a restart with the state on their disks. They must leave no goroutine behind.
 func TestHollowNodes(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // runs after the voters have ended
@@ -156,8 +156,8 @@
 	}
 }
 
-// A node that has stopped must lose its session and must not be counted among those that know of a later drain; otherwise
-// the rig's measurements would include dead nodes.
+// A node that has stopped must lose its session and must not be counted among those that know of a later drain;
+// otherwise the rig's measurements would include dead nodes.
 func TestStoppedNodeIsMissed(t *testing.T) {
 	folder := t.TempDir()
 	f, control := startVoters(t, folder)
--- a/internal/rig/capacity/hollow/process.go
+++ b/internal/rig/capacity/hollow/process.go
@@ -33,45 +33,45 @@
 	gcPercent = 400
 )
 
-// Main runs a process of hollow nodes: it starts the nodes of the Options in a JSON file, answers each request line of in
-// with one line on out, and returns at the end of in.
+// Main runs a process of hollow nodes: it starts the nodes of the Options in a JSON file, answers each request
+// line of in with one line on out, and returns at the end of in.
 func Main(file string, in io.Reader, out io.Writer, parts ...Part) error {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	o := Options{}
-	if err := json.Unmarshal(raw, &o); err != nil {
+	options := Options{}
+	if err := json.Unmarshal(raw, &options); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	debug.SetGCPercent(gcPercent)
-	s, err := Start(o, parts...)
+	set, err := Start(options, parts...)
 	if err != nil {
 		return err
 	}
-	defer s.Stop()
+	defer set.Stop()
 	lines, answers := bufio.NewScanner(in), json.NewEncoder(out)
 	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		q, a := request{}, reply{}
-		if err := json.Unmarshal(lines.Bytes(), &q); err != nil {
+		incoming, answer := request{}, reply{}
+		if err := json.Unmarshal(lines.Bytes(), &incoming); err != nil {
 			return err
 		}
-		switch q.Command {
+		switch incoming.Command {
 		case "counts":
-			c := s.Counts()
-			a.Counts = &c
+			c := set.Counts()
+			answer.Counts = &c
 		case "known":
-			k := s.Known(q.What)
-			a.Known = &k
+			k := set.Known(incoming.What)
+			answer.Known = &k
 		case "restart":
-			if err := s.Restart(q.Names); err != nil {
-				a.Error = err.Error()
+			if err := set.Restart(incoming.Names); err != nil {
+				answer.Error = err.Error()
 			}
 		default:
-			a.Error = fmt.Sprintf("unknown request %q", q.Command)
+			answer.Error = fmt.Sprintf("unknown request %q", incoming.Command)
 		}
-		if err := answers.Encode(a); err != nil {
+		if err := answers.Encode(answer); err != nil {
 			return err
 		}
 	}
@@ -86,8 +86,8 @@
 	mu    sync.Mutex // held from a request to its reply
 }
 
-// StartProcess writes o to file and starts the program exe with the arguments "hollow" and file; exe has to call Main with
-// file. The kernel kills the process when the rig ends.
+// StartProcess writes o to file and starts the program exe with the arguments "hollow" and file; exe has to call
+// Main with file. The kernel kills the process when the rig ends.
 func StartProcess(exe, file string, o Options) (*Process, error) {
 	raw, err := json.Marshal(o)
 	if err != nil {
@@ -164,7 +164,8 @@
 
 const stopTimeout = 20 * time.Second
 
-// Stop closes the process's input, at which it shuts down in order, and kills it if it has not ended within stopTimeout.
+// Stop closes the process's input, at which it shuts down in order, and kills it if it has not ended within
+// stopTimeout.
 func (p *Process) Stop() {
 	p.in.Close()
 	kill := time.AfterFunc(stopTimeout, func() { p.cmd.Process.Kill() })
--- a/internal/rig/capacity/latency.go
+++ b/internal/rig/capacity/latency.go
@@ -20,7 +20,7 @@
 	latencyRounds     = 20
 	maxLatencyRounds  = 60                   // including void rounds
 	latencyWindow     = 2 * time.Second      // for each target in a round
-	steadyDelay       = 5 * time.Millisecond // maximum delay of the machine in a steady round; it is below the budget of added latency
+	steadyDelay       = 5 * time.Millisecond // maximum delay in a steady round, below the budget of added latency
 	minSteadyRequests = 890                  // requests of ten seconds at the design's rate
 	latencyWarm       = 5 * time.Second
 	answerBytes       = 2048
@@ -42,22 +42,22 @@
 	failureCounts map[string]int // number of failed requests by reason
 }
 
-// latency measures the latency that a real node adds to a request. It compares a node with the design's backends and
-// tenants, a node with few, and a backend itself. Requests go to the three in turn, in one run, at the design's rate for a
-// node.
+// latency measures the latency that a real node adds to a request. It compares a node with the design's backends
+// and tenants, a node with few, and a backend itself. Requests go to the three in turn, in one run, at the
+// design's rate for a node.
 func (r *run) latency(ctx context.Context, s *Section) error {
 	if err := r.checkFits(2, 0); err != nil {
 		return err
 	}
 	work := map[string]standin.Work{requestClass.Name: {Bytes: answerBytes}}
-	little := latencyTarget{name: "little", tenants: fewTenants}
-	much := latencyTarget{name: "design", tenants: int(Design.Tenants)}
+	littleState := latencyTarget{name: "little", tenants: fewTenants}
+	designState := latencyTarget{name: "design", tenants: int(Design.Tenants)}
 	var backend *standin.Server
-	for _, t := range []struct {
+	for _, target := range []struct {
 		*latencyTarget
 		backends int
-	}{{&little, serviceSize}, {&much, int(Design.Backends)}} {
-		servers, registry, err := openBackends(t.backends, work)
+	}{{&littleState, serviceSize}, {&designState, int(Design.Backends)}} {
+		servers, registry, err := openBackends(target.backends, work)
 		if err != nil {
 			return err
 		}
@@ -68,19 +68,19 @@
 			registry.Close()
 		}()
 		backend = servers[0]
-		if err := r.startTarget(ctx, t.latencyTarget, registry.Addr); err != nil {
+		if err := r.startTarget(ctx, target.latencyTarget, registry.Addr); err != nil {
 			return err
 		}
-		defer t.node.kill()
+		defer target.node.kill()
 	}
 	direct := latencyTarget{name: "direct", addr: backend.Addr, tenants: fewTenants}
-	targets := []*latencyTarget{&direct, &little, &much}
+	targets := []*latencyTarget{&direct, &littleState, &designState}
 	rate := Design.Requests / Design.Nodes
-	for _, t := range targets {
-		if _, err := t.load(ctx, rate, latencyWarm, r.Seed); err != nil {
+	for _, target := range targets {
+		if _, err := target.load(ctx, rate, latencyWarm, r.Seed); err != nil {
 			return err
 		}
-		t.served, t.failed, t.failureCounts = 0, 0, nil
+		target.served, target.failed, target.failureCounts = 0, 0, nil
 	}
 	good := 0
 	for round := 0; good < latencyRounds && round < maxLatencyRounds; round++ {
@@ -97,29 +97,29 @@
 		}
 		good++
 		s.MaxDelay = max(s.MaxDelay, late)
-		for i, t := range targets {
-			if t.addRound(got[i]); late <= steadyDelay {
-				t.steadyTimes.Merge(got[i].times)
+		for i, target := range targets {
+			if target.addRound(got[i]); late <= steadyDelay {
+				target.steadyTimes.Merge(got[i].times)
 			}
 		}
 	}
 	if direct.times.Count() == 0 {
 		return fmt.Errorf("latency: %w", errVoid)
 	}
-	for _, t := range targets {
-		s.addFigure(r.Out, t.name+".requests", float64(t.served), "requests served")
-		s.addFigure(r.Out, t.name+".failed", float64(t.failed), "requests")
-		for why, n := range t.failureCounts {
-			fmt.Fprintf(r.Out, "%s: %d times %s\n", t.name, n, why)
+	for _, target := range targets {
+		s.addFigure(r.Out, target.name+".requests", float64(target.served), "requests served")
+		s.addFigure(r.Out, target.name+".failed", float64(target.failed), "requests")
+		for why, n := range target.failureCounts {
+			fmt.Fprintf(r.Out, "%s: %d times %s\n", target.name, n, why)
 		}
-		if t.node == nil {
+		if target.node == nil {
 			continue
 		}
-		s.addFigure(r.Out, t.name+".processor", t.cpuTime.Seconds()/t.duration.Seconds(),
+		s.addFigure(r.Out, target.name+".processor", target.cpuTime.Seconds()/target.duration.Seconds(),
 			"cores at the design's 89 requests a second")
-		s.addFigure(r.Out, t.name+".memory", float64(memoryOf(t.node.pid(), "VmRSS"))/1024, "MiB")
+		s.addFigure(r.Out, target.name+".memory", float64(memoryOf(target.node.pid(), "VmRSS"))/1024, "MiB")
 	}
-	s.addLatencyFigures(r.Out, "p50", direct.times.Quantile(0.5), little.times.Quantile(0.5), much.times.Quantile(0.5))
+	s.addLatencyFigures(r.Out, "p50", direct.times.Quantile(0.5), littleState.times.Quantile(0.5), designState.times.Quantile(0.5))
 	s.addFigure(r.Out, "calm.requests", float64(direct.steadyTimes.Count()),
 		"requests to each in rounds in which the machine was late by 5 ms at most: the longest of a hundred is theirs")
 	if direct.steadyTimes.Count() < minSteadyRequests {
@@ -127,16 +127,16 @@
 			s.addMissing(r.Out, name+".p99", errVoid)
 		}
 	} else {
-		d, m := direct.steadyTimes.Quantile(0.99), much.steadyTimes.Quantile(0.99)
-		s.addLatencyFigures(r.Out, "p99", d, little.steadyTimes.Quantile(0.99), m)
-		s.addPromise(r.Out, (m-d).Seconds()*1e3 <= BudgetAddedLatency, "at most %.1f ms are added, 99 in 100", BudgetAddedLatency)
+		directP99, designP99 := direct.steadyTimes.Quantile(0.99), designState.steadyTimes.Quantile(0.99)
+		s.addLatencyFigures(r.Out, "p99", directP99, littleState.steadyTimes.Quantile(0.99), designP99)
+		s.addPromise(r.Out, (designP99-directP99).Seconds()*1e3 <= BudgetAddedLatency, "at most %.1f ms are added, 99 in 100", BudgetAddedLatency)
 	}
-	s.addPromise(r.Out, direct.failed+little.failed+much.failed == 0, "every request is served")
+	s.addPromise(r.Out, direct.failed+littleState.failed+designState.failed == 0, "every request is served")
 	return nil
 }
 
-// addLatencyFigures adds one quantile of the latencies of a backend, and of nodes with little state and with the design's
-// state before it.
+// addLatencyFigures adds one quantile of the latencies of a backend, and of nodes with little state and with the
+// design's state before it.
 func (s *Section) addLatencyFigures(out io.Writer, quantile string, direct, little, design time.Duration) {
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
 	for _, f := range []struct {
@@ -156,21 +156,22 @@
 	}
 }
 
-// latencyRound sends requests to each of the targets for latencyWindow, one target after the other, and returns the results.
+// latencyRound sends requests to each of the targets for latencyWindow, one target after the other, and returns
+// the results.
 func (r *run) latencyRound(ctx context.Context, targets []*latencyTarget, rate float64, round int) (got []latencyTarget, err error) {
-	for _, t := range targets {
-		one, before := latencyTarget{name: t.name, addr: t.addr, tenants: t.tenants, node: t.node}, time.Duration(0)
-		if t.node != nil {
-			before = processorOf(t.node.pid())
+	for _, target := range targets {
+		result, before := latencyTarget{name: target.name, addr: target.addr, tenants: target.tenants, node: target.node}, time.Duration(0)
+		if target.node != nil {
+			before = processorOf(target.node.pid())
 		}
-		if one.times, err = one.load(ctx, rate, latencyWindow, r.Seed+uint64(round)+1); err != nil {
+		if result.times, err = result.load(ctx, rate, latencyWindow, r.Seed+uint64(round)+1); err != nil {
 			return nil, err
 		}
-		if t.node != nil {
-			one.cpuTime = processorOf(t.node.pid()) - before
+		if target.node != nil {
+			result.cpuTime = processorOf(target.node.pid()) - before
 		}
-		one.duration = latencyWindow
-		got = append(got, one)
+		result.duration = latencyWindow
+		got = append(got, result)
 	}
 	return got, nil
 }
@@ -225,8 +226,8 @@
 
 var errNotServed = errors.New("not served")
 
-// load sends requests with random gaps at a mean rate (a second) for a time, each of a random tenant, without waiting for
-// answers (open loop), and returns the latencies of the served ones.
+// load sends requests with random gaps at a mean rate (a second) for a time, each of a random tenant, without
+// waiting for answers (open loop), and returns the latencies of the served ones.
 func (t *latencyTarget) load(ctx context.Context, rate float64, length time.Duration, seed uint64) (times standin.Times,
 	err error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
--- a/internal/rig/capacity/machines.go
+++ b/internal/rig/capacity/machines.go
@@ -78,7 +78,8 @@
 most_out = 20000
 `
 
-// openSite starts the control machines and a registry that lists the given number of backends, and waits for a leader.
+// openSite starts the control machines and a registry that lists the given number of backends, and waits for a
+// leader.
 func (r *run) openSite(ctx context.Context, backends int, regional bool) (_ *site, err error) {
 	s := &site{program: r.program, hollowProgram: r.hollowProgram, regional: regional}
 	if s.folder, err = os.MkdirTemp(r.folder, "site"); err != nil {
@@ -158,8 +159,8 @@
 	wire *standin.Wire
 }
 
-// seenFrom returns the fleet's common settings for a zone, with the addresses at which the control machines are reached
-// from there.
+// seenFrom returns the fleet's common settings for a zone, with the addresses at which the control machines are
+// reached from there.
 func (s *site) seenFrom(zone string) (*hollow.Fleet, error) {
 	f := s.fleet
 	if !s.regional {
@@ -328,8 +329,8 @@
 	os.RemoveAll(s.folder)
 }
 
-// memoryFolder returns the folder for hollow nodes' files, in memory if the machine offers that. A real node has a disk of
-// its own. With hundreds of nodes that sync their files to one disk, the rig would measure that disk.
+// memoryFolder returns the folder for hollow nodes' files, in memory if the machine offers that. A real node has a
+// disk of its own. With hundreds of nodes that sync their files to one disk, the rig would measure that disk.
 func memoryFolder() string {
 	const shared = "/dev/shm"
 	if info, err := os.Stat(shared); err == nil && info.IsDir() {
--- a/internal/rig/capacity/messages.go
+++ b/internal/rig/capacity/messages.go
@@ -12,9 +12,9 @@
 	"starlingvalve/internal/gossip"
 )
 
-// The load messages of a service are measured in virtual time. Each node of the fleet has a real decision module, with the
-// service's backends. Requests of each node arrive at random, and each message reaches its receiver's module. Services don't
-// share messages, so the messages of a node are the sum over its services.
+// The load messages of a service are measured in virtual time. Each node of the fleet has a real decision module,
+// with the service's backends. Requests of each node arrive at random, and each message reaches its receiver's
+// module. Services don't share messages, so the messages of a node are the sum over its services.
 
 const (
 	simStep    = 5 * time.Millisecond // of virtual time; minimum time between two events of a module
@@ -173,8 +173,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// messages measures the load messages of a node, by fleet size for one service, and by number of services for the whole
-// fleet. Each node gets the design's requests, spread evenly over its services.
+// messages measures the load messages of a node, by fleet size for one service, and by number of services for the
+// whole fleet. Each node gets the design's requests, spread evenly over its services.
 func (r *run) messages(ctx context.Context, s *Section) error {
 	perNode := Design.Requests / Design.Nodes
 	audience := r.audiences(s)
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// audiences adds the mean number of others that a node sends its load messages to, because their subsets overlap its own,
-// and returns that for the design size.
+// audiences adds the mean number of others that a node sends its load messages to, because their subsets overlap
+// its own, and returns that for the design size.
 func (r *run) audiences(s *Section) (design float64) {
 	mean := func(nodes, backends int) float64 {
 		sum := 0
--- a/internal/rig/capacity/nodes.go
+++ b/internal/rig/capacity/nodes.go
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// nodes measures the cost of sessions, heartbeats, watches and drains as the fleet grows, with hollow nodes and five real
-// control machines. At the largest size it adds failures and bursts of changes.
+// nodes measures the cost of sessions, heartbeats, watches and drains as the fleet grows, with hollow nodes and
+// five real control machines. At the largest size it adds failures and bursts of changes.
 func (r *run) nodes(ctx context.Context, s *Section) error {
 	sizes, window, drains := r.nodeSizes()
 	largest := slices.Max(sizes)
@@ -141,11 +141,11 @@
 }
 
 // rest measures a fleet without changes.
-func (r *run) rest(ctx context.Context, s *Section, site *site, size int, window time.Duration, p *slopePoints) error {
-	var d usageRates
+func (r *run) rest(ctx context.Context, s *Section, site *site, size int, window time.Duration, slopes *slopePoints) error {
+	var rates usageRates
 	late, err := r.guard.runUndelayed(ctx, "rest", counts, maxRepeats, func() (err error) {
-		if d, err = site.window(ctx, window, size); err == nil {
-			raiseMax(&r.guard.coreDelay, d.pause)
+		if rates, err = site.window(ctx, window, size); err == nil {
+			raiseMax(&r.guard.coreDelay, rates.pause)
 		}
 		return err
 	}, noCleanup)
@@ -163,7 +163,7 @@
 			followers += float64(memoryOf(m.pid(), "VmRSS")) / 1024 / (controlMachines - 1)
 		}
 	}
-	c, err := site.counts()
+	totals, err := site.counts()
 	if err != nil {
 		return err
 	}
@@ -176,27 +176,27 @@
 		value float64
 		unit  string
 	}{
-		{"leader.processor", d.leaderProcessor, "cores"},
+		{"leader.processor", rates.leaderProcessor, "cores"},
 		{"leader.memory", float64(memoryOf(site.voters[leader].pid(), "VmRSS")) / 1024, "MiB"},
-		{"leader.datagrams", d.leaderIn + d.leaderOut, "datagrams/s in and out"},
-		{"leader.bytes", d.leaderBytes, "bytes/s in and out, with headers"},
-		{"follower.processor", d.followerProcessor, "cores"},
+		{"leader.datagrams", rates.leaderIn + rates.leaderOut, "datagrams/s in and out"},
+		{"leader.bytes", rates.leaderBytes, "bytes/s in and out, with headers"},
+		{"follower.processor", rates.followerProcessor, "cores"},
 		{"follower.memory", followers, "MiB"},
-		{"follower.bytes", d.followerBytes, "bytes/s in and out, with headers"},
-		{"node.processor", d.nodeProcessor, "cores, of a hollow node"},
-		{"node.datagrams", d.nodeDatagrams, "datagrams/s in and out"},
-		{"node.bytes", d.nodeBytes, "bytes/s in and out, with headers"},
-		{"node.calls", d.nodeCalls, "calls/s"},
-		{"hollow.memory", float64(c.ResidentKiB) / 1024, "MiB, of all hollow nodes"},
+		{"follower.bytes", rates.followerBytes, "bytes/s in and out, with headers"},
+		{"node.processor", rates.nodeProcessor, "cores, of a hollow node"},
+		{"node.datagrams", rates.nodeDatagrams, "datagrams/s in and out"},
+		{"node.bytes", rates.nodeBytes, "bytes/s in and out, with headers"},
+		{"node.calls", rates.nodeCalls, "calls/s"},
+		{"hollow.memory", float64(totals.ResidentKiB) / 1024, "MiB, of all hollow nodes"},
 		{"state.bytes", stateBytes, "bytes of JSON, the whole state"},
 		{"state.took", stateTook.Seconds() * 1e3, "ms until the whole state has come"},
 		{"leader.disk", site.logSize(leader) / 1024, "KiB of the log's file"},
 	} {
 		s.addFigure(r.Out, fmt.Sprintf("%d.rest.%s", size, f.name), f.value, f.unit)
-		p.add("rest."+f.name, f.unit, float64(size), f.value)
+		slopes.add("rest."+f.name, f.unit, float64(size), f.value)
 	}
-	s.addFigure(r.Out, fmt.Sprintf("%d.rest.follower.share", size), d.followerBytes/d.leaderBytes, "of the leader's bytes")
-	s.addFigure(r.Out, fmt.Sprintf("%d.rest.entries", size), d.entries, "entries/s of the log")
+	s.addFigure(r.Out, fmt.Sprintf("%d.rest.follower.share", size), rates.followerBytes/rates.leaderBytes, "of the leader's bytes")
+	s.addFigure(r.Out, fmt.Sprintf("%d.rest.entries", size), rates.entries, "entries/s of the log")
 	return nil
 }
 
--- a/internal/rig/capacity/page.go
+++ b/internal/rig/capacity/page.go
@@ -26,7 +26,7 @@
 	"estimates": estimatesTable,
 	"slopes":    slopesTable,
 	"missing":   missingTable,
-	"effects":   effectsTable,
+	"effects":   assumptionsTable,
 	"calibrate": calibrateTable,
 	"promises":  promisesTable,
 }
@@ -207,29 +207,29 @@
 }
 
 func roleTable(r *Results, role role) (string, error) {
-	var g grid
-	g.head("what", "when", "measured", "line", "budget", "factor", "carried by")
+	var table grid
+	table.head("what", "when", "measured", "line", "budget", "factor", "carried by")
 	for _, e := range role.entries {
 		if e.figure == "" {
-			g.row(e.what, e.when, "*not run*", "", e.budgetText(), "-", e.mechanism)
+			table.row(e.what, e.when, "*not run*", "", e.budgetText(), "-", e.mechanism)
 			continue
 		}
 		v, e, err := r.valueOf(e)
 		if why := r.missingReason(e.figure); err != nil && why != "" {
-			g.row(e.what, e.when, "*"+why+"*", "", e.budgetText(), "-", e.mechanism)
+			table.row(e.what, e.when, "*"+why+"*", "", e.budgetText(), "-", e.mechanism)
 			continue
 		}
 		if err != nil {
 			return "", err
 		}
-		g.row(e.what, e.when, v.String(), v.formula, e.budgetText(), factor(v.value, e.budget), e.mechanism)
+		table.row(e.what, e.when, v.String(), v.formula, e.budgetText(), factor(v.value, e.budget), e.mechanism)
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
 
 func calibrateTable(r *Results) (string, error) {
-	var g grid
-	g.head("figure", "nodes", "real", "hollow", "hollow over real", "")
+	var table grid
+	table.head("figure", "nodes", "real", "hollow", "hollow over real", "")
 	for _, name := range []string{"calls", "datagrams", "bytes", "processor", "memory"} {
 		for _, size := range []int{10, 40} {
 			at := fmt.Sprintf("calibrate.%d.%s.", size, name)
@@ -244,9 +244,9 @@
 			if v[2].value < 1-maxDifference || v[2].value > 1+maxDifference {
 				verdict = "differs: the figure of real nodes is used"
 			}
-			g.row(name+", "+v[0].unit, fmt.Sprint(size), formatValue(v[0].value), formatValue(v[1].value), formatValue(v[2].value),
+			table.row(name+", "+v[0].unit, fmt.Sprint(size), formatValue(v[0].value), formatValue(v[1].value), formatValue(v[2].value),
 				verdict)
 		}
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
--- a/internal/rig/capacity/reading.go
+++ b/internal/rig/capacity/reading.go
@@ -58,50 +58,50 @@
 	return float64(t.BytesIn+t.BytesOut) + headerBytes*float64(t.DatagramsIn+t.DatagramsOut)
 }
 
-func ratesBetween(a, b reading, nodes int) (d usageRates) {
-	d.seconds = b.at.Sub(a.at).Seconds()
-	followers := float64(len(a.cpuTimes) - 1)
-	for i := range a.cpuTimes {
-		cpu := (b.cpuTimes[i] - a.cpuTimes[i]).Seconds() / d.seconds
-		bytes := (wireBytes(b.traffic[i]) - wireBytes(a.traffic[i])) / d.seconds
-		if i != b.leader {
-			d.followerProcessor, d.followerBytes = d.followerProcessor+cpu/followers, d.followerBytes+bytes/followers
+func ratesBetween(before, after reading, nodes int) (rates usageRates) {
+	rates.seconds = after.at.Sub(before.at).Seconds()
+	followers := float64(len(before.cpuTimes) - 1)
+	for i := range before.cpuTimes {
+		cpu := (after.cpuTimes[i] - before.cpuTimes[i]).Seconds() / rates.seconds
+		bytes := (wireBytes(after.traffic[i]) - wireBytes(before.traffic[i])) / rates.seconds
+		if i != after.leader {
+			rates.followerProcessor, rates.followerBytes = rates.followerProcessor+cpu/followers, rates.followerBytes+bytes/followers
 			continue
 		}
-		d.leaderProcessor, d.leaderBytes = cpu, bytes
-		d.leaderOut = float64(b.traffic[i].DatagramsOut-a.traffic[i].DatagramsOut) / d.seconds
-		d.leaderIn = float64(b.traffic[i].DatagramsIn-a.traffic[i].DatagramsIn) / d.seconds
+		rates.leaderProcessor, rates.leaderBytes = cpu, bytes
+		rates.leaderOut = float64(after.traffic[i].DatagramsOut-before.traffic[i].DatagramsOut) / rates.seconds
+		rates.leaderIn = float64(after.traffic[i].DatagramsIn-before.traffic[i].DatagramsIn) / rates.seconds
 	}
-	each := d.seconds * float64(nodes)
-	d.nodeProcessor = (b.hollow.CPUTime - a.hollow.CPUTime).Seconds() / each
-	x, y := a.hollow.Traffic, b.hollow.Traffic
-	d.nodeDatagrams = float64(y.DatagramsIn+y.DatagramsOut-x.DatagramsIn-x.DatagramsOut) / each
-	d.nodeBytes = (wireBytes(y) - wireBytes(x)) / each
-	d.callsByKind = map[uint64]float64{}
-	for kind, n := range y.Calls {
-		d.callsByKind[kind] = float64(n-x.Calls[kind]) / each
-		d.nodeCalls += d.callsByKind[kind]
+	each := rates.seconds * float64(nodes)
+	rates.nodeProcessor = (after.hollow.CPUTime - before.hollow.CPUTime).Seconds() / each
+	trafficBefore, trafficAfter := before.hollow.Traffic, after.hollow.Traffic
+	rates.nodeDatagrams = float64(trafficAfter.DatagramsIn+trafficAfter.DatagramsOut-trafficBefore.DatagramsIn-trafficBefore.DatagramsOut) / each
+	rates.nodeBytes = (wireBytes(trafficAfter) - wireBytes(trafficBefore)) / each
+	rates.callsByKind = map[uint64]float64{}
+	for kind, n := range trafficAfter.Calls {
+		rates.callsByKind[kind] = float64(n-trafficBefore.Calls[kind]) / each
+		rates.nodeCalls += rates.callsByKind[kind]
 	}
-	d.pause = b.hollow.LongestPause
-	d.entries = float64(b.applied-a.applied) / d.seconds
-	return d
+	rates.pause = after.hollow.LongestPause
+	rates.entries = float64(after.applied-before.applied) / rates.seconds
+	return rates
 }
 
 // window measures the rates over a time. It returns errLeaderMoved if the leader or its term changed in that time.
 func (s *site) window(ctx context.Context, length time.Duration, nodes int) (usageRates, error) {
-	a, err := s.read(ctx)
+	before, err := s.read(ctx)
 	if err != nil {
 		return usageRates{}, err
 	}
 	if err := sleep(ctx, length); err != nil {
 		return usageRates{}, err
 	}
-	b, err := s.read(ctx)
+	after, err := s.read(ctx)
 	if err != nil {
 		return usageRates{}, err
 	}
-	if a.leader != b.leader || a.term != b.term {
+	if before.leader != after.leader || before.term != after.term {
 		return usageRates{}, errLeaderMoved
 	}
-	return ratesBetween(a, b, nodes), nil
+	return ratesBetween(before, after, nodes), nil
 }
--- a/internal/rig/capacity/regions.go
+++ b/internal/rig/capacity/regions.go
@@ -54,8 +54,9 @@
 	return nil
 }
 
-// partition cuts the traffic from some regions to the others for a while and drains a backend in that time, through the side
-// with the majority. It measures the drain on that side, and on all nodes once the paths are restored.
+// partition cuts the traffic from some regions to the others for a while and drains a backend in that time,
+// through the side with the majority. It measures the drain on that side, and on all nodes once the paths are
+// restored.
 func (r *run) partition(ctx context.Context, s *Section, site *site, name string, from []string, lasted time.Duration,
 	size int, backend string) error {
 	if err := r.guard.awaitSteady(ctx, timesOfLog); err != nil {
@@ -83,12 +84,12 @@
 	if err := sleep(ctx, lasted-time.Since(began)); err != nil {
 		return err
 	}
-	c, err := site.counts()
+	totals, err := site.counts()
 	if err != nil {
 		return err
 	}
 	s.addFigure(r.Out, name+".lasted", time.Since(began).Seconds(), "s for which the paths were cut")
-	s.addFigure(r.Out, name+".sessions", float64(c.Live),
+	s.addFigure(r.Out, name+".sessions", float64(totals.Live),
 		fmt.Sprintf("hollow nodes that still have a session then, of %d", size))
 	before, err := site.read(ctx)
 	if err != nil {
@@ -117,14 +118,14 @@
 	if err != nil {
 		return err
 	}
-	d := ratesBetween(before, after, size)
+	rates := ratesBetween(before, after, size)
 	late := r.guard.takeMaxDelay(timesOfLog)
 	r.addUnlessDelayed(s, late, name+".known.all", last.Seconds()*1e3,
 		"ms from when the paths are whole until it is known at the last node")
 	r.addUnlessDelayed(s, late, name+".live", lived.Seconds(), "s from then until all have a session")
-	s.addFigure(r.Out, name+".node.bytes", d.nodeBytes*d.seconds,
+	s.addFigure(r.Out, name+".node.bytes", rates.nodeBytes*rates.seconds,
 		"bytes of a node in that time, in and out, with headers, the mean")
-	s.addFigure(r.Out, name+".leader.processor", d.leaderProcessor*d.seconds,
+	s.addFigure(r.Out, name+".leader.processor", rates.leaderProcessor*rates.seconds,
 		"s of the leader's processor time in that time")
 	return nil
 }
--- a/internal/rig/capacity/results.go
+++ b/internal/rig/capacity/results.go
@@ -29,7 +29,7 @@
 	Seed     uint64        `json:"seed"`
 	Quick    bool          `json:"quick"`
 	Machine  string        `json:"machine"`
-	Load     string        `json:"load"`    // the machine's load average before and after, which shows other work on the machine
+	Load     string        `json:"load"`    // load average before and after, which shows other work on the machine
 	MaxDelay time.Duration `json:"late_ns"` // longest delay of the machine while times were measured
 	Peak     struct {
 		Processes int `json:"processes"`
@@ -90,18 +90,18 @@
 		sizes, values = append(sizes, p.Size), append(values, p.Value)
 		largest = max(largest, math.Abs(p.Value))
 	}
-	s := Slope{Name: name, Unit: unit, Per: per, Points: points, Design: design}
-	s.Base, s.Slope = stat.LinearRegression(sizes, values, nil, false)
+	slope := Slope{Name: name, Unit: unit, Per: per, Points: points, Design: design}
+	slope.Base, slope.Slope = stat.LinearRegression(sizes, values, nil, false)
 	for _, p := range points {
 		if largest > 0 {
-			s.Residual = max(s.Residual, math.Abs(p.Value-s.Base-s.Slope*p.Size)/largest)
+			slope.Residual = max(slope.Residual, math.Abs(p.Value-slope.Base-slope.Slope*p.Size)/largest)
 		}
 	}
-	s.AtDesign, s.Extrapolated = s.Base+s.Slope*design, design > slices.Max(sizes)
+	slope.AtDesign, slope.Extrapolated = slope.Base+slope.Slope*design, design > slices.Max(sizes)
 	if at := slices.Index(sizes, design); at >= 0 {
-		s.AtDesign = values[at]
+		slope.AtDesign = values[at]
 	}
-	return s, nil
+	return slope, nil
 }
 
 // addFigure adds and prints a measured value.
--- a/internal/rig/capacity/roles.go
+++ b/internal/rig/capacity/roles.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// roleEntry is a row of a role's table: the quantity, the load condition, the figure, its budget, and the mechanism that
-// handles the load.
+// roleEntry is a row of a role's table: the quantity, the load condition, the figure, its budget, and the
+// mechanism that handles the load.
 type roleEntry struct {
 	what, when string
 	figure     string // name of a figure or a slope; empty: not run
@@ -225,7 +225,8 @@
 	}},
 }
 
-// missingTable lists the loads that no part of the program can handle at the design size, the furthest over budget first.
+// missingTable lists the loads that no part of the program can handle at the design size, the furthest over budget
+// first.
 func missingTable(r *Results) (string, error) {
 	type lack struct {
 		roleEntry
@@ -262,8 +263,8 @@
 		return l.factor
 	}
 	slices.SortStableFunc(list, func(a, b lack) int { return cmp.Compare(order(b), order(a)) })
-	var g grid
-	g.head("", "what", "measured", "budget", "factor", "carried by")
+	var table grid
+	table.head("", "what", "measured", "budget", "factor", "carried by")
 	for i, l := range list {
 		measured, over := l.value.String(), factor(l.value.value, l.budget)
 		if l.why != "" {
@@ -275,7 +276,7 @@
 				over = "**no bound**: nothing carries it"
 			}
 		}
-		g.row(fmt.Sprint(i+1), l.what+", "+l.when, measured, l.budgetText(), over, l.mechanism)
+		table.row(fmt.Sprint(i+1), l.what+", "+l.when, measured, l.budgetText(), over, l.mechanism)
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
--- a/internal/rig/soak/check.go
+++ b/internal/rig/soak/check.go
@@ -17,15 +17,15 @@
 const (
 	DrainGrace      = 550 * time.Millisecond // after a drain notice: 500 ms by the settings, 50 ms for sockets
 	TimingTolerance = 150 * time.Millisecond // delay of the machine above which a run is void
-	answerGrace     = 500 * time.Millisecond // after the deadline: an answer within it is only worthless, a later one counts as lost
+	answerGrace     = 500 * time.Millisecond // after the deadline: an answer within it is worthless, a later one lost
 	departureGrace  = 100 * time.Millisecond // after a client has left, in which an attempt may still reach a server
 	deadlineSlack   = 150 * time.Millisecond // by which the time sent to a server may exceed the time left
-	stalledWithin   = 3 * time.Second        // until a client that stopped in the middle of a request gets an error or a close
+	stalledWithin   = 3 * time.Second        // until a client that stopped within a request gets an error or a close
 	closeWithin     = 300 * time.Millisecond // under connection pressure, until an unread new connection is closed
 	handoverGrace   = 2 * time.Second        // after a successor serves: from then on discovery's notifications bind it
 	usualStartTime  = 10 * time.Second       // limit for nine in ten starts
 	maxStartTime    = 30 * time.Second       // limit for every start
-	slowStartFactor = 2.5                    // permitted load of a server in slow start, relative to its capacity at that time
+	slowStartFactor = 2.5                    // permitted load in slow start, relative to the server's capacity then
 	slowStartWindow = time.Second
 )
 
@@ -42,7 +42,7 @@
 	ClientLeft         map[string]time.Time // when the client left, by request id
 	Stalled            []StalledClient
 	StartTimes         []time.Duration           // time from start to ready of each process
-	UnexpectedEnds     []string                  // descriptions of processes that ended on their own, or did not end when signalled
+	UnexpectedEnds     []string                  // processes that ended on their own, or did not end when signalled
 	GuardViolations    map[string]map[string]int // violations by node and rule, as the nodes count them
 }
 
@@ -83,7 +83,8 @@
 	return overlapsAny(e.Killed[node], from, to)
 }
 
-// overlapsAny reports whether the period between from and to, extended by TimingTolerance at both ends, overlaps one of the spans.
+// overlapsAny reports whether the period between from and to, extended by TimingTolerance at both ends, overlaps
+// one of the spans.
 func overlapsAny(spans []Span, from, to time.Time) bool {
 	for _, s := range spans {
 		if !to.Add(TimingTolerance).Before(s.From) && !from.Add(-TimingTolerance).After(s.To) {
@@ -93,13 +94,14 @@
 	return false
 }
 
-// closedUnread reports whether a connection was closed at once under connection pressure, before its request was read.
+// closedUnread reports whether a connection was closed at once under connection pressure, before its request was
+// read.
 func (e *Evidence) closedUnread(a standin.Answer) bool {
 	return a.Status == 0 && a.EndedAt.Sub(a.Sent) < closeWithin && overlapsAny(e.ConnectionPressure[NodeOf(a.ID)], a.Sent, a.EndedAt)
 }
 
-// lost checks that each request that a node accepted has exactly one final answer, half a second after its deadline at
-// the latest.
+// lost checks that each request that a node accepted has exactly one final answer, half a second after its
+// deadline at the latest.
 func (e *Evidence) lost() standin.Verdict {
 	v := standin.Verdict{Rule: "lost: each request has its final answer"}
 	seen := map[string]bool{}
@@ -195,7 +197,8 @@
 	return v
 }
 
-// failback checks that no server in slow start gets more requests in a sliding window than all nodes together may send it.
+// failback checks that no server in slow start gets more requests in a sliding window than all nodes together may
+// send it.
 func (e *Evidence) failback() standin.Verdict {
 	v := standin.Verdict{Rule: "failback: no server in slow start is overloaded"}
 	for _, c := range e.ColdStarts {
@@ -221,8 +224,9 @@
 	return v
 }
 
-// maxRequests returns how many requests a server may get in the window that ends at a time: slowStartFactor times its
-// capacity then, plus two standard deviations of a Poisson count (three where that is below 30).
+// maxRequests returns how many requests a server may get in the window that ends at a time: slowStartFactor times
+// its capacity then, plus room for chance: two standard deviations of a Poisson count and 2 (three and 3 if it is
+// below 30).
 func (c ColdStart) maxRequests(at time.Time) int {
 	part := min(1, c.InitialShare+(1-c.InitialShare)*at.Sub(c.Started).Seconds()/c.RampTime.Seconds())
 	n := slowStartFactor * part * c.Rate * slowStartWindow.Seconds()
@@ -277,9 +281,9 @@
 	return v
 }
 
-// restarts checks that processes end when they are signalled and never on their own, that nine in ten starts are ready
-// within usualStartTime, and that all are within maxStartTime. Not all starts can be fast: a process has no usable list if all
-// its calls to discovery time out while other nodes report that discovery answers them.
+// restarts checks that processes end when they are signalled and never on their own, that nine in ten starts are
+// ready within usualStartTime, and that all are within maxStartTime. Not all starts can be fast: a process has no
+// usable list if all its calls to discovery time out while other nodes report that discovery answers them.
 func (e *Evidence) restarts() standin.Verdict {
 	v := standin.Verdict{Rule: "nine in ten processes start within 10 s, and all end only when they are told to", Cases: len(e.StartTimes) + len(e.UnexpectedEnds)}
 	for _, why := range e.UnexpectedEnds {
--- a/internal/rig/soak/check_test.go
+++ b/internal/rig/soak/check_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// The checker excuses requests lost to a SIGKILL, and requests to a draining server until 2 s after a handover. A wider
-// excuse would hide violations.
+// The checker excuses requests lost to a SIGKILL, and requests to a draining server until 2 s after a handover. A
+// wider excuse would hide violations.
 func TestWhatIsExcused(t *testing.T) {
 	t.Parallel()
 	e := cleanRun()
@@ -182,9 +182,9 @@
 	}
 }
 
-// Under connection pressure a node may close a new connection unread, if it does so soon. A request that waits and gets no
-// answer is lost even then, and so is one that a process leaves unanswered when it is killed after SIGTERM: only a SIGKILL
-// without prior notice is excused.
+// Under connection pressure a node may close a new connection unread, if it does so soon. A request that waits and
+// gets no answer is lost even then, and so is one that a process leaves unanswered when it is killed after
+// SIGTERM: only a SIGKILL without prior notice is excused.
 func TestNotExcused(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
--- a/internal/rig/soak/profile.go
+++ b/internal/rig/soak/profile.go
@@ -27,18 +27,18 @@
 
 // ProfileOf draws a run's profile. The same seed gives the same profile.
 func ProfileOf(seed uint64) Profile {
-	r := rand.New(rand.NewPCG(seed, 0x70726f66))
-	p := Profile{Nodes: largeFleet, Rate: usualRate, Peers: r.IntN(2) == 0, DiscoveryCallTime: 30 * time.Millisecond}
-	if r.IntN(3) == 0 {
-		p.Nodes, p.DiscoveryCallTime = smallFleet, 150*time.Millisecond
+	random := rand.New(rand.NewPCG(seed, 0x70726f66))
+	profile := Profile{Nodes: largeFleet, Rate: usualRate, Peers: random.IntN(2) == 0, DiscoveryCallTime: 30 * time.Millisecond}
+	if random.IntN(3) == 0 {
+		profile.Nodes, profile.DiscoveryCallTime = smallFleet, 150*time.Millisecond
 	}
-	p.Balancers = p.Nodes
-	if r.IntN(3) == 0 {
-		p.Balancers = hugeFleet
+	profile.Balancers = profile.Nodes
+	if random.IntN(3) == 0 {
+		profile.Balancers = hugeFleet
 	}
-	p.Patience = []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond}[r.IntN(3)]
-	if r.IntN(3) == 0 {
-		p.Rate = heavyRate * largeFleet / float64(p.Nodes)
+	profile.Patience = []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond}[random.IntN(3)]
+	if random.IntN(3) == 0 {
+		profile.Rate = heavyRate * largeFleet / float64(profile.Nodes)
 	}
-	return p
+	return profile
 }
--- a/internal/rig/soak/schedule.go
+++ b/internal/rig/soak/schedule.go
@@ -17,7 +17,8 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds of faults. A node fault concerns one node, a server fault one server, and a discovery fault the whole run.
+// The kinds of faults. A node fault concerns one node, a server fault one server, and a discovery fault the whole
+// run.
 const (
 	Restart        Kind = "restart"       // SIGTERM, and a new process once it has ended
 	Kill           Kind = "kill"          // SIGKILL, and a new process after the length
@@ -68,14 +69,14 @@
 	Server int     `json:"server"` // index of the server, for server faults
 }
 
-// Draw draws a schedule of overlapping faults for a run of the given length: drains and replacements of servers all the
-// time, and within each other track every kind once before any kind repeats. Each node, each server and discovery has at
-// most one fault at a time. The same arguments give the same schedule.
+// Draw draws a schedule of overlapping faults for a run of the given length: drains and replacements of servers
+// all the time, and within each other track every kind once before any kind repeats. Each node, each server and
+// discovery has at most one fault at a time. The same arguments give the same schedule.
 func Draw(seed uint64, length time.Duration, nodes, servers int) (list []Fault) {
-	r := rand.New(rand.NewPCG(seed, 0x736f616b))
+	random := rand.New(rand.NewPCG(seed, 0x736f616b))
 	end := length.Seconds() - 4
 	for _, kinds := range [][]Kind{nodeKinds, nodeKinds, serverKinds, discoveryKinds, {Drain, Replace}} {
-		list = append(list, drawTrack(r, kinds, end, nodes, servers)...)
+		list = append(list, drawTrack(random, kinds, end, nodes, servers)...)
 	}
 	slices.SortStableFunc(list, func(a, b Fault) int {
 		if a.At < b.At {
@@ -86,36 +87,37 @@
 	return withoutOverlap(list)
 }
 
-// One in longOutageOneIn faults of discovery is lengthened by longOutageSeconds, so that it lasts longer than a change
-// of the list may go unnoticed.
+// One in longOutageOneIn faults of discovery is lengthened by longOutageSeconds, so that it lasts longer than a
+// change of the list may go unnoticed.
 const (
 	longOutageOneIn   = 3
 	longOutageSeconds = 6
 )
 
-// drawTrack draws faults with increasing start times until end (seconds). Every kind comes once, in random order, before
-// any kind repeats.
-func drawTrack(r *rand.Rand, kinds []Kind, end float64, nodes, servers int) (list []Fault) {
+// drawTrack draws faults with increasing start times until end (seconds). Every kind comes once, in random order,
+// before any kind repeats.
+func drawTrack(random *rand.Rand, kinds []Kind, end float64, nodes, servers int) (list []Fault) {
 	var left []Kind
-	for at := 1 + r.Float64(); ; {
+	for at := 1 + random.Float64(); ; {
 		if len(left) == 0 {
 			left = slices.Clone(kinds)
-			r.Shuffle(len(left), func(i, j int) { left[i], left[j] = left[j], left[i] })
+			random.Shuffle(len(left), func(i, j int) { left[i], left[j] = left[j], left[i] })
 		}
-		f := Fault{At: at, Length: 0.3 + 3*r.Float64(), Kind: left[0], Node: r.IntN(nodes), Server: r.IntN(servers)}
+		fault := Fault{At: at, Length: 0.3 + 3*random.Float64(), Kind: left[0], Node: random.IntN(nodes), Server: random.IntN(servers)}
 		left = left[1:]
-		if slices.Contains(discoveryKinds, f.Kind) && r.IntN(longOutageOneIn) == 0 {
-			f.Length += longOutageSeconds
+		if slices.Contains(discoveryKinds, fault.Kind) && random.IntN(longOutageOneIn) == 0 {
+			fault.Length += longOutageSeconds
 		}
-		if f.At+f.Length > end {
+		if fault.At+fault.Length > end {
 			return list
 		}
-		list = append(list, f)
-		at += 0.3 + 1.5*r.Float64()
+		list = append(list, fault)
+		at += 0.3 + 1.5*random.Float64()
 	}
 }
 
-// withoutOverlap leaves out faults that begin while the same target still has another one, or settles after it.
+// withoutOverlap leaves out faults that begin before the previous fault of the same target has ended and the
+// target has had time to recover.
 func withoutOverlap(list []Fault) (kept []Fault) {
 	free := map[string]float64{}
 	const settle = 2.5 // seconds that a target needs to recover
@@ -138,8 +140,8 @@
 	return "discovery"
 }
 
-// ChangesProcess reports whether a fault ends, starts or signals a node's process. Such faults of one node are carried
-// out one after another, because a process may take seconds to end.
+// ChangesProcess reports whether a fault ends, starts or signals a node's process. Such faults of one node are
+// carried out one after another, because a process may take seconds to end.
 func (f Fault) ChangesProcess() bool {
 	switch f.Kind {
 	case Restart, Kill, Handover, Pause, Reload, ClockStep, HupTwice, HupTerm, TermTwice, TermAtStart, TermHandover:
@@ -161,8 +163,8 @@
 	}
 }
 
-// Read reads the schedule that Print has written to a file, and skips other lines. It refuses faults that don't fit the
-// given numbers of nodes and servers.
+// Read reads the schedule that Print has written to a file, and skips other lines. It refuses faults that don't
+// fit the given numbers of nodes and servers.
 func Read(path string, nodes, servers int) (list []Fault, err error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -170,19 +172,19 @@
 	}
 	defer file.Close()
 	lines := bufio.NewScanner(file)
-	for n := 1; lines.Scan(); n++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		text, ok := strings.CutPrefix(lines.Text(), linePrefix)
 		if !ok {
 			continue
 		}
-		var f Fault
-		if err := json.Unmarshal([]byte(text), &f); err != nil {
-			return nil, fmt.Errorf("%s:%d: %w", path, n, err)
+		var fault Fault
+		if err := json.Unmarshal([]byte(text), &fault); err != nil {
+			return nil, fmt.Errorf("%s:%d: %w", path, lineNumber, err)
 		}
-		if !slices.Contains(Kinds(), f.Kind) || f.Node < 0 || f.Node >= nodes || f.Server < 0 || f.Server >= servers || f.At < 0 || f.Length <= 0 || f.Length > 600 {
-			return nil, fmt.Errorf("%s:%d: not a valid fault for %d nodes and %d servers: %s", path, n, nodes, servers, text)
+		if !slices.Contains(Kinds(), fault.Kind) || fault.Node < 0 || fault.Node >= nodes || fault.Server < 0 || fault.Server >= servers || fault.At < 0 || fault.Length <= 0 || fault.Length > 600 {
+			return nil, fmt.Errorf("%s:%d: not a valid fault for %d nodes and %d servers: %s", path, lineNumber, nodes, servers, text)
 		}
-		list = append(list, f)
+		list = append(list, fault)
 	}
 	return list, lines.Err()
 }
