--- a/internal/rig/capacity/configuration.go
+++ b/internal/rig/capacity/configuration.go
@@ -270,9 +270,9 @@
 		return took, err
 	}
 	began := make([]time.Time, count) // start of the change that makes the revision first + 1 + i
-	asked := make(chan error, 1)
+	requested := make(chan error, 1)
 	start := time.Now()
-	go func() { asked <- s.requestBurst(ctx, start, count) }()
+	go func() { requested <- s.requestBurst(ctx, start, count) }()
 	for i := range began {
 		began[i] = start.Add(time.Duration(i) * burstLength / time.Duration(count))
 	}
@@ -286,7 +286,7 @@
 			return took, fmt.Errorf("%d of %d changes are in force: %w", seen, count, err)
 		}
 	}
-	return took, <-asked
+	return took, <-requested
 }
 
 // requestBurst makes changes one after the other, each no sooner than its scheduled time.
--- a/internal/rig/capacity/faults.go
+++ b/internal/rig/capacity/faults.go
@@ -44,12 +44,12 @@
 	failed time.Time) (time.Duration, error) {
 	backend := backendName(*next)
 	*next++
-	asked := time.Now()
+	requestedAt := time.Now()
 	d, err := s.drain(ctx, through, backend, size)
 	if err != nil {
 		return 0, err
 	}
-	return d.last + asked.Sub(failed), propose(ctx, through.client, returnEntry(fleet.ServerTarget(backend)))
+	return d.last + requestedAt.Sub(failed), propose(ctx, through.client, returnEntry(fleet.ServerTarget(backend)))
 }
 
 const drainDuringFaultUnit = "ms from the failure until a drain asked for at once is known at the last node"
--- a/internal/rig/capacity/guard.go
+++ b/internal/rig/capacity/guard.go
@@ -105,10 +105,10 @@
 }
 
 // raiseMax raises a maximum to a delay, if the delay is longer.
-func raiseMax(most *atomic.Int64, late time.Duration) {
+func raiseMax(longest *atomic.Int64, delay time.Duration) {
 	for {
-		have := most.Load()
-		if int64(late) <= have || most.CompareAndSwap(have, int64(late)) {
+		have := longest.Load()
+		if int64(delay) <= have || longest.CompareAndSwap(have, int64(delay)) {
 			return
 		}
 	}
--- a/internal/rig/capacity/hollow/hollow_test.go
+++ b/internal/rig/capacity/hollow/hollow_test.go
@@ -97,10 +97,10 @@
 
 func drain(t *testing.T, n *control.Control) {
 	t.Helper()
-	asked := 0
+	requests := 0
 	until(t, "a drain is granted", func() bool {
-		asked++ // a repeated id gets the first result again, even if that was a refusal
-		r, err := n.Propose(t.Context(), &fleetpb.Entry{Ask: fmt.Sprint(asked),
+		requests++ // a repeated id gets the first result again, even if that was a refusal
+		r, err := n.Propose(t.Context(), &fleetpb.Entry{Ask: fmt.Sprint(requests),
 			What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: fleet.ServerTarget(backend), By: "eva"}}})
 		return err == nil && r.Code == fleetpb.Result_DONE
 	})
@@ -113,43 +113,43 @@
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // runs after the voters have ended
 	folder := t.TempDir()
 	f, control := startVoters(t, folder)
-	o := Options{Folder: folder}
+	options := Options{Folder: folder}
 	for i := range 6 {
 		name := fmt.Sprintf("n%d", i+1)
 		if err := f.Write(folder, name, "a", ""); err != nil {
 			t.Fatal(err)
 		}
-		o.Names = append(o.Names, name)
+		options.Names = append(options.Names, name)
 	}
-	s, err := Start(o)
+	set, err := Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	until(t, "all have a session", func() bool { return s.Counts().Live == len(o.Names) })
+	defer set.Stop()
+	until(t, "all have a session", func() bool { return set.Counts().Live == len(options.Names) })
 	drain(t, control[0])
 	what := ServerDrained(uint32(registry.ServerID(backend)))
-	until(t, "all follow", func() bool { return s.Known(what).Nodes == len(o.Names) })
+	until(t, "all follow", func() bool { return set.Known(what).Nodes == len(options.Names) })
 	until(t, "the leader has all acknowledgements", func() bool {
 		state, err := control[1].State(t.Context())
 		return err == nil && fleet.FromState(state).Proof(fleet.ServerTarget(backend)).Proven
 	})
-	c := s.Counts()
+	c := set.Counts()
 	if tr := c.Traffic; c.Nodes != 6 || tr.BytesIn == 0 || tr.BytesOut == 0 || tr.DatagramsIn == 0 || tr.DatagramsOut == 0 || len(tr.Calls) < 1 || c.CPUTime == 0 || c.ResidentKiB == 0 {
 		t.Errorf("%+v", c)
 	}
-	times := s.Known(what).Times
-	if err := s.Restart(o.Names[:2]); err != nil {
+	times := set.Known(what).Times
+	if err := set.Restart(options.Names[:2]); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "all have a session again", func() bool { return s.Counts().Live == len(o.Names) })
-	if again := s.Counts(); again.Traffic.BytesOut < c.Traffic.BytesOut || again.Traffic.Calls[3] < c.Traffic.Calls[3] {
+	until(t, "all have a session again", func() bool { return set.Counts().Live == len(options.Names) })
+	if again := set.Counts(); again.Traffic.BytesOut < c.Traffic.BytesOut || again.Traffic.Calls[3] < c.Traffic.Calls[3] {
 		t.Errorf("a restart lowered the traffic counts: %+v, before %+v", again, c)
 	}
-	if now := s.Known(what).Times; len(now) != len(times) || !now[5].Equal(times[5]) {
+	if now := set.Known(what).Times; len(now) != len(times) || !now[5].Equal(times[5]) {
 		t.Errorf("known at %v after a restart, %v before: the first time counts", now, times)
 	}
-	for _, name := range o.Names {
+	for _, name := range options.Names {
 		if _, err := os.Stat(filepath.Join(folder, name, "held.json")); err != nil {
 			t.Errorf("%s keeps nothing on disk: %v", name, err)
 		}
@@ -161,27 +161,27 @@
 func TestStoppedNodeIsMissed(t *testing.T) {
 	folder := t.TempDir()
 	f, control := startVoters(t, folder)
-	o := Options{Folder: folder, Names: []string{"n1", "n2"}}
-	for _, name := range o.Names {
+	options := Options{Folder: folder, Names: []string{"n1", "n2"}}
+	for _, name := range options.Names {
 		if err := f.Write(folder, name, "a", ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s, err := Start(o)
+	set, err := Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	until(t, "all have a session", func() bool { return s.Counts().Live == 2 })
-	s.nodes[1].kill()
+	defer set.Stop()
+	until(t, "all have a session", func() bool { return set.Counts().Live == 2 })
+	set.nodes[1].kill()
 	drain(t, control[0])
 	what := ServerDrained(uint32(registry.ServerID(backend)))
-	until(t, "the other one follows", func() bool { return s.Known(what).Nodes == 1 })
+	until(t, "the other one follows", func() bool { return set.Known(what).Nodes == 1 })
 	until(t, "the leader reports its session as lapsed", func() bool {
 		state, err := control[0].State(t.Context())
 		return err == nil && state.Nodes["n2"].GetState() == fleet.Lapsed
 	})
-	if k := s.Known(what); k.Nodes != 1 {
+	if k := set.Known(what); k.Nodes != 1 {
 		t.Errorf("known at %d nodes", k.Nodes)
 	}
 }
--- a/internal/rig/capacity/modules.go
+++ b/internal/rig/capacity/modules.go
@@ -85,7 +85,7 @@
 }
 
 // copiesOf returns how many copies of something of a size to make, so that other objects on the heap don't matter.
-func copiesOf(size, most int) int { return max(2, 4*most/size) }
+func copiesOf(size, largest int) int { return max(2, 4*largest/size) }
 
 // median calls take n times and returns the median of the times.
 func median(n int, take func() time.Duration) time.Duration {
--- a/internal/rig/capacity/roles.go
+++ b/internal/rig/capacity/roles.go
@@ -32,8 +32,8 @@
 	if e.budgetFigure == "" {
 		return v, e, nil
 	}
-	most, err := r.find(e.budgetFigure)
-	e.budget, e.budgetNote = most.value, most.unit
+	available, err := r.find(e.budgetFigure)
+	e.budget, e.budgetNote = available.value, available.unit
 	return v, e, err
 }
 
--- a/internal/rig/soak/check_test.go
+++ b/internal/rig/soak/check_test.go
@@ -45,14 +45,14 @@
 	}
 }
 
-func brokenRules(e Evidence) (promises []string) {
+func brokenRules(e Evidence) (rules []string) {
 	for _, v := range Check(e) {
 		if v.ViolationCount > 0 {
 			name, _, _ := strings.Cut(v.Rule, ":")
-			promises = append(promises, name)
+			rules = append(rules, name)
 		}
 	}
-	return promises
+	return rules
 }
 
 // The checker must find each planted violation, and only by the rule that it belongs to.
@@ -175,10 +175,10 @@
 	if got := Shrink(list, 1000, fails); !slices.Equal(got, []Fault{a, b}) {
 		t.Errorf("%d faults are left", len(got))
 	}
-	plays := 0
-	Shrink(list, 5, func(some []Fault) bool { plays++; return fails(some) })
-	if plays > 5 {
-		t.Errorf("%d runs, want at most 5", plays)
+	runs := 0
+	Shrink(list, 5, func(some []Fault) bool { runs++; return fails(some) })
+	if runs > 5 {
+		t.Errorf("%d runs, want at most 5", runs)
 	}
 }
 
