--- a/internal/rig/capacity/calibrate.go
+++ b/internal/rig/capacity/calibrate.go
@@ -15,34 +15,34 @@
 
 const (
 	calibrateWindow = 30 * time.Second
-	mostDifference  = 0.15 // of hollow nodes from real ones, or it is stated
+	maxDifference   = 0.15 // relative difference between hollow and real nodes above which it is reported
 )
 
-// real is what some real nodes have come to.
-type real struct {
-	processor time.Duration
-	resident  int // KiB
-	traffic   link.Traffic
+// realTotals are the totals of some real nodes since their start.
+type realTotals struct {
+	cpuTime  time.Duration
+	resident int // KiB
+	traffic  link.Traffic
 }
 
-func readReal(ctx context.Context, list []*machine, inFleet bool) (all real, err error) {
+func readRealNodes(ctx context.Context, list []*machine, inFleet bool) (all realTotals, err error) {
 	for _, m := range list {
-		all.processor += processorOf(m.pid())
+		all.cpuTime += processorOf(m.pid())
 		all.resident += memoryOf(m.pid(), "VmRSS")
 		if !inFleet {
 			continue
 		}
-		h, err := m.door.Status(ctx)
+		h, err := m.client.Status(ctx)
 		if err != nil {
 			return all, fmt.Errorf("%s: %w", m.name, err)
 		}
-		all.traffic = sum(all.traffic, h.Traffic)
+		all.traffic = sumTraffic(all.traffic, h.Traffic)
 	}
 	return all, nil
 }
 
-// sum adds what two nodes have carried.
-func sum(a, b link.Traffic) link.Traffic {
+// sumTraffic returns the sum of two traffic counts.
+func sumTraffic(a, b link.Traffic) link.Traffic {
 	t := link.Traffic{DatagramsOut: a.DatagramsOut + b.DatagramsOut, DatagramsIn: a.DatagramsIn + b.DatagramsIn,
 		BytesOut: a.BytesOut + b.BytesOut, BytesIn: a.BytesIn + b.BytesIn,
 		Calls: map[uint64]uint64{}}
@@ -54,15 +54,16 @@
 	return t
 }
 
-// addCounts adds up two processes' hollow nodes.
+// addCounts returns the totals of two processes of hollow nodes; the pause is the longer one.
 func addCounts(a, b hollow.Counts) hollow.Counts {
-	return hollow.Counts{Nodes: a.Nodes + b.Nodes, Live: a.Live + b.Live, Traffic: sum(a.Traffic, b.Traffic),
-		Processor: a.Processor + b.Processor,
-		Resident:  a.Resident + b.Resident, Pause: max(a.Pause, b.Pause)}
+	return hollow.Counts{Nodes: a.Nodes + b.Nodes, Live: a.Live + b.Live, Traffic: sumTraffic(a.Traffic, b.Traffic),
+		CPUTime:     a.CPUTime + b.CPUTime,
+		ResidentKiB: a.ResidentKiB + b.ResidentKiB, LongestPause: max(a.LongestPause, b.LongestPause)}
 }
 
-// calibrate sets hollow nodes beside real ones in one fleet at the same time. What the control part takes of a real node is what it
-// takes more than a real node without the fleet does; what the process of hollow nodes takes without any is subtracted too.
+// calibrate compares hollow nodes with real ones that run in the same fleet at the same time. The cost of a real
+// node's control part is the cost of a real node minus that of a real node outside the fleet. The cost of the
+// hollow nodes is that of their process minus that of an empty one.
 func (r *run) calibrate(ctx context.Context, s *Section) error {
 	for _, size := range []int{10, 40} {
 		if err := r.calibrateAt(ctx, s, size); err != nil {
@@ -73,8 +74,8 @@
 }
 
 func (r *run) calibrateAt(ctx context.Context, s *Section, size int) error {
-	const realNode = 40 << 10 // KiB, by which the run's need is estimated before it begins
-	if err := r.fits(controlMachines+2+2*size, 2*size*realNode); err != nil {
+	const realNode = 40 << 10 // KiB of memory of one real node, an estimate for the check of the run's bounds
+	if err := r.checkFits(controlMachines+2+2*size, 2*size*realNode); err != nil {
 		return err
 	}
 	site, err := r.openSite(ctx, serviceSize, false)
@@ -82,7 +83,7 @@
 		return err
 	}
 	defer site.close()
-	empty, err := hollow.StartProcess(r.self, filepath.Join(site.folder, "empty.json"),
+	empty, err := hollow.StartProcess(r.hollowProgram, filepath.Join(site.folder, "empty.json"),
 		hollow.Options{Folder: site.folder})
 	if err != nil {
 		return err
@@ -95,7 +96,7 @@
 	if err != nil {
 		return err
 	}
-	if err := site.live(ctx); err != nil {
+	if err := site.awaitSessions(ctx); err != nil {
 		return err
 	}
 	if err := allSessions(ctx, with); err != nil {
@@ -104,42 +105,43 @@
 	if err := sleep(ctx, r.settleTime()); err != nil {
 		return err
 	}
-	a, err := readBeside(ctx, site, empty, with, without)
+	before, err := readComparison(ctx, site, empty, with, without)
 	if err != nil {
 		return err
 	}
 	if err := sleep(ctx, calibrateWindow); err != nil {
 		return err
 	}
-	b, err := readBeside(ctx, site, empty, with, without)
+	after, err := readComparison(ctx, site, empty, with, without)
 	if err != nil {
 		return err
 	}
-	r.compare(s, size, a, b)
+	r.reportDifferences(s, size, before, after)
 	return nil
 }
 
-// beside is all that is compared, at a moment.
-type beside struct {
+// comparison holds the totals of all processes that are compared, at one time.
+type comparison struct {
 	at            time.Time
 	hollow, empty hollow.Counts
-	with, without real
+	with, without realTotals
 }
 
-func readBeside(ctx context.Context, site *site, empty *hollow.Process, with, without []*machine) (b beside,
+func readComparison(ctx context.Context, site *site, empty *hollow.Process, with, without []*machine) (totals comparison,
 	err error) {
 	var errs [4]error
-	b.hollow, errs[0] = site.counts()
-	b.empty, errs[1] = empty.Counts()
-	b.with, errs[2] = readReal(ctx, with, true)
-	b.without, errs[3] = readReal(ctx, without, false)
-	b.at = time.Now()
-	return b, errors.Join(errs[:]...)
+	totals.hollow, errs[0] = site.counts()
+	totals.empty, errs[1] = empty.Counts()
+	totals.with, errs[2] = readRealNodes(ctx, with, true)
+	totals.without, errs[3] = readRealNodes(ctx, without, false)
+	totals.at = time.Now()
+	return totals, errors.Join(errs[:]...)
 }
 
-// compare notes how hollow nodes differ from real ones.
-func (r *run) compare(s *Section, size int, a, b beside) {
-	seconds, nodes := b.at.Sub(a.at).Seconds(), float64(size)
+// reportDifferences adds the figures of real and hollow nodes and their ratios, and prints ratios that differ too
+// much.
+func (r *run) reportDifferences(s *Section, size int, before, after comparison) {
+	seconds, nodes := after.at.Sub(before.at).Seconds(), float64(size)
 	per := func(n float64) float64 { return n / seconds / nodes }
 	datagrams := func(t link.Traffic) float64 { return float64(t.DatagramsIn + t.DatagramsOut) }
 	calls := func(t link.Traffic) (n float64) {
@@ -153,32 +155,32 @@
 		real, hollow float64
 		unit         string
 	}{
-		{"calls", per(calls(b.with.traffic) - calls(a.with.traffic)),
-			per(calls(b.hollow.Traffic) - calls(a.hollow.Traffic)), "calls/s a node"},
-		{"datagrams", per(datagrams(b.with.traffic) - datagrams(a.with.traffic)),
-			per(datagrams(b.hollow.Traffic) - datagrams(a.hollow.Traffic)), "datagrams/s a node, in and out"},
-		{"bytes", per(onWire(b.with.traffic) - onWire(a.with.traffic)),
-			per(onWire(b.hollow.Traffic) - onWire(a.hollow.Traffic)), "bytes/s a node, in and out, with headers"},
-		{"processor", per((b.with.processor - a.with.processor - b.without.processor + a.without.processor).Seconds()),
-			per((b.hollow.Processor - a.hollow.Processor - b.empty.Processor + a.empty.Processor).Seconds()), "cores a node"},
-		{"memory", float64(b.with.resident-b.without.resident) / 1024 / nodes,
-			float64(b.hollow.Resident-b.empty.Resident) / 1024 / nodes, "MiB a node"},
+		{"calls", per(calls(after.with.traffic) - calls(before.with.traffic)),
+			per(calls(after.hollow.Traffic) - calls(before.hollow.Traffic)), "calls/s a node"},
+		{"datagrams", per(datagrams(after.with.traffic) - datagrams(before.with.traffic)),
+			per(datagrams(after.hollow.Traffic) - datagrams(before.hollow.Traffic)), "datagrams/s a node, in and out"},
+		{"bytes", per(wireBytes(after.with.traffic) - wireBytes(before.with.traffic)),
+			per(wireBytes(after.hollow.Traffic) - wireBytes(before.hollow.Traffic)), "bytes/s a node, in and out, with headers"},
+		{"processor", per((after.with.cpuTime - before.with.cpuTime - after.without.cpuTime + before.without.cpuTime).Seconds()),
+			per((after.hollow.CPUTime - before.hollow.CPUTime - after.empty.CPUTime + before.empty.CPUTime).Seconds()), "cores a node"},
+		{"memory", float64(after.with.resident-after.without.resident) / 1024 / nodes,
+			float64(after.hollow.ResidentKiB-after.empty.ResidentKiB) / 1024 / nodes, "MiB a node"},
 	} {
 		name := fmt.Sprintf("%d.%s", size, f.name)
-		s.figure(r.Out, name+".real", f.real, f.unit)
-		s.figure(r.Out, name+".hollow", f.hollow, f.unit)
+		s.addFigure(r.Out, name+".real", f.real, f.unit)
+		s.addFigure(r.Out, name+".hollow", f.hollow, f.unit)
 		ratio := f.hollow / f.real
-		s.figure(r.Out, name+".ratio", ratio, "hollow over real")
-		if math.Abs(ratio-1) > mostDifference {
+		s.addFigure(r.Out, name+".ratio", ratio, "hollow over real")
+		if math.Abs(ratio-1) > maxDifference {
 			fmt.Fprintf(r.Out, "%s: differs by more than %.0f%%: the figure of real nodes is the one to use\n", name,
-				100*mostDifference)
+				100*maxDifference)
 		}
 	}
-	s.figure(r.Out, fmt.Sprintf("%d.whole.memory", size), float64(b.without.resident)/1024/nodes,
+	s.addFigure(r.Out, fmt.Sprintf("%d.whole.memory", size), float64(after.without.resident)/1024/nodes,
 		"MiB of a real node without the fleet")
 }
 
-// addReal starts real nodes, with the fleet and without.
+// addReal starts n real nodes in the fleet and n outside it, and waits until all are ready.
 func (s *site) addReal(ctx context.Context, n int) (with, without []*machine, err error) {
 	folder, err := os.MkdirTemp(s.folder, "r")
 	if err != nil {
@@ -198,20 +200,20 @@
 		s.others = append(s.others, m)
 	}
 	for _, m := range s.others {
-		if err := m.ready(ctx, "http://"+m.listen+"/health/ready"); err != nil {
+		if err := m.awaitReady(ctx, "http://"+m.listen+"/health/ready"); err != nil {
 			return nil, nil, err
 		}
 	}
 	return s.others[:n], s.others[n:], nil
 }
 
-// allSessions waits until all of some real nodes have a session.
+// allSessions waits until all the given real nodes have a session.
 func allSessions(ctx context.Context, list []*machine) error {
 	ctx, cancel := context.WithTimeout(ctx, liveWait)
 	defer cancel()
 	for _, m := range list {
 		for {
-			h, err := m.door.Status(ctx)
+			h, err := m.client.Status(ctx)
 			if err == nil && h.Session > 0 {
 				break
 			}
--- a/internal/rig/capacity/capacity.go
+++ b/internal/rig/capacity/capacity.go
@@ -1,6 +1,7 @@
-// Package capacity is the rig behind docs/CAPACITY.md: what each role of the program takes as the fleet, the list of backends, the
-// services and the tenants grow towards the design size, measured at four sizes or more each, with real control machines and
-// hollow nodes (package hollow). Results go into a JSON file, from which the page's tables are made.
+// Package capacity is the rig behind docs/CAPACITY.md. It measures what each role of the program costs (processor
+// time, memory, traffic, time) as the numbers of nodes, backends, services and tenants grow towards the design
+// size, at four sizes or more each, with real control machines and hollow nodes (package hollow). Results go into
+// a JSON file, from which the page's tables are made.
 package capacity
 
 import (
@@ -14,45 +15,45 @@
 	"time"
 )
 
-// Design is the size that is planned for.
+// Design is the size that the program is planned for. Requests are those of the whole fleet in a second.
 var Design = struct {
 	Nodes, Backends, Services, Routes, Tenants, Requests, ChangesADay float64
 }{Nodes: 730, Backends: 8600, Services: 340, Routes: 2600, Tenants: 18_000, Requests: 65_000, ChangesADay: 4000}
 
-// Budgets of the control part of one node, and of what is added to a request.
+// Budgets of the control part of one node, and of the latency that a node adds to a request.
 const (
-	BudgetProcessor = 0.041 // of a core
-	BudgetMemory    = 32.0  // MiB
-	BudgetBytes     = 7000.0
-	BudgetInForce   = 3.0 // s from a change's commit until the last node has it
-	BudgetAdded     = 6.6 // ms, 99 in 100
+	BudgetCores        = 0.041  // of a core
+	BudgetMemory       = 32.0   // MiB
+	BudgetBytes        = 7000.0 // bytes a second
+	BudgetInForce      = 3.0    // seconds from the commit of a change until the last node has it
+	BudgetAddedLatency = 6.6    // ms at the 99th percentile
 )
 
-// Options are a run's.
+// Options are the options of a run.
 type Options struct {
-	Seed    uint64
-	Quick   bool   // the small form, for CI: 40 hollow nodes
-	Only    string // names of sections, by commas; empty: all, or those of the quick form
-	Program string // the program; it is built where none is named
-	Self    string // a program that calls hollow.Main for its arguments "hollow FILE"
-	Results string // a file that takes the results of the sections that were run; empty: none
-	Out     io.Writer
+	Seed          uint64
+	Quick         bool   // the short form for CI, with 40 hollow nodes
+	SectionNames  string // names of sections, separated by commas; empty: all, or those of the quick form
+	Program       string // path of the node program; empty: it is built
+	HollowProgram string // path of a program that calls hollow.Main when its arguments are "hollow FILE"
+	Results       string // file to which the results of the sections are written; empty: none
+	Out           io.Writer
 }
 
 // run is a run of the rig.
 type run struct {
 	Options
-	program, self string
-	folder        string
-	bounds        bounds
-	guard         *guard
+	program, hollowProgram string
+	folder                 string
+	bounds                 bounds
+	guard                  *guard
 }
 
-// section is a part of the rig.
+// section is one part of the rig's measurements.
 type section struct {
 	name  string
 	quick bool // part of the quick form
-	play  func(r *run, ctx context.Context, s *Section) error
+	run   func(r *run, ctx context.Context, s *Section) error
 }
 
 var sections = []section{
@@ -65,7 +66,7 @@
 	{"configuration", true, (*run).configuration},
 }
 
-// Sections gives the names of the rig's parts.
+// Sections returns the names of all sections, in the order in which they run.
 func Sections() (names []string) {
 	for _, s := range sections {
 		names = append(names, s.name)
@@ -73,9 +74,9 @@
 	return names
 }
 
-// Run plays the sections and gives how many promises were broken.
+// Run runs the selected sections and returns how many promises were broken. A section that fails counts as one.
 func Run(ctx context.Context, o Options) (broken int, err error) {
-	r := &run{Options: o, program: o.Program, self: o.Self}
+	r := &run{Options: o, program: o.Program, hollowProgram: o.HollowProgram}
 	if r.bounds, err = machineBounds(); err != nil {
 		return 0, err
 	}
@@ -83,7 +84,7 @@
 		return 0, err
 	}
 	defer os.RemoveAll(r.folder)
-	list, err := chosen(o)
+	list, err := selectedSections(o)
 	if err != nil {
 		return 0, err
 	}
@@ -94,46 +95,46 @@
 		}
 	}
 	ctx, r.guard = watch(ctx, r.bounds, o.Out)
-	if err := r.guard.disk(ctx, r.folder); err != nil {
+	if err := r.guard.measureDisk(ctx, r.folder); err != nil {
 		return 0, err
 	}
 	for _, part := range list {
 		s := &Section{Name: part.name, Began: time.Now().UTC().Truncate(time.Second), Seed: o.Seed, Quick: o.Quick,
 			Machine: machineNote(r.bounds), Load: loadNote()}
 		began := time.Now()
-		err := part.play(r, ctx, s)
+		err := part.run(r, ctx, s)
 		if ctx.Err() != nil {
 			return broken, context.Cause(ctx)
 		}
 		if err != nil {
-			s.lack(o.Out, "", err) // what it has measured until then counts
+			s.addMissing(o.Out, "", err) // the figures that it has measured so far are kept
 			broken++
 		}
 		s.Took, s.Load = time.Since(began), s.Load+" to "+loadNote()
-		s.Most.Processes, s.Most.Memory = int(r.guard.most.processes.Swap(0)), int(r.guard.most.memory.Swap(0))
-		s.figure(o.Out, "harness.late", s.Late.Seconds()*1e3,
+		s.Peak.Processes, s.Peak.Memory = int(r.guard.peak.processes.Swap(0)), int(r.guard.peak.memory.Swap(0))
+		s.addFigure(o.Out, "harness.late", s.MaxDelay.Seconds()*1e3,
 			"ms, the longest by which cores or disk were late where times were measured")
-		s.figure(o.Out, "harness.void", float64(r.guard.void.Swap(0)),
+		s.addFigure(o.Out, "harness.void", float64(r.guard.voidRuns.Swap(0)),
 			"runs that were void as the machine was late, and made again")
-		broken += s.broken()
-		if err := r.keep(s); err != nil {
+		broken += s.brokenPromises()
+		if err := r.saveResults(s); err != nil {
 			return broken, err
 		}
 	}
 	return broken, ctx.Err()
 }
 
-// chosen gives the sections that are to be run.
-func chosen(o Options) (list []section, err error) {
+// selectedSections returns the sections that the options select, or an error for an unknown name.
+func selectedSections(o Options) (list []section, err error) {
 	var names []string
-	if o.Only != "" {
-		names = strings.Split(o.Only, ",")
+	if o.SectionNames != "" {
+		names = strings.Split(o.SectionNames, ",")
 	}
 	for _, s := range sections {
 		if at := slices.Index(names, s.name); at >= 0 {
 			names = slices.Delete(names, at, at+1)
 			list = append(list, s)
-		} else if o.Only == "" && (s.quick || !o.Quick) {
+		} else if o.SectionNames == "" && (s.quick || !o.Quick) {
 			list = append(list, s)
 		}
 	}
@@ -143,8 +144,8 @@
 	return list, nil
 }
 
-// keep puts a section's run into the file of results.
-func (r *run) keep(s *Section) error {
+// saveResults writes a section's run to the results file, in place of an earlier run of that section.
+func (r *run) saveResults(s *Section) error {
 	if r.Results == "" {
 		return nil
 	}
@@ -152,6 +153,6 @@
 	if err != nil {
 		return err
 	}
-	all.put(s)
+	all.replaceSection(s)
 	return all.Write(r.Results)
 }
--- a/internal/rig/capacity/drains.go
+++ b/internal/rig/capacity/drains.go
@@ -15,16 +15,16 @@
 	"starlingvalve/internal/standin"
 )
 
-// drained is how one drain went.
-type drained struct {
-	granted time.Duration // from the request to the grant's answer
+// drainResult holds the times of one drain.
+type drainResult struct {
+	granted time.Duration // from the request until the answer that grants it
 	last    time.Duration // from the request until the last hollow node has stopped
-	proven  time.Duration // from the grant's entry to the proof's, by the leader's stamps
+	proven  time.Duration // from the grant's log entry to the proof's, by the leader's timestamps
 	each    standin.Times // from the request until each node has stopped
 }
 
-// entry hands in an entry under a number of its own.
-func ask(ctx context.Context, d *control.APIClient, e *fleetpb.Entry) error {
+// propose proposes an entry under a new random id, and returns an error unless it was applied.
+func propose(ctx context.Context, d *control.APIClient, e *fleetpb.Entry) error {
 	e.Ask = rand.Text()
 	res, err := d.Propose(ctx, e)
 	if err != nil {
@@ -44,26 +44,27 @@
 	return &fleetpb.Entry{What: &fleetpb.Entry_Return{Return: &fleetpb.Return{Target: target, By: "capacity"}}}
 }
 
-// drain drains a backend that was not drained before, through a machine, and waits until all hollow nodes have it.
-func (s *site) drain(ctx context.Context, through *machine, backend string, nodes int) (d drained, err error) {
+// drain drains a backend that is not drained yet, through the given machine, and waits until all hollow nodes know
+// it.
+func (s *site) drain(ctx context.Context, through *machine, backend string, nodes int) (result drainResult, err error) {
 	began := time.Now()
-	if err := ask(ctx, through.door, drainEntry(fleet.ServerTarget(backend))); err != nil {
-		return d, fmt.Errorf("drain of %s: %w", backend, err)
+	if err := propose(ctx, through.client, drainEntry(fleet.ServerTarget(backend))); err != nil {
+		return result, fmt.Errorf("drain of %s: %w", backend, err)
 	}
-	d.granted = time.Since(began)
-	times, err := s.known(ctx, hollow.ServerDrained(uint32(registry.ServerID(backend))), nodes)
+	result.granted = time.Since(began)
+	times, err := s.awaitKnown(ctx, hollow.ServerDrained(uint32(registry.ServerID(backend))), nodes)
 	if err != nil {
-		return d, err
+		return result, err
 	}
 	for _, at := range times {
-		d.last = max(d.last, at.Sub(began))
-		d.each.Add(at.Sub(began))
+		result.last = max(result.last, at.Sub(began))
+		result.each.Add(at.Sub(began))
 	}
-	return d, nil
+	return result, nil
 }
 
-// known waits until something is known at all hollow nodes and gives when it was, of each.
-func (s *site) known(ctx context.Context, what string, nodes int) ([]time.Time, error) {
+// awaitKnown waits until something is known at the given number of hollow nodes, and returns the time of each.
+func (s *site) awaitKnown(ctx context.Context, what string, nodes int) ([]time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, knownWait)
 	defer cancel()
 	for {
@@ -84,14 +85,15 @@
 	}
 }
 
-// proof waits until a drain is proven and gives the time between its grant and its proof, by the leader's own stamps. It looks
-// seldom: each look has the leader write out the whole state.
-func (s *site) proof(ctx context.Context, through *machine, backend string) (time.Duration, error) {
+// awaitProof waits until a drain is proven, which means all nodes have stopped sending to the backend, and returns
+// the time between its grant and its proof by the leader's own timestamps. It polls seldom, because for each poll
+// the leader encodes its whole state.
+func (s *site) awaitProof(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, knownWait)
 	defer cancel()
 	target := fleet.ServerTarget(backend)
 	for {
-		state, err := through.door.State(ctx)
+		state, err := through.client.State(ctx)
 		if err != nil {
 			return 0, err
 		}
@@ -104,20 +106,21 @@
 	}
 }
 
-// drains measures single drains: until the last node has stopped, and until that is proven.
-func (r *run) drains(ctx context.Context, s *Section, site *site, size, count int, next *int, p *points) error {
+// drains measures single drains: the times until they are granted, until the last node has stopped, and until that
+// is proven.
+func (r *run) drains(ctx context.Context, s *Section, site *site, size, count int, next *int, slopes *slopePoints) error {
 	var granted, each, last, proven, looked standin.Times
 	for range count {
-		var d drained
+		var result drainResult
 		backend, through := "", (*machine)(nil)
-		late, err := r.guard.punctual(ctx, "drain", timesOfLog, mostRepeats, func() (err error) {
+		late, err := r.guard.runUndelayed(ctx, "drain", timesOfLog, maxRepeats, func() (err error) {
 			backend, through = backendName(*next), site.voters[*next%controlMachines]
 			*next++
-			if d, err = site.drain(ctx, through, backend, size); err == nil {
-				d.proven, err = site.proof(ctx, through, backend)
+			if result, err = site.drain(ctx, through, backend, size); err == nil {
+				result.proven, err = site.awaitProof(ctx, through, backend)
 			}
 			return err
-		}, func() error { return ask(ctx, through.door, returnEntry(fleet.ServerTarget(backend))) })
+		}, func() error { return propose(ctx, through.client, returnEntry(fleet.ServerTarget(backend))) })
 		if errors.Is(err, errVoid) {
 			fmt.Fprintln(r.Out, err)
 			continue
@@ -125,38 +128,38 @@
 		if err != nil {
 			return err
 		}
-		s.Late = max(s.Late, late)
-		granted.Add(d.granted)
-		last.Add(d.last)
-		proven.Add(d.proven)
-		each.Merge(d.each)
+		s.MaxDelay = max(s.MaxDelay, late)
+		granted.Add(result.granted)
+		last.Add(result.last)
+		proven.Add(result.proven)
+		each.Merge(result.each)
 	}
 	if last.Count() == 0 {
-		s.lack(r.Out, fmt.Sprintf("%d.drain", size), errVoid)
-		s.lack(r.Out, "drain", errVoid)
+		s.addMissing(r.Out, fmt.Sprintf("%d.drain", size), errVoid)
+		s.addMissing(r.Out, "drain", errVoid)
 		return nil
 	}
-	ms := func(t standin.Times, q float64) float64 { return t.Quantile(q).Seconds() * 1e3 }
+	milliseconds := func(t standin.Times, q float64) float64 { return t.Quantile(q).Seconds() * 1e3 }
 	for _, f := range []struct {
 		name  string
 		value float64
 	}{
-		{"drain.granted.p50", ms(granted, 0.5)},
-		{"drain.granted.worst", ms(granted, 1)},
-		{"drain.known.each.p50", ms(each, 0.5)},
-		{"drain.known.each.p99", ms(each, 0.99)},
-		{"drain.known.last.p50", ms(last, 0.5)},
-		{"drain.known.last.worst", ms(last, 1)},
-		{"drain.proven.p50", ms(proven, 0.5)},
-		{"drain.proven.worst", ms(proven, 1)},
+		{"drain.granted.p50", milliseconds(granted, 0.5)},
+		{"drain.granted.worst", milliseconds(granted, 1)},
+		{"drain.known.each.p50", milliseconds(each, 0.5)},
+		{"drain.known.each.p99", milliseconds(each, 0.99)},
+		{"drain.known.last.p50", milliseconds(last, 0.5)},
+		{"drain.known.last.worst", milliseconds(last, 1)},
+		{"drain.proven.p50", milliseconds(proven, 0.5)},
+		{"drain.proven.worst", milliseconds(proven, 1)},
 	} {
-		s.figure(r.Out, fmt.Sprintf("%d.%s", size, f.name), f.value, "ms")
-		p.add(f.name, "ms", float64(size), f.value)
+		s.addFigure(r.Out, fmt.Sprintf("%d.%s", size, f.name), f.value, "ms")
+		slopes.add(f.name, "ms", float64(size), f.value)
 	}
 	if r.Quick {
 		return nil
 	}
-	// The same as the agreement rig has it: the whole state is asked for each 5 ms until the proof is in it.
+	// The method of the agreement rig: the whole state is requested every 5 ms until it holds the proof.
 	for range count / 2 {
 		backend := backendName(*next)
 		*next++
@@ -164,36 +167,37 @@
 		if err != nil {
 			return err
 		}
-		took, err := site.proofByLooking(ctx, site.voters[leader], backend)
+		took, err := site.proofByPolling(ctx, site.voters[leader], backend)
 		if err != nil {
 			return err
 		}
 		looked.Add(took)
 	}
-	s.figure(r.Out, fmt.Sprintf("%d.drain.looked.p50", size), ms(looked, 0.5),
+	s.addFigure(r.Out, fmt.Sprintf("%d.drain.looked.p50", size), milliseconds(looked, 0.5),
 		"ms, the whole state asked for each 5 ms")
-	p.add("drain.looked.p50", "ms, the whole state asked for each 5 ms", float64(size), ms(looked, 0.5))
+	slopes.add("drain.looked.p50", "ms, the whole state asked for each 5 ms", float64(size), milliseconds(looked, 0.5))
 	return nil
 }
 
-const lookEvery = 5 * time.Millisecond
+const statePollInterval = 5 * time.Millisecond
 
-// proofByLooking drains a backend and asks for the whole state all the time until it holds the proof.
-func (s *site) proofByLooking(ctx context.Context, through *machine, backend string) (time.Duration, error) {
+// proofByPolling drains a backend, requests the whole state every statePollInterval until it holds the proof, and
+// returns the time that this took.
+func (s *site) proofByPolling(ctx context.Context, through *machine, backend string) (time.Duration, error) {
 	target, began := fleet.ServerTarget(backend), time.Now()
-	if err := ask(ctx, through.door, drainEntry(target)); err != nil {
+	if err := propose(ctx, through.client, drainEntry(target)); err != nil {
 		return 0, err
 	}
 	for {
-		state, err := through.door.State(ctx)
+		state, err := through.client.State(ctx)
 		if err != nil {
 			return 0, err
 		}
 		if o := state.Outs[target]; o != nil && o.ProvenMs > 0 {
 			took := time.Since(began)
-			return took, ask(ctx, through.door, returnEntry(target))
+			return took, propose(ctx, through.client, returnEntry(target))
 		}
-		if err := sleep(ctx, lookEvery); err != nil {
+		if err := sleep(ctx, statePollInterval); err != nil {
 			return 0, err
 		}
 	}
--- a/internal/rig/capacity/entries.go
+++ b/internal/rig/capacity/entries.go
@@ -11,10 +11,10 @@
 	"starlingvalve/internal/fleet/fleetpb"
 )
 
-// agreed is a fleet's state machine as every control machine holds it.
-type agreed struct{ machine *fleet.Machine }
+// fleetState is a fleet's replicated state machine as every control machine holds it.
+type fleetState struct{ machine *fleet.Machine }
 
-func (a agreed) take(e *fleetpb.Entry) error {
+func (a fleetState) apply(e *fleetpb.Entry) error {
 	e.Level = 1
 	raw, err := proto.Marshal(e)
 	if err != nil {
@@ -26,9 +26,9 @@
 	return nil
 }
 
-// newAgreed makes one of so many nodes and of drains that no node has acknowledged yet.
-func newAgreed(nodes, drains int) (a agreed, err error) {
-	a.machine = fleet.New()
+// newFleetState returns a state with the given numbers of nodes and of drains that no node has acknowledged yet.
+func newFleetState(nodes, drains int) (state fleetState, err error) {
+	state.machine = fleet.New()
 	listed := &fleetpb.Listed{}
 	for i := range drains {
 		listed.Servers = append(listed.Servers, &fleetpb.Server{Id: backendName(i), Zone: zoneOf(i),
@@ -48,24 +48,25 @@
 		entries = append(entries, drainEntry(fleet.ServerTarget(backendName(i))))
 	}
 	for _, e := range entries {
-		if err := a.take(e); err != nil {
-			return a, err
+		if err := state.apply(e); err != nil {
+			return state, err
 		}
 	}
-	return a, nil
+	return state, nil
 }
 
 const entryTries = 50
 
-// entry gives the processor time that one node's acknowledgement takes at each control machine.
-func (a agreed) entry() (took time.Duration, err error) {
+// ackTime returns the processor time that one node's acknowledgement costs each control machine, the median of
+// entryTries.
+func (a fleetState) ackTime() (took time.Duration, err error) {
 	target := fleet.ServerTarget(backendName(0))
 	e := &fleetpb.Entry{What: &fleetpb.Entry_Stopped{Stopped: &fleetpb.Stopped{Acks: []*fleetpb.Ack{{Node: "n1",
 		Session: a.machine.State().Nodes["n1"].Epoch,
 		Target:  target, Epoch: a.machine.State().Outs[target].Epoch}}}}}
 	took = median(entryTries, func() time.Duration {
 		began := processorTime()
-		if e := a.take(e); e != nil {
+		if e := a.apply(e); e != nil {
 			err = e
 		}
 		return processorTime() - began
@@ -73,10 +74,11 @@
 	return took, err
 }
 
-// entries measures what one entry of the log costs each control machine, by nodes and by drains that are not proven yet.
+// entries measures the processor time that one log entry costs each control machine, by the numbers of nodes and
+// of drains that are not proven yet.
 func (r *run) entries(_ context.Context, s *Section) error {
 	const nodes = 730
-	var byDrains, byNodes points
+	var byDrains, byNodes slopePoints
 	for _, drains := range []int{1, 10, 40, burstSize} {
 		took, err := r.entry(s, nodes, drains)
 		if err != nil {
@@ -84,10 +86,10 @@
 		}
 		byDrains.add("entry.outs.took", "ms of processor time for one entry, 730 nodes", float64(drains), took)
 		if drains == burstSize {
-			s.figure(r.Out, "entry.most", 1e3/took, "entries/s that one core applies, 730 nodes, 100 drains, computed")
+			s.addFigure(r.Out, "entry.most", 1e3/took, "entries/s that one core applies, 730 nodes, 100 drains, computed")
 		}
 		if drains == 1 {
-			s.figure(r.Out, "entry.one.took", took, "ms of processor time for one entry, 730 nodes")
+			s.addFigure(r.Out, "entry.one.took", took, "ms of processor time for one entry, 730 nodes")
 		}
 	}
 	for _, size := range []int{40, 120, 365, nodes} {
@@ -104,15 +106,15 @@
 }
 
 func (r *run) entry(s *Section, nodes, drains int) (ms float64, err error) {
-	a, err := newAgreed(nodes, drains)
+	a, err := newFleetState(nodes, drains)
 	if err != nil {
 		return 0, err
 	}
-	took, err := a.entry()
+	took, err := a.ackTime()
 	if err != nil {
 		return 0, err
 	}
 	ms = took.Seconds() * 1e3
-	s.figure(r.Out, fmt.Sprintf("entry.%dnodes.%ddrains.took", nodes, drains), ms, "ms of processor time for one entry")
+	s.addFigure(r.Out, fmt.Sprintf("entry.%dnodes.%ddrains.took", nodes, drains), ms, "ms of processor time for one entry")
 	return ms, nil
 }
--- a/internal/rig/capacity/estimates.go
+++ b/internal/rig/capacity/estimates.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// estimate is one of the numbers that were planned with before anything was run.
+// estimate is one of the numbers that the plan used before anything was measured.
 type estimate struct {
 	text   string
-	figure string  // that tells
+	figure string  // name of the measured figure
 	want   float64 // in the figure's unit
 }
 
-// estimateSlack is by which part a run may differ from an estimate that it confirms.
-const estimateSlack = 0.25
+// estimateTolerance is the relative difference from an estimate up to which a measured value confirms it.
+const estimateTolerance = 0.25
 
 const mebi = 1 << 20
 
@@ -41,27 +41,27 @@
 }
 
 func estimatesTable(r *Results) (string, error) {
-	var g grid
-	g.head("estimate", "the run", "")
+	var table grid
+	table.head("estimate", "the run", "")
 	for _, e := range estimates {
 		v, err := r.find(e.figure)
-		if why := r.whyNot(e.figure); err != nil && why != "" {
-			g.row(e.text, "*"+why+"*", "not run")
+		if why := r.missingReason(e.figure); err != nil && why != "" {
+			table.row(e.text, "*"+why+"*", "not run")
 			continue
 		}
 		if err != nil {
 			return "", err
 		}
 		verdict := "refuted"
-		if math.Abs(v.value-e.want) <= max(estimateSlack*math.Abs(e.want), mostShareIdle*boolean(e.want == 0)) {
+		if math.Abs(v.value-e.want) <= max(estimateTolerance*math.Abs(e.want), maxIdleShare*boolean(e.want == 0)) {
 			verdict = "confirmed"
 		}
-		g.row(e.text, fmt.Sprintf("%s (%s)", v, e.figure), verdict)
+		table.row(e.text, fmt.Sprintf("%s (%s)", v, e.figure), verdict)
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
 
-const mostShareIdle = 0.15 // of the leader's bytes, that a follower which idles may have
+const maxIdleShare = 0.15 // share of the leader's bytes up to which a follower counts as idle
 
 func boolean(b bool) float64 {
 	if b {
@@ -70,13 +70,13 @@
 	return 0
 }
 
-// effect is something that only the operators can tell, and what hangs on it.
-type effect struct {
+// assumption is something that only the operators know, with the figures that depend on it.
+type assumption struct {
 	text    string
 	figures []string
 }
 
-var effects = []effect{
+var assumptions = []assumption{
 	{"**Time of an answer** (50 ms in the runs; load messages tell of what is under way when a node speaks, each 75 to 225 ms): bytes a second of a node with answers of 20 ms, and of 200 ms",
 		[]string{"messages.answers.20ms.bytes", "messages.answers.200ms.bytes"}},
 	{"**Skew of services** (even in the runs): with the same requests over fewer services a node's load messages are fewer; 10, 40, 100 and 340 services",
@@ -91,10 +91,10 @@
 	{"**A control machine's cores and memory**: none stated, so that no factor is given there", nil},
 }
 
-func effectsTable(r *Results) (string, error) {
-	var g grid
-	g.head("assumption", "what hangs on it")
-	for _, e := range effects {
+func assumptionsTable(r *Results) (string, error) {
+	var table grid
+	table.head("assumption", "what hangs on it")
+	for _, e := range assumptions {
 		var list []string
 		for _, name := range e.figures {
 			v, err := r.find(name)
@@ -106,7 +106,7 @@
 		if len(list) == 0 {
 			list = []string{"*not run*"}
 		}
-		g.row(e.text, strings.Join(list, "; "))
+		table.row(e.text, strings.Join(list, "; "))
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
--- a/internal/rig/capacity/guard.go
+++ b/internal/rig/capacity/guard.go
@@ -13,34 +13,34 @@
 	"time"
 )
 
-// Bounds of what a run may take of the machine.
+// Bounds on what a run may use of the machine, and on the machine's delays.
 const (
-	mostProcesses  = 300
+	maxProcesses   = 300
 	memoryShare    = 0.5 // of the machine's memory
-	guardEvery     = 250 * time.Millisecond
-	lateStep       = 10 * time.Millisecond
-	mostLate       = 250 * time.Millisecond  // a run in which times are measured and the machine was late by more is void
-	mostLateCounts = 1500 * time.Millisecond // where messages are counted: a call that waits longer is made again
-	mostRepeats    = 8                       // of a run that was void
+	guardInterval  = 250 * time.Millisecond
+	delayStep      = 10 * time.Millisecond
+	maxDelay       = 250 * time.Millisecond  // a run that measures times is void if the machine was delayed by more
+	maxDelayCounts = 1500 * time.Millisecond // for runs that count messages: a call is repeated after a longer wait
+	maxRepeats     = 8                       // repeats of a void run
 	diskEvery      = 50 * time.Millisecond
-	calmTime       = time.Second // in which the machine was not late, before times are measured
-	calmWait       = 5 * time.Second
+	steadyTime     = time.Second // without delays of the machine before times are measured
+	steadyWait     = 5 * time.Second
 	memoryInfoFile = "/proc/meminfo"
 )
 
-// ErrBounds tells that a run would take more of the machine than it may.
+// ErrBounds reports that a run uses, or would use, more of the machine than the rig's bounds permit.
 var ErrBounds = errors.New("stopped at the rig's own bounds")
 
-// usage is what the rig and all processes below it take.
+// usage is what the rig and all its descendant processes use.
 type usage struct {
 	processes int
 	memory    int // KiB, resident
 }
 
-// bounds are the most that they may take.
+// bounds are the maximum usage.
 type bounds usage
 
-// machineBounds are those of this machine.
+// machineBounds returns the bounds for this machine.
 func machineBounds() (bounds, error) {
 	raw, err := os.ReadFile(memoryInfoFile)
 	if err != nil {
@@ -49,13 +49,13 @@
 	for line := range strings.Lines(string(raw)) {
 		if rest, ok := strings.CutPrefix(line, "MemTotal:"); ok {
 			kb, err := strconv.Atoi(strings.Fields(rest)[0])
-			return bounds{mostProcesses, int(memoryShare * float64(kb))}, err
+			return bounds{maxProcesses, int(memoryShare * float64(kb))}, err
 		}
 	}
 	return bounds{}, errors.New(memoryInfoFile + ": no MemTotal")
 }
 
-// check gives an error that says what is beyond the bounds.
+// check returns an error that names what exceeds the bounds, or nil.
 func (b bounds) check(u usage) error {
 	switch {
 	case u.processes > b.processes:
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// usageBelow adds up a process and all that it has started, directly or not.
+// usageBelow returns the usage of a process and all its descendants.
 func usageBelow(root int) (u usage) {
 	parents := map[int]int{}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
@@ -94,28 +94,28 @@
 	return u
 }
 
-// guard stops a run that goes beyond the bounds, and measures how late the machine is: its cores, by a goroutine that wants to run
-// each 10 ms, and its disk, by a small file that is written through to it.
+// guard stops a run that exceeds the bounds, and measures delays of the machine: of its cores, by a goroutine that
+// sleeps for delayStep and checks when it wakes up, and of its disk, by a small file that is written and synced.
 type guard struct {
-	cores atomic.Int64 // ns; by how much they were late at most since it was asked last
-	disks atomic.Int64 // the same
-	void  atomic.Int64 // runs that were void
-	out   io.Writer
-	most  struct{ processes, memory atomic.Int64 }
+	coreDelay atomic.Int64 // ns; longest delay of the cores since takeMaxDelay was called last
+	diskDelay atomic.Int64 // the same for the disk
+	voidRuns  atomic.Int64 // number of void runs
+	out       io.Writer
+	peak      struct{ processes, memory atomic.Int64 }
 }
 
-// raise notes by how much something was late.
-func raise(most *atomic.Int64, late time.Duration) {
+// raiseMax raises a maximum to a delay, if the delay is longer.
+func raiseMax(longest *atomic.Int64, delay time.Duration) {
 	for {
-		have := most.Load()
-		if int64(late) <= have || most.CompareAndSwap(have, int64(late)) {
+		have := longest.Load()
+		if int64(delay) <= have || longest.CompareAndSwap(have, int64(delay)) {
 			return
 		}
 	}
 }
 
-// disk measures how long a small write takes to get to the disk of a folder.
-func (g *guard) disk(ctx context.Context, folder string) error {
+// measureDisk keeps measuring, until ctx ends, how long a small synced write takes on the disk of a folder.
+func (g *guard) measureDisk(ctx context.Context, folder string) error {
 	f, err := os.CreateTemp(folder, "late")
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 			if err := f.Sync(); err != nil {
 				return
 			}
-			raise(&g.disks, time.Since(began))
+			raiseMax(&g.diskDelay, time.Since(began))
 			select {
 			case <-ctx.Done():
 			case <-time.After(diskEvery):
@@ -141,107 +141,109 @@
 	return nil
 }
 
-// watch guards a run until ctx ends. The context that it gives ends with ErrBounds as its cause when the run is stopped.
+// watch guards a run until ctx ends. The returned context is cancelled, with ErrBounds as the cause, if the run
+// exceeds b.
 func watch(ctx context.Context, b bounds, out io.Writer) (context.Context, *guard) {
 	ctx, stop := context.WithCancelCause(ctx)
 	g := &guard{out: out}
 	go func() {
 		for ctx.Err() == nil {
 			u := usageBelow(os.Getpid())
-			g.most.processes.Store(max(g.most.processes.Load(), int64(u.processes)))
-			g.most.memory.Store(max(g.most.memory.Load(), int64(u.memory)))
+			g.peak.processes.Store(max(g.peak.processes.Load(), int64(u.processes)))
+			g.peak.memory.Store(max(g.peak.memory.Load(), int64(u.memory)))
 			if err := b.check(u); err != nil {
 				stop(err)
 				return
 			}
 			select {
 			case <-ctx.Done():
-			case <-time.After(guardEvery):
+			case <-time.After(guardInterval):
 			}
 		}
 	}()
 	go func() {
 		for last := time.Now(); ctx.Err() == nil; {
-			time.Sleep(lateStep)
+			time.Sleep(delayStep)
 			now := time.Now()
-			raise(&g.cores, now.Sub(last)-lateStep)
+			raiseMax(&g.coreDelay, now.Sub(last)-delayStep)
 			last = now
 		}
 	}()
 	return ctx, g
 }
 
-// latest gives the longest time by which what matters to a run was late since it was asked last.
-func (g *guard) latest(m matters) time.Duration {
-	cores, disks := time.Duration(g.cores.Swap(0)), time.Duration(g.disks.Swap(0))
+// takeMaxDelay returns the longest delay, since its last call, of the parts of the machine that a run depends on.
+func (g *guard) takeMaxDelay(m timingNeed) time.Duration {
+	cores, disks := time.Duration(g.coreDelay.Swap(0)), time.Duration(g.diskDelay.Swap(0))
 	if m == timesOfLog {
 		return max(cores, disks)
 	}
 	return cores
 }
 
-// matters is what of the machine a run's figures hang on.
-type matters int
+// timingNeed tells which parts of the machine a run's figures depend on.
+type timingNeed int
 
 const (
-	counts     matters = iota // of messages and processor time: cores, by so much that calls are made again
-	times                     // cores
-	timesOfLog                // cores and disk: what is written to the log
+	counts     timingNeed = iota // messages, processor time: core delays so long that calls are repeated
+	times                        // times without writes to the log: delays of the cores
+	timesOfLog                   // times with writes to the log: delays of cores and disk
 )
 
-// most is by how much the machine may be late.
-func (m matters) most() time.Duration {
+// maxDelay returns the delay of the machine above which a run is void.
+func (m timingNeed) maxDelay() time.Duration {
 	if m == counts {
-		return mostLateCounts
+		return maxDelayCounts
 	}
-	return mostLate
+	return maxDelay
 }
 
-// errLeaderMoved tells that another machine led at a run's end than at its beginning. Where the machine was late, that is no finding.
+// errLeaderMoved reports that the leader changed during a run. It is not a finding if the machine was delayed then.
 var errLeaderMoved = errors.New("another machine leads than before")
 
-// errVoid tells that the machine was late each time that a run was tried.
+// errVoid reports that the machine was delayed in each try of a run.
 var errVoid = errors.New("void: the machine was late")
 
-// calm waits until the machine has not been late for a while, or for calmWait at most.
-func (g *guard) calm(ctx context.Context, m matters) error {
-	for end := time.Now().Add(calmWait); time.Now().Before(end); {
-		g.latest(m)
-		if err := sleep(ctx, calmTime); err != nil {
+// awaitSteady waits until the machine has had no long delay for steadyTime, or for steadyWait at most.
+func (g *guard) awaitSteady(ctx context.Context, m timingNeed) error {
+	for end := time.Now().Add(steadyWait); time.Now().Before(end); {
+		g.takeMaxDelay(m)
+		if err := sleep(ctx, steadyTime); err != nil {
 			return err
 		}
-		if g.latest(m) <= m.most()/2 {
+		if g.takeMaxDelay(m) <= m.maxDelay()/2 {
 			return nil
 		}
 	}
 	return nil
 }
 
-// punctual makes a run again, up to so many times, where the machine was late by more than mostLate in it. What is to be
-// cleared up after each try is no part of it.
-func (g *guard) punctual(ctx context.Context, name string, m matters, repeats int, run,
+// runUndelayed runs run, and repeats it up to the given number of times if the machine was delayed in it by more
+// than m permits. It calls clear after each try; delays in clear don't count. It returns the longest delay in the
+// last try, and errVoid if every try was void.
+func (g *guard) runUndelayed(ctx context.Context, name string, m timingNeed, repeats int, run,
 	clear func() error) (longest time.Duration, err error) {
 	for range 1 + repeats {
-		if err := g.calm(ctx, m); err != nil {
+		if err := g.awaitSteady(ctx, m); err != nil {
 			return 0, err
 		}
-		g.latest(m)
+		g.takeMaxDelay(m)
 		err := run()
-		longest = g.latest(m)
-		if err != nil && !(errors.Is(err, errLeaderMoved) && longest > m.most()) {
+		longest = g.takeMaxDelay(m)
+		if err != nil && !(errors.Is(err, errLeaderMoved) && longest > m.maxDelay()) {
 			return 0, err
 		}
 		if err := clear(); err != nil {
 			return 0, err
 		}
-		if longest <= m.most() {
+		if longest <= m.maxDelay() {
 			return longest, nil
 		}
-		g.void.Add(1)
+		g.voidRuns.Add(1)
 		fmt.Fprintf(g.out, "void: %s, as the machine was late by %v\n", name, longest.Round(time.Millisecond))
 	}
 	return longest, fmt.Errorf("%s: %w by %v, %d times", name, errVoid, longest.Round(time.Millisecond), 1+repeats)
 }
 
-// nothing is what is to be cleared up where there is nothing.
-func nothing() error { return nil }
+// noCleanup is the clear function of runs that need none.
+func noCleanup() error { return nil }
--- a/internal/rig/capacity/hollow/hollow_test.go
+++ b/internal/rig/capacity/hollow/hollow_test.go
@@ -30,30 +30,30 @@
 
 const backend = "s-00000007"
 
-// listing is the data plane of a voter that lists one backend.
-type listing struct{}
+// listingPlane is the data plane of a voter, with a list of one backend.
+type listingPlane struct{}
 
-func (listing) SetCordon(core.Cordon)                      {}
-func (listing) OpenAttemptsAt(core.Cordon) (int, bool)     { return 0, true }
-func (listing) OpenRequests() (int, bool)                  { return 0, true }
-func (listing) EjectedServers() []string                   { return nil }
-func (listing) SetDrained(bool)                            {}
-func (listing) ClassCounts() map[string]health.ClassCounts { return nil }
-func (listing) ResidentBytes() uint64                      { return 0 }
-func (listing) CanServe() bool                             { return true }
-func (listing) ServerList() core.List {
+func (listingPlane) SetCordon(core.Cordon)                      {}
+func (listingPlane) OpenAttemptsAt(core.Cordon) (int, bool)     { return 0, true }
+func (listingPlane) OpenRequests() (int, bool)                  { return 0, true }
+func (listingPlane) EjectedServers() []string                   { return nil }
+func (listingPlane) SetDrained(bool)                            {}
+func (listingPlane) ClassCounts() map[string]health.ClassCounts { return nil }
+func (listingPlane) ResidentBytes() uint64                      { return 0 }
+func (listingPlane) CanServe() bool                             { return true }
+func (listingPlane) ServerList() core.List {
 	return core.List{Full: true, Entries: []core.Entry{{Name: backend,
 		Server: decide.Server{ID: registry.ServerID(backend), Zone: "a", State: decide.Ready, Size: 1}}}}
 }
 
-// voters are three control machines in this process.
-func voters(t *testing.T, folder string) (*Fleet, []*control.Control) {
+// startVoters starts three control machines in this process.
+func startVoters(t *testing.T, folder string) (*Fleet, []*control.Control) {
 	t.Helper()
 	auth, err := standin.NewAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &Fleet{Authority: auth, Session: 2 * time.Second, Tick: 50 * time.Millisecond}
+	f := &Fleet{Authority: auth, SessionLifetime: 2 * time.Second, Tick: 50 * time.Millisecond}
 	for len(f.Voters) < 3 {
 		c, err := net.ListenPacket("udp", fmt.Sprintf("127.0.0.1:%d", 10_000+rand.IntN(20_000)))
 		if err != nil {
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := control.Open(c, listing{}, listing{}, slog.New(slog.DiscardHandler))
+		n, err := control.Open(c, listingPlane{}, listingPlane{}, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,118 +85,119 @@
 	return f, list
 }
 
-// until waits until something holds.
+// until waits until a condition holds, for testkit.WaitLimit at most.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testkit.WaitLimit); !holds(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("in vain: ", what)
+			t.Fatal("timed out waiting until: ", what)
 		}
 	}
 }
 
 func drain(t *testing.T, n *control.Control) {
 	t.Helper()
-	asked := 0
+	requests := 0
 	until(t, "a drain is granted", func() bool {
-		asked++ // a repeated question gets the answer of the first time, also if that was a refusal
-		r, err := n.Propose(t.Context(), &fleetpb.Entry{Ask: fmt.Sprint(asked),
+		requests++ // a repeated id gets the first result again, even if that was a refusal
+		r, err := n.Propose(t.Context(), &fleetpb.Entry{Ask: fmt.Sprint(requests),
 			What: &fleetpb.Entry_Drain{Drain: &fleetpb.Drain{Target: fleet.ServerTarget(backend), By: "eva"}}})
 		return err == nil && r.Code == fleetpb.Result_DONE
 	})
 }
 
-// Hollow nodes keep sessions, follow a drain, acknowledge it, come back after a restart with what their disks hold, and leave
-// nothing behind.
+// Hollow nodes must behave as real ones do towards the control machines: keep sessions, apply and acknowledge a
+// drain, and come back after a restart with the state on their disks. They must leave no goroutine behind.
 func TestHollowNodes(t *testing.T) {
 	before := goleak.IgnoreCurrent()
-	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // behind the voters' end
+	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // runs after the voters have ended
 	folder := t.TempDir()
-	f, control := voters(t, folder)
-	o := Options{Folder: folder}
+	f, control := startVoters(t, folder)
+	options := Options{Folder: folder}
 	for i := range 6 {
 		name := fmt.Sprintf("n%d", i+1)
 		if err := f.Write(folder, name, "a", ""); err != nil {
 			t.Fatal(err)
 		}
-		o.Names = append(o.Names, name)
+		options.Names = append(options.Names, name)
 	}
-	s, err := Start(o)
+	set, err := Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	until(t, "all have a session", func() bool { return s.Counts().Live == len(o.Names) })
+	defer set.Stop()
+	until(t, "all have a session", func() bool { return set.Counts().Live == len(options.Names) })
 	drain(t, control[0])
 	what := ServerDrained(uint32(registry.ServerID(backend)))
-	until(t, "all follow", func() bool { return s.Known(what).Nodes == len(o.Names) })
-	until(t, "the leader has heard of it", func() bool {
+	until(t, "all follow", func() bool { return set.Known(what).Nodes == len(options.Names) })
+	until(t, "the leader has all acknowledgements", func() bool {
 		state, err := control[1].State(t.Context())
 		return err == nil && fleet.FromState(state).Proof(fleet.ServerTarget(backend)).Proven
 	})
-	c := s.Counts()
-	if tr := c.Traffic; c.Nodes != 6 || tr.BytesIn == 0 || tr.BytesOut == 0 || tr.DatagramsIn == 0 || tr.DatagramsOut == 0 || len(tr.Calls) < 1 || c.Processor == 0 || c.Resident == 0 {
+	c := set.Counts()
+	if tr := c.Traffic; c.Nodes != 6 || tr.BytesIn == 0 || tr.BytesOut == 0 || tr.DatagramsIn == 0 || tr.DatagramsOut == 0 || len(tr.Calls) < 1 || c.CPUTime == 0 || c.ResidentKiB == 0 {
 		t.Errorf("%+v", c)
 	}
-	times := s.Known(what).Times
-	if err := s.Restart(o.Names[:2]); err != nil {
+	times := set.Known(what).Times
+	if err := set.Restart(options.Names[:2]); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "all have a session again", func() bool { return s.Counts().Live == len(o.Names) })
-	if again := s.Counts(); again.Traffic.BytesOut < c.Traffic.BytesOut || again.Traffic.Calls[3] < c.Traffic.Calls[3] {
-		t.Errorf("a restart takes away from what was carried: %+v, before %+v", again, c)
+	until(t, "all have a session again", func() bool { return set.Counts().Live == len(options.Names) })
+	if again := set.Counts(); again.Traffic.BytesOut < c.Traffic.BytesOut || again.Traffic.Calls[3] < c.Traffic.Calls[3] {
+		t.Errorf("a restart lowered the traffic counts: %+v, before %+v", again, c)
 	}
-	if now := s.Known(what).Times; len(now) != len(times) || !now[5].Equal(times[5]) {
+	if now := set.Known(what).Times; len(now) != len(times) || !now[5].Equal(times[5]) {
 		t.Errorf("known at %v after a restart, %v before: the first time counts", now, times)
 	}
-	for _, name := range o.Names {
+	for _, name := range options.Names {
 		if _, err := os.Stat(filepath.Join(folder, name, "held.json")); err != nil {
 			t.Errorf("%s keeps nothing on disk: %v", name, err)
 		}
 	}
 }
 
-// A node that has stopped is missed: not live, and not among those that know.
+// A node that has stopped must lose its session and must not be counted among those that know of a later drain;
+// otherwise the rig's measurements would include dead nodes.
 func TestStoppedNodeIsMissed(t *testing.T) {
 	folder := t.TempDir()
-	f, control := voters(t, folder)
-	o := Options{Folder: folder, Names: []string{"n1", "n2"}}
-	for _, name := range o.Names {
+	f, control := startVoters(t, folder)
+	options := Options{Folder: folder, Names: []string{"n1", "n2"}}
+	for _, name := range options.Names {
 		if err := f.Write(folder, name, "a", ""); err != nil {
 			t.Fatal(err)
 		}
 	}
-	s, err := Start(o)
+	set, err := Start(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Stop()
-	until(t, "all have a session", func() bool { return s.Counts().Live == 2 })
-	s.nodes[1].end()
+	defer set.Stop()
+	until(t, "all have a session", func() bool { return set.Counts().Live == 2 })
+	set.nodes[1].kill()
 	drain(t, control[0])
 	what := ServerDrained(uint32(registry.ServerID(backend)))
-	until(t, "the other one follows", func() bool { return s.Known(what).Nodes == 1 })
-	until(t, "its session has lapsed by the leader's word", func() bool {
+	until(t, "the other one follows", func() bool { return set.Known(what).Nodes == 1 })
+	until(t, "the leader reports its session as lapsed", func() bool {
 		state, err := control[0].State(t.Context())
 		return err == nil && state.Nodes["n2"].GetState() == fleet.Lapsed
 	})
-	if k := s.Known(what); k.Nodes != 1 {
+	if k := set.Known(what); k.Nodes != 1 {
 		t.Errorf("known at %d nodes", k.Nodes)
 	}
 }
 
-// The notes of parts are kept, the oldest kinds are dropped beyond the bound.
+// The notes must stay bounded in a long run: beyond maxNotes kinds the oldest kind is dropped.
 func TestNotesAreBounded(t *testing.T) {
 	s := &Set{notes: map[string]map[string]time.Time{}}
-	for i := range mostNotes + 5 {
+	for i := range maxNotes + 5 {
 		s.note("n1", fmt.Sprint(i))
 	}
-	if len(s.notes) != mostNotes || len(s.order) != mostNotes || s.Known("4").Nodes != 0 || s.Known("5").Nodes != 1 {
-		t.Errorf("%d notes of %d kinds", len(s.notes), len(s.order))
+	if len(s.notes) != maxNotes || len(s.noteOrder) != maxNotes || s.Known("4").Nodes != 0 || s.Known("5").Nodes != 1 {
+		t.Errorf("%d notes of %d kinds", len(s.notes), len(s.noteOrder))
 	}
 }
 
-// A process answers line by line, says what it does not know, and ends with its input.
+// A process must answer each line with one line, reject unknown requests by name, and end with its input.
 func TestMainAnswers(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "nodes.json")
 	raw, err := json.Marshal(Options{})
@@ -220,6 +221,6 @@
 		t.Errorf("a file that is missing: %v", err)
 	}
 	if err := Main(file, strings.NewReader("no json\n"), io.Discard); err == nil {
-		t.Error("a line that is no request is taken")
+		t.Error("a line that is not a request was accepted")
 	}
 }
--- a/internal/rig/capacity/hollow/machine.go
+++ b/internal/rig/capacity/hollow/machine.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// processor is the processor time that this process has used.
-func processor() time.Duration {
+// cpuTime returns the processor time, user and system, that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -19,8 +19,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// resident is the memory of this process that is in RAM, in KiB.
-func resident() int {
+// residentKiB returns the resident memory of this process in KiB, 0 if it cannot be read.
+func residentKiB() int {
 	raw, _ := os.ReadFile("/proc/self/status")
 	for line := range strings.Lines(string(raw)) {
 		if rest, ok := strings.CutPrefix(line, "VmRSS:"); ok {
@@ -33,10 +33,10 @@
 
 const pauseStep = 10 * time.Millisecond
 
-// pauseMeter measures by how much a goroutine that wants to run each 10 ms is late.
+// pauseMeter measures by how much a goroutine that sleeps for pauseStep wakes up too late.
 type pauseMeter struct {
-	most atomic.Int64 // ns
-	done chan struct{}
+	longestNanos atomic.Int64 // ns
+	done         chan struct{}
 }
 
 func (p *pauseMeter) start() {
@@ -49,16 +49,16 @@
 			case <-time.After(pauseStep):
 			}
 			now := time.Now()
-			if late := int64(now.Sub(last) - pauseStep); late > p.most.Load() {
-				p.most.Store(late)
+			if late := int64(now.Sub(last) - pauseStep); late > p.longestNanos.Load() {
+				p.longestNanos.Store(late)
 			}
 			last = now
 		}
 	}()
 }
 
-// longest gives the longest pause since it was asked last.
-func (p *pauseMeter) longest() time.Duration { return time.Duration(p.most.Swap(0)) }
+// takeLongest returns the longest pause since its last call.
+func (p *pauseMeter) takeLongest() time.Duration { return time.Duration(p.longestNanos.Swap(0)) }
 
 func (p *pauseMeter) stop() { close(p.done) }
 
--- a/internal/rig/capacity/latency.go
+++ b/internal/rig/capacity/latency.go
@@ -18,45 +18,46 @@
 
 const (
 	latencyRounds     = 20
-	mostLatencyRounds = 60                   // with those that were void
-	latencyWindow     = 2 * time.Second      // of each target in a round
-	calmLate          = 5 * time.Millisecond // less than the budget of what is added
-	leastCalm         = 890                  // requests, ten seconds' at the design's rate
+	maxLatencyRounds  = 60                   // including void rounds
+	latencyWindow     = 2 * time.Second      // for each target in a round
+	steadyDelay       = 5 * time.Millisecond // maximum delay in a steady round, below the budget of added latency
+	minSteadyRequests = 890                  // requests of ten seconds at the design's rate
 	latencyWarm       = 5 * time.Second
 	answerBytes       = 2048
-	littleTenants     = 10
+	fewTenants        = 10
 )
 
-// asked is somewhere that requests are sent to.
-type asked struct {
-	name    string
-	addr    string
-	tenants int
-	node    *process // nil: a backend itself
-	times   standin.Times
-	used    time.Duration // processor time of the node
-	lasted  time.Duration
-	calm    standin.Times // those of rounds in which the machine was punctual enough for the longest of a hundred to tell
-	served  int
-	failed  int
-	faults  map[string]int // why, and how often
+// latencyTarget is an address that requests are sent to, with the results of these requests.
+type latencyTarget struct {
+	name          string
+	addr          string
+	tenants       int
+	node          *process // nil: the target is a backend itself
+	times         standin.Times
+	cpuTime       time.Duration // processor time of the node
+	duration      time.Duration
+	steadyTimes   standin.Times // times of steady rounds only; the 99th percentile is taken from them
+	served        int
+	failed        int
+	failureCounts map[string]int // number of failed requests by reason
 }
 
-// latency measures what a real node adds to a request: one that holds the design's backends and tenants, beside one with few,
-// and beside a backend itself. They are asked by turns, in one run, at the design's rate for a node.
+// latency measures the latency that a real node adds to a request. It compares a node with the design's backends
+// and tenants, a node with few, and a backend itself. Requests go to the three in turn, in one run, at the
+// design's rate for a node.
 func (r *run) latency(ctx context.Context, s *Section) error {
-	if err := r.fits(2, 0); err != nil {
+	if err := r.checkFits(2, 0); err != nil {
 		return err
 	}
 	work := map[string]standin.Work{requestClass.Name: {Bytes: answerBytes}}
-	little := asked{name: "little", tenants: littleTenants}
-	much := asked{name: "design", tenants: int(Design.Tenants)}
+	littleState := latencyTarget{name: "little", tenants: fewTenants}
+	designState := latencyTarget{name: "design", tenants: int(Design.Tenants)}
 	var backend *standin.Server
-	for _, t := range []struct {
-		*asked
+	for _, target := range []struct {
+		*latencyTarget
 		backends int
-	}{{&little, serviceSize}, {&much, int(Design.Backends)}} {
-		servers, registry, err := openBackends(t.backends, work)
+	}{{&littleState, serviceSize}, {&designState, int(Design.Backends)}} {
+		servers, registry, err := openBackends(target.backends, work)
 		if err != nil {
 			return err
 		}
@@ -67,27 +68,27 @@
 			registry.Close()
 		}()
 		backend = servers[0]
-		if err := r.startAsked(ctx, t.asked, registry.Addr); err != nil {
+		if err := r.startTarget(ctx, target.latencyTarget, registry.Addr); err != nil {
 			return err
 		}
-		defer t.node.kill()
+		defer target.node.kill()
 	}
-	direct := asked{name: "direct", addr: backend.Addr, tenants: littleTenants}
-	targets := []*asked{&direct, &little, &much}
+	direct := latencyTarget{name: "direct", addr: backend.Addr, tenants: fewTenants}
+	targets := []*latencyTarget{&direct, &littleState, &designState}
 	rate := Design.Requests / Design.Nodes
-	for _, t := range targets {
-		if _, err := t.load(ctx, rate, latencyWarm, r.Seed); err != nil {
+	for _, target := range targets {
+		if _, err := target.load(ctx, rate, latencyWarm, r.Seed); err != nil {
 			return err
 		}
-		t.served, t.failed, t.faults = 0, 0, nil
+		target.served, target.failed, target.failureCounts = 0, 0, nil
 	}
 	good := 0
-	for round := 0; good < latencyRounds && round < mostLatencyRounds; round++ {
-		var got []asked
-		late, err := r.guard.punctual(ctx, "latency", times, 0, func() (err error) {
+	for round := 0; good < latencyRounds && round < maxLatencyRounds; round++ {
+		var got []latencyTarget
+		late, err := r.guard.runUndelayed(ctx, "latency", times, 0, func() (err error) {
 			got, err = r.latencyRound(ctx, targets, rate, round)
 			return err
-		}, nothing)
+		}, noCleanup)
 		if errors.Is(err, errVoid) {
 			continue
 		}
@@ -95,47 +96,48 @@
 			return err
 		}
 		good++
-		s.Late = max(s.Late, late)
-		for i, t := range targets {
-			if t.take(got[i]); late <= calmLate {
-				t.calm.Merge(got[i].times)
+		s.MaxDelay = max(s.MaxDelay, late)
+		for i, target := range targets {
+			if target.addRound(got[i]); late <= steadyDelay {
+				target.steadyTimes.Merge(got[i].times)
 			}
 		}
 	}
 	if direct.times.Count() == 0 {
 		return fmt.Errorf("latency: %w", errVoid)
 	}
-	for _, t := range targets {
-		s.figure(r.Out, t.name+".requests", float64(t.served), "requests served")
-		s.figure(r.Out, t.name+".failed", float64(t.failed), "requests")
-		for why, n := range t.faults {
-			fmt.Fprintf(r.Out, "%s: %d times %s\n", t.name, n, why)
+	for _, target := range targets {
+		s.addFigure(r.Out, target.name+".requests", float64(target.served), "requests served")
+		s.addFigure(r.Out, target.name+".failed", float64(target.failed), "requests")
+		for why, n := range target.failureCounts {
+			fmt.Fprintf(r.Out, "%s: %d times %s\n", target.name, n, why)
 		}
-		if t.node == nil {
+		if target.node == nil {
 			continue
 		}
-		s.figure(r.Out, t.name+".processor", t.used.Seconds()/t.lasted.Seconds(),
+		s.addFigure(r.Out, target.name+".processor", target.cpuTime.Seconds()/target.duration.Seconds(),
 			"cores at the design's 89 requests a second")
-		s.figure(r.Out, t.name+".memory", float64(memoryOf(t.node.pid(), "VmRSS"))/1024, "MiB")
+		s.addFigure(r.Out, target.name+".memory", float64(memoryOf(target.node.pid(), "VmRSS"))/1024, "MiB")
 	}
-	s.added(r.Out, "p50", direct.times.Quantile(0.5), little.times.Quantile(0.5), much.times.Quantile(0.5))
-	s.figure(r.Out, "calm.requests", float64(direct.calm.Count()),
+	s.addLatencyFigures(r.Out, "p50", direct.times.Quantile(0.5), littleState.times.Quantile(0.5), designState.times.Quantile(0.5))
+	s.addFigure(r.Out, "calm.requests", float64(direct.steadyTimes.Count()),
 		"requests to each in rounds in which the machine was late by 5 ms at most: the longest of a hundred is theirs")
-	if direct.calm.Count() < leastCalm {
+	if direct.steadyTimes.Count() < minSteadyRequests {
 		for _, name := range []string{"direct", "little", "design", "added.little", "added.design", "more", "ratio"} {
-			s.lack(r.Out, name+".p99", errVoid)
+			s.addMissing(r.Out, name+".p99", errVoid)
 		}
 	} else {
-		d, m := direct.calm.Quantile(0.99), much.calm.Quantile(0.99)
-		s.added(r.Out, "p99", d, little.calm.Quantile(0.99), m)
-		s.promise(r.Out, (m-d).Seconds()*1e3 <= BudgetAdded, "at most %.1f ms are added, 99 in 100", BudgetAdded)
+		directP99, designP99 := direct.steadyTimes.Quantile(0.99), designState.steadyTimes.Quantile(0.99)
+		s.addLatencyFigures(r.Out, "p99", directP99, littleState.steadyTimes.Quantile(0.99), designP99)
+		s.addPromise(r.Out, (designP99-directP99).Seconds()*1e3 <= BudgetAddedLatency, "at most %.1f ms are added, 99 in 100", BudgetAddedLatency)
 	}
-	s.promise(r.Out, direct.failed+little.failed+much.failed == 0, "every request is served")
+	s.addPromise(r.Out, direct.failed+littleState.failed+designState.failed == 0, "every request is served")
 	return nil
 }
 
-// added notes a quantile of what a backend itself takes, and a node with little state and with the design's before it.
-func (s *Section) added(out io.Writer, quantile string, direct, little, design time.Duration) {
+// addLatencyFigures adds one quantile of the latencies of a backend, and of nodes with little state and with the
+// design's state before it.
+func (s *Section) addLatencyFigures(out io.Writer, quantile string, direct, little, design time.Duration) {
 	ms := func(d time.Duration) float64 { return d.Seconds() * 1e3 }
 	for _, f := range []struct {
 		name  string
@@ -150,43 +152,44 @@
 		{"more", ms(design - little), "ms more with the design's state than with little"},
 		{"ratio", design.Seconds() / little.Seconds(), "times that with little state"},
 	} {
-		s.figure(out, f.name+"."+quantile, f.value, f.unit)
+		s.addFigure(out, f.name+"."+quantile, f.value, f.unit)
 	}
 }
 
-// latencyRound asks each of the targets for a while, one after the other, and gives what each did.
-func (r *run) latencyRound(ctx context.Context, targets []*asked, rate float64, round int) (got []asked, err error) {
-	for _, t := range targets {
-		one, before := asked{name: t.name, addr: t.addr, tenants: t.tenants, node: t.node}, time.Duration(0)
-		if t.node != nil {
-			before = processorOf(t.node.pid())
+// latencyRound sends requests to each of the targets for latencyWindow, one target after the other, and returns
+// the results.
+func (r *run) latencyRound(ctx context.Context, targets []*latencyTarget, rate float64, round int) (got []latencyTarget, err error) {
+	for _, target := range targets {
+		result, before := latencyTarget{name: target.name, addr: target.addr, tenants: target.tenants, node: target.node}, time.Duration(0)
+		if target.node != nil {
+			before = processorOf(target.node.pid())
 		}
-		if one.times, err = one.load(ctx, rate, latencyWindow, r.Seed+uint64(round)+1); err != nil {
+		if result.times, err = result.load(ctx, rate, latencyWindow, r.Seed+uint64(round)+1); err != nil {
 			return nil, err
 		}
-		if t.node != nil {
-			one.used = processorOf(t.node.pid()) - before
+		if target.node != nil {
+			result.cpuTime = processorOf(target.node.pid()) - before
 		}
-		one.lasted = latencyWindow
-		got = append(got, one)
+		result.duration = latencyWindow
+		got = append(got, result)
 	}
 	return got, nil
 }
 
-// take adds what a round gave.
-func (t *asked) take(one asked) {
+// addRound adds the results of a round.
+func (t *latencyTarget) addRound(one latencyTarget) {
 	t.times.Merge(one.times)
-	t.used, t.lasted = t.used+one.used, t.lasted+one.lasted
+	t.cpuTime, t.duration = t.cpuTime+one.cpuTime, t.duration+one.duration
 	t.served, t.failed = t.served+one.served, t.failed+one.failed
-	for why, n := range one.faults {
-		if t.faults == nil {
-			t.faults = map[string]int{}
+	for why, n := range one.failureCounts {
+		if t.failureCounts == nil {
+			t.failureCounts = map[string]int{}
 		}
-		t.faults[why] += n
+		t.failureCounts[why] += n
 	}
 }
 
-// openBackends starts servers and a registry that lists them.
+// openBackends starts n servers and a registry that lists them.
 func openBackends(n int, work map[string]standin.Work) (servers []*standin.Server, registry *standin.Registry,
 	err error) {
 	var entries []standin.Entry
@@ -203,7 +206,7 @@
 	return servers, registry, err
 }
 
-func (r *run) startAsked(ctx context.Context, t *asked, registry string) error {
+func (r *run) startTarget(ctx context.Context, t *latencyTarget, registry string) error {
 	listen, err := freePort("tcp")
 	if err != nil {
 		return err
@@ -218,13 +221,14 @@
 		"TMPDIR=" + r.folder}, r.program); err != nil {
 		return err
 	}
-	return t.node.ready(ctx, "http://"+listen+"/health/ready")
+	return t.node.awaitReady(ctx, "http://"+listen+"/health/ready")
 }
 
 var errNotServed = errors.New("not served")
 
-// load sends requests at a rate, whatever becomes of them, each of a tenant drawn by chance, and gives how long they took.
-func (t *asked) load(ctx context.Context, rate float64, length time.Duration, seed uint64) (times standin.Times,
+// load sends requests with random gaps at a mean rate (a second) for a time, each of a random tenant, without
+// waiting for answers (open loop), and returns the latencies of the served ones.
+func (t *latencyTarget) load(ctx context.Context, rate float64, length time.Duration, seed uint64) (times standin.Times,
 	err error) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
@@ -242,12 +246,12 @@
 		id, tenant := fmt.Sprintf("%s-%d-%d", t.name, seed, i), tenantName(random.IntN(t.tenants))
 		work.Go(func() {
 			began := time.Now()
-			err := t.one(ctx, client, id, tenant)
+			err := t.request(ctx, client, id, tenant)
 			took := time.Since(began)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				t.fault(err)
+				t.countFailure(err)
 				return
 			}
 			t.served++
@@ -258,21 +262,21 @@
 	return times, nil
 }
 
-// fault counts a request that was not served.
-func (t *asked) fault(err error) {
-	if t.faults == nil {
-		t.faults = map[string]int{}
+// countFailure counts a request that was not served, by reason.
+func (t *latencyTarget) countFailure(err error) {
+	if t.failureCounts == nil {
+		t.failureCounts = map[string]int{}
 	}
 	t.failed++
 	why := err
-	if inner := (*url.Error)(nil); errors.As(err, &inner) { // without the request's address, which differs in each
+	if inner := (*url.Error)(nil); errors.As(err, &inner) { // without the URL, which differs in each request
 		why = inner.Err
 	}
-	t.faults[why.Error()]++
+	t.failureCounts[why.Error()]++
 }
 
-// one sends one request and reads its answer.
-func (t *asked) one(ctx context.Context, client *http.Client, id, tenant string) error {
+// request sends one request and reads its answer.
+func (t *latencyTarget) request(ctx context.Context, client *http.Client, id, tenant string) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+t.addr+"/"+requestClass.Name+"?obj="+id, nil)
 	if err != nil {
 		return err
--- a/internal/rig/capacity/modules.go
+++ b/internal/rig/capacity/modules.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	listTries   = 7 // of which the median counts
+	listTries   = 7 // measurements, of which the median is taken
 	listLimit   = 4 << 20
-	idleTicks   = 400 // of modules to which no request comes
+	idleTicks   = 400 // measured ticks of modules without requests
 	tickLength  = 25 * time.Millisecond
-	heapSlack   = 16 << 10 // bytes: a collection that frees less has freed all
-	serviceSize = 25       // backends of a service in the mean: the design's 8,600 over its 340
+	heapSlack   = 16 << 10 // bytes: a garbage collection that frees less is the last one
+	serviceSize = 25       // mean number of backends of a service: the design's 8,600 over its 340 services
 )
 
-// modules measures the decision module by itself: what it holds and what it costs, by backends, tenants and services.
+// modules measures the memory and processor time of the decision module alone, by backends, tenants and services.
 func (r *run) modules(ctx context.Context, s *Section) error {
 	for _, part := range []func(context.Context, *Section) error{r.backends, r.tenants, r.services, r.entries} {
 		if err := part(ctx, s); err != nil {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// nodeSettings are those of a node of the design: nodes that talk and probe.
+// nodeSettings returns the settings of a node of the design, which exchanges messages with others and probes servers.
 func nodeSettings(self, tenants int) decide.Settings {
 	s := decide.Settings{Nodes: int(Design.Nodes), Self: self, Zone: zoneOf(self), MaxAttempts: 4, MayOverlap: true,
 		MayCancel: true, MayProbe: true, MayMessage: true,
@@ -50,7 +50,7 @@
 	return s
 }
 
-// backendList is a whole list as a module takes it, of the servers of one service.
+// backendList returns a full list of n servers of one service, as a module receives it.
 func backendList(service, n int) decide.ListUpdate {
 	l := decide.ListUpdate{Kind: decide.ListFull, Version: 1}
 	for i := range n {
@@ -60,20 +60,20 @@
 	return l
 }
 
-// held gives the bytes that live on the heap for one of some copies that make has made.
-func held[T any](copies int, make func() T) float64 {
-	before := heap()
+// heapPerCopy returns the bytes of live heap for each of the copies that make returns.
+func heapPerCopy[T any](copies int, make func() T) float64 {
+	before := liveHeap()
 	var made []T
 	for range copies {
 		made = append(made, make())
 	}
-	after := heap()
+	after := liveHeap()
 	runtime.KeepAlive(made)
 	return (after - before) / float64(copies)
 }
 
-// heap gives the bytes that live on the heap, once nothing more is let go of.
-func heap() float64 {
+// liveHeap collects garbage until nothing more is freed, and returns the bytes of live heap.
+func liveHeap() float64 {
 	var now runtime.MemStats
 	for last := uint64(math.MaxUint64); ; last = now.HeapAlloc {
 		runtime.GC()
@@ -84,10 +84,10 @@
 	}
 }
 
-// copiesOf is how many copies are made of something of that size, so that what else lives on the heap does not tell.
-func copiesOf(size, most int) int { return max(2, 4*most/size) }
+// copiesOf returns how many copies of something of a size to make, so that other objects on the heap don't matter.
+func copiesOf(size, largest int) int { return max(2, 4*largest/size) }
 
-// median gives the middle one of some times.
+// median calls take n times and returns the median of the times.
 func median(n int, take func() time.Duration) time.Duration {
 	var t standin.Times
 	for range n {
@@ -96,15 +96,15 @@
 	return t.Quantile(0.5)
 }
 
-const moduleStart = time.Hour // on the module's clock, where zero has no meaning
+const moduleStart = time.Hour // start on the module's clock, on which zero is not a valid time
 
-// backends measures one module as its list grows, and the list as discovery sends it.
+// backends measures one module as its list grows, and the list in the form in which discovery sends it.
 func (r *run) backends(_ context.Context, s *Section) error {
-	var p points
+	var p slopePoints
 	for _, size := range []int{100, 1000, 4000, int(Design.Backends)} {
 		list := backendList(0, size)
 		settings := nodeSettings(0, 0)
-		bytesHeld := held(copiesOf(size, int(Design.Backends)), func() *decide.Module {
+		bytesHeld := heapPerCopy(copiesOf(size, int(Design.Backends)), func() *decide.Module {
 			m := decide.New(settings, 1)
 			m.Handle(moduleStart, list)
 			return m
@@ -143,44 +143,44 @@
 			{"list.decoded", decoded.Seconds() * 1e3, "ms of processor time, a whole list from JSON"},
 			{"list.json", float64(len(raw)), "bytes of JSON"},
 		} {
-			s.figure(r.Out, fmt.Sprintf("backends.%d.%s", size, f.name), f.value, f.unit)
+			s.addFigure(r.Out, fmt.Sprintf("backends.%d.%s", size, f.name), f.value, f.unit)
 			p.add("backends."+f.name, f.unit, float64(size), f.value)
 		}
 		if size == int(Design.Backends) {
-			s.figure(r.Out, "backends.list.limit", float64(listLimit)/float64(len(raw)),
+			s.addFigure(r.Out, "backends.list.limit", float64(listLimit)/float64(len(raw)),
 				"times that list is what a node takes at most (4 MiB)")
-			s.figure(r.Out, "backends.region.restart", float64(len(raw))*Design.Nodes/regions/1e6,
+			s.addFigure(r.Out, "backends.region.restart", float64(len(raw))*Design.Nodes/regions/1e6,
 				"MB of lists for 365 nodes that restart at once, computed")
-			s.figure(r.Out, "backends.list.paced", float64(len(raw))/BudgetBytes,
+			s.addFigure(r.Out, "backends.list.paced", float64(len(raw))/BudgetBytes,
 				"s for that list at 7,000 bytes a second, computed")
-			s.promise(r.Out, len(raw) <= listLimit, "the list of %d backends is taken", size)
+			s.addPromise(r.Out, len(raw) <= listLimit, "the list of %d backends is taken", size)
 		}
 	}
 	return p.write(r, s, "backend", Design.Backends)
 }
 
-// tenants measures what tenants add to one module.
+// tenants measures what tenants add to the cost of one module.
 func (r *run) tenants(_ context.Context, s *Section) error {
-	var p points
+	var p slopePoints
 	for _, size := range []int{100, 1800, 6000, int(Design.Tenants)} {
 		copies := copiesOf(size, int(Design.Tenants))
-		bytesOfSettings := held(copies, func() decide.Settings { return nodeSettings(0, size) })
+		bytesOfSettings := heapPerCopy(copies, func() decide.Settings { return nodeSettings(0, size) })
 		settings := nodeSettings(0, size)
-		bytesHeld := held(copies, func() *decide.Module { return decide.New(settings, 1) })
+		bytesHeld := heapPerCopy(copies, func() *decide.Module { return decide.New(settings, 1) })
 		for _, f := range []struct {
 			name  string
 			value float64
 			unit  string
 		}{{"memory", bytesHeld / (1 << 20), "MiB, one module"}, {"settings", bytesOfSettings / (1 << 20),
 			"MiB, the settings that all modules may share"}} {
-			s.figure(r.Out, fmt.Sprintf("tenants.%d.%s", size, f.name), f.value, f.unit)
+			s.addFigure(r.Out, fmt.Sprintf("tenants.%d.%s", size, f.name), f.value, f.unit)
 			p.add("tenants."+f.name, f.unit, float64(size), f.value)
 		}
 	}
 	return p.write(r, s, "tenant", Design.Tenants)
 }
 
-// modulesOf makes a module for each of so many services.
+// modulesOf returns a module for each of the given number of services.
 func modulesOf(services int) (list []*decide.Module) {
 	for service := range services {
 		m := decide.New(nodeSettings(0, 0), int64(service))
@@ -190,11 +190,11 @@
 	return list
 }
 
-// services measures a node that has a module for each service: nothing of this program does yet.
+// services measures a node with a module for each service. The program has no such node yet.
 func (r *run) services(_ context.Context, s *Section) error {
-	var p points
+	var p slopePoints
 	for _, size := range []int{10, 40, 100, int(Design.Services)} {
-		bytesHeld := held(copiesOf(size, int(Design.Services)), func() []*decide.Module { return modulesOf(size) })
+		bytesHeld := heapPerCopy(copiesOf(size, int(Design.Services)), func() []*decide.Module { return modulesOf(size) })
 		list := modulesOf(size)
 		began := processorTime()
 		for tick := range idleTicks {
@@ -204,9 +204,9 @@
 			}
 		}
 		idle := (processorTime() - began).Seconds() / (idleTicks * tickLength.Seconds())
-		s.figure(r.Out, fmt.Sprintf("services.%d.memory", size), bytesHeld/(1<<20),
+		s.addFigure(r.Out, fmt.Sprintf("services.%d.memory", size), bytesHeld/(1<<20),
 			"MiB, a module each of 25 backends, no tenants")
-		s.figure(r.Out, fmt.Sprintf("services.%d.idle", size), idle, "cores, a module each to which nothing comes")
+		s.addFigure(r.Out, fmt.Sprintf("services.%d.idle", size), idle, "cores, a module each to which nothing comes")
 		p.add("services.memory", "MiB, a module each of 25 backends, no tenants", float64(size), bytesHeld/(1<<20))
 		p.add("services.idle", "cores, a module each to which nothing comes", float64(size), idle)
 	}
@@ -214,12 +214,12 @@
 		return err
 	}
 	tenants, services := slopeOf(s, "tenants.memory"), slopeOf(s, "services.memory")
-	s.figure(r.Out, "services.tenants.memory", services+Design.Services*tenants,
+	s.addFigure(r.Out, "services.tenants.memory", services+Design.Services*tenants,
 		"MiB, 340 modules that each hold all 18,000 tenants, computed from the two")
 	return nil
 }
 
-// slopeOf gives the value at the design size of a line that the section has drawn.
+// slopeOf returns the value at the design size of a slope of the section.
 func slopeOf(s *Section, name string) float64 {
 	for _, l := range s.Slopes {
 		if l.Name == s.Name+"."+name {
--- a/internal/rig/capacity/page.go
+++ b/internal/rig/capacity/page.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// Files of the project, from its root.
+// Paths of files, relative to the project's root.
 const (
 	PageFile    = "docs/CAPACITY.md"
 	ResultsFile = "docs/capacity.json"
 )
 
-// Markers of a table on the page. All between them is made from the results.
+// Markers of a table on the page. All text between them is generated from the results.
 const (
 	beginMarker = "<!-- table %s, made by `rig capacity -page` -->"
 	endMarker   = "<!-- end of the table -->"
 )
 
-// tables are those of the page, by name.
+// tables holds the functions that generate the page's tables, by table name.
 var tables = map[string]func(*Results) (string, error){
 	"runs":      runsTable,
 	"estimates": estimatesTable,
 	"slopes":    slopesTable,
 	"missing":   missingTable,
-	"effects":   effectsTable,
+	"effects":   assumptionsTable,
 	"calibrate": calibrateTable,
 	"promises":  promisesTable,
 }
 
-// Page gives a page with its tables made from results.
+// Page returns the page with its tables generated from results.
 func Page(page string, r *Results) (string, error) {
 	for name, make := range tables {
 		text, err := make(r)
@@ -54,7 +54,7 @@
 	return page, nil
 }
 
-// replace puts a table between its markers.
+// replace replaces the text between a table's markers.
 func replace(page, name, text string) (string, error) {
 	begin := fmt.Sprintf(beginMarker, name)
 	before, rest, ok := strings.Cut(page, begin)
@@ -68,7 +68,7 @@
 	return before + begin + "\n" + text + endMarker + after, nil
 }
 
-// WritePage makes the tables of a page from a file of results.
+// WritePage generates the tables of a page file from a results file.
 func WritePage(page, results string) error {
 	raw, err := os.ReadFile(page)
 	if err != nil {
@@ -88,7 +88,7 @@
 	return os.WriteFile(page, []byte(text), 0o644)
 }
 
-// grid writes a table in Markdown.
+// grid builds a Markdown table.
 type grid struct{ strings.Builder }
 
 func (g *grid) row(cells ...string) {
@@ -103,25 +103,25 @@
 	g.WriteString(strings.Repeat("| --- ", len(cells)) + "|\n")
 }
 
-// value is a figure, or what a line gives at the design size.
+// value is a figure, or the value of a slope at the design size.
 type value struct {
-	value   float64
-	unit    string
-	formula string // base + slope x size, where there is a line
-	section *Section
-	beyond  bool // the largest size that was run is smaller
+	value        float64
+	unit         string
+	formula      string // base + slope x size; empty for a figure
+	section      *Section
+	extrapolated bool // the design size is larger than the largest size that was run
 }
 
-// String is the value with its unit, marked if it is extrapolated.
+// String returns the value with its unit, marked if it is extrapolated.
 func (v value) String() string {
-	text := short(v.value) + " " + v.unit
-	if v.beyond {
+	text := formatValue(v.value) + " " + v.unit
+	if v.extrapolated {
 		text += " *extrapolated*"
 	}
 	return text
 }
 
-// find gives a value by the name of a line or of a figure.
+// find returns the value of the slope or the figure with a name.
 func (r *Results) find(name string) (value, error) {
 	if l, s, ok := r.FindSlope(name); ok {
 		return value{l.AtDesign, l.Unit, formula(l), s, l.Extrapolated}, nil
@@ -137,13 +137,13 @@
 	if base < 0 {
 		sign, base = "-", -base
 	}
-	return fmt.Sprintf("%s x %ss %s %s", short(l.Slope), l.Per, sign, short(base))
+	return fmt.Sprintf("%s x %ss %s %s", formatValue(l.Slope), l.Per, sign, formatValue(base))
 }
 
 func sizesOf(l Slope) string {
 	var list []string
 	for _, p := range l.Points {
-		list = append(list, fmt.Sprintf("%s: %s", short(p.Size), short(p.Value)))
+		list = append(list, fmt.Sprintf("%s: %s", formatValue(p.Size), formatValue(p.Value)))
 	}
 	return strings.Join(list, ", ")
 }
@@ -154,12 +154,12 @@
 		"most at once")
 	for _, s := range r.Sections {
 		late := "no times measured"
-		if s.Late > 0 {
-			late = s.Late.Round(time.Millisecond).String()
+		if s.MaxDelay > 0 {
+			late = s.MaxDelay.Round(time.Millisecond).String()
 		}
 		g.row(s.Name, s.Began.Format(time.RFC3339), s.Took.Round(time.Second).String(), fmt.Sprint(s.Seed), s.Machine,
 			s.Load, late,
-			fmt.Sprintf("%d processes, %d MiB", s.Most.Processes, s.Most.Memory>>10))
+			fmt.Sprintf("%d processes, %d MiB", s.Peak.Processes, s.Peak.Memory>>10))
 	}
 	return g.String(), nil
 }
@@ -169,11 +169,11 @@
 	g.head("figure", "unit", "line", "residual, of the largest", "at each size that was run", "at the design size")
 	for _, s := range r.Sections {
 		for _, l := range s.Slopes {
-			at := short(l.Design) + ": " + short(l.AtDesign)
+			at := formatValue(l.Design) + ": " + formatValue(l.AtDesign)
 			if l.Extrapolated {
 				at += " *extrapolated*"
 			}
-			g.row(l.Name, l.Unit, formula(l), short(l.Residual), sizesOf(l), at)
+			g.row(l.Name, l.Unit, formula(l), formatValue(l.Residual), sizesOf(l), at)
 		}
 	}
 	return g.String(), nil
@@ -194,12 +194,12 @@
 	return g.String(), nil
 }
 
-// factor gives a value over its budget.
+// factor returns a value divided by its budget, as text.
 func factor(v, budget float64) string {
 	if budget == 0 {
 		return "-"
 	}
-	text := short(v / budget)
+	text := formatValue(v / budget)
 	if v > budget {
 		text = "**" + text + "**"
 	}
@@ -207,29 +207,29 @@
 }
 
 func roleTable(r *Results, role role) (string, error) {
-	var g grid
-	g.head("what", "when", "measured", "line", "budget", "factor", "carried by")
+	var table grid
+	table.head("what", "when", "measured", "line", "budget", "factor", "carried by")
 	for _, e := range role.entries {
 		if e.figure == "" {
-			g.row(e.what, e.when, "*not run*", "", e.budgetText(), "-", e.mechanism)
+			table.row(e.what, e.when, "*not run*", "", e.budgetText(), "-", e.mechanism)
 			continue
 		}
 		v, e, err := r.valueOf(e)
-		if why := r.whyNot(e.figure); err != nil && why != "" {
-			g.row(e.what, e.when, "*"+why+"*", "", e.budgetText(), "-", e.mechanism)
+		if why := r.missingReason(e.figure); err != nil && why != "" {
+			table.row(e.what, e.when, "*"+why+"*", "", e.budgetText(), "-", e.mechanism)
 			continue
 		}
 		if err != nil {
 			return "", err
 		}
-		g.row(e.what, e.when, v.String(), v.formula, e.budgetText(), factor(v.value, e.budget), e.mechanism)
+		table.row(e.what, e.when, v.String(), v.formula, e.budgetText(), factor(v.value, e.budget), e.mechanism)
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
 
 func calibrateTable(r *Results) (string, error) {
-	var g grid
-	g.head("figure", "nodes", "real", "hollow", "hollow over real", "")
+	var table grid
+	table.head("figure", "nodes", "real", "hollow", "hollow over real", "")
 	for _, name := range []string{"calls", "datagrams", "bytes", "processor", "memory"} {
 		for _, size := range []int{10, 40} {
 			at := fmt.Sprintf("calibrate.%d.%s.", size, name)
@@ -241,12 +241,12 @@
 				}
 			}
 			verdict := "equal within 15%"
-			if v[2].value < 1-mostDifference || v[2].value > 1+mostDifference {
+			if v[2].value < 1-maxDifference || v[2].value > 1+maxDifference {
 				verdict = "differs: the figure of real nodes is used"
 			}
-			g.row(name+", "+v[0].unit, fmt.Sprint(size), short(v[0].value), short(v[1].value), short(v[2].value),
+			table.row(name+", "+v[0].unit, fmt.Sprint(size), formatValue(v[0].value), formatValue(v[1].value), formatValue(v[2].value),
 				verdict)
 		}
 	}
-	return g.String(), nil
+	return table.String(), nil
 }
--- a/internal/rig/capacity/reading.go
+++ b/internal/rig/capacity/reading.go
@@ -9,15 +9,15 @@
 	"starlingvalve/internal/rig/capacity/hollow"
 )
 
-// reading is what all parts have come to at a moment.
+// reading holds the totals of all parts of the fleet at one time.
 type reading struct {
-	at        time.Time
-	hollow    hollow.Counts
-	leader    int
-	processor []time.Duration // of the control machines
-	traffic   []link.Traffic
-	applied   uint64 // entries of the log at the leader
-	term      uint64
+	at       time.Time
+	hollow   hollow.Counts
+	leader   int
+	cpuTimes []time.Duration // processor time of the control machines
+	traffic  []link.Traffic
+	applied  uint64 // log entries that the leader has applied
+	term     uint64
 }
 
 func (s *site) read(ctx context.Context) (now reading, err error) {
@@ -29,11 +29,11 @@
 	}
 	now.at = time.Now()
 	for i, m := range s.voters {
-		h, err := m.door.Status(ctx)
+		h, err := m.client.Status(ctx)
 		if err != nil {
 			return now, fmt.Errorf("%s: %w", m.name, err)
 		}
-		now.processor, now.traffic = append(now.processor, processorOf(m.pid())), append(now.traffic, h.Traffic)
+		now.cpuTimes, now.traffic = append(now.cpuTimes, processorOf(m.pid())), append(now.traffic, h.Traffic)
 		if i == now.leader {
 			now.applied, now.term = h.Applied, h.Term
 		}
@@ -41,67 +41,67 @@
 	return now, nil
 }
 
-// spent is the difference of two readings, by second.
-type spent struct {
-	pause                               time.Duration // of the hollow nodes' processes, the longest
+// usageRates is the difference of two readings, per second.
+type usageRates struct {
+	pause                               time.Duration // longest pause of the hollow nodes' processes
 	seconds                             float64
-	leaderProcessor, followerProcessor  float64 // cores; of a follower the mean
+	leaderProcessor, followerProcessor  float64 // cores; the mean of the followers
 	leaderOut, leaderIn, leaderBytes    float64 // datagrams and bytes, headers included
 	followerBytes                       float64
-	nodeProcessor                       float64 // cores, of one hollow node
-	nodeDatagrams, nodeBytes, nodeCalls float64 // of one, both ways, headers included
+	nodeProcessor                       float64 // cores of one hollow node
+	nodeDatagrams, nodeBytes, nodeCalls float64 // of one hollow node, in and out, headers included
 	entries                             float64
 	callsByKind                         map[uint64]float64 // of one node
 }
 
-func onWire(t link.Traffic) float64 {
+func wireBytes(t link.Traffic) float64 {
 	return float64(t.BytesIn+t.BytesOut) + headerBytes*float64(t.DatagramsIn+t.DatagramsOut)
 }
 
-func between(a, b reading, nodes int) (d spent) {
-	d.seconds = b.at.Sub(a.at).Seconds()
-	followers := float64(len(a.processor) - 1)
-	for i := range a.processor {
-		cpu := (b.processor[i] - a.processor[i]).Seconds() / d.seconds
-		bytes := (onWire(b.traffic[i]) - onWire(a.traffic[i])) / d.seconds
-		if i != b.leader {
-			d.followerProcessor, d.followerBytes = d.followerProcessor+cpu/followers, d.followerBytes+bytes/followers
+func ratesBetween(before, after reading, nodes int) (rates usageRates) {
+	rates.seconds = after.at.Sub(before.at).Seconds()
+	followers := float64(len(before.cpuTimes) - 1)
+	for i := range before.cpuTimes {
+		cpu := (after.cpuTimes[i] - before.cpuTimes[i]).Seconds() / rates.seconds
+		bytes := (wireBytes(after.traffic[i]) - wireBytes(before.traffic[i])) / rates.seconds
+		if i != after.leader {
+			rates.followerProcessor, rates.followerBytes = rates.followerProcessor+cpu/followers, rates.followerBytes+bytes/followers
 			continue
 		}
-		d.leaderProcessor, d.leaderBytes = cpu, bytes
-		d.leaderOut = float64(b.traffic[i].DatagramsOut-a.traffic[i].DatagramsOut) / d.seconds
-		d.leaderIn = float64(b.traffic[i].DatagramsIn-a.traffic[i].DatagramsIn) / d.seconds
+		rates.leaderProcessor, rates.leaderBytes = cpu, bytes
+		rates.leaderOut = float64(after.traffic[i].DatagramsOut-before.traffic[i].DatagramsOut) / rates.seconds
+		rates.leaderIn = float64(after.traffic[i].DatagramsIn-before.traffic[i].DatagramsIn) / rates.seconds
 	}
-	each := d.seconds * float64(nodes)
-	d.nodeProcessor = (b.hollow.Processor - a.hollow.Processor).Seconds() / each
-	x, y := a.hollow.Traffic, b.hollow.Traffic
-	d.nodeDatagrams = float64(y.DatagramsIn+y.DatagramsOut-x.DatagramsIn-x.DatagramsOut) / each
-	d.nodeBytes = (onWire(y) - onWire(x)) / each
-	d.callsByKind = map[uint64]float64{}
-	for kind, n := range y.Calls {
-		d.callsByKind[kind] = float64(n-x.Calls[kind]) / each
-		d.nodeCalls += d.callsByKind[kind]
+	each := rates.seconds * float64(nodes)
+	rates.nodeProcessor = (after.hollow.CPUTime - before.hollow.CPUTime).Seconds() / each
+	trafficBefore, trafficAfter := before.hollow.Traffic, after.hollow.Traffic
+	rates.nodeDatagrams = float64(trafficAfter.DatagramsIn+trafficAfter.DatagramsOut-trafficBefore.DatagramsIn-trafficBefore.DatagramsOut) / each
+	rates.nodeBytes = (wireBytes(trafficAfter) - wireBytes(trafficBefore)) / each
+	rates.callsByKind = map[uint64]float64{}
+	for kind, n := range trafficAfter.Calls {
+		rates.callsByKind[kind] = float64(n-trafficBefore.Calls[kind]) / each
+		rates.nodeCalls += rates.callsByKind[kind]
 	}
-	d.pause = b.hollow.Pause
-	d.entries = float64(b.applied-a.applied) / d.seconds
-	return d
+	rates.pause = after.hollow.LongestPause
+	rates.entries = float64(after.applied-before.applied) / rates.seconds
+	return rates
 }
 
-// window measures what is spent over a time in which the same machine leads.
-func (s *site) window(ctx context.Context, length time.Duration, nodes int) (spent, error) {
-	a, err := s.read(ctx)
+// window measures the rates over a time. It returns errLeaderMoved if the leader or its term changed in that time.
+func (s *site) window(ctx context.Context, length time.Duration, nodes int) (usageRates, error) {
+	before, err := s.read(ctx)
 	if err != nil {
-		return spent{}, err
+		return usageRates{}, err
 	}
 	if err := sleep(ctx, length); err != nil {
-		return spent{}, err
+		return usageRates{}, err
 	}
-	b, err := s.read(ctx)
+	after, err := s.read(ctx)
 	if err != nil {
-		return spent{}, err
+		return usageRates{}, err
 	}
-	if a.leader != b.leader || a.term != b.term {
-		return spent{}, errLeaderMoved
+	if before.leader != after.leader || before.term != after.term {
+		return usageRates{}, errLeaderMoved
 	}
-	return between(a, b, nodes), nil
+	return ratesBetween(before, after, nodes), nil
 }
