--- a/cmd/rig/drains_test.go
+++ b/cmd/rig/drains_test.go
@@ -242,6 +242,7 @@
 			t.Fatalf("%v: exit code %d, %s; want %d with %q", args, code, text, want, part)
 		}
 	}
+	electAnother(t, p, 2) // a leader is refused for another reason than that it has the disk that it had
 	runFleet(3, "nothing is lost", 0, "renew", "n3")
 	if err := p.truncateLog(t.Context(), 0.3); err != nil {
 		t.Fatal(err)
@@ -266,6 +267,30 @@
 	runFleet(0, "voter n3 taken in with a new disk", 1, "history")
 }
 
+// electAnother waits for a leader. If that is voter i, it stops this voter until the others have elected one of them.
+func electAnother(t *testing.T, p *cluster, i int) {
+	t.Helper()
+	awaitLeader := func() (leader int) {
+		for end := time.Now().Add(settleWait); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+			if leader = p.leader(t.Context()); leader >= 0 {
+				return leader
+			}
+		}
+		t.Fatalf("no leader within %v", settleWait)
+		return -1
+	}
+	if awaitLeader() != i {
+		return
+	}
+	p.members[i].freeze(true)
+	leader := awaitLeader()
+	p.members[i].freeze(false)
+	p.history.note(p.members[i].name, "stopped, as it was the leader; now %s is", p.members[leader].name)
+	if err := p.awaitSettled(t.Context()); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // Guards against a node that acknowledges a drain which it can't store. A node whose folder can't be written logs that,
 // at a limited rate, and acknowledges nothing: the drain is not proven, and the command names the node, until the folder is
 // back.
