--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -168,7 +168,7 @@
 	KeepLog    bool          // keep each answer; otherwise only the sums
 	Seed       uint64        // of the random classes and arrival times
 	RetryAddrs []string      // further nodes of the site: a client's further tries go to them in turn
-	Linger     time.Duration // clients wait this much longer than the deadline that they send, to see late answers
+	Linger     time.Duration // clients wait this much longer than the deadline that they send; at least AnswerSlack
 	// CloseCrossing is how long after the sending of a request the close of a kept connection still counts as
 	// having crossed the request; 0: 20 ms.
 	CloseCrossing time.Duration
@@ -268,7 +268,8 @@
 			answer.EndedAt, answer.Failure = time.Now(), "no connection in time"
 		} else {
 			used := connection.used
-			putConn(connection, connection.roundTrip(class, &answer, l.Linger))
+			// At least AnswerSlack, so that the check sees each answer that it allows.
+			putConn(connection, connection.roundTrip(class, &answer, max(l.Linger, AnswerSlack)))
 			if connection.closeCrossed(used, &answer, l.CloseCrossing) && resent.IsZero() {
 				resent = time.Now()
 				try--
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -307,3 +307,33 @@
 		t.Errorf("%+v, resent %d, %d connections", last, s.Resent, len(answered))
 	}
 }
+
+// Guards against clients that hang up at the deadline itself, while the check allows an answer AnswerSlack later: one that
+// comes some milliseconds late on a busy machine then counted as lost.
+func TestAnswerWithinSlackIsSeen(t *testing.T) {
+	class := Class{Name: "order", Method: "POST", Worth: 1, Aim: time.Second, Patience: 50 * time.Millisecond, Share: 1}
+	for try := 0; ; try++ {
+		answered := make(chan time.Time, 1)
+		load := &Load{Classes: []Class{class}, KeepLog: true}
+		load.Addr = serveReplies(t, func(id string) string {
+			time.Sleep(class.Patience + 5*time.Millisecond)
+			answered <- time.Now()
+			return okResponse(id)
+		})
+		load.runOrder(t.Context(), class, load.takeConn, load.putConn)
+		for _, c := range load.idle { // otherwise the listener would wait for them
+			c.Close()
+		}
+		answer := load.Log()[0]
+		if late := (<-answered).Sub(answer.Deadline); late > AnswerSlack/2 && try < 20 {
+			continue // the machine delayed the answer itself
+		}
+		if verdict := checkAnswered(Evidence{Answers: []Answer{answer}}); verdict.ViolationCount > 0 {
+			t.Error(verdict)
+		}
+		if !answer.EndedAt.After(answer.Deadline) {
+			t.Errorf("not late: %+v", answer)
+		}
+		return
+	}
+}
