--- a/decide/api.go
+++ b/decide/api.go
@@ -350,6 +350,7 @@
 		// The server may be used for this time, by the list or another node's report. Nothing may be written to it
 		// after that. 0: there is no limit.
 		UsableFor time.Duration
+		Basis     SendBasis // what allows the use of the server
 		// The number of requests that all nodes together may send the server within OverloadTime while it is in slow
 		// start; 0: it is not in slow start.
 		SlowStartLimit int
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -716,7 +716,7 @@
 	}
 	m.placeInPool(server)
 	m.emit(Send{ID: request.id, Server: server.ID, Timeout: min(timeout, request.deadline-m.now),
-		UsableFor: m.serverUsableFor(server), SlowStartLimit: m.slowStartLimit(server)})
+		UsableFor: m.serverUsableFor(server), Basis: m.sendBasis(server), SlowStartLimit: m.slowStartLimit(server)})
 	return true
 }
 
--- a/decide/listage_test.go
+++ b/decide/listage_test.go
@@ -57,6 +57,7 @@
 
 	sent, refused, expiredSends int    // clients' requests; expiredSends: those sent by an expired list
 	firstExpiredSend            string // describes the first expired send
+	firstWrongBasis             string // describes the first send whose basis can't be true
 }
 
 // listNode is a node and the process that it runs.
@@ -168,6 +169,7 @@
 func (w *listWorld) checkSend(i int, send Send) {
 	node := &w.nodes[i]
 	w.sent++
+	w.checkBasis(i, send)
 	if at, bound := w.notifiedSince(node, int(send.Server)-1); bound && w.now > at+listSendGrace &&
 		(node.hasAnswer || w.now < node.startedAt+assumedDownAfter) {
 		if w.expiredSends++; w.firstExpiredSend == "" {
@@ -178,6 +180,23 @@
 	}
 }
 
+// checkBasis checks that what a send says that it rests on is true: a watch is open, or less than notifyBound ago
+// something else allowed it.
+func (w *listWorld) checkBasis(i int, send Send) {
+	possible := send.Basis.Age <= notifyBound
+	switch send.Basis.Kind {
+	case BasisWatch:
+		possible = w.nodes[i].watching
+	case BasisPeer:
+		possible = possible && w.peerMessages && send.Basis.Peer != i
+	case BasisNoAnswer:
+		possible = !w.nodes[i].hasAnswer
+	}
+	if !possible && w.firstWrongBasis == "" {
+		w.firstWrongBasis = fmt.Sprintf("node %d at %v: %v, %+v", i, w.now, send.Basis.Kind, send.Basis)
+	}
+}
+
 // notifiedSince is the time since when a node counts as notified that a server drains, and whether there is one: that
 // of the answer which said so, else notifyBound after the server began to drain and discovery was reachable.
 func (w *listWorld) notifiedSince(node *listNode, server int) (time.Duration, bool) {
@@ -428,6 +447,9 @@
 			t.Errorf("seed %d: %d requests by an expired list, the first: %s", seed, world.expiredSends,
 				world.firstExpiredSend)
 		}
+		if world.firstWrongBasis != "" {
+			t.Errorf("seed %d: %s", seed, world.firstWrongBasis)
+		}
 		sent, refused = sent+world.sent, refused+world.refused
 	}
 	if sent == 0 || refused > sent {
--- a/decide/messages.go
+++ b/decide/messages.go
@@ -54,7 +54,7 @@
 		m.answerReadinessQuery(message.From, message.Data)
 	case message.Data[0] == readinessMark && len(message.Data) >= readinessHeaderSize &&
 		(len(message.Data)-readinessHeaderSize)%4 == 0:
-		m.applyReadiness(message.Data)
+		m.applyReadiness(message.From, message.Data)
 	case !m.sharesLoad():
 	case len(message.Data) == slotsReportSize && message.Data[0] == slotsReportMark:
 		if server := m.known[ServerID(binary.BigEndian.Uint32(message.Data[1:]))]; server != nil {
--- a/decide/readiness.go
+++ b/decide/readiness.go
@@ -127,10 +127,10 @@
 	m.emit(SendMessage{To: from, Data: answer})
 }
 
-// applyReadiness applies a report that answers the latest query. The time for which the report holds is the
-// time of the query less the reported age. This is the earliest possible time, however long the messages
-// took.
-func (m *Module) applyReadiness(data []byte) {
+// applyReadiness applies a report of another node that answers the latest query. The time for which the
+// report holds is the time of the query less the reported age. This is the earliest possible time, however
+// long the messages took.
+func (m *Module) applyReadiness(from int, data []byte) {
 	if m.listLifetime() == 0 || data[1] != m.queryNumber || m.queriedAt == 0 {
 		return
 	}
@@ -141,7 +141,7 @@
 		if server == nil || server.peerConfirmed && server.peerConfirmedAt >= at {
 			continue
 		}
-		server.peerConfirmed, server.peerConfirmedAt = true, at
+		server.peerConfirmed, server.peerConfirmedAt, server.peerConfirmedBy = true, at, from
 		m.peerConfirmedUntil = max(m.peerConfirmedUntil, at+m.listLifetime())
 		m.placeInPool(server)
 	}
--- a/decide/state.go
+++ b/decide/state.go
@@ -59,6 +59,7 @@
 	readySince             Time   // when it became ready, as far as this node knows
 	peerConfirmed          bool   // another node has reported that it is ready
 	peerConfirmedAt        Time   // the time for which that is known
+	peerConfirmedBy        int    // the node that reported it
 	ringKey                uint64 // its position in the ring, an order of servers that all nodes share
 
 	// By grouping: the pool that it is in, and its index there.
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -41,6 +41,7 @@
 		l.attemptEnded(a, index, Result{Code: decide.Moot, Err: refused})
 		return
 	}
+	l.recordUnwatched(a, index, now)
 	if l.debug {
 		l.log.Debug("send", "request", a.ID, "attempt", index, "server", a.Server,
 			"left", time.Until(request.Deadline), "list age", l.view.Age(now))
--- a/internal/core/list.go
+++ b/internal/core/list.go
@@ -151,6 +151,7 @@
 		l.publishUpdate(update, decide.ListChanges)
 	}
 	l.guard.SetWatched(l.view.Watched())
+	l.logUnwatched()
 }
 
 // handleList applies a list from discovery, as a whole list or as changes.
@@ -166,6 +167,7 @@
 func (l *Loop) applyList(list List, kind decide.ListKind) {
 	l.publishUpdate(l.view.Apply(list, time.Now()), kind)
 	l.guard.SetWatched(l.view.Watched())
+	l.logUnwatched()
 }
 
 // publishUpdate passes an update of the list to the transport and then to the module. The transport is first, so that
@@ -180,6 +182,7 @@
 	l.handle(event)
 	l.setMetrics()
 	l.logTransitions(update)
+	l.logUnwatchedTo(update.Transitions)
 }
 
 // maxPushDelay is the greatest assumed age of a change that an open watch reports: discovery answers at once.
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -64,6 +64,7 @@
 	endWatch      context.CancelFunc // nil: no watch is open
 	watchAnswered bool               // the watch has had its first answer
 	listWasUsable bool               // the list has been usable at least once
+	unwatched     unwatchedSends
 }
 
 // Options are the settings and ports of a Loop. Settings, Transport, Membership and Log are required. Without a
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"starlingvalve/decide"
 	"starlingvalve/internal/guard"
 )
 
@@ -33,15 +34,16 @@
 	servers  atomic.Int64 // servers on the list
 	avoided  atomic.Int64 // servers on the list to which the node sends no normal traffic
 
-	outcomes      [outcomeKinds]atomic.Int64 // attempts by outcome
-	lists         [sourceKinds]atomic.Int64  // applied lists by source
-	transitions   atomic.Int64               // changes of the state of a server
-	revision      atomic.Int64               // of the list in force
-	listAgeMS     atomic.Int64               // ms since discovery last confirmed the list; -1: never
-	watched       atomic.Int64               // 1 while a watch keeps the list up to date, 0 otherwise
-	usable        atomic.Int64               // 1 while the list, or a server of it, is valid, 0 otherwise
-	refusedNoList atomic.Int64               // requests refused because there was no valid list
-	calls         [callKinds]atomic.Int64    // calls to discovery by how they ended
+	outcomes      [outcomeKinds]atomic.Int64      // attempts by outcome
+	lists         [sourceKinds]atomic.Int64       // applied lists by source
+	transitions   atomic.Int64                    // changes of the state of a server
+	revision      atomic.Int64                    // of the list in force
+	listAgeMS     atomic.Int64                    // ms since discovery last confirmed the list; -1: never
+	watched       atomic.Int64                    // 1 while a watch keeps the list up to date, 0 otherwise
+	usable        atomic.Int64                    // 1 while the list, or a server of it, is valid, 0 otherwise
+	refusedNoList atomic.Int64                    // requests refused because there was no valid list
+	calls         [callKinds]atomic.Int64         // calls to discovery by how they ended
+	unwatched     [decide.BasisKinds]atomic.Int64 // attempts begun without a watch, by what allowed them
 	guard         atomic.Pointer[guard.Guard]
 }
 
@@ -190,6 +192,13 @@
 	}
 }
 
+// UnwatchedSend counts an attempt that begins without a watch, by what allows it.
+func (m *Metrics) UnwatchedSend(basis decide.BasisKind) {
+	if m != nil && basis >= 0 && basis < decide.BasisKinds {
+		m.unwatched[basis].Add(1)
+	}
+}
+
 // SetUsable sets whether the list, or at least one server of it, is valid, so that requests can be sent.
 func (m *Metrics) SetUsable(usable bool) {
 	if m == nil {
@@ -248,6 +257,9 @@
 	for i, name := range callNames {
 		line("calls."+name, m.calls[i].Load(), "|c\n")
 	}
+	for kind := decide.BasisWatch + 1; kind < decide.BasisKinds; kind++ {
+		line("unwatched."+kind.String(), m.unwatched[kind].Load(), "|c\n")
+	}
 	g := m.guard.Load()
 	for _, rule := range guard.Rules() {
 		refused, violated := g.Counts(rule)
